--- /dev/null
+++ b/tests/decision-digest.c
@@ -0,0 +1,29 @@
+/* Prints a digest of the decisions of each of a range of random days: the first seed, and how many.
+   Days without and with changes of version count alike. tests/compare-decisions compares two builds
+   by it. */
+#include "random-day.h"
+
+#include <stdlib.h>
+
+static void
+print_digest (guint seed)
+{
+  g_autoptr (GChecksum) digest = g_checksum_new (G_CHECKSUM_SHA256);
+  random_day_run (seed, digest);
+  g_print ("%u %s\n", seed, g_checksum_get_string (digest));
+}
+
+int
+main (int argc, char **argv)
+{
+  if (argc != 3)
+    {
+      g_printerr ("usage: decision-digest FIRST-SEED COUNT\n");
+      return 2;
+    }
+  guint first = (guint)g_ascii_strtoull (argv[1], NULL, 10);
+  guint count = (guint)g_ascii_strtoull (argv[2], NULL, 10);
+  for (guint seed = first; seed < first + count; seed++)
+    print_digest (seed);
+  return EXIT_SUCCESS;
+}
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -106,11 +106,18 @@
 static void
 node_drain (SimNode *node);
 
+static gint64
+node_mono_us (const SimNode *n)
+{
+  gint64 t = n->sim->now_us;
+  return MH_SECOND_US * (n->index + 1) + (gint64)((double)t * (1 + n->drift));
+}
+
 static MhNow
 node_now (SimNode *n)
 {
   gint64 t = n->sim->now_us;
-  return (MhNow){ .mono_us = MH_SECOND_US * (n->index + 1) + (gint64)((double)t * (1 + n->drift)),
+  return (MhNow){ .mono_us = node_mono_us (n),
                   .wall_us = 1700000000000000 + t + (gint64)1000 * n->index,
                   .jitter = g_rand_double (n->sim->random) };
 }
@@ -504,6 +511,61 @@
     node_drain (n);
 }
 
+/* ---- digest of decisions ---- */
+
+static void
+digest_text (GChecksum *digest, const char *text)
+{
+  if (text)
+    g_checksum_update (digest, (const guchar *)text, -1);
+  g_checksum_update (digest, (const guchar *)"", 1);
+}
+
+static void
+digest_value (GChecksum *digest, const MhValue *value)
+{
+  g_autoptr (GBytes) bytes = value ? mh_value_save (value) : g_bytes_new (NULL, 0);
+  gsize size;
+  const guchar *data = g_bytes_get_data (bytes, &size);
+  digest_text (digest, value ? "value" : "none");
+  if (size)
+    g_checksum_update (digest, data, (gssize)size);
+}
+
+static void
+digest_action (const SimNode *n, const MhAction *a)
+{
+  GChecksum *digest = n->sim->digest;
+  if (digest == NULL || a->kind == MH_ACTION_LOG)
+    return;
+  g_autofree char *line = g_strdup_printf (
+      "%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT " %u %" G_GINT64_FORMAT
+      " %u %u %d %u %u %s",
+      n->sim->now_us, n->name, (int)a->kind, a->id, a->timeout_us, a->status, a->until_us,
+      a->answer.status, a->answer.retry_after_s, (int)a->answer.state, a->answer.done,
+      a->answer.running, a->text ? a->text : "");
+  digest_text (digest, line);
+  digest_value (digest, a->body);
+  if (a->request == NULL)
+    return;
+  g_autofree char *target = g_strdup_printf ("%d", (int)a->request->target);
+  digest_text (digest, target);
+  digest_text (digest, a->request->method);
+  digest_text (digest, a->request->endpoint);
+  digest_text (digest, a->request->path);
+  digest_value (digest, a->request->body);
+}
+
+void
+sim_digest_state (Sim *sim)
+{
+  if (sim->digest == NULL)
+    return;
+  g_autoptr (GString) state = g_string_new (NULL);
+  world_describe (sim->world, state);
+  digest_text (sim->digest, state->str);
+}
+
 static void
 node_drain (SimNode *n)
 {
@@ -516,8 +578,10 @@
       at_node (sim, n, n->frozen_us, node_resume, n, NULL);
       return;
     }
-  for (MhAction *a; (a = controller_pop (n->controller, node_now (n).mono_us));)
+  /* Taking an action draws nothing at random, so that a day does not hang on what is logged. */
+  for (MhAction *a; (a = controller_pop (n->controller, node_mono_us (n)));)
     {
+      digest_action (n, a);
       if (a->kind == MH_ACTION_CALL)
         {
           Flight *f = g_rc_box_new0 (Flight);
@@ -557,8 +621,7 @@
         node_answer (n, a);
       mh_action_free (a);
     }
-  MhNow t = node_now (n);
-  gint64 in = MAX (controller_next_wake (n->controller) - t.mono_us, 1000);
+  gint64 in = MAX (controller_next_wake (n->controller) - node_mono_us (n), 1000);
   if (n->wake_us == G_MAXINT64 || sim->now_us + in < n->wake_us)
     {
       n->wake_us = sim->now_us + in;
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -84,13 +84,17 @@
   GPtrArray *held, *held_writes;
   bool keep_requests; /* every one that was carried out is kept, to be repeated */
   GPtrArray *kept;
-  GPtrArray *log; /* lines of all nodes */
+  GPtrArray *log;    /* lines of all nodes */
+  GChecksum *digest; /* takes in what leaves the cores, but for log lines; NULL: none; not owned */
 };
 
 Sim *
 sim_new (guint32 seed);
 void
 sim_free (Sim *sim);
+/* The digest takes in all that is left outside the cores. */
+void
+sim_digest_state (Sim *sim);
 /* What the state service takes, and what all controllers are told; those start again. */
 void
 sim_limit (Sim *sim, guint value_bytes, guint txn_ops);
--- a/tests/world.c
+++ b/tests/world.c
@@ -1131,3 +1131,82 @@
     if (((WorldJob *)job)->spec->shape == MH_SHAPE_GANG)
       advance_gang (w, job);
 }
+
+/* ---- description of all that is left ---- */
+
+static void
+describe_value (GString *out, const MhValue *value)
+{
+  if (value == NULL)
+    return;
+  g_autoptr (GBytes) bytes = mh_value_save (value);
+  g_autofree char *sum = g_compute_checksum_for_bytes (G_CHECKSUM_SHA256, bytes);
+  g_string_append (out, sum);
+}
+
+static gboolean
+describe_key (gpointer key, gpointer value, gpointer data)
+{
+  const Key *k = value;
+  GString *out = data;
+  g_string_append_printf (out, "key %s %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " ",
+                          (const char *)key, k->version, k->lease_id);
+  describe_value (out, k->value);
+  g_string_append_c (out, '\n');
+  return FALSE;
+}
+
+static gint
+by_name (gconstpointer a, gconstpointer b)
+{
+  return strcmp (a, b);
+}
+
+static void
+describe_machine (const WorldMachine *m, GString *out)
+{
+  g_string_append_printf (out, "machine %s %s %s %d%d%d%d%d %" G_GINT64_FORMAT " %" G_GINT64_FORMAT,
+                          m->name, m->type, m->zone, m->spot, m->up, m->gone, m->failed, m->sick,
+                          m->rented_us, m->gone_us);
+  g_string_append_printf (out, " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT,
+                          m->session, m->sequence, m->token);
+  for (guint i = 0; i < m->tasks->len; i++)
+    {
+      const WorldTask *t = &g_array_index (m->tasks, WorldTask, i);
+      g_string_append_printf (out, " %s:%" G_GUINT64_FORMAT ":%d", t->leg, t->attempt,
+                              (int)t->phase);
+    }
+  g_string_append_c (out, '\n');
+}
+
+static void
+describe_job (const WorldJob *job, GString *out)
+{
+  g_string_append_printf (out, "job %s %d %" G_GINT64_FORMAT " %u %u ", job->spec->id,
+                          job->accepted, job->cancelled_us, job->n_done, job->saves);
+  for (guint i = 0; i < job->spec->tasks; i++)
+    g_string_append_c (out, job->done[i] ? '1' : '0');
+  g_string_append_c (out, '\n');
+}
+
+void
+world_describe (const World *w, GString *out)
+{
+  g_string_append_printf (out, "revision %" G_GUINT64_FORMAT " starts %u rented %" G_GUINT64_FORMAT,
+                          w->revision, w->starts, w->n_rented);
+  g_string_append_printf (out, " leases %u lists %u finals %u malformed %u refused %u\n",
+                          g_hash_table_size (w->leases), w->lists, w->finals_read,
+                          w->writes_malformed, w->writes_refused);
+  g_tree_foreach (w->keys, describe_key, out);
+  for (guint i = 0; i < w->machines->len; i++)
+    describe_machine (g_ptr_array_index (w->machines, i), out);
+  g_autoptr (GList) rentals = g_list_sort (g_hash_table_get_keys (w->rentals), by_name);
+  for (const GList *l = rentals; l; l = l->next)
+    g_string_append_printf (out, "rental %s %s\n", (const char *)l->data,
+                            (const char *)g_hash_table_lookup (w->rentals, l->data));
+  g_autoptr (GList) jobs = g_list_sort (g_hash_table_get_keys (w->jobs), by_name);
+  for (const GList *l = jobs; l; l = l->next)
+    describe_job (g_hash_table_lookup (w->jobs, l->data), out);
+  for (guint i = 0; i < w->broken->len; i++)
+    g_string_append_printf (out, "broken %s\n", (const char *)g_ptr_array_index (w->broken, i));
+}
--- a/tests/world.h
+++ b/tests/world.h
@@ -136,3 +136,6 @@
 /* Everything on machines, for checks. */
 guint
 world_running (World *world, const char *job);
+/* Everything that is stored, rented, running or told, in an order that does not change. */
+void
+world_describe (const World *world, GString *out);
