--- a/src/scale.c
+++ b/src/autoscaler/autoscaler.c
@@ -1,5 +1,5 @@
 /* The size of the fleet: when to rent, when to empty machines, and what the log says of it. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #define STEP_US (MH_SECOND_US / 2)
 #define SUMMARY_US (10 * MH_SECOND_US)
--- a/src/scale.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,7 +1,7 @@
 /* Renting machines from the cloud, and consolidating those that are hardly used. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 void
 mh_scale_start (MhCore *core);
--- a/src/room.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -1,4 +1,4 @@
-#include "core-private.h"
+#include "controller/core-private.h"
 
 MhRoom
 mh_room_new (const MhMachineType *type, const GRefString *zone, bool spot)
--- a/src/room.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -2,7 +2,7 @@
    rented. What consolidation and the plan of rentals reckon with. */
 #pragma once
 
-#include "job.h"
+#include "jobs/job.h"
 
 /* MhRoom on a machine: one that stays, one that is coming, or one that would have to be rented. */
 typedef struct
--- a/src/consolidate.c
+++ b/src/autoscaler/consolidation.c
@@ -1,5 +1,5 @@
 /* Emptying machines that do little. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 /* A machine is emptied when no more of it is in use, and the others would not be fuller than this.
    Replicas younger than this are left alone: a start that is undone at once is none. */
--- a/src/consolidate.h
+++ b/src/autoscaler/consolidation.h
@@ -2,7 +2,7 @@
    the machines are given back when they are empty. No replica is moved for its zone. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* `waiting`: tasks wait for room, so that nothing is emptied. */
 void
--- a/src/demand.c
+++ b/src/autoscaler/demand.c
@@ -1,6 +1,6 @@
 /* The plan of rentals: what waits is laid out on machines that are coming and on room that running
    tasks will leave. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/demand.h
+++ b/src/autoscaler/demand.h
@@ -1,7 +1,7 @@
 /* How many machines of which kind the waiting tasks want beyond those that are there or coming. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* Rooms (MhRoom) on machines that are coming, and, marked as wanted, on those to be rented. */
 GArray *
--- a/src/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,5 +1,5 @@
 /* Reads of what the cloud has: machine types, and the list of our machines. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #define CLOUD_TIMEOUT_US (4 * MH_SECOND_US)
 #define TYPES_US (60 * MH_SECOND_US)
--- a/src/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -2,7 +2,7 @@
    and was not known is added to the fleet; one that is listed as failed is given back. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* Asks again for what is out of date. */
 void
--- a/src/release.c
+++ b/src/autoscaler/scale-in.c
@@ -1,7 +1,7 @@
 /* Giving machines back. What is about to be given back is on record first: a new leader neither
    uses such a machine, which a late request of an earlier one may still take away, nor forgets it.
  */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/release.h
+++ b/src/autoscaler/scale-in.h
@@ -1,7 +1,7 @@
 /* Giving machines back to the cloud: recorded first, then asked for, then confirmed. */
 #pragma once
 
-#include "fleet.h"
+#include "cluster/machine-registry.h"
 
 /* A machine that is deleted costs at least this. */
 #define MH_LEAST_PAID_US (60 * MH_SECOND_US)
--- a/src/rental.c
+++ b/src/autoscaler/scale-out.c
@@ -1,5 +1,5 @@
 /* Calls that rent machines, and kinds that were refused. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #define CLOUD_TIMEOUT_US (4 * MH_SECOND_US)
 /* A kind of which there was none, or that was refused for another reason, is asked for again then.
--- a/src/rental.h
+++ b/src/autoscaler/scale-out.h
@@ -3,8 +3,8 @@
    while. */
 #pragma once
 
-#include "core-types.h"
-#include "types.h"
+#include "controller/core-types.h"
+#include "protocol/types.h"
 
 bool
 mh_rental_refused (MhCore *core, const MhMachineType *type, const char *zone, bool spot);
--- a/src/budget.c
+++ b/src/base/token-bucket.c
@@ -1,4 +1,4 @@
-#include "core-private.h"
+#include "controller/core-private.h"
 
 void
 mh_bucket_init (MhBucket *b, double rate, double burst, gint64 now_us)
--- a/src/budget.h
+++ b/src/base/token-bucket.h
@@ -1,7 +1,7 @@
 /* Token buckets, and the ranks in which calls to the state service and the cloud wait for one. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 typedef struct
 {
--- a/src/boot.c
+++ b/src/cluster/boot-time.c
@@ -1,4 +1,4 @@
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #define MEAN_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
--- a/src/boot.h
+++ b/src/cluster/boot-time.h
@@ -6,7 +6,7 @@
    estimate follows, and not all machines on their way are rented once more. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 typedef struct
 {
--- a/src/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -1,6 +1,6 @@
 /* Silence: who is asked, who is given back, and what is taken for cut off instead. Silence is no
    proof of anything; only the release of a machine proves soon that its tasks are gone. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/failure-detection.h
+++ b/src/cluster/failure-detection.h
@@ -2,7 +2,7 @@
    partitioned. It never declares a task gone: that takes a confirmed release or a report. */
 #pragma once
 
-#include "fleet.h"
+#include "cluster/machine-registry.h"
 
 /* Reports in a row that show nothing of the answer before them. */
 #define MH_MAX_IGNORED_ANSWERS 2u
--- a/src/fleet.c
+++ b/src/cluster/machine-registry.c
@@ -1,5 +1,5 @@
 /* Workers and machines: what reports say, what is sent, and when a task is proven gone. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/fleet.h
+++ b/src/cluster/machine-registry.h
@@ -4,7 +4,7 @@
    there is proof that it cannot run any more. Silence is no proof. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* Failures that are remembered of a machine. */
 #define MH_FAILURES_KEPT 16u
--- a/src/fault.h
+++ b/src/cluster/task-failure.h
@@ -7,7 +7,7 @@
    the job's first record, so that a new leader goes on with it. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* What is known of a job's failures since it last succeeded. */
 typedef struct
--- a/src/command.c
+++ b/src/cluster/worker-command.c
@@ -1,6 +1,6 @@
 /* Commands: what a machine is told, with the answer to its report or straight away, and what keeps
    a late copy of a direct start from being carried out. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/command.h
+++ b/src/cluster/worker-command.h
@@ -4,7 +4,7 @@
    out late; the worker is given a higher fencing token before its end is cleared. */
 #pragma once
 
-#include "fleet.h"
+#include "cluster/machine-registry.h"
 
 void
 mh_command_init (MhCore *core);
--- a/src/core-types.h
+++ b/src/controller/core-types.h
@@ -1,7 +1,7 @@
 /* Names that the modules of the core share; each is defined by its own module. */
 #pragma once
 
-#include "core.h"
+#include "controller/core.h"
 
 typedef struct MhJob MhJob;
 typedef struct MhMachine MhMachine;
--- a/src/core.c
+++ b/src/controller/core.c
@@ -1,4 +1,4 @@
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/core.h
+++ b/src/controller/core.h
@@ -2,8 +2,8 @@
    what is to be sent, written, answered or logged is then taken with mh_core_pop(). */
 #pragma once
 
-#include "settings.h"
-#include "wire.h"
+#include "settings/settings.h"
+#include "protocol/wire.h"
 
 typedef struct MhCore MhCore;
 
--- a/src/leader.c
+++ b/src/election/election.c
@@ -1,6 +1,6 @@
 /* Leadership: a key in the state service attached to a lease, and an epoch that rises with each
    leadership and fences workers against earlier leaders. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/leader.h
+++ b/src/election/election.h
@@ -2,7 +2,7 @@
    leadership. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* Each leadership takes so many epochs, of which each worker is given ever higher ones when a
    command to it has to be fenced: that costs no write, and no other worker notices. */
--- a/src/queue.c
+++ b/src/jobs/job-queue.c
@@ -1,6 +1,6 @@
 /* The order of work: which jobs have something to start, which come first, and how long they may
    wait. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/queue.h
+++ b/src/jobs/job-queue.h
@@ -1,7 +1,7 @@
 /* The order of work: which jobs have tasks to start, which of them come first. */
 #pragma once
 
-#include "job.h"
+#include "jobs/job.h"
 
 typedef enum
 {
--- a/src/job.c
+++ b/src/jobs/job.c
@@ -1,4 +1,4 @@
-#include "core-private.h"
+#include "controller/core-private.h"
 
 /* Of a record, in JSON: a task, with a machine's name of sixteen characters, and what is neither
    job nor task. A record that turns out larger is re-chunked. */
--- a/src/job.h
+++ b/src/jobs/job.h
@@ -4,8 +4,8 @@
    users are told of it (mh_job_answer) rests on durable records alone. */
 #pragma once
 
-#include "core-types.h"
-#include "fault.h"
+#include "controller/core-types.h"
+#include "cluster/task-failure.h"
 
 typedef enum
 {
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
-#include "settings.h"
-#include "shell.h"
+#include "settings/settings.h"
+#include "server/shell.h"
 
 #include <errno.h>
 #include <stdio.h>
--- a/src/gang.c
+++ b/src/placement/gang-scheduling.c
@@ -2,7 +2,7 @@
    number for all tasks; places for all in one pass or for none; whatever ends one task ends the
    attempt; the next one begins when every task of the last is proven gone. KEP-895's spread is
    about services and does not apply here. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/gang.h
+++ b/src/placement/gang-scheduling.h
@@ -1,8 +1,8 @@
 /* Gang scheduling: jobs whose tasks run all at the same time, or not at all. */
 #pragma once
 
-#include "fleet.h"
-#include "job.h"
+#include "cluster/machine-registry.h"
+#include "jobs/job.h"
 
 typedef enum
 {
--- a/src/place.c
+++ b/src/placement/placement.c
@@ -1,5 +1,5 @@
 /* Placement: filter, rank, first fit; quota, guarantees and preemption. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/place.h
+++ b/src/placement/placement.h
@@ -1,8 +1,8 @@
 /* Placement: filter, rank, first fit; team quotas and preemption. */
 #pragma once
 
-#include "fleet.h"
-#include "job.h"
+#include "cluster/machine-registry.h"
+#include "jobs/job.h"
 
 void
 mh_place_step (MhCore *core);
--- a/src/spread.c
+++ b/src/placement/topology-spread.c
@@ -1,4 +1,4 @@
-#include "core-private.h"
+#include "controller/core-private.h"
 
 /* KEP-895, "MaxSkew": matching num - min matching num < maxSkew. An infeasible zone still enters
    the minimum of the hard rule. */
--- a/src/spread.h
+++ b/src/placement/topology-spread.h
@@ -1,7 +1,7 @@
 /* The arithmetic of KEP-895 (Pod Topology Spread) and nothing else. */
 #pragma once
 
-#include "types.h"
+#include "protocol/types.h"
 
 typedef struct
 {
--- a/src/peer.c
+++ b/src/protocol/peer.c
@@ -1,6 +1,6 @@
-#include "peer.h"
+#include "protocol/peer.h"
 #include "peer_xdr.h"
-#include "wire.h"
+#include "protocol/wire.h"
 
 #include <string.h>
 
--- a/src/peer.h
+++ b/src/protocol/peer.h
@@ -1,7 +1,7 @@
 /* Messages between controllers, in XDR: see peer_xdr.x. */
 #pragma once
 
-#include "types.h"
+#include "protocol/types.h"
 
 typedef enum
 {
--- a/src/types.c
+++ b/src/protocol/types.c
@@ -1,4 +1,4 @@
-#include "types.h"
+#include "protocol/types.h"
 
 void
 mh_job_spec_free (MhJobSpec *s)
--- a/src/value.c
+++ b/src/protocol/value.c
@@ -1,4 +1,4 @@
-#include "value.h"
+#include "protocol/value.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/value.h
+++ b/src/protocol/value.h
@@ -1,7 +1,7 @@
 /* Values: CBOR items, as messages and records are made of them. */
 #pragma once
 
-#include "types.h"
+#include "protocol/types.h"
 #include <cbor.h>
 
 typedef cbor_item_t MhValue;
--- a/src/wire-cloud.c
+++ b/src/protocol/wire-cloud.c
@@ -1,5 +1,5 @@
 /* Messages of the cloud. */
-#include "wire-private.h"
+#include "protocol/wire-private.h"
 
 static const MhWireWord listed[] = { { "starting", MH_LISTED_STARTING },
                                      { "running", MH_LISTED_RUNNING },
--- a/src/wire-private.h
+++ b/src/protocol/wire-private.h
@@ -1,7 +1,7 @@
 /* What the readers and writers of messages share. */
 #pragma once
 
-#include "wire.h"
+#include "protocol/wire.h"
 
 /* A word of the protocol and the value that stands for it here. */
 typedef struct
--- a/src/wire-state.c
+++ b/src/protocol/wire-state.c
@@ -1,5 +1,5 @@
 /* Messages of the state service. */
-#include "wire-private.h"
+#include "protocol/wire-private.h"
 
 void
 mh_entry_free (MhEntry *e)
--- a/src/wire.c
+++ b/src/protocol/wire.c
@@ -1,5 +1,5 @@
 /* Messages of users and workers. */
-#include "wire-private.h"
+#include "protocol/wire-private.h"
 
 #include <string.h>
 
--- a/src/wire.h
+++ b/src/protocol/wire.h
@@ -2,7 +2,7 @@
    The protocol's own words stay in wire*.c. Readers return NULL or false on anything malformed. */
 #pragma once
 
-#include "value.h"
+#include "protocol/value.h"
 
 /* ---- routes: what a request to this node asks for ---- */
 
--- a/src/front.c
+++ b/src/server/front.c
@@ -1,4 +1,4 @@
-#include "front.h"
+#include "server/front.h"
 
 #include <errno.h>
 #include <netinet/in.h>
--- a/src/shell.c
+++ b/src/server/shell.c
@@ -1,8 +1,8 @@
-#include "shell.h"
+#include "server/shell.h"
 
-#include "core.h"
-#include "front.h"
-#include "peer.h"
+#include "controller/core.h"
+#include "server/front.h"
+#include "protocol/peer.h"
 
 #include <libsoup/soup.h>
 #include <netinet/in.h>
--- a/src/shell.h
+++ b/src/server/shell.h
@@ -2,7 +2,7 @@
    nothing. */
 #pragma once
 
-#include "settings.h"
+#include "settings/settings.h"
 
 /* Runs until the process is killed; false with an error when it cannot listen. */
 bool
--- a/src/settings.c
+++ b/src/settings/settings.c
@@ -1,4 +1,4 @@
-#include "settings.h"
+#include "settings/settings.h"
 
 #include <confuse.h>
 #include <math.h>
--- a/src/settings.h
+++ b/src/settings/settings.h
@@ -1,7 +1,7 @@
 /* The platform's settings file (TOML) and the operator's own (HCL-like, read by libConfuse). */
 #pragma once
 
-#include "types.h"
+#include "protocol/types.h"
 
 typedef struct
 {
--- a/src/toml-file.cpp
+++ b/src/settings/toml-file.cpp
@@ -10,7 +10,7 @@
 
 extern "C"
 {
-#include "settings.h"
+#include "settings/settings.h"
 }
 
 namespace
--- a/src/load.c
+++ b/src/storage/load.c
@@ -1,5 +1,5 @@
 /* Reload: a new leader reads every unfinished job, and which machines are being given back. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/load.h
+++ b/src/storage/load.h
@@ -1,7 +1,7 @@
 /* Reload: a new leader reads the records of its predecessors, of either version. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* Ends in mh_leader_loaded. */
 void
--- a/src/lookup.c
+++ b/src/storage/lookup.c
@@ -1,5 +1,5 @@
 /* Reads for users who ask about jobs that are not in memory. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #define CALL_TIMEOUT_US (MH_SECOND_US)
 /* Questions that may wait for the state service: what it serves in so long. A user gives up on an
--- a/src/lookup.h
+++ b/src/storage/lookup.h
@@ -6,7 +6,7 @@
    state service serves in a second, further ones are answered 503 at once. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 /* `in_charge`: a leader with a valid lease has looked in memory, and only the final record is left
    to read. A leader whose lease had lapsed once said "never heard of it" of unfinished jobs,
--- a/src/rechunk.c
+++ b/src/storage/rechunk.c
@@ -8,7 +8,7 @@
    ordered, no result cleared, no cancellation confirmed. What is known of a task is read wherever
    it stands, first found first taken, so that a leader that ends in between leaves nothing that
    misleads. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 /* Those that go together with the first; more old ones than a transaction takes are replaced one by
    one, from the last. */
--- a/src/rechunk.h
+++ b/src/storage/rechunk.h
@@ -2,7 +2,7 @@
    take from some unknown moment, is written in smaller ones before anything else of it is. */
 #pragma once
 
-#include "job.h"
+#include "jobs/job.h"
 
 void
 mh_rechunk_begin (MhCore *core, MhJob *job);
--- a/src/store.c
+++ b/src/storage/record-writer.c
@@ -1,6 +1,6 @@
 /* Durable records: batched writes, each conditional on the leader's key and on the record's own
    version. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/store.h
+++ b/src/storage/record-writer.h
@@ -5,7 +5,7 @@
    the first copy was carried out. */
 #pragma once
 
-#include "job.h"
+#include "jobs/job.h"
 
 /* Written in this order: a user or a service waits; a start or the end of a job; progress. */
 typedef enum
--- a/src/record.c
+++ b/src/storage/record.c
@@ -2,7 +2,7 @@
    epoch, j/ID (job and its first tasks), t/ID/CHUNK (further tasks), f/ID (the final state, kept
    for ever), r/EPOCH/N (names of machines), limits (what the state service was found to take; the
    version before this one never reads it). Short names, since values are limited. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <string.h>
 
--- a/src/record.h
+++ b/src/storage/record.h
@@ -4,7 +4,7 @@
    meaning of each field never change, whatever the code calls them. Unknown fields are ignored. */
 #pragma once
 
-#include "core-types.h"
+#include "controller/core-types.h"
 
 char *
 mh_record_key (const char *job, guint chunk);
--- a/tests/controller.h
+++ b/tests/controller.h
@@ -2,7 +2,7 @@
    Both take the same inputs, and their actions come out as this version's. */
 #pragma once
 
-#include "core.h"
+#include "controller/core.h"
 
 typedef enum
 {
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -1,7 +1,7 @@
 /* What a placement pass chooses on a random fleet, against a plain walk over all machines for every
    task: the lists and short cuts of place.c must not change what first fit, the skew rule and the
    order of the walk decide. */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -1,4 +1,4 @@
-#include "settings.h"
+#include "settings/settings.h"
 
 #include <glib/gstdio.h>
 #include <math.h>
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -1,7 +1,7 @@
 /* Thousands of machines: takeover, a zone that falls silent, a rolling change of leader, a swarm.
    What is asserted are counts, so that the verdict does not depend on the machine that runs the
    test. */
-#include "leader.h"
+#include "election/election.h"
 #include "steps.h"
 
 #include <string.h>
--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -1,5 +1,5 @@
 /* The numeric examples of KEP-895, "MaxSkew". */
-#include "core-private.h"
+#include "controller/core-private.h"
 
 typedef struct
 {
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,7 +1,7 @@
 /* Beside the version in production: what it writes is read, and what is written here is the same to
    the byte as long as no gang is in it. */
-#include "core-private.h"
-#include "peer.h"
+#include "controller/core-private.h"
+#include "protocol/peer.h"
 #include "production-gang-records.h"
 #include "production-records.h"
 #include "steps.h"
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -1,6 +1,6 @@
 /* Decoders: what is malformed is refused, whatever is thrown at them. */
-#include "core-private.h"
-#include "peer.h"
+#include "controller/core-private.h"
+#include "protocol/peer.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/world.h
+++ b/tests/world.h
@@ -3,8 +3,8 @@
  */
 #pragma once
 
-#include "settings.h"
-#include "wire.h"
+#include "settings/settings.h"
+#include "protocol/wire.h"
 
 struct WorldJob;
 
