--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -82,7 +82,7 @@
   core->scale.list_busy = true;
   if (after == NULL)
     core->scale.list_pages = 0;
-  mh_core_call (core, core->scale.listed ? MH_RANK_WORK : MH_RANK_RULES, mh_wire_machines (after),
+  mh_core_call (core, core->scale.listed ? MH_CALL_WORK : MH_CALL_SAFETY, mh_wire_machines (after),
                 0, CLOUD_TIMEOUT_US, list_reply, NULL, NULL);
 }
 
@@ -94,7 +94,7 @@
     {
       core->scale.types_busy = true;
       /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
-      mh_core_call (core, core->types ? MH_RANK_WORK : MH_RANK_LEASE, mh_wire_machine_types (), 0,
+      mh_core_call (core, core->types ? MH_CALL_WORK : MH_CALL_LEASE, mh_wire_machine_types (), 0,
                     CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
     }
   if (!core->scale.list_busy && now >= core->scale.list_us)
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -94,7 +94,7 @@
   (void)body;
   if (status != 200)
     {
-      core->cloud_pause_us = core->now.mono_us + 500000 + (gint64)(core->now.jitter * 500000);
+      mh_call_queue_pause_cloud (core->calls, 500000, 500000);
       call (core, p);
       return;
     }
@@ -112,7 +112,7 @@
 static void
 call (MhCore *core, Parcel *p)
 {
-  mh_core_call (core, MH_RANK_RULES, mh_wire_release (p->names), 0, CLOUD_TIMEOUT_US, call_reply,
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_release (p->names), 0, CLOUD_TIMEOUT_US, call_reply,
                 g_rc_box_acquire (p), parcel_unref);
 }
 
@@ -135,7 +135,7 @@
     mh_leader_lost (core, "the state service calls a record malformed");
   else
     {
-      mh_core_state_call_failed (core, status);
+      mh_call_queue_store_failed (core->calls, status);
       write_down (core, p);
     }
 }
@@ -154,7 +154,7 @@
       g_array_append_val (changes, drop);
     }
   mh_core_call (
-      core, MH_RANK_RULES,
+      core, MH_CALL_SAFETY,
       mh_wire_txn (conditions, G_N_ELEMENTS (conditions), (MhChange *)changes->data, changes->len),
       changes->len, STATE_TIMEOUT_US, write_reply, g_rc_box_acquire (p), parcel_unref);
 }
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -73,7 +73,7 @@
 static void
 rent_again (MhCore *core, const Rental *r)
 {
-  core->cloud_pause_us = core->now.mono_us + 300000 + (gint64)(core->now.jitter * 300000);
+  mh_call_queue_pause_cloud (core->calls, 300000, 300000);
   Rental *again = g_new0 (Rental, 1);
   *again = *r;
   again->name = g_strdup (r->name);
@@ -107,7 +107,7 @@
 rent (MhCore *core, Rental *r)
 {
   core->scale.renting = true;
-  mh_core_call (core, MH_RANK_WORK, mh_wire_rent (r->name, r->type, r->zone, r->spot, r->count), 0,
+  mh_core_call (core, MH_CALL_WORK, mh_wire_rent (r->name, r->type, r->zone, r->spot, r->count), 0,
                 CLOUD_TIMEOUT_US, rent_reply, r, rental_free);
 }
 
--- a/src/base/token-bucket.c
+++ b/src/base/token-bucket.c
@@ -1,25 +1,28 @@
-#include "controller/core-private.h"
+#include "base/token-bucket.h"
+
+#define SECOND_US 1000000
 
 void
-mh_bucket_init (MhBucket *b, double rate, double burst, gint64 now_us)
+mh_bucket_init (MhBucket *bucket, double rate, double burst, gint64 now_us)
 {
-  b->rate = rate;
-  b->burst = burst;
-  b->tokens = burst;
-  b->at_us = now_us;
+  bucket->rate = rate;
+  bucket->burst = burst;
+  bucket->tokens = burst;
+  bucket->at_us = now_us;
 }
 
 bool
-mh_bucket_has (MhBucket *b, double tokens, gint64 now_us)
+mh_bucket_has (MhBucket *bucket, double tokens, gint64 now_us)
 {
-  b->tokens = MIN (b->burst, b->tokens + b->rate * (double)(now_us - b->at_us) / MH_SECOND_US);
-  b->at_us = now_us;
+  double added = bucket->rate * (double)(now_us - bucket->at_us) / SECOND_US;
+  bucket->tokens = MIN (bucket->burst, bucket->tokens + added);
+  bucket->at_us = now_us;
   /* A single call that needs more than a full bucket passes when the bucket is full. */
-  return b->tokens >= MIN (tokens, b->burst);
+  return bucket->tokens >= MIN (tokens, bucket->burst);
 }
 
 void
-mh_bucket_take (MhBucket *b, double tokens)
+mh_bucket_take (MhBucket *bucket, double tokens)
 {
-  b->tokens -= tokens;
+  bucket->tokens -= tokens;
 }
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -132,7 +132,8 @@
   if (r == NULL || strcmp (r->machine, m->name) != 0)
     {
       /* The answer may have come while this process stood still, and the time-out with it. */
-      if (m->probed_us > core->awake_us && ++m->failed_probes < MAX_FAILED_PROBES)
+      if (m->probed_us > mh_runtime_resumed_us (core->runtime)
+          && ++m->failed_probes < MAX_FAILED_PROBES)
         probe (core, m);
     }
   else if (mh_fleet_answered (core, m, r))
@@ -157,7 +158,7 @@
   m->probing = true;
   m->probed_session = m->reported ? m->session : 0;
   m->probed_sequence = m->reported ? m->sequence : 0;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_show (m->endpoint), 0, PROBE_TIMEOUT_US, probe_reply,
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_show (m->endpoint), 0, PROBE_TIMEOUT_US, probe_reply,
                 g_strdup (m->name), g_free);
 }
 
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -173,7 +173,7 @@
 gint64
 mh_fleet_silence_us (const MhCore *core, gint64 heard_us)
 {
-  return core->now.mono_us - MAX (heard_us, core->awake_us);
+  return core->now.mono_us - MAX (heard_us, mh_runtime_resumed_us (core->runtime));
 }
 
 bool
@@ -703,7 +703,7 @@
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
   if (status == 200 && mh_leader_valid (core))
-    a->until_us = core->leader.valid_until_us;
+    a->lease_until_us = core->leader.valid_until_us;
 }
 
 /* A report of unknown age: at most it tells where to ask. */
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -330,6 +330,6 @@
       g_array_append_val (m->unacknowledged, l);
     }
   m->direct++;
-  mh_core_call (core, MH_RANK_WORK, mh_wire_commands (m->endpoint, token, m->session, commands), 0,
+  mh_core_call (core, MH_CALL_WORK, mh_wire_commands (m->endpoint, token, m->session, commands), 0,
                 DIRECT_TIMEOUT_US, direct_reply, d, direct_free);
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -5,6 +5,7 @@
 #include "controller/core.h"
 #include "cluster/boot-time.h"
 #include "base/token-bucket.h"
+#include "runtime/call-queue.h"
 #include "cluster/worker-command.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
@@ -28,52 +29,18 @@
 #include "placement/topology-spread.h"
 #include "storage/record-writer.h"
 
-typedef struct
-{
-  guint64 id;
-  MhRequest *request;
-  gint64 timeout_us;
-  double writes;
-} MhQueued;
-
-typedef struct
-{
-  MhReplyFunc func;
-  gpointer data;
-  GDestroyNotify free;
-  bool to_worker; /* and has left */
-} MhCall;
-
 typedef struct
 {
   double ratio;
   guint n;
 } MhClassStat;
 
-/* Subjects of which thousands of machines or calls may give a line at once. */
-typedef enum
-{
-  MH_LOG_BOOT,
-  MH_LOG_STATE,
-  MH_LOG_PEER
-} MhLogSubject;
-#define MH_LOG_SUBJECTS 3
-
 struct MhCore
 {
   const MhSettings *settings;
-  MhNow now;
-  guint64 next_id;
-  GQueue actions;
-  gint64 wake_us;
-  gint64 awake_us; /* since it last stood still, or refused all workers; 0: it never did */
-
-  GHashTable *calls; /* id -> MhCall */
-  GQueue state_queue[MH_RANKS], cloud_queue[MH_RANKS];
-  GQueue worker_queue; /* MhQueued: calls that wait until others are over */
-  guint worker_calls;  /* under way */
-  MhBucket state_bucket, write_bucket, cloud_bucket;
-  gint64 state_pause_us, cloud_pause_us;
+  MhNow now; /* of the runtime; for modules that do not have it yet */
+  MhRuntime *runtime;
+  MhCallQueue *calls;
 
   struct
   {
@@ -110,9 +77,9 @@
   GQueue garbage;             /* keys to drop */
   struct
   {
-    bool lowered; /* the state service was found to hold to its next rate of changes */
     bool durable, writing;
-  } limits;   /* on record, so that no later leader has to find out */
+  } limits; /* that the state service takes fewer changes is on record, so that no later leader has
+               to find out */
   guint txns; /* in flight */
   guint64 rev;
   GHashTable *machines;    /* name -> MhMachine */
@@ -124,12 +91,11 @@
   guint replicas; /* of services, on all machines */
   gint64 swept_us;
   MhBucket probe_bucket, direct_bucket;
-  GPtrArray *types;               /* MhMachineType; NULL until known */
-  GHashTable *team_use;           /* team -> MhUse */
-  GHashTable *class_stats;        /* class -> MhClassStat */
-  GHashTable *boot_stats;         /* type -> MhBootStat */
-  gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
-  GHashTable *gangs;              /* ids of those that a task's end has consequences for */
+  GPtrArray *types;        /* MhMachineType; NULL until known */
+  GHashTable *team_use;    /* team -> MhUse */
+  GHashTable *class_stats; /* class -> MhClassStat */
+  GHashTable *boot_stats;  /* type -> MhBootStat */
+  GHashTable *gangs;       /* ids of those that a task's end has consequences for */
   gint64 gangs_looked_us;
   bool place_wanted, place_urgent;
   gint64 placed_us, preempted_us;
@@ -156,46 +122,21 @@
 
 void
 mh_core_step (MhCore *core);
-MhAction *
-mh_core_act (MhCore *core, MhActionKind kind, guint64 id);
-/* Queues a call on its bucket; the request is taken over. */
+/* For modules that still take the whole core; see src/runtime. */
+typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
 void
-mh_core_call (MhCore *core, MhRank rank, MhRequest *request, double writes, gint64 timeout_us,
-              MhReplyFunc func, gpointer data, GDestroyNotify free);
-/* Sends what the buckets allow. */
-void
-mh_core_flush (MhCore *core);
-/* Forgets all calls; replies that still come are ignored. */
-void
-mh_core_drop_calls (MhCore *core);
-/* A call to the state service was not answered, or not carried out for now: further ones wait. */
-void
-mh_core_state_call_failed (MhCore *core, guint status);
-/* Says so in the log, once a second at the most. */
-void
-mh_core_log_state_failure (MhCore *core, guint status);
-/* The rate of changes that was announced as the next one holds from now on. */
-void
-mh_core_lower_write_rate (MhCore *core);
-void
-mh_core_answer (MhCore *core, guint64 id, guint status, guint retry_after_s);
+mh_core_call (MhCore *core, MhCallClass class, MhRequest *request, double writes, gint64 timeout_us,
+              MhCoreReplyFunc func, gpointer data, GDestroyNotify free);
 void
 mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status);
 void
-mh_core_wake_at (MhCore *core, gint64 at_us);
-void
-mh_core_log (MhCore *core, GLogLevelFlags level, const char *format, ...) G_GNUC_PRINTF (3, 4);
-void
 mh_core_final (MhCore *core, const char *id, const MhUserAnswer *answer);
-/* Whether a line on the subject is due: one a second. */
-bool
-mh_core_may_log (MhCore *core, MhLogSubject subject);
+#define mh_core_act(core, kind, id) mh_runtime_act ((core)->runtime, kind, id)
+#define mh_core_answer(core, id, status, retry_after_s)                                            \
+  mh_runtime_answer_user ((core)->runtime, id, status, retry_after_s)
+#define mh_core_wake_at(core, at_us) mh_runtime_wake_at ((core)->runtime, at_us)
+#define mh_core_log(core, ...) mh_runtime_log ((core)->runtime, __VA_ARGS__)
 #define mh_info_limited(core, subject, ...)                                                        \
-  G_STMT_START                                                                                     \
-  {                                                                                                \
-    if (mh_core_may_log (core, subject))                                                           \
-      mh_core_log (core, G_LOG_LEVEL_INFO, __VA_ARGS__);                                           \
-  }                                                                                                \
-  G_STMT_END
-#define mh_info(core, ...) mh_core_log (core, G_LOG_LEVEL_INFO, __VA_ARGS__)
-#define mh_debug(core, ...) mh_core_log (core, G_LOG_LEVEL_DEBUG, __VA_ARGS__)
+  mh_log_info_limited ((core)->runtime, subject, __VA_ARGS__)
+#define mh_info(core, ...) mh_log_info ((core)->runtime, __VA_ARGS__)
+#define mh_debug(core, ...) mh_log_debug ((core)->runtime, __VA_ARGS__)
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -15,63 +15,46 @@
 #define TRY_AGAIN_US (4 * MH_SECOND_US)
 /* A user waits two seconds for an answer. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
-/* Of the rate of changes, and the burst; the others write a little too. */
-#define WRITE_SHARE 0.9
-#define WRITE_BURST_S 0.8
-/* After a call to the state service that failed. */
-#define STATE_PAUSE_US (MH_SECOND_US / 10)
-#define STATE_PAUSE_JITTER_US 150000
-/* A tick that comes so much too late was not held up by work. */
-#define STILL_US MH_SECOND_US
-
-/* Calls to workers under way at once: one in so many of all connections, and at least so many. */
-#define WORKER_CALLS_PART 12u
-#define LEAST_WORKER_CALLS 16u
+/* Calls of modules that still take the whole core. */
+typedef struct
+{
+  MhCoreReplyFunc func;
+  gpointer data;
+  GDestroyNotify free;
+} CoreCall;
 
 static void
-call_free (gpointer data)
+core_call_free (gpointer data)
 {
-  MhCall *call = data;
+  CoreCall *call = data;
   if (call->free)
     call->free (call->data);
   g_free (call);
 }
 
-void
-mh_action_free (MhAction *a)
-{
-  if (a == NULL)
-    return;
-  mh_request_free (a->request);
-  mh_value_unref (a->body);
-  g_free (a->text);
-  g_free (a);
-}
-
-MhAction *
-mh_core_act (MhCore *core, MhActionKind kind, guint64 id)
+static void
+core_call_reply (gpointer owner, gpointer data, const MhReply *reply)
 {
-  MhAction *a = g_new0 (MhAction, 1);
-  a->kind = kind;
-  a->id = id;
-  if (kind == MH_ACTION_ANSWER_USER && mh_leader_valid (core))
-    a->until_us = core->leader.valid_until_us;
-  g_queue_push_tail (&core->actions, a);
-  return a;
+  CoreCall *call = data;
+  call->func (owner, call->data, reply->status, reply->body);
 }
 
-/* The end of a call; one that is not known any more was forgotten with a leadership. */
-static void
-call_over (MhCore *core, guint64 id, guint status, const MhValue *body)
+void
+mh_core_call (MhCore *core, MhCallClass class, MhRequest *request, double writes, gint64 timeout_us,
+              MhCoreReplyFunc func, gpointer data, GDestroyNotify free)
 {
-  gpointer key, value;
-  if (!g_hash_table_steal_extended (core->calls, &id, &key, &value))
-    return;
-  MhCall *call = value;
-  core->worker_calls -= call->to_worker;
-  call->func (core, call->data, status, body);
-  g_free (key);
-  call_free (call);
+  CoreCall *call = g_new0 (CoreCall, 1);
+  call->func = func;
+  call->data = data;
+  call->free = free;
+  mh_call_queue_add (core->calls, request,
+                     &(MhCallOptions){ .class = class,
+                                       .changes = writes,
+                                       .timeout_us = timeout_us,
+                                       .func = core_call_reply,
+                                       .owner = core,
+                                       .data = call,
+                                       .free_data = core_call_free });
 }
 
 /* The process may stand still between deciding and sending, while its clocks run on: what rests on
@@ -79,251 +62,46 @@
 MhAction *
 mh_core_pop (MhCore *core, gint64 mono_us)
 {
-  MhAction *a;
-  while ((a = g_queue_pop_head (&core->actions)) && a->until_us && mono_us >= a->until_us)
+  MhAction *action;
+  while ((action = mh_runtime_pop_action (core->runtime)) && action->lease_until_us
+         && mono_us >= action->lease_until_us)
     {
-      a->until_us = 0;
-      a->status = 503;
-      a->answer = (MhUserAnswer){ .status = 503, .retry_after_s = 1 };
-      g_clear_pointer (&a->body, mh_value_unref);
-      if (a->kind != MH_ACTION_CALL)
+      action->lease_until_us = 0;
+      action->status = 503;
+      action->answer = (MhUserAnswer){ .status = 503, .retry_after_s = 1 };
+      g_clear_pointer (&action->body, mh_value_unref);
+      if (action->kind != MH_ACTION_CALL)
         break;
-      call_over (core, a->id, 0, NULL);
-      mh_action_free (a);
+      mh_call_queue_complete (core->calls, action->id, &(MhReply){ .status = 0 });
+      mh_action_free (action);
     }
-  return a;
-}
-
-void
-mh_core_log (MhCore *core, GLogLevelFlags level, const char *format, ...)
-{
-  va_list args;
-  MhAction *a = mh_core_act (core, MH_ACTION_LOG, 0);
-  a->level = level;
-  va_start (args, format);
-  a->text = g_strdup_vprintf (format, args);
-  va_end (args);
-}
-
-bool
-mh_core_may_log (MhCore *core, MhLogSubject subject)
-{
-  if (core->now.mono_us < core->log_us[subject])
-    return false;
-  core->log_us[subject] = core->now.mono_us + MH_SECOND_US;
-  return true;
-}
-
-void
-mh_core_wake_at (MhCore *core, gint64 at_us)
-{
-  core->wake_us = MIN (core->wake_us, at_us);
+  return action;
 }
 
 gint64
 mh_core_next_wake (const MhCore *core)
 {
-  return core->wake_us;
+  return mh_runtime_next_wake_up_us (core->runtime);
 }
 
-/* Every input begins here. A tick was due long ago: this process stood still, and what it has not
-   heard meanwhile says nothing of those who spoke. */
+/* Every input begins here. */
 static void
 enter (MhCore *core, const MhNow *now)
 {
-  if (core->wake_us && now->mono_us > core->wake_us + STILL_US)
-    {
-      mh_info (core, "stood still for %.1f s",
-               (double)(now->mono_us - core->wake_us) / MH_SECOND_US);
-      core->awake_us = now->mono_us;
-    }
+  mh_runtime_begin_input (core->runtime, now);
   core->now = *now;
 }
 
-/* ---- calls ---- */
-
-static void
-queued_free (gpointer data)
-{
-  MhQueued *q = data;
-  mh_request_free (q->request);
-  g_free (q);
-}
-
-static void
-emit (MhCore *core, MhQueued *q)
-{
-  MhAction *a = mh_core_act (core, MH_ACTION_CALL, q->id);
-  a->request = g_steal_pointer (&q->request);
-  a->timeout_us = q->timeout_us;
-  /* Commands, rentals, releases. What is written has its own conditions. */
-  if (a->request->target != MH_TARGET_STATE && a->request->body)
-    a->until_us = core->leader.valid_until_us;
-  queued_free (q);
-}
-
-void
-mh_core_call (MhCore *core, MhRank rank, MhRequest *request, double writes, gint64 timeout_us,
-              MhReplyFunc func, gpointer data, GDestroyNotify free)
-{
-  MhCall *call = g_new0 (MhCall, 1);
-  call->func = func;
-  call->data = data;
-  call->free = free;
-  MhQueued *q = g_new0 (MhQueued, 1);
-  q->id = ++core->next_id;
-  q->request = request;
-  q->timeout_us = timeout_us;
-  q->writes = writes;
-  g_hash_table_insert (core->calls, g_memdup2 (&q->id, sizeof q->id), call);
-  g_queue_push_tail (request->target == MH_TARGET_STATE   ? &core->state_queue[rank]
-                     : request->target == MH_TARGET_CLOUD ? &core->cloud_queue[rank]
-                                                          : &core->worker_queue,
-                     q);
-}
-
-void
-mh_core_lower_write_rate (MhCore *core)
-{
-  double next = core->settings->next_write_rps;
-  if (next <= 0 || core->limits.lowered)
-    return;
-  core->limits.lowered = true;
-  if (core->write_bucket.rate <= next * WRITE_SHARE)
-    return;
-  mh_info (core, "the state service takes fewer changes; from now on %.1f a second", next);
-  mh_bucket_init (&core->write_bucket, next * WRITE_SHARE, next * WRITE_BURST_S, core->now.mono_us);
-  mh_bucket_take (&core->write_bucket, core->write_bucket.burst);
-}
-
-void
-mh_core_log_state_failure (MhCore *core, guint status)
-{
-  static const char *const reasons[] = { "no answer", "503: it is out, or refuses this controller",
-                                         "too many requests (429)", "an unexpected answer" };
-  guint reason = status == 0 ? 0 : status == 503 ? 1 : status == 429 ? 2 : 3;
-  mh_info_limited (core, MH_LOG_STATE, "state service: %s", reasons[reason]);
-}
-
-void
-mh_core_state_call_failed (MhCore *core, guint status)
-{
-  mh_core_log_state_failure (core, status);
-  if (status == 429)
-    mh_core_lower_write_rate (core);
-  core->state_pause_us
-      = core->now.mono_us + STATE_PAUSE_US + (gint64)(core->now.jitter * STATE_PAUSE_JITTER_US);
-}
-
-/* The highest rank first. The lease is renewed whatever the buckets say: its calls are few, and
-   without it nothing else counts. Changes that have to wait hold up other changes, but not reads:
-   else questions about finished jobs would go unanswered as long as there is much to write. */
-static void
-flush_state (MhCore *core)
-{
-  gint64 now = core->now.mono_us;
-  bool no_writes = false;
-  for (guint rank = 0; rank < MH_RANKS; rank++)
-    for (GList *l = core->state_queue[rank].head, *next; l; l = next)
-      {
-        MhQueued *q = l->data;
-        next = l->next;
-        if (rank != MH_RANK_LEASE)
-          {
-            if (now < core->state_pause_us || !mh_bucket_has (&core->state_bucket, 1, now))
-              {
-                mh_core_wake_at (core, MAX (now + 20000, core->state_pause_us));
-                return;
-              }
-            no_writes |= q->writes > 0 && !mh_bucket_has (&core->write_bucket, q->writes, now);
-            if (q->writes > 0 && no_writes)
-              {
-                mh_core_wake_at (core, now + 20000);
-                continue;
-              }
-          }
-        mh_bucket_take (&core->state_bucket, 1);
-        mh_bucket_take (&core->write_bucket, q->writes);
-        g_queue_delete_link (&core->state_queue[rank], l);
-        emit (core, q);
-      }
-}
-
-static void
-flush_cloud (MhCore *core)
-{
-  gint64 now = core->now.mono_us;
-  if (!mh_leader_valid (core))
-    return;
-  for (guint rank = 0; rank < MH_RANKS; rank++)
-    for (MhQueued *q; (q = g_queue_peek_head (&core->cloud_queue[rank]));)
-      {
-        if (now < core->cloud_pause_us || !mh_bucket_has (&core->cloud_bucket, 1, now))
-          {
-            mh_core_wake_at (core, MAX (now + 100000, core->cloud_pause_us));
-            return;
-          }
-        mh_bucket_take (&core->cloud_bucket, 1);
-        emit (core, g_queue_pop_head (&core->cloud_queue[rank]));
-      }
-}
-
-/* Machines that are cut off hold their connections until the call is given up: those must hold up
-   neither the lease nor those who connect to us. A call that has waited leaves only while the lease
-   holds, like one that is new: from a queue behind the core, commands once left after its end. */
-static void
-flush_workers (MhCore *core)
-{
-  guint most = MAX (LEAST_WORKER_CALLS, core->settings->max_connections / WORKER_CALLS_PART);
-  while (core->worker_queue.length && core->worker_calls < most && mh_leader_valid (core))
-    {
-      MhQueued *q = g_queue_pop_head (&core->worker_queue);
-      MhCall *call = g_hash_table_lookup (core->calls, &q->id);
-      call->to_worker = true;
-      core->worker_calls++;
-      emit (core, q);
-    }
-}
-
-void
-mh_core_flush (MhCore *core)
-{
-  flush_state (core);
-  flush_cloud (core);
-  flush_workers (core);
-}
-
-void
-mh_core_drop_calls (MhCore *core)
-{
-  for (guint i = 0; i < MH_RANKS; i++)
-    {
-      g_queue_clear_full (&core->state_queue[i], queued_free);
-      g_queue_clear_full (&core->cloud_queue[i], queued_free);
-    }
-  g_queue_clear_full (&core->worker_queue, queued_free);
-  g_hash_table_remove_all (core->calls);
-  core->worker_calls = 0;
-}
-
 void
 mh_core_reply (MhCore *core, const MhNow *now, guint64 id, guint status, const MhValue *body)
 {
   enter (core, now);
-  call_over (core, id, status, body);
+  mh_call_queue_complete (core->calls, id, &(MhReply){ .status = status, .body = body });
   mh_core_step (core);
 }
 
 /* ---- users ---- */
 
-void
-mh_core_answer (MhCore *core, guint64 id, guint status, guint retry_after_s)
-{
-  MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_USER, id);
-  a->answer.status = status;
-  a->answer.retry_after_s = retry_after_s;
-}
-
 void
 mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status)
 {
@@ -459,7 +237,7 @@
 forward (MhCore *core, guint64 id, const char *job_id)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_FORWARD, id);
-  a->text = g_strdup (core->leader.node);
+  a->node = g_strdup (core->leader.node);
   a->timeout_us = FORWARD_TIMEOUT_US;
   g_hash_table_insert (core->forwards, g_memdup2 (&id, sizeof id), g_strdup (job_id));
 }
@@ -609,7 +387,7 @@
 void
 mh_core_step (MhCore *core)
 {
-  core->wake_us = core->now.mono_us + MH_SECOND_US / 2;
+  mh_runtime_reset_wake_up (core->runtime);
   mh_leader_step (core);
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
@@ -619,7 +397,7 @@
       mh_release_step (core);
       mh_store_step (core);
     }
-  mh_core_flush (core);
+  mh_call_queue_flush (core->calls);
 }
 
 void
@@ -629,14 +407,23 @@
   mh_core_step (core);
 }
 
+static gint64
+lease_until_us (gconstpointer owner, gint64 now_us)
+{
+  const MhCore *core = owner;
+  (void)now_us;
+  return mh_leader_valid (core) ? core->leader.valid_until_us : 0;
+}
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
   MhCore *core = g_new0 (MhCore, 1);
-  gint64 t = now->mono_us;
   core->settings = settings;
   core->now = *now;
-  core->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, call_free);
+  core->runtime = mh_runtime_new (settings, now);
+  mh_runtime_set_lease_source (core->runtime, lease_until_us, core);
+  core->calls = mh_call_queue_new (core->runtime);
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
@@ -651,14 +438,8 @@
   core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->boot_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_queue_init (&core->actions);
-  /* The other controllers read and watch a little too. */
-  mh_bucket_init (&core->state_bucket, settings->state_rps * 0.75, settings->state_rps * 0.4, t);
-  mh_bucket_init (&core->write_bucket, settings->state_write_rps * WRITE_SHARE,
-                  settings->state_write_rps * WRITE_BURST_S, t);
   mh_command_init (core);
   mh_failure_init (core);
-  mh_bucket_init (&core->cloud_bucket, settings->cloud_rps * 0.9, settings->cloud_rps * 1.5, t);
   mh_leader_start (core);
   if (mh_fleet_keep_alive_us (core) <= 0)
     mh_core_log (
@@ -677,11 +458,9 @@
   mh_fleet_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
-  mh_core_drop_calls (core);
-  g_queue_clear_full (&core->actions, (GDestroyNotify)mh_action_free);
+  mh_call_queue_forget_all (core->calls);
   g_queue_clear_full (&core->finals_order, g_free);
   g_clear_pointer (&core->types, g_ptr_array_unref);
-  g_hash_table_unref (core->calls);
   g_hash_table_unref (core->forwards);
   g_hash_table_unref (core->lookups);
   g_hash_table_unref (core->machines);
@@ -697,5 +476,7 @@
   g_hash_table_unref (core->boot_stats);
   g_hash_table_unref (core->scale.refused);
   g_free (core->leader.node);
+  mh_call_queue_free (core->calls);
+  mh_runtime_free (core->runtime);
   g_free (core);
 }
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -2,46 +2,10 @@
    what is to be sent, written, answered or logged is then taken with mh_core_pop(). */
 #pragma once
 
-#include "settings/settings.h"
-#include "protocol/wire.h"
+#include "runtime/runtime.h"
 
 typedef struct MhCore MhCore;
 
-typedef struct
-{
-  gint64 mono_us; /* steady clock */
-  gint64 wall_us; /* time of day */
-  double jitter;  /* a fresh random number in [0, 1) */
-} MhNow;
-
-typedef enum
-{
-  MH_ACTION_CALL,            /* make a request; its end comes back through mh_core_reply */
-  MH_ACTION_ANNOUNCE_LEADER, /* tell another controller that this one leads, with epoch `id` */
-  MH_ACTION_FORWARD,         /* hand a user's request to another controller */
-  MH_ACTION_ANSWER_USER,     /* answer a user's request */
-  MH_ACTION_ANSWER_REPORT,
-  MH_ACTION_LOG
-} MhActionKind;
-
-typedef struct
-{
-  MhActionKind kind;
-  guint64 id;         /* of the call or of the request that is answered */
-  gint64 timeout_us;  /* CALL, FORWARD */
-  MhRequest *request; /* CALL */
-  MhUserAnswer answer;
-  guint status;    /* ANSWER_REPORT */
-  MhValue *body;   /* ANSWER_REPORT */
-  char *text;      /* FORWARD, ANNOUNCE_LEADER: the node; LOG: the line */
-  gint64 until_us; /* rests on a lease that ends then; 0: on none */
-  GLogLevelFlags level;
-} MhAction;
-
-void
-mh_action_free (MhAction *action);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhAction, mh_action_free)
-
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now);
 void
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -106,7 +106,7 @@
 look (MhCore *core)
 {
   core->leader.busy = true;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, look_reply, NULL,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, look_reply, NULL,
                 NULL);
 }
 
@@ -156,7 +156,7 @@
 {
   core->leader.phase = MH_PHASE_FOLLOW;
   core->leader.busy = true;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_watch ("leader", since, WATCH_US), 0,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_watch ("leader", since, WATCH_US), 0,
                 WATCH_US + CALL_TIMEOUT_US, watch_reply, NULL, NULL);
 }
 
@@ -177,7 +177,7 @@
 {
   core->leader.phase = MH_PHASE_FOLLOW;
   if (core->leader.lease_id)
-    mh_core_call (core, MH_RANK_STRANGER, mh_wire_lease_revoke (core->leader.lease_id), 0,
+    mh_core_call (core, MH_CALL_BACKGROUND, mh_wire_lease_revoke (core->leader.lease_id), 0,
                   CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
   core->leader.lease_id = 0;
   retry (core, again_us);
@@ -234,7 +234,7 @@
     }
   else if (status == 0 || status == 200)
     /* Unknown: it may have been carried out. */
-    mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, check_won_reply,
+    mh_core_call (core, MH_CALL_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, check_won_reply,
                   NULL, NULL);
   else
     give_up_campaign (core, status == 409 ? 20000 : 200000);
@@ -249,7 +249,7 @@
   g_autoptr (MhValue) last = mh_record_write_epoch (core->leader.own_epoch + MH_EPOCHS_EACH - 1);
   MhChange changes[] = { { "leader", leader, core->leader.lease_id }, { "epoch", last, 0 } };
   mh_core_call (
-      core, MH_RANK_LEASE,
+      core, MH_CALL_LEASE,
       mh_wire_txn (conditions, G_N_ELEMENTS (conditions), changes, G_N_ELEMENTS (changes)), 2,
       CALL_TIMEOUT_US, take_reply, NULL, NULL);
 }
@@ -300,7 +300,7 @@
     }
   core->leader.valid_until_us = lease_end (core, ((Sent *)data)->sent_us);
   core->leader.confirmed_us = ((Sent *)data)->sent_us;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply, NULL,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply, NULL,
                 NULL);
 }
 
@@ -318,7 +318,7 @@
   core->leader.phase = MH_PHASE_CAMPAIGN;
   core->leader.busy = true;
   core->leader.lease_id = 0;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_grant (core->settings->lease_us), 0,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_lease_grant (core->settings->lease_us), 0,
                 CALL_TIMEOUT_US, lease_reply, sent_now (core), g_free);
 }
 
@@ -339,7 +339,7 @@
       /* Their reports were refused for a while: that nothing was heard meanwhile says nothing of
          the workers. After an outage of a minute a whole fleet was once given back as silent. */
       if (paused && core->now.mono_us >= core->leader.confirmed_us + mh_fleet_keep_alive_us (core))
-        core->awake_us = core->now.mono_us;
+        mh_runtime_mark_resumed (core->runtime);
       core->leader.valid_until_us = lease_end (core, sent);
       core->leader.confirmed_us = sent;
       core->leader.usable_us = core->now.mono_us;
@@ -348,7 +348,7 @@
   else if (status == 404)
     mh_leader_lost (core, "the lease has ended");
   else
-    mh_core_log_state_failure (core, status);
+    mh_call_queue_log_store_failure (core->calls, status);
 }
 
 void
@@ -388,7 +388,7 @@
   mh_info (core, "no longer leading: %s", core->leader.lost);
   core->leader.lost = NULL;
   refuse_waiters (core);
-  mh_core_drop_calls (core);
+  mh_call_queue_forget_all (core->calls);
   mh_store_clear (core);
   mh_fleet_clear (core);
   mh_scale_clear (core);
@@ -402,7 +402,7 @@
   if (core->leader.hands_over)
     {
       /* The lease is ended, so that the others need not wait for its end. */
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_revoke (core->leader.lease_id), 0,
+      mh_core_call (core, MH_CALL_LEASE, mh_wire_lease_revoke (core->leader.lease_id), 0,
                     CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
       core->leader.shy_until_us = core->now.mono_us + SHY_US;
     }
@@ -495,7 +495,7 @@
   if (!core->leader.renewing && now >= core->leader.renew_us)
     {
       core->leader.renewing = true;
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_renew (core->leader.lease_id), 0,
+      mh_core_call (core, MH_CALL_LEASE, mh_wire_lease_renew (core->leader.lease_id), 0,
                     MIN (CALL_TIMEOUT_US, core->settings->lease_us / 3), renew_reply,
                     sent_now (core), g_free);
     }
@@ -513,7 +513,7 @@
       for (guint i = 0; i < core->settings->members->len; i++)
         {
           MhAction *a = mh_core_act (core, MH_ACTION_ANNOUNCE_LEADER, core->leader.own_epoch);
-          a->text = g_strdup (((MhMember *)g_ptr_array_index (core->settings->members, i))->name);
+          a->node = g_strdup (((MhMember *)g_ptr_array_index (core->settings->members, i))->name);
         }
     }
   if (core->leader.phase == MH_PHASE_LEAD && !core->leader.rebuilt && rebuilt (core))
--- /dev/null
+++ b/src/runtime/call-queue.c
@@ -0,0 +1,369 @@
+#include "runtime/call-queue.h"
+
+#include "base/token-bucket.h"
+
+/* Of the rate of changes, and the burst; the other controllers write a little too. */
+#define WRITE_SHARE 0.9
+#define WRITE_BURST_S 0.8
+/* Of the rate of requests to the key-value store, and the burst; the other controllers read and
+   watch a little too. */
+#define STORE_SHARE 0.75
+#define STORE_BURST_S 0.4
+#define CLOUD_SHARE 0.9
+#define CLOUD_BURST_S 1.5
+/* After a call to the key-value store that failed. */
+#define STORE_PAUSE_US (MH_SECOND_US / 10)
+#define STORE_PAUSE_SPREAD_US 150000
+/* What waits for tokens is looked at again after so long. */
+#define STORE_RETRY_US 20000
+#define CLOUD_RETRY_US 100000
+/* Calls to workers under way at once: one in so many of all connections, and at least so many. */
+#define WORKER_CALLS_PART 12u
+#define LEAST_WORKER_CALLS 16u
+
+typedef struct
+{
+  guint64 id;
+  MhRequest *request;
+  gint64 timeout_us;
+  double changes;
+} QueuedCall;
+
+typedef struct
+{
+  MhCallOptions options;
+  bool to_worker; /* and has left */
+} PendingCall;
+
+struct MhCallQueue
+{
+  MhRuntime *runtime;
+  GHashTable *pending; /* guint64 id -> PendingCall: queued or under way */
+  GQueue store_queue[MH_CALL_CLASSES], cloud_queue[MH_CALL_CLASSES]; /* QueuedCall */
+  GQueue worker_queue;                                               /* QueuedCall */
+  guint worker_calls;                                                /* under way */
+  MhBucket store_bucket, write_bucket, cloud_bucket;
+  gint64 store_paused_until_us, cloud_paused_until_us;
+  bool write_rate_lowered;
+};
+
+static void
+queued_call_free (gpointer data)
+{
+  QueuedCall *queued = data;
+  mh_request_free (queued->request);
+  g_free (queued);
+}
+
+static void
+pending_call_free (gpointer data)
+{
+  PendingCall *pending = data;
+  if (pending->options.free_data)
+    pending->options.free_data (pending->options.data);
+  g_free (pending);
+}
+
+MhCallQueue *
+mh_call_queue_new (MhRuntime *runtime)
+{
+  g_return_val_if_fail (runtime, NULL);
+  const MhSettings *settings = mh_runtime_settings (runtime);
+  gint64 now_us = mh_runtime_now_us (runtime);
+  MhCallQueue *queue = g_new0 (MhCallQueue, 1);
+  queue->runtime = runtime;
+  queue->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_call_free);
+  mh_bucket_init (&queue->store_bucket, settings->state_rps * STORE_SHARE,
+                  settings->state_rps * STORE_BURST_S, now_us);
+  mh_bucket_init (&queue->write_bucket, settings->state_write_rps * WRITE_SHARE,
+                  settings->state_write_rps * WRITE_BURST_S, now_us);
+  mh_bucket_init (&queue->cloud_bucket, settings->cloud_rps * CLOUD_SHARE,
+                  settings->cloud_rps * CLOUD_BURST_S, now_us);
+  return queue;
+}
+
+void
+mh_call_queue_free (MhCallQueue *queue)
+{
+  if (queue == NULL)
+    return;
+  mh_call_queue_forget_all (queue);
+  g_hash_table_unref (queue->pending);
+  g_free (queue);
+}
+
+static GQueue *
+queue_for (MhCallQueue *queue, MhTarget target, MhCallClass class)
+{
+  switch (target)
+    {
+    case MH_TARGET_STATE:
+      return &queue->store_queue[class];
+    case MH_TARGET_CLOUD:
+      return &queue->cloud_queue[class];
+    default:
+      return &queue->worker_queue;
+    }
+}
+
+void
+mh_call_queue_add (MhCallQueue *queue, MhRequest *request, const MhCallOptions *options)
+{
+  g_return_if_fail (queue && request && options && options->func);
+  PendingCall *pending = g_new0 (PendingCall, 1);
+  pending->options = *options;
+  QueuedCall *queued = g_new0 (QueuedCall, 1);
+  queued->id = mh_runtime_next_id (queue->runtime);
+  queued->request = request;
+  queued->timeout_us = options->timeout_us;
+  queued->changes = options->changes;
+  g_hash_table_insert (queue->pending, g_memdup2 (&queued->id, sizeof queued->id), pending);
+  g_queue_push_tail (queue_for (queue, request->target, options->class), queued);
+}
+
+void
+mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhReply *reply)
+{
+  g_return_if_fail (queue && reply);
+  gpointer key, value;
+  if (!g_hash_table_steal_extended (queue->pending, &id, &key, &value))
+    return;
+  PendingCall *pending = value;
+  queue->worker_calls -= pending->to_worker;
+  pending->options.func (pending->options.owner, pending->options.data, reply);
+  g_free (key);
+  pending_call_free (pending);
+}
+
+void
+mh_call_queue_forget_all (MhCallQueue *queue)
+{
+  for (guint i = 0; i < MH_CALL_CLASSES; i++)
+    {
+      g_queue_clear_full (&queue->store_queue[i], queued_call_free);
+      g_queue_clear_full (&queue->cloud_queue[i], queued_call_free);
+    }
+  g_queue_clear_full (&queue->worker_queue, queued_call_free);
+  g_hash_table_remove_all (queue->pending);
+  queue->worker_calls = 0;
+}
+
+guint
+mh_call_queue_waiting (const MhCallQueue *queue, MhCallClass class)
+{
+  return queue->store_queue[class].length;
+}
+
+/* ---- sending ---- */
+
+/* Commands and calls that change something in the cloud rest on the lease. What is written to the
+   store has its own conditions. */
+static void
+send_call (MhCallQueue *queue, QueuedCall *queued)
+{
+  MhAction *action = mh_runtime_act (queue->runtime, MH_ACTION_CALL, queued->id);
+  action->request = g_steal_pointer (&queued->request);
+  action->timeout_us = queued->timeout_us;
+  if (action->request->target != MH_TARGET_STATE && action->request->body)
+    action->lease_until_us = mh_runtime_lease_until_us (queue->runtime);
+  queued_call_free (queued);
+}
+
+static bool
+store_has_token (MhCallQueue *queue)
+{
+  gint64 now_us = mh_runtime_now_us (queue->runtime);
+  return now_us >= queue->store_paused_until_us && mh_bucket_has (&queue->store_bucket, 1, now_us);
+}
+
+/* Calls of the class in their order. Changes that have to wait hold up other changes, but not
+   reads: else questions about finished jobs would go unanswered as long as there is much to write.
+   False: the store takes no further call now. */
+static bool
+flush_store_class (MhCallQueue *queue, MhCallClass class, bool *writes_wait)
+{
+  gint64 now_us = mh_runtime_now_us (queue->runtime);
+  for (GList *link = queue->store_queue[class].head, *next; link; link = next)
+    {
+      QueuedCall *queued = link->data;
+      next = link->next;
+      bool limited = class != MH_CALL_LEASE;
+      if (limited && !store_has_token (queue))
+        {
+          mh_runtime_wake_at (queue->runtime,
+                              MAX (now_us + STORE_RETRY_US, queue->store_paused_until_us));
+          return false;
+        }
+      if (limited && queued->changes > 0)
+        *writes_wait |= !mh_bucket_has (&queue->write_bucket, queued->changes, now_us);
+      if (limited && queued->changes > 0 && *writes_wait)
+        {
+          mh_runtime_wake_at (queue->runtime, now_us + STORE_RETRY_US);
+          continue;
+        }
+      mh_bucket_take (&queue->store_bucket, 1);
+      mh_bucket_take (&queue->write_bucket, queued->changes);
+      g_queue_delete_link (&queue->store_queue[class], link);
+      send_call (queue, queued);
+    }
+  return true;
+}
+
+/* The lease is renewed whatever the buckets say: its calls are few, and without it nothing else
+ * counts. */
+static void
+flush_store (MhCallQueue *queue)
+{
+  bool writes_wait = false;
+  for (guint class = 0; class < MH_CALL_CLASSES; class ++)
+    if (!flush_store_class (queue, (MhCallClass) class, &writes_wait))
+      return;
+}
+
+static void
+flush_cloud (MhCallQueue *queue)
+{
+  gint64 now_us = mh_runtime_now_us (queue->runtime);
+  if (!mh_runtime_is_leader (queue->runtime))
+    return;
+  for (guint class = 0; class < MH_CALL_CLASSES; class ++)
+    while (queue->cloud_queue[class].length)
+      {
+        if (now_us < queue->cloud_paused_until_us
+            || !mh_bucket_has (&queue->cloud_bucket, 1, now_us))
+          {
+            mh_runtime_wake_at (queue->runtime,
+                                MAX (now_us + CLOUD_RETRY_US, queue->cloud_paused_until_us));
+            return;
+          }
+        mh_bucket_take (&queue->cloud_bucket, 1);
+        send_call (queue, g_queue_pop_head (&queue->cloud_queue[class]));
+      }
+}
+
+/* Machines that are cut off hold their connections until the call is given up: those must hold up
+   neither the lease nor those who connect to us. A call that has waited leaves only while the lease
+   holds, like one that is new: from a queue behind the state machine, commands once left after its
+   end. */
+static void
+flush_workers (MhCallQueue *queue)
+{
+  guint connections = mh_runtime_settings (queue->runtime)->max_connections;
+  guint most = MAX (LEAST_WORKER_CALLS, connections / WORKER_CALLS_PART);
+  while (queue->worker_queue.length && queue->worker_calls < most
+         && mh_runtime_is_leader (queue->runtime))
+    {
+      QueuedCall *queued = g_queue_pop_head (&queue->worker_queue);
+      PendingCall *pending = g_hash_table_lookup (queue->pending, &queued->id);
+      pending->to_worker = true;
+      queue->worker_calls++;
+      send_call (queue, queued);
+    }
+}
+
+void
+mh_call_queue_flush (MhCallQueue *queue)
+{
+  g_return_if_fail (queue);
+  flush_store (queue);
+  flush_cloud (queue);
+  flush_workers (queue);
+}
+
+/* ---- the key-value store's limits ---- */
+
+double
+mh_call_queue_store_rate (const MhCallQueue *queue)
+{
+  return queue->store_bucket.rate;
+}
+
+double
+mh_call_queue_write_burst (const MhCallQueue *queue)
+{
+  return queue->write_bucket.burst;
+}
+
+bool
+mh_call_queue_may_write (MhCallQueue *queue, double changes, double *tokens)
+{
+  gint64 now_us = mh_runtime_now_us (queue->runtime);
+  bool may = now_us >= queue->store_paused_until_us
+             && mh_bucket_has (&queue->write_bucket, changes, now_us);
+  *tokens = queue->write_bucket.tokens;
+  return may;
+}
+
+gint64
+mh_call_queue_store_paused_until_us (const MhCallQueue *queue)
+{
+  return queue->store_paused_until_us;
+}
+
+void
+mh_call_queue_pause_store (MhCallQueue *queue, gint64 least_us, gint64 spread_us)
+{
+  queue->store_paused_until_us = mh_runtime_jittered_us (queue->runtime, least_us, spread_us);
+}
+
+void
+mh_call_queue_pause_cloud (MhCallQueue *queue, gint64 least_us, gint64 spread_us)
+{
+  queue->cloud_paused_until_us = mh_runtime_jittered_us (queue->runtime, least_us, spread_us);
+}
+
+static const char *
+failure_reason (guint status)
+{
+  switch (status)
+    {
+    case 0:
+      return "no-answer";
+    case 503:
+      return "unavailable-or-refuses-this-controller";
+    case 429:
+      return "too-many-requests";
+    default:
+      return "unexpected-answer";
+    }
+}
+
+void
+mh_call_queue_log_store_failure (MhCallQueue *queue, guint status)
+{
+  mh_log_info_limited (queue->runtime, MH_LOG_STORE,
+                       "key-value store call failed: status=%u reason=%s", status,
+                       failure_reason (status));
+}
+
+void
+mh_call_queue_store_failed (MhCallQueue *queue, guint status)
+{
+  g_return_if_fail (queue);
+  mh_call_queue_log_store_failure (queue, status);
+  if (status == 429)
+    mh_call_queue_lower_write_rate (queue);
+  mh_call_queue_pause_store (queue, STORE_PAUSE_US, STORE_PAUSE_SPREAD_US);
+}
+
+void
+mh_call_queue_lower_write_rate (MhCallQueue *queue)
+{
+  double next_rate = mh_runtime_settings (queue->runtime)->next_write_rps;
+  if (next_rate <= 0 || queue->write_rate_lowered)
+    return;
+  queue->write_rate_lowered = true;
+  if (queue->write_bucket.rate <= next_rate * WRITE_SHARE)
+    return;
+  mh_log_info (queue->runtime, "key-value store takes fewer changes: changes_per_second=%.1f",
+               next_rate);
+  mh_bucket_init (&queue->write_bucket, next_rate * WRITE_SHARE, next_rate * WRITE_BURST_S,
+                  mh_runtime_now_us (queue->runtime));
+  mh_bucket_take (&queue->write_bucket, queue->write_bucket.burst);
+}
+
+bool
+mh_call_queue_write_rate_is_lowered (const MhCallQueue *queue)
+{
+  return queue->write_rate_lowered;
+}
--- /dev/null
+++ b/src/runtime/runtime.c
@@ -0,0 +1,189 @@
+#include "runtime/runtime.h"
+
+/* A tick that comes so much too late was not held up by work. */
+#define STOOD_STILL_US MH_SECOND_US
+/* Without anything else to do, a step is taken so often. */
+#define REGULAR_STEP_US (MH_SECOND_US / 2)
+/* Lines on one subject are at least so far apart. */
+#define LOG_INTERVAL_US MH_SECOND_US
+
+struct MhRuntime
+{
+  const MhSettings *settings;
+  MhNow now;
+  gint64 wake_up_us;
+  gint64 resumed_us;
+  MhLeaseFunc lease_func;
+  gconstpointer lease_owner;
+  guint64 last_id;
+  GQueue actions;
+  gint64 next_line_us[MH_LOG_SUBJECTS];
+};
+
+MhRuntime *
+mh_runtime_new (const MhSettings *settings, const MhNow *now)
+{
+  g_return_val_if_fail (settings && now, NULL);
+  MhRuntime *runtime = g_new0 (MhRuntime, 1);
+  runtime->settings = settings;
+  runtime->now = *now;
+  g_queue_init (&runtime->actions);
+  return runtime;
+}
+
+void
+mh_runtime_free (MhRuntime *runtime)
+{
+  if (runtime == NULL)
+    return;
+  g_queue_clear_full (&runtime->actions, (GDestroyNotify)mh_action_free);
+  g_free (runtime);
+}
+
+void
+mh_runtime_set_lease_source (MhRuntime *runtime, MhLeaseFunc func, gconstpointer owner)
+{
+  g_return_if_fail (runtime);
+  runtime->lease_func = func;
+  runtime->lease_owner = owner;
+}
+
+const MhSettings *
+mh_runtime_settings (const MhRuntime *runtime)
+{
+  return runtime->settings;
+}
+
+/* ---- time ---- */
+
+void
+mh_runtime_begin_input (MhRuntime *runtime, const MhNow *now)
+{
+  g_return_if_fail (runtime && now);
+  if (runtime->wake_up_us && now->mono_us > runtime->wake_up_us + STOOD_STILL_US)
+    {
+      mh_log_info (runtime, "process stood still: seconds=%.1f",
+                   (double)(now->mono_us - runtime->wake_up_us) / MH_SECOND_US);
+      runtime->resumed_us = now->mono_us;
+    }
+  runtime->now = *now;
+}
+
+const MhNow *
+mh_runtime_now (const MhRuntime *runtime)
+{
+  return &runtime->now;
+}
+
+gint64
+mh_runtime_now_us (const MhRuntime *runtime)
+{
+  return runtime->now.mono_us;
+}
+
+gint64
+mh_runtime_jittered_us (const MhRuntime *runtime, gint64 least_us, gint64 spread_us)
+{
+  return runtime->now.mono_us + least_us + (gint64)(runtime->now.jitter * (double)spread_us);
+}
+
+gint64
+mh_runtime_resumed_us (const MhRuntime *runtime)
+{
+  return runtime->resumed_us;
+}
+
+void
+mh_runtime_mark_resumed (MhRuntime *runtime)
+{
+  runtime->resumed_us = runtime->now.mono_us;
+}
+
+void
+mh_runtime_reset_wake_up (MhRuntime *runtime)
+{
+  runtime->wake_up_us = runtime->now.mono_us + REGULAR_STEP_US;
+}
+
+void
+mh_runtime_wake_at (MhRuntime *runtime, gint64 at_us)
+{
+  runtime->wake_up_us = MIN (runtime->wake_up_us, at_us);
+}
+
+gint64
+mh_runtime_next_wake_up_us (const MhRuntime *runtime)
+{
+  return runtime->wake_up_us;
+}
+
+/* ---- leadership ---- */
+
+gint64
+mh_runtime_lease_until_us (const MhRuntime *runtime)
+{
+  return runtime->lease_func ? runtime->lease_func (runtime->lease_owner, runtime->now.mono_us) : 0;
+}
+
+bool
+mh_runtime_is_leader (const MhRuntime *runtime)
+{
+  return mh_runtime_lease_until_us (runtime) > 0;
+}
+
+/* ---- actions ---- */
+
+guint64
+mh_runtime_next_id (MhRuntime *runtime)
+{
+  return ++runtime->last_id;
+}
+
+MhAction *
+mh_runtime_act (MhRuntime *runtime, MhActionKind kind, guint64 id)
+{
+  MhAction *action = g_new0 (MhAction, 1);
+  action->kind = kind;
+  action->id = id;
+  if (kind == MH_ACTION_ANSWER_USER)
+    action->lease_until_us = mh_runtime_lease_until_us (runtime);
+  g_queue_push_tail (&runtime->actions, action);
+  return action;
+}
+
+void
+mh_runtime_answer_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s)
+{
+  MhAction *action = mh_runtime_act (runtime, MH_ACTION_ANSWER_USER, id);
+  action->answer.status = status;
+  action->answer.retry_after_s = retry_after_s;
+}
+
+MhAction *
+mh_runtime_pop_action (MhRuntime *runtime)
+{
+  return g_queue_pop_head (&runtime->actions);
+}
+
+/* ---- log ---- */
+
+void
+mh_runtime_log (MhRuntime *runtime, GLogLevelFlags level, const char *format, ...)
+{
+  va_list args;
+  MhAction *action = mh_runtime_act (runtime, MH_ACTION_LOG, 0);
+  action->level = level;
+  va_start (args, format);
+  action->line = g_strdup_vprintf (format, args);
+  va_end (args);
+}
+
+bool
+mh_runtime_may_log (MhRuntime *runtime, MhLogSubject subject)
+{
+  g_return_val_if_fail (subject < MH_LOG_SUBJECTS, false);
+  if (runtime->now.mono_us < runtime->next_line_us[subject])
+    return false;
+  runtime->next_line_us[subject] = runtime->now.mono_us + LOG_INTERVAL_US;
+  return true;
+}
--- a/src/server/shell.c
+++ b/src/server/shell.c
@@ -457,7 +457,7 @@
 forward (Shell *shell, const MhAction *a)
 {
   Request *r = g_hash_table_lookup (shell->requests, &a->id);
-  Peer *p = r ? peer_to (shell, a->text) : NULL;
+  Peer *p = r ? peer_to (shell, a->node) : NULL;
   if (p == NULL)
     {
       MhNow t = now (shell);
@@ -472,7 +472,7 @@
 static void
 tell (Shell *shell, const MhAction *a)
 {
-  Peer *p = peer_to (shell, a->text);
+  Peer *p = peer_to (shell, a->node);
   /* What a slow or absent controller has not taken yet need not be said twice. */
   if (p && p->out->len == 0)
     peer_send (p, mh_peer_write_announcement (shell->settings->node, a->id));
@@ -638,7 +638,7 @@
           answer (shell, a);
           break;
         case MH_ACTION_LOG:
-          g_log_structured ("minthill", a->level, "MESSAGE", "%s", a->text);
+          g_log_structured ("minthill", a->level, "MESSAGE", "%s", a->line);
           break;
         }
       mh_action_free (a);
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -68,7 +68,7 @@
   else if (write_rps <= core->settings->next_write_rps)
     {
       core->limits.durable = true;
-      mh_core_lower_write_rate (core);
+      mh_call_queue_lower_write_rate (core->calls);
     }
 }
 
@@ -153,7 +153,7 @@
       = status == 200 ? mh_wire_read_entries (body, &more, &revision) : NULL;
   if (entries == NULL)
     {
-      core->state_pause_us = core->now.mono_us + 50000 + (gint64)(core->now.jitter * 50000);
+      mh_call_queue_pause_store (core->calls, 50000, 50000);
       load_page (core, page->prefix, g_strdup (page->after));
       return;
     }
@@ -184,8 +184,8 @@
   Page *page = g_new0 (Page, 1);
   page->prefix = prefix;
   page->after = after;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_list (prefix, after, PAGE_ENTRIES), 0, CALL_TIMEOUT_US,
-                load_reply, page, page_free);
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_list (prefix, after, PAGE_ENTRIES), 0,
+                CALL_TIMEOUT_US, load_reply, page, page_free);
 }
 
 void
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -74,9 +74,9 @@
   l->stage = stage;
   g_autofree char *key
       = stage == READ_LEADER ? g_strdup ("leader") : g_strconcat (prefixes[stage], l->job, NULL);
-  MhRank rank = l->verb == MH_USER_STATUS   ? MH_RANK_STRANGER
-                : l->verb == MH_USER_CANCEL ? MH_RANK_RULES
-                                            : MH_RANK_WORK;
+  MhCallClass rank = l->verb == MH_USER_STATUS   ? MH_CALL_BACKGROUND
+                     : l->verb == MH_USER_CANCEL ? MH_CALL_SAFETY
+                                                 : MH_CALL_WORK;
   mh_core_call (l->core, rank, mh_wire_get (key), 0, CALL_TIMEOUT_US, lookup_reply,
                 g_rc_box_acquire (l), lookup_unref);
 }
@@ -159,8 +159,8 @@
 static bool
 too_many_waiting (const MhCore *core)
 {
-  guint waiting = core->state_queue[MH_RANK_STRANGER].length;
-  return waiting >= MAX (LEAST_WAITING, core->state_bucket.rate * LONGEST_WAIT_S);
+  guint waiting = mh_call_queue_waiting (core->calls, MH_CALL_BACKGROUND);
+  return waiting >= MAX (LEAST_WAITING, mh_call_queue_store_rate (core->calls) * LONGEST_WAIT_S);
 }
 
 void
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -56,7 +56,8 @@
 
 /* Every call that is about the transaction holds it. */
 static void
-txn_call (MhCore *core, Txn *t, MhRank rank, MhRequest *request, double writes, MhReplyFunc func)
+txn_call (MhCore *core, Txn *t, MhCallClass rank, MhRequest *request, double writes,
+          MhCoreReplyFunc func)
 {
   mh_core_call (core, rank, request, writes, CALL_TIMEOUT_US, func, g_rc_box_acquire (t),
                 txn_unref);
@@ -117,12 +118,12 @@
 static void
 txn_send (MhCore *core, Txn *t)
 {
-  MhRank rank = MH_RANK_WORK;
+  MhCallClass rank = MH_CALL_WORK;
   for (guint i = 0; i < t->writes->len; i++)
     {
       MhJob *job = g_array_index (t->writes, Write, i).record->job;
       if (job->cancelled && !job->cancel_durable)
-        rank = MH_RANK_RULES;
+        rank = MH_CALL_SAFETY;
     }
   txn_call (core, t, rank, mh_request_copy (t->request), t->changes, txn_reply);
 }
@@ -263,7 +264,7 @@
 ask_final (MhCore *core, const char *id)
 {
   g_autofree char *key = g_strconcat ("f/", id, NULL);
-  mh_core_call (core, MH_RANK_WORK, mh_wire_get (key), 0, CALL_TIMEOUT_US, known_reply,
+  mh_core_call (core, MH_CALL_WORK, mh_wire_get (key), 0, CALL_TIMEOUT_US, known_reply,
                 g_strdup (id), g_free);
 }
 
@@ -363,7 +364,7 @@
       mh_leader_lost (core, "an unanswered write cannot be accounted for");
       return;
     }
-  txn_call (core, t, MH_RANK_RULES, mh_wire_get (t->first_key), 0, recheck_reply);
+  txn_call (core, t, MH_CALL_SAFETY, mh_wire_get (t->first_key), 0, recheck_reply);
 }
 
 /* A submission in it met the final record of its job, which is for ever: no copy of the transaction
@@ -438,7 +439,7 @@
       g_auto (GStrv) failed = mh_wire_read_failed (body);
       bool leader = failed && g_strv_contains ((const char *const *)failed, "leader");
       if (t->unknown && !leader && t->first_key && !met_final (core, failed))
-        txn_call (core, t, MH_RANK_RULES, mh_wire_get (t->first_key), 0, recheck_reply);
+        txn_call (core, t, MH_CALL_SAFETY, mh_wire_get (t->first_key), 0, recheck_reply);
       else
         txn_refused (core, t, failed);
     }
@@ -449,7 +450,7 @@
       /* 429 and 503 say that it was not executed; anything else leaves it open. */
       if (status != 429 && status != 503)
         t->unknown = true;
-      mh_core_state_call_failed (core, status);
+      mh_call_queue_store_failed (core->calls, status);
       txn_send (core, t);
     }
 }
@@ -567,7 +568,8 @@
 static void
 add_limits (MhCore *core, Batch *b)
 {
-  if (!core->limits.lowered || core->limits.durable || core->limits.writing)
+  if (!mh_call_queue_write_rate_is_lowered (core->calls) || core->limits.durable
+      || core->limits.writing)
     return;
   MhValue *v = mh_record_write_limits (core->settings->next_write_rps);
   g_ptr_array_add (b->values, v);
@@ -652,19 +654,20 @@
       if (core->txns >= (urgent ? TXNS_FOR_USERS : TXNS_IN_FLIGHT))
         return;
       /* A part of the burst is kept for what a user waits for. */
-      double kept = core->write_bucket.burst * KEPT_FOR_USERS;
-      double least = urgent ? 1 : MIN (core->write_bucket.burst, kept + LEAST_TOKENS);
-      if (core->now.mono_us < core->state_pause_us
-          || !mh_bucket_has (&core->write_bucket, least, core->now.mono_us))
+      double burst = mh_call_queue_write_burst (core->calls), tokens;
+      double kept = burst * KEPT_FOR_USERS;
+      double least = urgent ? 1 : MIN (burst, kept + LEAST_TOKENS);
+      if (!mh_call_queue_may_write (core->calls, least, &tokens))
         {
-          mh_core_wake_at (core, MAX (core->now.mono_us + 10000, core->state_pause_us));
+          mh_core_wake_at (core, MAX (core->now.mono_us + 10000,
+                                      mh_call_queue_store_paused_until_us (core->calls)));
           return;
         }
-      double tokens = core->write_bucket.tokens, most = MAX (MIN (tokens, urgent), tokens - kept);
+      double most = MAX (MIN (tokens, urgent), tokens - kept);
       send_batch (core, (guint)CLAMP (most, 1, core->settings->batch));
       if (core->txns == before)
         break;
       /* Its tokens are taken when it is sent, which is now unless the requests have run out. */
-      mh_core_flush (core);
+      mh_call_queue_flush (core->calls);
     }
 }
--- a/tests/controller.c
+++ b/tests/controller.c
@@ -148,7 +148,8 @@
   action->id = popped->id;
   action->timeout_us = popped->timeout_us;
   action->status = popped->status;
-  action->text = g_steal_pointer (&popped->text);
+  char **text = action->kind == MH_ACTION_LOG ? &action->line : &action->node;
+  *text = g_steal_pointer (&popped->text);
   action->answer = (MhUserAnswer){ .status = popped->answer.status,
                                    .retry_after_s = popped->answer.retry_after_s,
                                    .state = (MhJobState)popped->answer.state,
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -471,7 +471,7 @@
 {
   Sim *sim = n->sim;
   Origin *o = g_hash_table_lookup (n->requests, &a->id);
-  SimNode *to = node_named (sim, a->text);
+  SimNode *to = node_named (sim, a->node);
   g_assert_nonnull (o);
   Between *b = g_new0 (Between, 1), *timeout = g_new0 (Between, 1);
   b->from = timeout->from = n->index;
@@ -541,9 +541,9 @@
   g_autofree char *line = g_strdup_printf (
       "%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT " %u %" G_GINT64_FORMAT
       " %u %u %d %u %u %s",
-      n->sim->now_us, n->name, (int)a->kind, a->id, a->timeout_us, a->status, a->until_us,
+      n->sim->now_us, n->name, (int)a->kind, a->id, a->timeout_us, a->status, a->lease_until_us,
       a->answer.status, a->answer.retry_after_s, (int)a->answer.state, a->answer.done,
-      a->answer.running, a->text ? a->text : "");
+      a->answer.running, a->node ? a->node : "");
   digest_text (digest, line);
   digest_value (digest, a->body);
   if (a->request == NULL)
@@ -602,17 +602,17 @@
         {
           Between *b = g_new0 (Between, 1);
           b->from = n->index;
-          b->to = node_named (sim, a->text)->index;
+          b->to = node_named (sim, a->node)->index;
           b->job = g_strdup (n->name);
           b->id = a->id;
-          at_node (sim, node_named (sim, a->text), sim->now_us + delay (sim), announcement_arrive,
+          at_node (sim, node_named (sim, a->node), sim->now_us + delay (sim), announcement_arrive,
                    b, between_free);
         }
       else if (a->kind == MH_ACTION_FORWARD)
         node_forward (n, a);
       else if (a->kind == MH_ACTION_LOG)
         {
-          char *line = g_strdup_printf ("%9.3f %s %s", (double)sim->now_us / 1e6, n->name, a->text);
+          char *line = g_strdup_printf ("%9.3f %s %s", (double)sim->now_us / 1e6, n->name, a->line);
           if (g_getenv ("SIM_LOG"))
             g_print ("%s\n", line);
           g_ptr_array_add (sim->log, line);
