--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -31,7 +31,7 @@
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (!mh_job_over (value))
-      waiting += mh_place_quota_room (core, value, &none, mh_fault_startable (core, value));
+      waiting += mh_place_quota_room (core, value, &none, mh_task_failure_startable (core, value));
   return waiting;
 }
 
@@ -54,7 +54,7 @@
 static const char *
 waits_for (MhCore *core, const MhJob *job)
 {
-  if (mh_fault_backs_off (job))
+  if (mh_task_failure_backs_off (job))
     return "its next try: it fails wherever it starts";
   if (core->now.mono_us < job->retry_us)
     return "its next try";
@@ -101,14 +101,14 @@
     {
       const MhMachine *m = value;
       leaving += m->releasing;
-      an_hour += m->type ? mh_fleet_hourly (m) : 0;
-      live += m->reported && !m->releasing;
-      coming += !m->reported && !m->releasing;
-      idle += m->reported && !m->releasing && m->attempts->len == 0;
-      if (m->type && m->reported && !m->releasing)
+      an_hour += m->type ? mh_machine_hourly_price (m) : 0;
+      live += m->heartbeat.reported && !m->releasing;
+      coming += !m->heartbeat.reported && !m->releasing;
+      idle += m->heartbeat.reported && !m->releasing && m->attempts->len == 0;
+      if (m->type && m->heartbeat.reported && !m->releasing)
         {
           all += m->type->cpus;
-          used += m->used_cpus;
+          used += m->usage.cpus;
         }
     }
   mh_info (
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -12,7 +12,7 @@
 static bool
 steady (const MhMachine *m)
 {
-  return m->reported && !m->releasing && m->type && m->notice_until_us < 0;
+  return m->heartbeat.reported && !m->releasing && m->type && m->notice_until_us < 0;
 }
 
 /* The machines that stay, and how much of them is in use. */
@@ -31,15 +31,16 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (!steady (m) || m->draining || mh_fleet_silent (core, m, core->settings->report_us * 2))
+      if (!steady (m) || m->draining
+          || mh_cluster_is_silent (core, m, core->settings->report_us * 2))
         continue;
       staying->all += m->type->cpus;
-      staying->used += m->used_cpus;
+      staying->used += m->usage.cpus;
       MhRoom r = mh_room_new (m->type, m->zone, m->spot);
       r.machine = m;
-      r.cpus -= m->used_cpus;
-      r.gpus -= m->used_gpus;
-      r.mem -= m->used_mem;
+      r.cpus -= m->usage.cpus;
+      r.gpus -= m->usage.gpus;
+      r.mem -= m->usage.mem_gb;
       g_array_append_val (staying->rooms, r);
     }
 }
@@ -50,7 +51,7 @@
 fits_elsewhere (MhCore *core, const MhMachine *m, Staying *staying)
 {
   g_autoptr (GArray) rooms = g_array_copy (staying->rooms);
-  double own = m->draining ? 0 : m->type->cpus, moved = m->draining ? m->used_cpus : 0;
+  double own = m->draining ? 0 : m->type->cpus, moved = m->draining ? m->usage.cpus : 0;
   if (staying->used + moved > (staying->all - own) * FULLEST)
     return false;
   for (guint k = 0; k < rooms->len; k++)
@@ -65,7 +66,7 @@
       const MhJobSpec *s = a->job->spec;
       if (s->shape != MH_SHAPE_SERVICE)
         continue; /* it ends by itself */
-      if (a->running_us == 0 || core->now.mono_us - a->running_us < SETTLED_US)
+      if (a->running_since_us == 0 || core->now.mono_us - a->running_since_us < SETTLED_US)
         return false;
       MhRoom *to = NULL;
       for (guint k = 0; k < rooms->len && to == NULL; k++)
@@ -74,7 +75,7 @@
           /* A service of several tasks stays as spread as it is. */
           if (mh_room_for (r, s, 1) && (s->tasks == 1 || r->zone == m->zone)
               && mh_room_of_kind (r, a->job, a->job->zone)
-              && mh_fleet_cached (r->machine, a->job->image))
+              && mh_machine_has_image (r->machine, a->job->image))
             to = r;
         }
       if (to == NULL)
@@ -107,12 +108,12 @@
 {
   for (guint i = 0; i < m->attempts->len; i++)
     if (mh_machine_attempt (m, i)->job->spec->shape != MH_SHAPE_SERVICE
-        || mh_machine_attempt (m, i)->stopping)
+        || mh_attempt_is_stopping (mh_machine_attempt (m, i)))
       return;
   if (m->attempts->len == 0)
     return;
   MhAttempt *a = mh_machine_attempt (m, 0);
-  mh_fleet_stop (core, a, mh_job_grace_us (a->job));
+  mh_attempt_stop (core, a, mh_job_grace_us (a->job));
 }
 
 /* A machine that holds a few replicas long after the work it was rented for costs as much as a full
@@ -142,11 +143,12 @@
           draining++;
           empty_machine (core, m);
         }
-      else if (m->replicas > 0 && m->used_cpus <= m->type->cpus * EMPTY_ENOUGH
-               && core->now.mono_us - m->rented_us >= MH_LEAST_PAID_US)
+      else if (m->usage.replicas > 0 && m->usage.cpus <= m->type->cpus * EMPTY_ENOUGH
+               && core->now.mono_us - m->boot.rented_us >= MH_LEAST_PAID_US)
         {
           Wasteful w
-              = { .machine = m, .waste = mh_fleet_hourly (m) * (1 - m->used_cpus / m->type->cpus) };
+              = { .machine = m,
+                  .waste = mh_machine_hourly_price (m) * (1 - m->usage.cpus / m->type->cpus) };
           g_array_append_val (wasteful, w);
         }
     }
@@ -157,7 +159,7 @@
       MhMachine *m = g_array_index (wasteful, Wasteful, i).machine;
       if (!fits_elsewhere (core, m, &staying))
         continue;
-      mh_info (core, "machine %s: being emptied: %.0f of %.0f cpus in use", m->name, m->used_cpus,
+      mh_info (core, "machine %s: being emptied: %.0f of %.0f cpus in use", m->name, m->usage.cpus,
                m->type->cpus);
       m->draining = true;
       draining++;
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -62,7 +62,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (!m->releasing && m->reported && m->zone)
+      if (!m->releasing && m->heartbeat.reported && m->zone)
         (*zone_load (plan, m->zone))++;
     }
   for (guint i = 0; i < plan->rooms->len; i++)
@@ -76,7 +76,7 @@
             g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
             /* What comes up in a zone that is cut off is of no use until that is over. */
             if (mh_rental_refused (core, t, *zone, spot)
-                || mh_failure_zone_partitioned (core, name))
+                || mh_failure_is_zone_partitioned (core, name))
               continue;
             Kind k = { .type = t,
                        .zone = g_ref_string_acquire (name),
@@ -147,9 +147,9 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (m->reported || m->releasing || m->type == NULL || m->zone == NULL)
+      if (m->heartbeat.reported || m->releasing || m->type == NULL || m->zone == NULL)
         continue;
-      if (m->late_age_us)
+      if (m->boot.late_age_us)
         continue; /* perhaps it never comes */
       MhRoom r = mh_room_new (m->type, g_ref_string_acquire (m->zone), m->spot);
       g_array_append_val (rooms, r);
@@ -180,7 +180,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (m->releasing || !m->reported || m->notice_until_us >= 0)
+      if (m->releasing || !m->heartbeat.reported || m->notice_until_us >= 0)
         continue;
       for (guint i = 0; i < m->attempts->len; i++)
         {
@@ -189,8 +189,8 @@
           if (s->shape == MH_SHAPE_SERVICE)
             continue;
           gint64 whole = a->job->run_us;
-          gint64 left = a->running_us ? whole - (now - a->running_us)
-                                      : whole + a->job->fetch_us - (now - a->placed_us);
+          gint64 left = a->running_since_us ? whole - (now - a->running_since_us)
+                                            : whole + a->job->fetch_us - (now - a->placed_us);
           /* One that has outrun its estimate goes on for a part of it. */
           Ending e = { .at_us = now + MAX (left, whole / 4), .cpus = s->cpus };
           g_array_append_val (endings, e);
@@ -375,7 +375,7 @@
           g_hash_table_insert (asked, s->team, use);
         }
       /* Machines once were rented for all tasks of jobs that fail everywhere, and stood idle. */
-      guint n = mh_place_quota_room (core, job, use, mh_fault_rentable (core, job));
+      guint n = mh_place_quota_room (core, job, use, mh_task_failure_rentable (core, job));
       use->cpus += s->cpus * n;
       use->gpus += s->gpus * n;
       if (n > 0)
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -19,7 +19,7 @@
     return;
   GPtrArray *old = core->types;
   core->types = types;
-  mh_fleet_types_changed (core);
+  mh_cluster_types_changed (core);
   if (old)
     g_ptr_array_unref (old);
 }
@@ -27,19 +27,19 @@
 static void
 listed (MhCore *core, const MhListedMachine *l)
 {
-  MhMachine *m = mh_fleet_machine (core, l->name);
-  if (mh_fleet_returned (core, l->name) || (m && m->releasing))
+  MhMachine *m = mh_cluster_find_machine (core, l->name);
+  if (mh_cluster_was_released (core, l->name) || (m && m->releasing))
     return; /* lists lag */
   if (m == NULL || m->type_name == NULL)
     {
       if (m == NULL)
-        m = mh_fleet_add (core, l->name, l->type, l->zone, l->spot);
+        m = mh_cluster_add_machine (core, l->name, l->type, l->zone, l->spot);
       else
-        mh_fleet_identify (core, m, l->type, l->zone, l->spot);
-      m->rented_us = core->now.mono_us - l->age_us;
+        mh_cluster_identify_machine (core, m, l->type, l->zone, l->spot);
+      m->boot.rented_us = core->now.mono_us - l->age_us;
       m->endpoint = m->endpoint ? m->endpoint : g_strdup (l->endpoint);
     }
-  m->running = l->state == MH_LISTED_RUNNING;
+  m->listed_running = l->state == MH_LISTED_RUNNING;
   if (l->state == MH_LISTED_FAILED)
     mh_release_machine (core, m, "failed");
 }
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -77,7 +77,7 @@
     return;
   mh_info (core, "machine %s: given back: %s", m->name, why);
   m->releasing = true;
-  core->scale.lost_cpus += m->used_cpus;
+  core->scale.lost_cpus += m->usage.cpus;
   const char *names[] = { m->name, NULL };
   want (core, g_strdupv ((char **)names), NULL);
 }
@@ -100,10 +100,10 @@
     }
   for (char **name = p->names; *name; name++)
     {
-      MhMachine *m = mh_fleet_machine (core, *name);
+      MhMachine *m = mh_cluster_find_machine (core, *name);
       mh_debug (core, "machine %s: confirmed gone", *name);
       if (m)
-        mh_fleet_gone (core, m);
+        mh_cluster_machine_released (core, m);
     }
   mh_store_drop (core, p->key);
   core->release.under_way--;
@@ -166,9 +166,9 @@
   char **names = mh_record_read_release (e->value);
   for (char **name = names; name && *name; name++)
     {
-      MhMachine *m = mh_fleet_machine (core, *name);
+      MhMachine *m = mh_cluster_find_machine (core, *name);
       if (m == NULL)
-        m = mh_fleet_add (core, *name, NULL, NULL, false);
+        m = mh_cluster_add_machine (core, *name, NULL, NULL, false);
       m->releasing = true;
     }
   if (names)
@@ -189,11 +189,13 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      if (!m->reported || m->releasing || m->attempts->len || m->unknown)
+      if (!m->heartbeat.reported || m->releasing || m->attempts->len
+          || m->heartbeat.unreadable_tasks)
         continue;
       if (m->notice_until_us >= 0 || m->draining)
         mh_release_machine (core, m, "empty, as was wanted");
-      else if (now - m->idle_us > core->settings->idle_us && now - m->rented_us > MH_LEAST_PAID_US)
+      else if (now - m->idle_since_us > core->settings->idle_us
+               && now - m->boot.rented_us > MH_LEAST_PAID_US)
         mh_release_machine (core, m, "idle");
     }
 }
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -63,8 +63,9 @@
            r->zone);
   core->scale.lost_cpus = MAX (0, core->scale.lost_cpus - r->cpus * got);
   for (guint i = 0; i < got; i++)
-    if (mh_fleet_machine (core, names[i]) == NULL && !mh_fleet_returned (core, names[i]))
-      mh_fleet_add (core, names[i], r->type, r->zone, r->spot)->rented_here = true;
+    if (mh_cluster_find_machine (core, names[i]) == NULL
+        && !mh_cluster_was_released (core, names[i]))
+      mh_cluster_add_machine (core, names[i], r->type, r->zone, r->spot)->boot.rented_here = true;
   if (got < r->count)
     rental_refused (core, r, r->count - got, true);
 }
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -41,11 +41,12 @@
 }
 
 void
-mh_boot_joined (MhCore *core, const MhMachine *machine)
+mh_boot_time_joined (MhCore *core, const MhMachine *machine)
 {
   /* Of one that another leader rented, or that was up before, nothing is known. */
-  if (machine->type && machine->rented_here && machine->session <= 1)
-    add_sample (stat_of (core, machine->type), (double)(core->now.mono_us - machine->rented_us));
+  if (machine->type && machine->boot.rented_here && machine->heartbeat.session <= 1)
+    add_sample (stat_of (core, machine->type),
+                (double)(core->now.mono_us - machine->boot.rented_us));
 }
 
 /* A machine of the type that has not joined by then is late. */
@@ -61,8 +62,8 @@
 static void
 note_late (MhCore *core, MhMachine *machine, gint64 age_us)
 {
-  machine->late_age_us = age_us;
-  if (machine->type == NULL || !machine->rented_here)
+  machine->boot.late_age_us = age_us;
+  if (machine->type == NULL || !machine->boot.rented_here)
     return;
   mh_info_limited (core, MH_LOG_BOOT,
                    "machine %s: has not joined %.0f s after it was rented (%s in %s); others are "
@@ -72,14 +73,14 @@
 }
 
 void
-mh_boot_check (MhCore *core, MhMachine *machine)
+mh_boot_time_check (MhCore *core, MhMachine *machine)
 {
-  gint64 now = core->now.mono_us, age_us = now - machine->rented_us;
-  if (machine->late_age_us == 0 && age_us > late_us (core, machine->type))
+  gint64 now = core->now.mono_us, age_us = now - machine->boot.rented_us;
+  if (machine->boot.late_age_us == 0 && age_us > late_us (core, machine->type))
     note_late (core, machine, age_us);
   gint64 leading_us = now - core->leader.since_us;
   /* It may report to this leader for the first time only now. */
-  if (machine->late_age_us && age_us > GIVEN_UP * machine->late_age_us
+  if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us
       && leading_us > core->settings->report_us * 2 + 6 * MH_SECOND_US)
     mh_release_machine (core, machine, "never came up");
 }
--- a/src/cluster/boot-time.h
+++ b/src/cluster/boot-time.h
@@ -16,8 +16,8 @@
 
 /* The machine has reported for the first time. */
 void
-mh_boot_joined (MhCore *core, const MhMachine *machine);
+mh_boot_time_joined (MhCore *core, const MhMachine *machine);
 /* At a machine that has not joined: notes that it is late, and gives it back when it is of no more
    use. One that is late is not counted on, so that another is rented in its place. */
 void
-mh_boot_check (MhCore *core, MhMachine *machine);
+mh_boot_time_check (MhCore *core, MhMachine *machine);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -56,14 +56,14 @@
 }
 
 bool
-mh_failure_zone_partitioned (const MhCore *core, const GRefString *name)
+mh_failure_is_zone_partitioned (const MhCore *core, const GRefString *name)
 {
   const MhZone *z = find_zone (core, name);
   return z && core->now.mono_us < z->partitioned_until_us;
 }
 
 void
-mh_failure_heard (MhCore *core, GRefString *name, bool is_report)
+mh_failure_note_message (MhCore *core, GRefString *name, bool is_report)
 {
   MhZone *z = find_zone (core, name);
   if (z == NULL)
@@ -74,7 +74,7 @@
     }
   if (core->now.mono_us < z->partitioned_until_us)
     mh_info (core, "zone %s: heard from again", z->name);
-  z->heard_us = core->now.mono_us;
+  z->last_message_us = core->now.mono_us;
   if (is_report)
     {
       z->last_report_us = core->now.mono_us;
@@ -95,7 +95,7 @@
       gint64 report = core->settings->report_us;
       gint64 patience = MAX (report * 4 / 5, REPORTS_MISSED * report / MAX (z->machines, 1));
       if (z->machines < LEAST_OF_ZONE
-          || mh_fleet_silence_us (core, z->heard_us) < MAX (PARTITION_US, patience))
+          || mh_cluster_silence_us (core, z->last_message_us) < MAX (PARTITION_US, patience))
         continue;
       if (now >= z->partitioned_until_us)
         mh_info (core, "zone %s: %u machines, and nothing comes from any of them", z->name,
@@ -105,15 +105,16 @@
 }
 
 bool
-mh_failure_reports_overdue (const MhCore *core, const MhMachine *m)
+mh_failure_is_report_overdue (const MhCore *core, const MhMachine *m)
 {
-  return mh_fleet_silence_us (core, m->last_report_us) > core->settings->report_us * 5 / 2;
+  return mh_cluster_silence_us (core, m->heartbeat.last_report_us)
+         > core->settings->report_us * 5 / 2;
 }
 
 bool
-mh_failure_unreachable (const MhMachine *m)
+mh_failure_is_unreachable (const MhMachine *m)
 {
-  return m->failed_probes >= MAX_FAILED_PROBES;
+  return m->probe.failures >= MAX_FAILED_PROBES;
 }
 
 /* ---- machines ---- */
@@ -124,39 +125,39 @@
 static void
 probe_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
-  MhMachine *m = mh_fleet_machine (core, data);
+  MhMachine *m = mh_cluster_find_machine (core, data);
   g_autoptr (MhReport) r = status == 200 ? mh_wire_read_report (body) : NULL;
   if (m == NULL)
     return;
-  m->probing = false;
+  m->probe.in_flight = false;
   if (r == NULL || strcmp (r->machine, m->name) != 0)
     {
       /* The answer may have come while this process stood still, and the time-out with it. */
-      if (m->probed_us > core->awake_us && ++m->failed_probes < MAX_FAILED_PROBES)
+      if (m->probe.first_sent_us > core->awake_us && ++m->probe.failures < MAX_FAILED_PROBES)
         probe (core, m);
     }
-  else if (mh_fleet_answered (core, m, r))
+  else if (mh_heartbeat_take_answer (core, m, r))
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
       if (r->token < core->leader.own_epoch && mh_leader_valid (core))
-        mh_command_send (core, m, true);
+        mh_worker_command_send (core, m, true);
     }
   /* The answer to a question is newer than all that was known when it was put. One that counts from
      the beginning comes from a worker that has lost its memory, of the epochs that it has seen too:
      nothing that is still on its way there is fenced any more. */
-  else if (m->reported && !m->releasing
-           && (r->session < m->probed_session
-               || (r->session == m->probed_session && r->sequence < m->probed_sequence)))
+  else if (m->heartbeat.reported && !m->releasing
+           && (r->session < m->probe.session
+               || (r->session == m->probe.session && r->sequence < m->probe.sequence)))
     mh_release_machine (core, m, "its worker has begun anew");
 }
 
 static void
 probe (MhCore *core, MhMachine *m)
 {
-  m->probing = true;
-  m->probed_session = m->reported ? m->session : 0;
-  m->probed_sequence = m->reported ? m->sequence : 0;
+  m->probe.in_flight = true;
+  m->probe.session = m->heartbeat.reported ? m->heartbeat.session : 0;
+  m->probe.sequence = m->heartbeat.reported ? m->heartbeat.sequence : 0;
   mh_core_call (core, MH_RANK_RULES, mh_wire_show (m->endpoint), 0, PROBE_TIMEOUT_US, probe_reply,
                 g_strdup (m->name), g_free);
 }
@@ -164,11 +165,11 @@
 static void
 ask (MhCore *core, MhMachine *m)
 {
-  if (m->probing || m->failed_probes || m->endpoint == NULL
+  if (m->probe.in_flight || m->probe.failures || m->endpoint == NULL
       || !mh_bucket_has (&core->probe_bucket, 1, core->now.mono_us))
     return;
   mh_bucket_take (&core->probe_bucket, 1);
-  m->probed_us = core->now.mono_us;
+  m->probe.first_sent_us = core->now.mono_us;
   probe (core, m);
 }
 
@@ -178,7 +179,7 @@
 others_heard (const MhCore *core, const MhMachine *m)
 {
   const MhZone *z = find_zone (core, m->zone);
-  return z == NULL || z->machines < LEAST_OF_ZONE || z->heard_us > m->probed_us;
+  return z == NULL || z->machines < LEAST_OF_ZONE || z->last_message_us > m->probe.first_sent_us;
 }
 
 /* Nothing comes from its whole zone: what runs there goes on until the worker's lease is over, and
@@ -186,7 +187,8 @@
 static void
 check_in_partition (MhCore *core, MhMachine *m)
 {
-  if (mh_fleet_silence_us (core, m->heard_us) > core->settings->worker_lease_us + MH_SECOND_US)
+  if (mh_cluster_silence_us (core, m->heartbeat.last_message_us)
+      > core->settings->worker_lease_us + MH_SECOND_US)
     mh_release_machine (core, m, "silent with all of its zone");
 }
 
@@ -195,8 +197,8 @@
 static bool
 reports_are_lost (const MhCore *core, const MhMachine *m)
 {
-  return mh_fleet_silence_us (core, m->heard_us) < core->settings->silence_us
-         && mh_fleet_silence_us (core, m->last_report_us)
+  return mh_cluster_silence_us (core, m->heartbeat.last_message_us) < core->settings->silence_us
+         && mh_cluster_silence_us (core, m->heartbeat.last_report_us)
                 > core->settings->worker_lease_us + MH_SECOND_US;
 }
 
@@ -204,24 +206,24 @@
 static bool
 probed_in_vain (const MhCore *core, const MhMachine *m)
 {
-  return mh_failure_unreachable (m) && !core->patience.cut_off;
+  return mh_failure_is_unreachable (m) && !core->silence.cut_off;
 }
 
 static void
 check_reported (MhCore *core, MhMachine *m)
 {
-  const MhPatience *patience = &core->patience;
-  gint64 silent = mh_fleet_silence_us (core, m->heard_us);
-  bool overdue = mh_fleet_silence_us (core, m->last_report_us) > patience->report_us;
+  const MhSilenceThresholds *patience = &core->silence;
+  gint64 silent = mh_cluster_silence_us (core, m->heartbeat.last_message_us);
+  bool overdue = mh_cluster_silence_us (core, m->heartbeat.last_report_us) > patience->report_us;
   if (reports_are_lost (core, m))
     mh_release_machine (core, m, "its reports do not come");
-  else if (probed_in_vain (core, m) && m->ignored_answers >= MH_MAX_IGNORED_ANSWERS)
+  else if (probed_in_vain (core, m) && m->heartbeat.ignored_answers >= MH_MAX_IGNORED_ANSWERS)
     mh_release_machine (core, m, "nothing reaches it");
   else if (silent > patience->known_us
            || (probed_in_vain (core, m) && others_heard (core, m) && overdue))
-    mh_release_machine (core, m, m->failed_probes ? "silent, and gives no answer" : "silent");
-  else if (m->ignored_answers
-           || silent > (m->replicas ? patience->replica_us : patience->suspect_us))
+    mh_release_machine (core, m, m->probe.failures ? "silent, and gives no answer" : "silent");
+  else if (m->heartbeat.ignored_answers
+           || silent > (m->usage.replicas ? patience->replica_us : patience->suspect_us))
     ask (core, m);
 }
 
@@ -230,9 +232,9 @@
 static void
 check_unseen (MhCore *core, MhMachine *m)
 {
-  const MhPatience *patience = &core->patience;
-  gint64 unseen = mh_fleet_silence_us (core, MAX (core->leader.since_us, m->known_us));
-  if (core->now.mono_us - m->unverified_us > SECOND_REPORT_US)
+  const MhSilenceThresholds *patience = &core->silence;
+  gint64 unseen = mh_cluster_silence_us (core, MAX (core->leader.since_us, m->discovered_us));
+  if (core->now.mono_us - m->heartbeat.unverified_us > SECOND_REPORT_US)
     ask (core, m);
   if (unseen > patience->unseen_us
       || (probed_in_vain (core, m) && others_heard (core, m) && unseen > patience->report_us))
@@ -242,14 +244,14 @@
 void
 mh_failure_check (MhCore *core, MhMachine *m)
 {
-  if (m->reported && mh_failure_zone_partitioned (core, m->zone))
+  if (m->heartbeat.reported && mh_failure_is_zone_partitioned (core, m->zone))
     check_in_partition (core, m);
-  else if (m->reported)
+  else if (m->heartbeat.reported)
     check_reported (core, m);
-  else if (m->attempts->len || m->running)
+  else if (m->attempts->len || m->listed_running)
     check_unseen (core, m);
   else
-    mh_boot_check (core, m);
+    mh_boot_time_check (core, m);
 }
 
 void
@@ -259,10 +261,10 @@
   gint64 usual = core->settings->silence_us;
   /* A new leader's workers need time to find it. */
   gint64 report = core->settings->report_us * 5 / 4 + MH_SECOND_US * 2 / 5;
-  MhPatience p = { .report_us = report,
-                   .suspect_us = report + MH_SECOND_US / 3,
-                   .known_us = usual,
-                   .unseen_us = usual + 6 * MH_SECOND_US };
+  MhSilenceThresholds p = { .report_us = report,
+                            .suspect_us = report + MH_SECOND_US / 3,
+                            .known_us = usual,
+                            .unseen_us = usual + 6 * MH_SECOND_US };
   GHashTableIter it;
   gpointer value;
   for (guint i = 0; i < core->zones->len; i++)
@@ -271,16 +273,16 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      if (m->releasing || !(m->reported || m->attempts->len))
+      if (m->releasing || !(m->heartbeat.reported || m->attempts->len))
         continue;
-      MhZone *z = m->reported ? find_zone (core, m->zone) : NULL;
+      MhZone *z = m->heartbeat.reported ? find_zone (core, m->zone) : NULL;
       if (z)
         z->machines++;
       all++;
-      hosts += m->replicas > 0;
-      if (m->reported)
-        silent += m->failed_probes || m->ignored_answers
-                  || mh_fleet_silence_us (core, m->last_report_us) > usual;
+      hosts += m->usage.replicas > 0;
+      if (m->heartbeat.reported)
+        silent += m->probe.failures || m->heartbeat.ignored_answers
+                  || mh_cluster_silence_us (core, m->heartbeat.last_report_us) > usual;
       else
         unseen++;
     }
@@ -294,12 +296,12 @@
       p.known_us = core->settings->worker_lease_us + 5 * MH_SECOND_US;
     }
   if (unseen >= 3 && unseen * 2 > all)
-    p.unseen_us = MAX (p.unseen_us, mh_fleet_keep_alive_us (core) + 10 * MH_SECOND_US);
+    p.unseen_us = MAX (p.unseen_us, mh_heartbeat_keep_alive_us (core) + 10 * MH_SECOND_US);
   gint64 every
       = (gint64)((double)hosts * MH_SECOND_US / (PROBES_PER_CORE_S * core->settings->core_share));
   /* Both probes are over when the report is overdue. */
   p.replica_us = MIN (p.suspect_us, MAX (report - MAX_FAILED_PROBES * PROBE_TIMEOUT_US, every));
-  core->patience = p;
+  core->silence = p;
 }
 
 /* How long a leader may get no report before it hands over. One that has just been elected gives
@@ -322,7 +324,7 @@
    cut off from them. Another controller may not be; and their leases run out, also of those that
    answer its questions. */
 void
-mh_failure_hand_over (MhCore *core)
+mh_failure_check_leader_unheard (MhCore *core)
 {
   gint64 heard_us = 0;
   guint machines = 0;
@@ -334,7 +336,7 @@
     }
   if (machines < LEAST_OF_ZONE || core->settings->members->len == 0)
     return;
-  gint64 unheard = mh_fleet_silence_us (core, MAX (heard_us, core->leader.since_us));
+  gint64 unheard = mh_cluster_silence_us (core, MAX (heard_us, core->leader.since_us));
   if (unheard <= unheard_patience_us (core, machines, heard_us > 0))
     return;
   core->leader.vain_hand_overs++;
--- a/src/cluster/failure-detection.h
+++ b/src/cluster/failure-detection.h
@@ -11,8 +11,8 @@
 typedef struct
 {
   GRefString *name;
-  guint machines;                  /* that have reported */
-  gint64 heard_us, last_report_us; /* the last word, the last report */
+  guint machines;                         /* that have reported */
+  gint64 last_message_us, last_report_us; /* the last message, the last report */
   gint64 partitioned_until_us;
 } MhZone;
 
@@ -25,24 +25,24 @@
   gint64 replica_us; /* ... sooner if it holds replicas */
   gint64 known_us;   /* ... is given back, whatever that brought */
   gint64 unseen_us;  /* one that has not reported, since the election */
-} MhPatience;
+} MhSilenceThresholds;
 
 void
 mh_failure_init (MhCore *core);
 void
 mh_failure_clear (MhCore *core);
 void
-mh_failure_heard (MhCore *core, GRefString *zone, bool is_report);
+mh_failure_note_message (MhCore *core, GRefString *zone, bool is_report);
 /* Nothing has come from the zone for so long that its machines will rather be cut off together than
    have failed one by one. */
 bool
-mh_failure_zone_partitioned (const MhCore *core, const GRefString *zone);
+mh_failure_is_zone_partitioned (const MhCore *core, const GRefString *zone);
 /* Reports of its own should have come long ago, whatever it answers. */
 bool
-mh_failure_reports_overdue (const MhCore *core, const MhMachine *machine);
+mh_failure_is_report_overdue (const MhCore *core, const MhMachine *machine);
 /* It has been asked more than once, and has not answered. */
 bool
-mh_failure_unreachable (const MhMachine *machine);
+mh_failure_is_unreachable (const MhMachine *machine);
 /* At all machines and zones; then each can be checked. */
 void
 mh_failure_survey (MhCore *core);
@@ -50,4 +50,4 @@
 mh_failure_check (MhCore *core, MhMachine *machine);
 /* A leader that hears no worker lets another one lead. */
 void
-mh_failure_hand_over (MhCore *core);
+mh_failure_check_leader_unheard (MhCore *core);
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -27,7 +27,7 @@
 static void
 cached_free (gpointer data)
 {
-  g_ref_string_release (((MhCached *)data)->name);
+  g_ref_string_release (((MhMachineImage *)data)->name);
   g_free (data);
 }
 
@@ -45,7 +45,7 @@
 }
 
 void
-mh_fleet_free_machine (gpointer data)
+mh_machine_free (gpointer data)
 {
   MhMachine *m = data;
   g_free (m->name);
@@ -53,15 +53,15 @@
   g_clear_pointer (&m->zone, g_ref_string_release);
   g_free (m->type_name);
   g_ptr_array_unref (m->attempts);
-  g_array_unref (m->unacknowledged);
+  g_array_unref (m->fencing.unacknowledged);
   g_array_unref (m->orphans);
-  g_ptr_array_unref (m->cache);
-  g_ptr_array_unref (m->failed_jobs);
+  g_ptr_array_unref (m->images);
+  g_ptr_array_unref (m->failures.jobs);
   g_free (m);
 }
 
 MhMachine *
-mh_fleet_machine (MhCore *core, const char *name)
+mh_cluster_find_machine (MhCore *core, const char *name)
 {
   return g_hash_table_lookup (core->machines, name);
 }
@@ -82,7 +82,7 @@
 }
 
 void
-mh_fleet_types_changed (MhCore *core)
+mh_cluster_types_changed (MhCore *core)
 {
   GHashTableIter it;
   gpointer m;
@@ -92,7 +92,8 @@
 }
 
 void
-mh_fleet_identify (MhCore *core, MhMachine *m, const char *type, const char *zone, bool spot)
+mh_cluster_identify_machine (MhCore *core, MhMachine *m, const char *type, const char *zone,
+                             bool spot)
 {
   if (m->zone == NULL)
     m->zone = g_ref_string_new_intern (zone);
@@ -105,29 +106,31 @@
 }
 
 MhMachine *
-mh_fleet_add (MhCore *core, const char *name, const char *type, const char *zone, bool spot)
+mh_cluster_add_machine (MhCore *core, const char *name, const char *type, const char *zone,
+                        bool spot)
 {
   MhMachine *m = g_new0 (MhMachine, 1);
   m->name = g_strdup (name);
   m->type_name = g_strdup (type);
   m->zone = zone ? g_ref_string_new_intern (zone) : NULL;
   m->spot = spot;
-  m->known_us = m->rented_us = m->heard_us = m->last_report_us = m->idle_us = core->now.mono_us;
+  m->discovered_us = m->boot.rented_us = m->heartbeat.last_message_us = m->heartbeat.last_report_us
+      = m->idle_since_us = core->now.mono_us;
   m->notice_until_us = -1;
   m->attempts = g_ptr_array_new ();
-  m->unacknowledged = g_array_new (FALSE, FALSE, sizeof (MhUnacknowledgedStart));
-  g_array_set_clear_func (m->unacknowledged, unacknowledged_clear);
+  m->fencing.unacknowledged = g_array_new (FALSE, FALSE, sizeof (MhUnacknowledgedStart));
+  g_array_set_clear_func (m->fencing.unacknowledged, unacknowledged_clear);
   m->orphans = g_array_new (FALSE, FALSE, sizeof (MhOrphan));
   g_array_set_clear_func (m->orphans, orphan_clear);
-  m->cache = g_ptr_array_new_with_free_func (cached_free);
-  m->failed_jobs = g_ptr_array_new_with_free_func (g_free);
+  m->images = g_ptr_array_new_with_free_func (cached_free);
+  m->failures.jobs = g_ptr_array_new_with_free_func (g_free);
   resolve_type (core, m);
   g_hash_table_insert (core->machines, m->name, m);
   return m;
 }
 
 void
-mh_fleet_clear (MhCore *core)
+mh_cluster_clear (MhCore *core)
 {
   GHashTableIter it;
   gpointer value;
@@ -143,14 +146,14 @@
   g_queue_clear_full (&core->returned_order, returned_free);
   g_ptr_array_set_size (core->commands_due, 0);
   mh_failure_clear (core);
-  core->replicas = 0;
+  core->service_replicas = 0;
   g_hash_table_remove_all (core->team_use);
   g_hash_table_remove_all (core->gangs);
 }
 
 /* The reports that come after a reload are measured from here, not from before. */
 void
-mh_fleet_loaded (MhCore *core)
+mh_cluster_records_loaded (MhCore *core)
 {
   GHashTableIter it;
   gpointer value;
@@ -161,7 +164,7 @@
       if (mh_gang_is (job))
         mh_gang_loaded (core, job);
       if (job->cancelled)
-        mh_fleet_stop_job (core, job);
+        mh_attempt_stop_job (core, job);
       else if (job->n_done == job->spec->tasks)
         {
           job->finished = true;
@@ -171,24 +174,24 @@
 }
 
 gint64
-mh_fleet_silence_us (const MhCore *core, gint64 heard_us)
+mh_cluster_silence_us (const MhCore *core, gint64 heard_us)
 {
   return core->now.mono_us - MAX (heard_us, core->awake_us);
 }
 
 bool
-mh_fleet_silent (const MhCore *core, const MhMachine *m, gint64 for_us)
+mh_cluster_is_silent (const MhCore *core, const MhMachine *m, gint64 for_us)
 {
-  return mh_fleet_silence_us (core, m->heard_us) > for_us;
+  return mh_cluster_silence_us (core, m->heartbeat.last_message_us) > for_us;
 }
 
 /* ---- images ---- */
 
 bool
-mh_fleet_cached (const MhMachine *m, const GRefString *image)
+mh_machine_has_image (const MhMachine *m, const GRefString *image)
 {
-  for (guint i = 0; i < m->cache->len; i++)
-    if (((MhCached *)g_ptr_array_index (m->cache, i))->name == image)
+  for (guint i = 0; i < m->images->len; i++)
+    if (((MhMachineImage *)g_ptr_array_index (m->images, i))->name == image)
       return true;
   return false;
 }
@@ -196,16 +199,17 @@
 /* How long a task with this image would wait for it here: nothing if it is cached, the rest of the
    fetch if one is under way, else a fetch beside those that are, which may share the rate. */
 gint64
-mh_fleet_image_wait (const MhCore *core, const MhMachine *m, const GRefString *image, double gb)
+mh_machine_image_wait_us (const MhCore *core, const MhMachine *m, const GRefString *image,
+                          double gb)
 {
-  if (mh_fleet_cached (m, image))
+  if (mh_machine_has_image (m, image))
     return 0;
   double rate = m->type && m->type->fetch_gb_per_s > 0 ? m->type->fetch_gb_per_s : 1, others = 0;
   for (guint i = 0; i < m->attempts->len; i++)
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
       const MhJobSpec *s = a->job->spec;
-      if (a->stopping || a->phase != MH_TASK_FETCHING || mh_fleet_cached (m, a->job->image))
+      if (a->stopping || a->phase != MH_TASK_FETCHING || mh_machine_has_image (m, a->job->image))
         continue;
       double left
           = MAX (s->image_gb - (double)(core->now.mono_us - a->placed_us) / MH_SECOND_US * rate,
@@ -223,49 +227,49 @@
 
 /* Machines keep the most recently used images; this is our own account of it. */
 void
-mh_fleet_cache (MhMachine *m, GRefString *image, double gb)
+mh_machine_add_image (MhMachine *m, GRefString *image, double gb)
 {
   double total = gb;
-  MhCached *c = m->cache->len ? g_ptr_array_index (m->cache, m->cache->len - 1) : NULL;
+  MhMachineImage *c = m->images->len ? g_ptr_array_index (m->images, m->images->len - 1) : NULL;
   if (c && c->name == image)
     return;
   c = NULL;
-  for (guint i = 0; i < m->cache->len; i++)
+  for (guint i = 0; i < m->images->len; i++)
     {
-      MhCached *other = g_ptr_array_index (m->cache, i);
+      MhMachineImage *other = g_ptr_array_index (m->images, i);
       if (other->name == image)
         {
           c = other;
-          g_ptr_array_steal_index (m->cache, i);
+          g_ptr_array_steal_index (m->images, i);
           break;
         }
     }
   if (c == NULL)
     {
-      c = g_new0 (MhCached, 1);
+      c = g_new0 (MhMachineImage, 1);
       c->name = g_ref_string_acquire (image);
       c->gb = gb;
     }
-  for (guint i = 0; i < m->cache->len; i++)
-    total += ((MhCached *)g_ptr_array_index (m->cache, i))->gb;
-  while (m->type && m->cache->len && total > m->type->cache_gb)
+  for (guint i = 0; i < m->images->len; i++)
+    total += ((MhMachineImage *)g_ptr_array_index (m->images, i))->gb;
+  while (m->type && m->images->len && total > m->type->cache_gb)
     {
-      total -= ((MhCached *)g_ptr_array_index (m->cache, 0))->gb;
-      g_ptr_array_remove_index (m->cache, 0);
+      total -= ((MhMachineImage *)g_ptr_array_index (m->images, 0))->gb;
+      g_ptr_array_remove_index (m->images, 0);
     }
-  g_ptr_array_add (m->cache, c); /* the last one used stands last */
+  g_ptr_array_add (m->images, c); /* the last one used stands last */
 }
 
 double
-mh_fleet_hourly (const MhMachine *m)
+mh_machine_hourly_price (const MhMachine *m)
 {
   return m->spot ? m->type->spot_price : m->type->price;
 }
 
 double
-mh_fleet_cpu_hourly (const MhMachine *m)
+mh_machine_hourly_cpu_price (const MhMachine *m)
 {
-  return mh_fleet_hourly (m) / MAX (m->type->cpus, 1e-3);
+  return mh_machine_hourly_price (m) / MAX (m->type->cpus, 1e-3);
 }
 
 /* ---- attempts ---- */
@@ -295,20 +299,20 @@
   MhUse *u = team_use (core, s->team);
   u->cpus += sign * s->cpus;
   u->gpus += sign * s->gpus;
-  a->machine->used_cpus += sign * s->cpus;
-  a->machine->used_gpus += sign * s->gpus;
-  a->machine->used_mem += sign * s->mem_gb;
+  a->machine->usage.cpus += sign * s->cpus;
+  a->machine->usage.gpus += sign * s->gpus;
+  a->machine->usage.mem_gb += sign * s->mem_gb;
   if (s->shape == MH_SHAPE_SERVICE)
     {
-      a->machine->replicas += sign > 0 ? 1 : -1;
-      core->replicas += sign > 0 ? 1 : -1;
+      a->machine->usage.replicas += sign > 0 ? 1 : -1;
+      core->service_replicas += sign > 0 ? 1 : -1;
     }
-  if (!a->machine->reported)
+  if (!a->machine->heartbeat.reported)
     a->job->n_unheard += sign > 0 ? 1 : -1;
 }
 
 MhAttempt *
-mh_fleet_attempt_new (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *m)
+mh_attempt_new (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *m)
 {
   MhTask *t = &job->tasks[index];
   MhAttempt *a = g_new0 (MhAttempt, 1);
@@ -326,6 +330,14 @@
   return a;
 }
 
+MhAttempt *
+mh_attempt_new_from_record (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *m)
+{
+  MhAttempt *a = mh_attempt_new (core, job, index, attempt, m);
+  a->loaded = true;
+  return a;
+}
+
 static void
 job_check_over (MhCore *core, MhJob *job)
 {
@@ -342,16 +354,16 @@
 set_running (MhCore *core, MhAttempt *a, bool running)
 {
   gint64 now_us = core->now.mono_us;
-  if (running && a->running_us == 0)
+  if (running && a->running_since_us == 0)
     {
-      a->running_us = now_us;
+      a->running_since_us = now_us;
       a->job->n_running++;
       mh_debug (core, "task %s/%u: runs on %s, %.1f s after it was submitted", a->job->spec->id,
                 a->index, a->machine->name, (double)(now_us - a->job->submitted_us) / MH_SECOND_US);
     }
-  else if (!running && a->running_us)
+  else if (!running && a->running_since_us)
     {
-      a->running_us = 0;
+      a->running_since_us = 0;
       a->job->n_running--;
     }
 }
@@ -366,21 +378,21 @@
   g_ptr_array_remove_fast (m->attempts, a);
   if (m->attempts->len == 0)
     {
-      m->idle_us = core->now.mono_us;
-      m->used_cpus = m->used_gpus = m->used_mem = 0; /* no rounding left behind */
+      m->idle_since_us = core->now.mono_us;
+      m->usage.cpus = m->usage.gpus = m->usage.mem_gb = 0; /* no rounding left behind */
     }
   a->job->tasks[a->index].live = NULL;
 }
 
 void
-mh_fleet_attempt_forget (MhCore *core, MhAttempt *a)
+mh_attempt_discard (MhCore *core, MhAttempt *a)
 {
   detach (core, a);
   g_free (a);
 }
 
 void
-mh_fleet_attempt_over (MhCore *core, MhAttempt *a, bool done)
+mh_attempt_proven_over (MhCore *core, MhAttempt *a, bool done)
 {
   MhJob *job = a->job;
   MhTask *t = &job->tasks[a->index];
@@ -405,7 +417,7 @@
 }
 
 void
-mh_fleet_task_done (MhCore *core, MhJob *job, guint index)
+mh_attempt_task_done (MhCore *core, MhJob *job, guint index)
 {
   job->tasks[index].state = MH_TASK_DONE;
   job->n_done++;
@@ -414,7 +426,7 @@
 }
 
 void
-mh_fleet_send_commands (MhCore *core, MhMachine *m)
+mh_worker_command_schedule (MhCore *core, MhMachine *m)
 {
   if (m->commands_due)
     return;
@@ -423,18 +435,18 @@
 }
 
 void
-mh_fleet_send_stop (MhCore *core, MhAttempt *a, gint64 grace_us)
+mh_attempt_send_stop (MhCore *core, MhAttempt *a, gint64 grace_us)
 {
   if (a->stopping && grace_us >= a->grace_us)
     return;
   a->stopping = true;
   a->grace_us = grace_us;
   a->stop_sent_us = 0;
-  mh_fleet_send_commands (core, a->machine);
+  mh_worker_command_schedule (core, a->machine);
 }
 
 void
-mh_fleet_stop (MhCore *core, MhAttempt *a, gint64 grace_us)
+mh_attempt_stop (MhCore *core, MhAttempt *a, gint64 grace_us)
 {
   if (mh_gang_is (a->job) && !mh_job_over (a->job))
     {
@@ -444,29 +456,29 @@
   if (!a->start_sent && !a->loaded)
     {
       /* No command ever left: there is nothing to wait for. */
-      mh_fleet_attempt_over (core, a, false);
+      mh_attempt_proven_over (core, a, false);
       return;
     }
-  mh_fleet_send_stop (core, a, grace_us);
+  mh_attempt_send_stop (core, a, grace_us);
 }
 
 void
-mh_fleet_stop_job (MhCore *core, MhJob *job)
+mh_attempt_stop_job (MhCore *core, MhJob *job)
 {
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     if (job->tasks[i].live)
-      mh_fleet_stop (core, job->tasks[i].live, 0);
+      mh_attempt_stop (core, job->tasks[i].live, 0);
   job_check_over (core, job);
 }
 
 bool
-mh_fleet_returned (const MhCore *core, const char *name)
+mh_cluster_was_released (const MhCore *core, const char *name)
 {
   return g_hash_table_contains (core->returned, name);
 }
 
 void
-mh_fleet_gone (MhCore *core, MhMachine *m)
+mh_cluster_machine_released (MhCore *core, MhMachine *m)
 {
   Returned *r = g_new0 (Returned, 1);
   r->name = g_strdup (m->name);
@@ -474,7 +486,7 @@
   g_queue_push_tail (&core->returned_order, r);
   g_hash_table_add (core->returned, r->name);
   while (m->attempts->len)
-    mh_fleet_attempt_over (core, g_ptr_array_index (m->attempts, m->attempts->len - 1), false);
+    mh_attempt_proven_over (core, g_ptr_array_index (m->attempts, m->attempts->len - 1), false);
   g_ptr_array_remove_fast (core->commands_due, m);
   g_hash_table_remove (core->machines, m->name);
 }
@@ -500,16 +512,17 @@
 {
   const MhMachine *m = a->machine;
   if (a->loaded)
-    return m->token >= core->leader.own_epoch;
+    return m->heartbeat.token >= core->leader.own_epoch;
   if (!a->start_sent)
     return false;
-  if (a->start_session < m->session)
+  if (a->start_session < m->heartbeat.session)
     return true;
   if (!is_report || (!a->seen && !a->stopping))
     return false; /* the start is simply sent again */
   const MhUnacknowledgedStart *l
-      = mh_command_unacknowledged (m, a->job->spec->id, a->index, a->attempt);
-  return (l == NULL || l->answered) && (a->start_sequence == 0 || m->sequence > a->start_sequence);
+      = mh_worker_command_find_unacknowledged (m, a->job->spec->id, a->index, a->attempt);
+  return (l == NULL || l->answered)
+         && (a->start_sequence == 0 || m->heartbeat.sequence > a->start_sequence);
 }
 
 static void
@@ -520,21 +533,21 @@
   switch (cause)
     {
     case MH_CAUSE_DONE:
-      if (a->running_us && !a->loaded)
-        mh_queue_learn (core, job->spec, core->now.mono_us - a->running_us);
-      mh_fault_task_done (core, m, job);
+      if (a->running_since_us && !a->loaded)
+        mh_queue_learn (core, job->spec, core->now.mono_us - a->running_since_us);
+      mh_task_failure_record_success (core, m, job);
       break;
     case MH_CAUSE_ERROR:
       /* A huge job that fails everywhere would fill the log with its tasks. */
-      mh_core_log (core, mh_fault_backs_off (job) ? G_LOG_LEVEL_DEBUG : G_LOG_LEVEL_INFO,
+      mh_core_log (core, mh_task_failure_backs_off (job) ? G_LOG_LEVEL_DEBUG : G_LOG_LEVEL_INFO,
                    "task %s/%u: failed on %s", job->spec->id, a->index, m->name);
-      mh_fault_task_failed (core, m, job);
+      mh_task_failure_record_failure (core, m, job);
       break;
     case MH_CAUSE_NO_ROOM:
     case MH_CAUSE_BUSY:
       mh_info (core, "task %s/%u: %s refused it: %s", job->spec->id, a->index, m->name,
                cause == MH_CAUSE_BUSY ? "another attempt is there" : "no room");
-      m->hold_us = core->now.mono_us + MH_SECOND_US;
+      m->no_start_before_us = core->now.mono_us + MH_SECOND_US;
       break;
     case MH_CAUSE_PEERS:
     case MH_CAUSE_INCOMPLETE:
@@ -549,7 +562,7 @@
     default:
       break;
     }
-  mh_fleet_attempt_over (core, a, cause == MH_CAUSE_DONE);
+  mh_attempt_proven_over (core, a, cause == MH_CAUSE_DONE);
 }
 
 static void
@@ -558,7 +571,7 @@
   /* What it may do is not known: it is left alone. */
   if (g_hash_table_contains (core->unreadable, t->job))
     {
-      m->unknown++;
+      m->heartbeat.unreadable_tasks++;
       return;
     }
   MhJob *job = g_hash_table_lookup (core->jobs, t->job);
@@ -582,7 +595,7 @@
       /* One that was stopped while it waited for its image ends without it. */
       if (t->phase == MH_TASK_GATHERING || t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING
           || t->cause == MH_CAUSE_DONE)
-        mh_fleet_cache (m, job->image, job->spec->image_gb);
+        mh_machine_add_image (m, job->image, job->spec->image_gb);
       if (t->phase != MH_TASK_ENDED)
         return;
       attempt_ended (core, a, t->cause);
@@ -597,26 +610,26 @@
 static void
 observe (MhCore *core, MhMachine *m, const MhReport *r, bool is_report)
 {
-  bool first = !m->reported;
-  m->reported = true;
-  m->heard_us = core->now.mono_us;
+  bool first = !m->heartbeat.reported;
+  m->heartbeat.reported = true;
+  m->heartbeat.last_message_us = core->now.mono_us;
   if (!is_report)
-    m->ignored_answers = 0;
-  if (!m->ignored_answers)
-    m->failed_probes = 0;
+    m->heartbeat.ignored_answers = 0;
+  if (!m->heartbeat.ignored_answers)
+    m->probe.failures = 0;
   if (is_report || first)
-    m->last_report_us = core->now.mono_us;
+    m->heartbeat.last_report_us = core->now.mono_us;
   if (!is_report)
-    mh_fleet_send_commands (core, m);
-  m->session = r->session;
-  m->sequence = r->sequence;
-  m->token = r->token;
+    mh_worker_command_schedule (core, m);
+  m->heartbeat.session = r->session;
+  m->heartbeat.sequence = r->sequence;
+  m->heartbeat.token = r->token;
   if (first)
     {
-      mh_boot_joined (core, m);
+      mh_boot_time_joined (core, m);
       for (guint i = 0; i < m->attempts->len; i++)
         mh_machine_attempt (m, i)->job->n_unheard--;
-      m->idle_us = core->now.mono_us;
+      m->idle_since_us = core->now.mono_us;
       core->place_wanted = true;
       mh_info (core, "machine %s: reports (%s in %s%s, %u tasks)", m->name, r->type, r->zone,
                r->spot ? ", spot" : "", r->tasks->len);
@@ -626,18 +639,18 @@
       g_free (m->endpoint);
       m->endpoint = g_strdup (r->endpoint);
     }
-  mh_fleet_identify (core, m, r->type, r->zone, r->spot);
-  mh_failure_heard (core, m->zone, is_report);
+  mh_cluster_identify_machine (core, m, r->type, r->zone, r->spot);
+  mh_failure_note_message (core, m->zone, is_report);
   if (r->notice_us >= 0 && m->notice_until_us < 0)
     mh_info (core, "machine %s: the cloud takes it back in %.1f s", m->name,
              (double)r->notice_us / MH_SECOND_US);
   m->notice_until_us = r->notice_us >= 0 ? core->now.mono_us + r->notice_us : -1;
-  mh_command_forget_fenced (m);
+  mh_worker_command_forget_fenced (m);
 
   for (guint i = 0; i < m->attempts->len; i++)
     mh_machine_attempt (m, i)->present = false;
   g_array_set_size (m->orphans, 0);
-  m->unknown = 0;
+  m->heartbeat.unreadable_tasks = 0;
   for (guint i = 0; i < r->tasks->len; i++)
     observe_task (core, m, &g_array_index (r->tasks, MhReportTask, i));
   for (guint i = m->attempts->len; i-- > 0;)
@@ -647,23 +660,23 @@
         continue;
       mh_info (core, "task %s/%u: attempt %u is gone from %s", a->job->spec->id, a->index,
                a->attempt, m->name);
-      mh_fleet_attempt_over (core, a, false);
+      mh_attempt_proven_over (core, a, false);
     }
 }
 
 static bool
 newer (const MhMachine *m, const MhReport *r)
 {
-  return !m->reported || r->session > m->session
-         || (r->session == m->session && r->sequence > m->sequence);
+  return !m->heartbeat.reported || r->session > m->heartbeat.session
+         || (r->session == m->heartbeat.session && r->sequence > m->heartbeat.sequence);
 }
 
 bool
-mh_fleet_answered (MhCore *core, MhMachine *m, const MhReport *r)
+mh_heartbeat_take_answer (MhCore *core, MhMachine *m, const MhReport *r)
 {
   if (strcmp (r->machine, m->name) != 0 || !newer (m, r))
     return false;
-  if (r->token > mh_command_token (core, m))
+  if (r->token > mh_worker_command_token (core, m))
     {
       mh_leader_lost (core, "a worker has seen a higher token");
       return false;
@@ -680,7 +693,7 @@
    the worker's lease after the last answered report. docs/design.md has the inequality with each
    term. Not above 0: no such answer is given. */
 gint64
-mh_fleet_keep_alive_us (const MhCore *core)
+mh_heartbeat_keep_alive_us (const MhCore *core)
 {
   const MhSettings *s = core->settings;
   return s->cancel_us - s->worker_lease_us - s->worker_lease_us / CLOCKS_APART
@@ -691,7 +704,7 @@
 may_keep_alive (const MhCore *core)
 {
   return core->leader.phase == MH_PHASE_LEAD && !core->leader.lost
-         && core->now.mono_us < core->leader.confirmed_us + mh_fleet_keep_alive_us (core);
+         && core->now.mono_us < core->leader.confirmed_us + mh_heartbeat_keep_alive_us (core);
 }
 
 static void
@@ -710,11 +723,11 @@
 static void
 note_unverified_report (MhCore *core, MhMachine *m, const MhReport *r)
 {
-  if (m == NULL || m->reported || m->releasing)
+  if (m == NULL || m->heartbeat.reported || m->releasing)
     return;
   if (m->endpoint == NULL)
     m->endpoint = g_strdup (r->endpoint);
-  m->unverified_us = core->now.mono_us;
+  m->heartbeat.unverified_us = core->now.mono_us;
 }
 
 /* A worker sends its next report only when it has the answer to the last or has given it up, so
@@ -723,12 +736,14 @@
 static void
 check_answer_received (MhCore *core, MhMachine *m, const MhReport *r)
 {
-  bool asked = m->told && m->token < m->answered_token;
-  bool ignores = m->told && (r->token < m->answered_token || r->session > m->session);
-  for (guint i = 0; i < m->attempts->len && m->told && !ignores; i++)
+  bool asked = m->heartbeat.answer_pending && m->heartbeat.token < m->heartbeat.answered_token;
+  bool ignores = m->heartbeat.answer_pending
+                 && (r->token < m->heartbeat.answered_token || r->session > m->heartbeat.session);
+  for (guint i = 0; i < m->attempts->len && m->heartbeat.answer_pending && !ignores; i++)
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
-      if (a->seen || !a->start_sent || a->loaded || a->start_sequence != m->answered_sequence)
+      if (a->seen || !a->start_sent || a->loaded
+          || a->start_sequence != m->heartbeat.answered_sequence)
         continue;
       bool shown = false;
       for (guint k = 0; k < r->tasks->len && !shown; k++)
@@ -740,29 +755,30 @@
       asked = true;
       ignores = !shown;
     }
-  m->told = false;
+  m->heartbeat.answer_pending = false;
   if (ignores)
     {
-      if (++m->ignored_answers == MH_MAX_IGNORED_ANSWERS)
+      if (++m->heartbeat.ignored_answers == MH_MAX_IGNORED_ANSWERS)
         mh_info (core, "machine %s: reports, but shows nothing of what it is told", m->name);
     }
   else if (asked)
-    m->ignored_answers = 0;
+    m->heartbeat.ignored_answers = 0;
 }
 
 void
-mh_fleet_report (MhCore *core, guint64 id, const MhReport *r)
+mh_heartbeat_receive (MhCore *core, guint64 id, const MhReport *r)
 {
-  MhMachine *m = mh_fleet_machine (core, r->machine);
+  MhMachine *m = mh_cluster_find_machine (core, r->machine);
   /* One that this leadership knew is known no more when it has been given back. */
   bool was_ours = m == NULL && r->token > core->leader.own_epoch
                   && r->token < core->leader.own_epoch + MH_EPOCHS_EACH;
-  if (core->leader.phase == MH_PHASE_LEAD && (was_ours || mh_fleet_returned (core, r->machine)))
+  if (core->leader.phase == MH_PHASE_LEAD
+      && (was_ours || mh_cluster_was_released (core, r->machine)))
     {
       answer_report (core, id, 503, NULL);
       return;
     }
-  if (r->token > mh_command_token (core, m))
+  if (r->token > mh_worker_command_token (core, m))
     {
       mh_leader_lost (core, "a worker has seen a higher token");
       answer_report (core, id, 421, mh_wire_write_redirect (NULL));
@@ -789,7 +805,7 @@
       if (m == NULL)
         {
           mh_info (core, "machine %s: not known before; it is used", r->machine);
-          m = mh_fleet_add (core, r->machine, r->type, r->zone, r->spot);
+          m = mh_cluster_add_machine (core, r->machine, r->type, r->zone, r->spot);
         }
       if (newer (m, r))
         {
@@ -797,19 +813,19 @@
           observe (core, m, r, true);
           if (valid && !core->leader.lost)
             {
-              mh_command_collect (core, m, commands);
-              told = m->told = true;
-              m->answered_token = mh_command_token (core, m);
-              m->answered_sequence = r->sequence;
+              mh_worker_command_collect (core, m, commands);
+              told = m->heartbeat.answer_pending = true;
+              m->heartbeat.answered_token = mh_worker_command_token (core, m);
+              m->heartbeat.answered_sequence = r->sequence;
             }
         }
     }
   /* No answer renews the lease of a worker without stopping what is cancelled there: the leader may
      not be able to say so later. */
   if (!told && m)
-    mh_command_collect_cancelled (m, commands);
+    mh_worker_command_collect_cancelled (m, commands);
   answer_report (core, id, 200,
-                 mh_wire_write_commands (mh_command_token (core, m), NULL, commands));
+                 mh_wire_write_commands (mh_worker_command_token (core, m), NULL, commands));
 }
 
 static void
@@ -822,14 +838,14 @@
       const MhJobSpec *s = a->job->spec;
       if (a->stopping)
         continue;
-      gint64 ran = a->running_us ? core->now.mono_us - a->running_us : 0;
+      gint64 ran = a->running_since_us ? core->now.mono_us - a->running_since_us : 0;
       /* Too late to save together: it may still end in time, and loses nothing more if not. */
-      if (mh_gang_is (a->job) && a->running_us && left < s->save_us + MH_SECOND_US)
+      if (mh_gang_is (a->job) && a->running_since_us && left < s->save_us + MH_SECOND_US)
         continue;
-      if (s->checkpoint_us > 0 && a->running_us)
-        mh_fleet_stop (core, a, MAX (0, MIN (s->save_us, left)));
+      if (s->checkpoint_us > 0 && a->running_since_us)
+        mh_attempt_stop (core, a, MAX (0, MIN (s->save_us, left)));
       else if (s->shape == MH_SHAPE_SERVICE || s->estimate_us - ran > left)
-        mh_fleet_stop (core, a, 0);
+        mh_attempt_stop (core, a, 0);
     }
 }
 
@@ -839,14 +855,14 @@
   mh_failure_check (core, m);
   if (m->notice_until_us >= 0)
     drain_by_notice (core, m);
-  mh_command_fence (core, m);
-  mh_command_send (core, m, false);
+  mh_worker_command_fence (core, m);
+  mh_worker_command_send (core, m, false);
 }
 
 /* What has just changed is answered at once; all machines are looked through now and then only, so
    that the work of a step does not grow with the fleet. */
 void
-mh_fleet_step (MhCore *core)
+mh_cluster_step (MhCore *core)
 {
   gint64 now = core->now.mono_us;
   mh_gang_step (core);
@@ -855,7 +871,7 @@
       MhMachine *m = g_ptr_array_index (core->commands_due, i);
       m->commands_due = false;
       if (!m->releasing)
-        mh_command_send (core, m, false);
+        mh_worker_command_send (core, m, false);
     }
   g_ptr_array_set_size (core->commands_due, 0);
   if (now < core->swept_us + SWEEP_US)
@@ -875,6 +891,6 @@
         look_after (core, m);
     }
   forget_returned (core);
-  mh_failure_hand_over (core);
+  mh_failure_check_leader_unheard (core);
   mh_core_wake_at (core, now + SWEEP_US);
 }
--- a/src/cluster/machine-registry.h
+++ b/src/cluster/machine-registry.h
@@ -20,14 +20,14 @@
   bool start_sent;  /* a start may have left this process */
   guint64 start_session;
   guint64 start_sequence; /* report whose response last carried the start; 0: none */
-  bool first;             /* of a job that was starved */
-  bool seen;              /* reported on the machine */
-  bool present;           /* in the report at hand */
-  bool stopping;          /* is to be stopped */
+  bool of_starved_job;
+  bool seen;     /* reported on the machine */
+  bool present;  /* in the report at hand */
+  bool stopping; /* is to be stopped */
   gint64 grace_us;
   gint64 stop_sent_us; /* when last told directly */
   MhTaskPhase phase;
-  gint64 placed_us, running_us;
+  gint64 placed_us, running_since_us; /* running: 0: it does not */
 };
 
 /* A start that was sent straight to the worker: it, or a late copy of it, may be carried out at any
@@ -54,7 +54,62 @@
 {
   GRefString *name;
   double gb;
-} MhCached;
+} MhMachineImage;
+
+/* From the rental to the first report. */
+typedef struct
+{
+  bool rented_here;   /* by this leader, at rented_us */
+  gint64 rented_us;   /* or, where that is not known, when it became known */
+  gint64 late_age_us; /* had not joined at that age, when it should have; 0: is not late */
+} MhMachineBoot;
+
+/* What its worker has said, and what it was answered. */
+typedef struct
+{
+  bool reported;          /* to this leader, for certain: with its token, or asked by it */
+  gint64 last_message_us; /* of any kind */
+  gint64 last_report_us;  /* of the last report that it sent by itself, or the first message */
+  gint64 unverified_us;   /* a report of unknown age came */
+  guint64 session, sequence, token;
+  guint unreadable_tasks; /* in its last report, of jobs whose records are not understood */
+  bool answer_pending;    /* the last answer must show in the next report */
+  guint64 answered_token,
+      answered_sequence; /* the last answer: its token, that report's sequence */
+  guint ignored_answers; /* answers in a row that its next report shows nothing of */
+} MhMachineHeartbeat;
+
+/* Questions to its worker whether it is alive. */
+typedef struct
+{
+  bool in_flight;
+  guint failures;            /* in a row without an answer */
+  gint64 first_sent_us;      /* for the first time since it was silent */
+  guint64 session, sequence; /* of the newest report that was known when it was last asked */
+} MhMachineProbe;
+
+/* Late copies of direct starts. */
+typedef struct
+{
+  guint raises;               /* how often its token was raised in this leadership */
+  gint64 clear_held_since_us; /* a clear has waited for that since then; 0: none */
+  GArray *unacknowledged;     /* MhUnacknowledgedStart, for which its token has not been raised */
+} MhMachineFencing;
+
+/* What attempts occupy, and what this placement pass keeps for others. */
+typedef struct
+{
+  double cpus, gpus, mem_gb;
+  double reserved_cpus, reserved_mem_gb; /* for tasks that wait for preempted ones */
+  guint replicas;                        /* attempts of services */
+} MhMachineUsage;
+
+/* Task failures that may be the machine's fault. */
+typedef struct
+{
+  guint consecutive; /* since a task last completed, of jobs that run elsewhere */
+  GPtrArray *jobs;   /* char *: ids of jobs that failed here and have run nowhere yet */
+} MhMachineFailures;
 
 struct MhMachine
 {
@@ -63,40 +118,23 @@
   const MhMachineType *type;
   guint type_index, zone_index; /* zone: in this pass */
   bool spot;
-  bool reported;         /* to this leader, for certain: with its token, or asked by it */
-  bool draining;         /* takes nothing new; what it holds is moved */
-  bool releasing;        /* decided; holds until it is confirmed */
-  bool probing;          /* being asked whether it is alive */
-  guint failed_probes;   /* probes in a row without an answer */
-  guint ignored_answers; /* answers in a row that its next report shows nothing of */
-  guint64 answered_token,
-      answered_sequence; /* the last answer to a report: its token, that report's sequence number */
-  bool told;             /* ... must show in the next one */
-  bool commands_due;     /* is to be looked at for commands */
-  gint64 last_report_us; /* of the last report that it sent by itself, or the first word */
-  bool running;          /* listed as such */
-  bool rented_here;      /* by this leader, at rented_us */
-  gint64 late_age_us;    /* had not joined at that age, when it should have; 0: is not late */
-  gint64 known_us, rented_us, heard_us, idle_us;
-  gint64 probed_us; /* for its report, for the first time since it was silent */
-  guint64 probed_session, probed_sequence; /* of the newest that was known when it was last asked */
-  gint64 unverified_us;                    /* a report of unknown age came */
-  gint64 notice_until_us;                  /* -1: no notice */
-  guint64 session, sequence, token;
-  guint fence;            /* how often its token was raised in this leadership */
-  gint64 held_us;         /* a clear has waited for that since then; 0: none */
-  GPtrArray *attempts;    /* MhAttempt */
-  GArray *unacknowledged; /* MhUnacknowledgedStart, for which its token has not been raised */
-  GArray *orphans;        /* MhOrphan */
-  GPtrArray *cache;       /* MhCached */
-  guint direct;           /* direct commands without an answer yet */
-  guint replicas;         /* attempts of services */
-  guint unknown;          /* tasks in its last report of jobs whose records are not understood */
-  guint failures;         /* since a task last completed, of jobs that run elsewhere */
-  GPtrArray *failed_jobs; /* char *: ... of jobs that have run nowhere yet */
-  double used_cpus, used_gpus, used_mem;
-  double promised_cpus, promised_mem; /* to tasks that wait for preempted ones, in this pass */
-  gint64 hold_us;                     /* no start before: it refused one */
+  bool listed_running;
+  bool draining;     /* takes nothing new; what it holds is moved */
+  bool releasing;    /* decided; holds until it is confirmed */
+  bool commands_due; /* is to be looked at for commands */
+  guint direct_commands_in_flight;
+  gint64 discovered_us, idle_since_us;
+  gint64 notice_until_us;    /* -1: no notice */
+  gint64 no_start_before_us; /* it refused one, or failed one */
+  GPtrArray *attempts;       /* MhAttempt */
+  GArray *orphans;           /* MhOrphan */
+  GPtrArray *images;         /* MhMachineImage; the last one used stands last */
+  MhMachineBoot boot;
+  MhMachineHeartbeat heartbeat;
+  MhMachineProbe probe;
+  MhMachineFencing fencing;
+  MhMachineUsage usage;
+  MhMachineFailures failures;
 };
 
 static inline MhAttempt *
@@ -105,72 +143,97 @@
   return g_ptr_array_index (machine->attempts, index);
 }
 
+static inline bool
+mh_attempt_is_stopping (const MhAttempt *attempt)
+{
+  return attempt->stopping;
+}
+
+/* A start of this leader's may have left this process. */
+static inline bool
+mh_attempt_start_was_sent (const MhAttempt *attempt)
+{
+  return attempt->start_sent;
+}
+
+/* An earlier leader's: what was sent, nobody here knows. */
+static inline bool
+mh_attempt_is_from_record (const MhAttempt *attempt)
+{
+  return attempt->loaded;
+}
+
 MhMachine *
-mh_fleet_machine (MhCore *core, const char *name);
+mh_cluster_find_machine (MhCore *core, const char *name);
 MhMachine *
-mh_fleet_add (MhCore *core, const char *name, const char *type, const char *zone, bool spot);
+mh_cluster_add_machine (MhCore *core, const char *name, const char *type, const char *zone,
+                        bool spot);
 /* What a machine is that was known from a record alone. */
 void
-mh_fleet_identify (MhCore *core, MhMachine *machine, const char *type, const char *zone, bool spot);
+mh_cluster_identify_machine (MhCore *core, MhMachine *machine, const char *type, const char *zone,
+                             bool spot);
 void
-mh_fleet_types_changed (MhCore *core);
+mh_cluster_types_changed (MhCore *core);
 /* How long nothing has come that should have, since `heard_us`. */
 gint64
-mh_fleet_silence_us (const MhCore *core, gint64 heard_us);
+mh_cluster_silence_us (const MhCore *core, gint64 heard_us);
 bool
-mh_fleet_silent (const MhCore *core, const MhMachine *machine, gint64 for_us);
+mh_cluster_is_silent (const MhCore *core, const MhMachine *machine, gint64 for_us);
 /* Images by interned names. */
 bool
-mh_fleet_cached (const MhMachine *machine, const GRefString *image);
+mh_machine_has_image (const MhMachine *machine, const GRefString *image);
 gint64
-mh_fleet_image_wait (const MhCore *core, const MhMachine *machine, const GRefString *image,
-                     double gb);
+mh_machine_image_wait_us (const MhCore *core, const MhMachine *machine, const GRefString *image,
+                          double gb);
 double
-mh_fleet_hourly (const MhMachine *machine); /* its price; the type must be known */
+mh_machine_hourly_price (const MhMachine *machine); /* its price; the type must be known */
 double
-mh_fleet_cpu_hourly (const MhMachine *machine); /* ... by the cpu */
+mh_machine_hourly_cpu_price (const MhMachine *machine); /* ... by the cpu */
 /* The worker's answer to a question or a command of this leader; false: nothing newer. */
 bool
-mh_fleet_answered (MhCore *core, MhMachine *machine, const MhReport *report);
+mh_heartbeat_take_answer (MhCore *core, MhMachine *machine, const MhReport *report);
 /* For how long a leader that cannot renew its lease may keep workers' tasks alive. */
 gint64
-mh_fleet_keep_alive_us (const MhCore *core);
+mh_heartbeat_keep_alive_us (const MhCore *core);
 void
-mh_fleet_clear (MhCore *core);
+mh_cluster_clear (MhCore *core);
 void
-mh_fleet_loaded (MhCore *core);
+mh_cluster_records_loaded (MhCore *core);
 void
-mh_fleet_stop_job (MhCore *core, MhJob *job);
+mh_attempt_stop_job (MhCore *core, MhJob *job);
 void
-mh_fleet_report (MhCore *core, guint64 id, const MhReport *report);
+mh_heartbeat_receive (MhCore *core, guint64 id, const MhReport *report);
 void
-mh_fleet_step (MhCore *core);
+mh_cluster_step (MhCore *core);
 /* Its release is confirmed: the machine is forgotten but for its name. */
 void
-mh_fleet_gone (MhCore *core, MhMachine *machine);
+mh_cluster_machine_released (MhCore *core, MhMachine *machine);
 bool
-mh_fleet_returned (const MhCore *core, const char *name);
+mh_cluster_was_released (const MhCore *core, const char *name);
+MhAttempt *
+mh_attempt_new (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *machine);
 MhAttempt *
-mh_fleet_attempt_new (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *machine);
+mh_attempt_new_from_record (MhCore *core, MhJob *job, guint index, guint32 attempt,
+                            MhMachine *machine);
 /* Tells the worker, unless it was told to end the attempt at least as soon. */
 void
-mh_fleet_send_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us);
+mh_attempt_send_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us);
 /* A gang is stopped whole. */
 void
-mh_fleet_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us);
+mh_attempt_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us);
 /* Known to be done though no attempt of ours showed it. */
 void
-mh_fleet_task_done (MhCore *core, MhJob *job, guint index);
+mh_attempt_task_done (MhCore *core, MhJob *job, guint index);
 /* The attempt can no longer run: room, quota and task are free again. */
 void
-mh_fleet_attempt_over (MhCore *core, MhAttempt *attempt, bool done);
+mh_attempt_proven_over (MhCore *core, MhAttempt *attempt, bool done);
 /* Nothing is to be made of it any more; its job goes away. */
 void
-mh_fleet_attempt_forget (MhCore *core, MhAttempt *attempt);
+mh_attempt_discard (MhCore *core, MhAttempt *attempt);
 void
-mh_fleet_cache (MhMachine *machine, GRefString *image, double gb);
+mh_machine_add_image (MhMachine *machine, GRefString *image, double gb);
 /* Its commands are looked at in this step, not with the next sweep. */
 void
-mh_fleet_send_commands (MhCore *core, MhMachine *machine);
+mh_worker_command_schedule (MhCore *core, MhMachine *machine);
 void
-mh_fleet_free_machine (gpointer machine);
+mh_machine_free (gpointer machine);
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -21,7 +21,7 @@
 #define HOLD_US (5 * MH_SECOND_US)
 
 void
-mh_fault_clear_job (MhJobFaults *faults)
+mh_job_failures_clear (MhJobFailures *faults)
 {
   g_clear_pointer (&faults->machines, g_ptr_array_unref);
   faults->tries = 0;
@@ -29,16 +29,16 @@
 }
 
 bool
-mh_fault_backs_off (const MhJob *job)
+mh_task_failure_backs_off (const MhJob *job)
 {
-  return job->faults.level > 0;
+  return job->failures.level > 0;
 }
 
 guint
-mh_fault_startable (const MhCore *core, const MhJob *job)
+mh_task_failure_startable (const MhCore *core, const MhJob *job)
 {
   guint pending = mh_job_pending (job);
-  if (!mh_fault_backs_off (job))
+  if (!mh_task_failure_backs_off (job))
     return pending;
   if (core->now.mono_us < job->retry_us || job->n_live)
     return 0;
@@ -46,11 +46,11 @@
 }
 
 guint
-mh_fault_rentable (const MhCore *core, const MhJob *job)
+mh_task_failure_rentable (const MhCore *core, const MhJob *job)
 {
-  if (mh_fault_backs_off (job) && core->now.mono_us < job->retry_us + PLACED_BY_US)
+  if (mh_task_failure_backs_off (job) && core->now.mono_us < job->retry_us + PLACED_BY_US)
     return 0;
-  return mh_fault_startable (core, job);
+  return mh_task_failure_startable (core, job);
 }
 
 /* ---- jobs ---- */
@@ -63,8 +63,8 @@
   for (guint i = 0; i < job->spec->tasks && job->n_running; i++)
     {
       const MhAttempt *attempt = job->tasks[i].live;
-      if (attempt && attempt->running_us
-          && core->now.mono_us - attempt->running_us >= HEALTHY_RUN_US)
+      if (attempt && attempt->running_since_us
+          && core->now.mono_us - attempt->running_since_us >= HEALTHY_RUN_US)
         return true;
     }
   return false;
@@ -73,7 +73,7 @@
 static void
 note_failure (const MhCore *core, MhJob *job, const char *machine)
 {
-  MhJobFaults *faults = &job->faults;
+  MhJobFailures *faults = &job->failures;
   if (faults->machines == NULL)
     faults->machines = g_ptr_array_new_with_free_func (g_free);
   bool known = g_ptr_array_find_with_equal_func (faults->machines, machine, g_str_equal, NULL);
@@ -89,13 +89,13 @@
 static bool
 fails_everywhere (const MhJob *job)
 {
-  return mh_fault_backs_off (job) || job->faults.tries >= FAILING_TRIES;
+  return mh_task_failure_backs_off (job) || job->failures.tries >= FAILING_TRIES;
 }
 
 static void
 wait_before_retry (MhCore *core, MhJob *job)
 {
-  gint64 wait = FIRST_WAIT_US << (job->faults.level - 1);
+  gint64 wait = FIRST_WAIT_US << (job->failures.level - 1);
   double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * core->now.jitter;
   job->retry_us = core->now.mono_us + (gint64)((double)wait * factor);
 }
@@ -108,7 +108,7 @@
     {
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt && attempt->phase == MH_TASK_FETCHING && !attempt->stopping)
-        mh_fleet_stop (core, attempt, 0);
+        mh_attempt_stop (core, attempt, 0);
     }
 }
 
@@ -116,8 +116,8 @@
 static void
 back_off (MhCore *core, MhJob *job)
 {
-  bool first = !mh_fault_backs_off (job);
-  job->faults.level = MIN (job->faults.level + 1, LAST_LEVEL);
+  bool first = !mh_task_failure_backs_off (job);
+  job->failures.level = MIN (job->failures.level + 1, LAST_LEVEL);
   wait_before_retry (core, job);
   mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
   mh_info (core, "job %s: fails wherever it starts; next start in %.0f s", job->spec->id,
@@ -127,10 +127,10 @@
 }
 
 void
-mh_fault_load (MhCore *core, MhJob *job, guint level)
+mh_task_failure_load_back_off (MhCore *core, MhJob *job, guint level)
 {
-  job->faults.level = MIN (level, LAST_LEVEL);
-  if (mh_fault_backs_off (job))
+  job->failures.level = MIN (level, LAST_LEVEL);
+  if (mh_task_failure_backs_off (job))
     wait_before_retry (core, job);
 }
 
@@ -140,7 +140,7 @@
 static bool
 fails_here_alone (const MhJob *job)
 {
-  return fails_everywhere (job) && job->faults.machines && job->faults.machines->len == 1;
+  return fails_everywhere (job) && job->failures.machines && job->failures.machines->len == 1;
 }
 
 /* Jobs that could be tried nowhere else: where there are several, the machine is at fault. */
@@ -149,9 +149,9 @@
 {
   guint jobs = 0;
   const char *last = NULL;
-  for (guint i = 0; i < machine->failed_jobs->len; i++)
+  for (guint i = 0; i < machine->failures.jobs->len; i++)
     {
-      const char *id = g_ptr_array_index (machine->failed_jobs, i);
+      const char *id = g_ptr_array_index (machine->failures.jobs, i);
       const MhJob *job = g_hash_table_lookup (core->jobs, id);
       if (job == NULL || !fails_here_alone (job) || g_strcmp0 (last, id) == 0)
         continue;
@@ -164,7 +164,7 @@
 static void
 judge_machine (MhCore *core, MhMachine *machine)
 {
-  if (machine->failures >= FAULTY_FAILURES
+  if (machine->failures.consecutive >= FAULTY_FAILURES
       || jobs_failing_here_alone (core, machine) >= FAULTY_FAILURES)
     mh_release_machine (core, machine, "fails every task");
 }
@@ -172,11 +172,11 @@
 static void
 blame_machine (MhCore *core, MhMachine *machine, const MhJob *job)
 {
-  machine->hold_us = core->now.mono_us + HOLD_US;
+  machine->no_start_before_us = core->now.mono_us + HOLD_US;
   if (runs_well (core, job))
-    machine->failures++;
-  else if (machine->failed_jobs->len < MH_FAILURES_KEPT)
-    g_ptr_array_add (machine->failed_jobs, g_strdup (job->spec->id));
+    machine->failures.consecutive++;
+  else if (machine->failures.jobs->len < MH_FAILURES_KEPT)
+    g_ptr_array_add (machine->failures.jobs, g_strdup (job->spec->id));
   judge_machine (core, machine);
 }
 
@@ -184,12 +184,12 @@
 static void
 confirm_blame (MhCore *core, MhMachine *machine, const char *job)
 {
-  GPtrArray *jobs = machine->failed_jobs;
+  GPtrArray *jobs = machine->failures.jobs;
   for (guint i = jobs->len; i-- > 0;)
     if (strcmp (g_ptr_array_index (jobs, i), job) == 0)
       {
         g_ptr_array_remove_index (jobs, i);
-        machine->failures++;
+        machine->failures.consecutive++;
       }
   judge_machine (core, machine);
 }
@@ -197,10 +197,10 @@
 /* ---- what happened ---- */
 
 void
-mh_fault_task_failed (MhCore *core, MhMachine *machine, MhJob *job)
+mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job)
 {
   /* Others that were started with the first: nothing more is learnt from them. */
-  if (mh_fault_backs_off (job) && core->now.mono_us < job->retry_us)
+  if (mh_task_failure_backs_off (job) && core->now.mono_us < job->retry_us)
     return;
   if (!runs_well (core, job))
     {
@@ -213,21 +213,21 @@
 }
 
 void
-mh_fault_task_done (MhCore *core, MhMachine *machine, MhJob *job)
+mh_task_failure_record_success (MhCore *core, MhMachine *machine, MhJob *job)
 {
-  if (mh_fault_backs_off (job))
+  if (mh_task_failure_backs_off (job))
     {
       mh_info (core, "job %s: runs after all", job->spec->id);
       mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
     }
-  machine->failures = 0;
-  g_ptr_array_set_size (machine->failed_jobs, 0);
-  for (guint i = 0; job->faults.machines && i < job->faults.machines->len; i++)
+  machine->failures.consecutive = 0;
+  g_ptr_array_set_size (machine->failures.jobs, 0);
+  for (guint i = 0; job->failures.machines && i < job->failures.machines->len; i++)
     {
-      const char *name = g_ptr_array_index (job->faults.machines, i);
-      MhMachine *other = mh_fleet_machine (core, name);
+      const char *name = g_ptr_array_index (job->failures.machines, i);
+      MhMachine *other = mh_cluster_find_machine (core, name);
       if (other)
         confirm_blame (core, other, job->spec->id);
     }
-  mh_fault_clear_job (&job->faults);
+  mh_job_failures_clear (&job->failures);
 }
--- a/src/cluster/task-failure.h
+++ b/src/cluster/task-failure.h
@@ -16,24 +16,24 @@
   guint tries;         /* that failed, each on another machine or after a while */
   gint64 failed_us;    /* the last one */
   guint level;         /* of the back-off; 0: it does not back off */
-} MhJobFaults;
+} MhJobFailures;
 
 void
-mh_fault_clear_job (MhJobFaults *faults);
+mh_job_failures_clear (MhJobFailures *faults);
 /* A task of the job failed by itself on the machine. */
 void
-mh_fault_task_failed (MhCore *core, MhMachine *machine, MhJob *job);
+mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job);
 /* A task of the job completed there: neither is at fault. */
 void
-mh_fault_task_done (MhCore *core, MhMachine *machine, MhJob *job);
+mh_task_failure_record_success (MhCore *core, MhMachine *machine, MhJob *job);
 /* A record tells of a back-off under an earlier leader. */
 void
-mh_fault_load (MhCore *core, MhJob *job, guint level);
+mh_task_failure_load_back_off (MhCore *core, MhJob *job, guint level);
 bool
-mh_fault_backs_off (const MhJob *job);
+mh_task_failure_backs_off (const MhJob *job);
 /* How many of the job's pending tasks may be started now. */
 guint
-mh_fault_startable (const MhCore *core, const MhJob *job);
+mh_task_failure_startable (const MhCore *core, const MhJob *job);
 /* ... and for how many machines may be rented. */
 guint
-mh_fault_rentable (const MhCore *core, const MhJob *job);
+mh_task_failure_rentable (const MhCore *core, const MhJob *job);
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -13,7 +13,7 @@
 #define UNACKNOWLEDGED_KEPT 64u
 
 void
-mh_command_init (MhCore *core)
+mh_worker_command_init (MhCore *core)
 {
   double rate = DIRECTS_PER_CORE_S * core->settings->core_share;
   mh_bucket_init (&core->direct_bucket, rate, MAX (1, rate / 4), core->now.mono_us);
@@ -22,11 +22,13 @@
 /* ---- fences ---- */
 
 MhUnacknowledgedStart *
-mh_command_unacknowledged (const MhMachine *m, const char *job, guint index, guint64 attempt)
+mh_worker_command_find_unacknowledged (const MhMachine *m, const char *job, guint index,
+                                       guint64 attempt)
 {
-  for (guint i = 0; i < m->unacknowledged->len; i++)
+  for (guint i = 0; i < m->fencing.unacknowledged->len; i++)
     {
-      MhUnacknowledgedStart *l = &g_array_index (m->unacknowledged, MhUnacknowledgedStart, i);
+      MhUnacknowledgedStart *l
+          = &g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i);
       if (l->index == index && l->attempt == attempt && strcmp (l->job, job) == 0)
         return l;
     }
@@ -35,50 +37,53 @@
 
 /* The fencing token that the machine is told: those of a leadership begin with own_epoch. */
 guint64
-mh_command_token (const MhCore *core, const MhMachine *m)
+mh_worker_command_token (const MhCore *core, const MhMachine *m)
 {
-  return core->leader.own_epoch + (m ? m->fence : 0);
+  return core->leader.own_epoch + (m ? m->fencing.raises : 0);
 }
 
 /* A direct start may have been lost, or a clear waits until no late copy of it can run it again:
    the worker gets a higher token. It tells of that by one more report, so that clears are gathered.
  */
 void
-mh_command_fence (MhCore *core, MhMachine *m)
+mh_worker_command_fence (MhCore *core, MhMachine *m)
 {
-  bool wanted
-      = m->unacknowledged->len > UNACKNOWLEDGED_KEPT
-        || (m->held_us && core->now.mono_us - m->held_us > core->settings->worker_lease_us / 2);
+  bool wanted = m->fencing.unacknowledged->len > UNACKNOWLEDGED_KEPT
+                || (m->fencing.clear_held_since_us
+                    && core->now.mono_us - m->fencing.clear_held_since_us
+                           > core->settings->worker_lease_us / 2);
   bool helps = false;
-  for (guint i = 0; i < m->unacknowledged->len; i++)
+  for (guint i = 0; i < m->fencing.unacknowledged->len; i++)
     {
-      const MhUnacknowledgedStart *l = &g_array_index (m->unacknowledged, MhUnacknowledgedStart, i);
+      const MhUnacknowledgedStart *l
+          = &g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i);
       wanted |= l->lost;
-      helps |= l->token == mh_command_token (core, m);
+      helps |= l->token == mh_worker_command_token (core, m);
     }
   if (!wanted || !helps)
     return;
-  if (m->fence + 2 >= MH_EPOCHS_EACH)
+  if (m->fencing.raises + 2 >= MH_EPOCHS_EACH)
     {
       mh_leader_lost (core, "the epochs of this leadership are used up");
       return;
     }
-  m->fence++;
-  m->held_us = 0;
+  m->fencing.raises++;
+  m->fencing.clear_held_since_us = 0;
   mh_debug (core, "machine %s: token raised to %" G_GUINT64_FORMAT " to fence direct starts",
-            m->name, mh_command_token (core, m));
+            m->name, mh_worker_command_token (core, m));
 }
 
 /* A late command is carried out only under its own session and an token that the worker has not
    outgrown. */
 void
-mh_command_forget_fenced (MhMachine *m)
+mh_worker_command_forget_fenced (MhMachine *m)
 {
-  for (guint i = 0; i < m->unacknowledged->len;)
+  for (guint i = 0; i < m->fencing.unacknowledged->len;)
     {
-      const MhUnacknowledgedStart *l = &g_array_index (m->unacknowledged, MhUnacknowledgedStart, i);
-      if (l->session < m->session || l->token < m->token)
-        g_array_remove_index_fast (m->unacknowledged, i);
+      const MhUnacknowledgedStart *l
+          = &g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i);
+      if (l->session < m->heartbeat.session || l->token < m->heartbeat.token)
+        g_array_remove_index_fast (m->fencing.unacknowledged, i);
       else
         i++;
     }
@@ -127,9 +132,9 @@
         {
           add_command (commands, MH_COMMAND_START, job, a->index, a->attempt, 0);
           a->start_sent = true;
-          a->start_session = m->session;
+          a->start_session = m->heartbeat.session;
           if (!direct)
-            a->start_sequence = m->sequence;
+            a->start_sequence = m->heartbeat.sequence;
         }
     }
 }
@@ -152,10 +157,10 @@
          late copy of one that was carried out, would run it again; and a result must not be cleared
          before it is on record. */
       const MhUnacknowledgedStart *unacknowledged
-          = mh_command_unacknowledged (m, s->job, s->index, s->attempt);
+          = mh_worker_command_find_unacknowledged (m, s->job, s->index, s->attempt);
       if (unacknowledged)
         {
-          held |= unacknowledged->token == mh_command_token (core, m); /* not fenced yet */
+          held |= unacknowledged->token == mh_worker_command_token (core, m); /* not fenced yet */
           continue;
         }
       MhJob *job = g_hash_table_lookup (core->jobs, s->job);
@@ -167,12 +172,14 @@
         }
       add_command (commands, MH_COMMAND_CLEAR, s->job, s->index, s->attempt, 0);
     }
-  m->held_us = !held ? 0 : m->held_us ? m->held_us : core->now.mono_us;
+  m->fencing.clear_held_since_us = !held                            ? 0
+                                   : m->fencing.clear_held_since_us ? m->fencing.clear_held_since_us
+                                                                    : core->now.mono_us;
 }
 
 /* For the answer to its report. */
 void
-mh_command_collect (MhCore *core, MhMachine *m, GArray *commands)
+mh_worker_command_collect (MhCore *core, MhMachine *m, GArray *commands)
 {
   attempt_commands (core, m, commands, false);
   orphan_commands (core, m, commands);
@@ -181,7 +188,7 @@
 /* A confirmed cancellation stands under every leader: telling of it is no commands of this one's,
    and is right whatever has happened since. */
 void
-mh_command_collect_cancelled (const MhMachine *m, GArray *commands)
+mh_worker_command_collect_cancelled (const MhMachine *m, GArray *commands)
 {
   for (guint i = 0; i < m->attempts->len; i++)
     {
@@ -225,16 +232,17 @@
 direct_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   Direct *d = data;
-  MhMachine *m = mh_fleet_machine (core, d->machine);
+  MhMachine *m = mh_cluster_find_machine (core, d->machine);
   g_autoptr (MhReport) r = status == 200 || status == 409 ? mh_wire_read_report (body) : NULL;
   if (m == NULL)
     return;
-  m->direct--;
+  m->direct_commands_in_flight--;
   for (guint i = 0; i < d->commands->len; i++)
     {
       const MhCommand *o = &g_array_index (d->commands, MhCommand, i);
       MhAttempt *a = find_attempt (m, o);
-      MhUnacknowledgedStart *l = mh_command_unacknowledged (m, o->job, o->index, o->attempt);
+      MhUnacknowledgedStart *l
+          = mh_worker_command_find_unacknowledged (m, o->job, o->index, o->attempt);
       if (o->kind == MH_COMMAND_STOP)
         {
           if (a && status != 200)
@@ -245,8 +253,9 @@
       if (refused && a && !a->seen && a->start_sequence == 0)
         a->start_sent = false; /* nothing was carried out, nor will a copy be */
       if (l && refused)
-        g_array_remove_index_fast (m->unacknowledged,
-                                   (guint)(l - (MhUnacknowledgedStart *)m->unacknowledged->data));
+        g_array_remove_index_fast (
+            m->fencing.unacknowledged,
+            (guint)(l - (MhUnacknowledgedStart *)m->fencing.unacknowledged->data));
       else if (l)
         {
           l->answered = status == 200;
@@ -254,7 +263,7 @@
         }
     }
   if (r)
-    mh_fleet_answered (core, m, r);
+    mh_heartbeat_take_answer (core, m, r);
 }
 
 typedef enum
@@ -284,27 +293,28 @@
 static bool
 anything_lost (const MhMachine *m)
 {
-  for (guint i = 0; i < m->unacknowledged->len; i++)
-    if (g_array_index (m->unacknowledged, MhUnacknowledgedStart, i).lost)
+  for (guint i = 0; i < m->fencing.unacknowledged->len; i++)
+    if (g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i).lost)
       return true;
   return false;
 }
 
 bool
-mh_command_reaches (const MhCore *core, const MhMachine *m)
+mh_worker_command_can_send (const MhCore *core, const MhMachine *m)
 {
-  return core->settings->direct && !m->direct && m->reported && !m->releasing && m->endpoint
-         && !m->ignored_answers && !mh_fleet_silent (core, m, core->settings->report_us * 3 / 2)
+  return core->settings->direct && !m->direct_commands_in_flight && m->heartbeat.reported
+         && !m->releasing && m->endpoint && !m->heartbeat.ignored_answers
+         && !mh_cluster_is_silent (core, m, core->settings->report_us * 3 / 2)
          && !anything_lost (m);
 }
 
 /* `token_only`: no commands, but the worker learns of this leader, and so does a former one that it
    still reports to. */
 void
-mh_command_send (MhCore *core, MhMachine *m, bool token_only)
+mh_worker_command_send (MhCore *core, MhMachine *m, bool token_only)
 {
   /* One at a time, and none to a machine that may not be there. Its next report will carry them. */
-  if (!mh_command_reaches (core, m))
+  if (!mh_worker_command_can_send (core, m))
     return;
   UnsentCommands unsaid = unsent_commands (m);
   if (!token_only
@@ -318,18 +328,20 @@
   Direct *d = g_new0 (Direct, 1);
   d->machine = g_strdup (m->name);
   d->commands = g_array_ref (commands);
-  guint64 token = mh_command_token (core, m);
+  guint64 token = mh_worker_command_token (core, m);
   for (guint i = 0; i < commands->len; i++)
     {
       const MhCommand *o = &g_array_index (commands, MhCommand, i);
-      MhUnacknowledgedStart l
-          = { .index = o->index, .attempt = o->attempt, .token = token, .session = m->session };
+      MhUnacknowledgedStart l = {
+        .index = o->index, .attempt = o->attempt, .token = token, .session = m->heartbeat.session
+      };
       if (o->kind != MH_COMMAND_START)
         continue;
       l.job = g_strdup (o->job);
-      g_array_append_val (m->unacknowledged, l);
+      g_array_append_val (m->fencing.unacknowledged, l);
     }
-  m->direct++;
-  mh_core_call (core, MH_RANK_WORK, mh_wire_commands (m->endpoint, token, m->session, commands), 0,
+  m->direct_commands_in_flight++;
+  mh_core_call (core, MH_RANK_WORK,
+                mh_wire_commands (m->endpoint, token, m->heartbeat.session, commands), 0,
                 DIRECT_TIMEOUT_US, direct_reply, d, direct_free);
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -120,8 +120,8 @@
   GQueue returned_order;   /* Returned */
   GPtrArray *commands_due; /* MhMachine, not owned */
   GArray *zones;           /* MhZone */
-  MhPatience patience;
-  guint replicas; /* of services, on all machines */
+  MhSilenceThresholds silence;
+  guint service_replicas; /* of services, on all machines */
   gint64 swept_us;
   MhBucket probe_bucket, direct_bucket;
   GPtrArray *types;               /* MhMachineType; NULL until known */
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -449,7 +449,7 @@
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancelled = true;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
-      mh_fleet_stop_job (core, job);
+      mh_attempt_stop_job (core, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
   g_array_append_val (job->waiters, w);
@@ -567,7 +567,7 @@
 {
   enter (core, now);
   if (core->leader.phase >= MH_PHASE_LOAD)
-    mh_fleet_report (core, id, report);
+    mh_heartbeat_receive (core, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
@@ -613,7 +613,7 @@
   mh_leader_step (core);
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
-      mh_fleet_step (core);
+      mh_cluster_step (core);
       mh_place_step (core);
       mh_scale_step (core);
       mh_release_step (core);
@@ -642,7 +642,7 @@
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_fleet_free_machine);
+  core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_machine_free);
   core->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   core->returned = g_hash_table_new (g_str_hash, g_str_equal);
   core->gangs = mh_gang_table ();
@@ -656,11 +656,11 @@
   mh_bucket_init (&core->state_bucket, settings->state_rps * 0.75, settings->state_rps * 0.4, t);
   mh_bucket_init (&core->write_bucket, settings->state_write_rps * WRITE_SHARE,
                   settings->state_write_rps * WRITE_BURST_S, t);
-  mh_command_init (core);
+  mh_worker_command_init (core);
   mh_failure_init (core);
   mh_bucket_init (&core->cloud_bucket, settings->cloud_rps * 0.9, settings->cloud_rps * 1.5, t);
   mh_leader_start (core);
-  if (mh_fleet_keep_alive_us (core) <= 0)
+  if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
         "cancel_s leaves no room beside the workers' lease_s: without the state service no "
@@ -674,7 +674,7 @@
   if (core == NULL)
     return;
   mh_store_clear (core);
-  mh_fleet_clear (core);
+  mh_cluster_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   mh_core_drop_calls (core);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -338,7 +338,8 @@
         mh_info (core, "lease renewed after a pause: nobody else can have led meanwhile");
       /* Their reports were refused for a while: that nothing was heard meanwhile says nothing of
          the workers. After an outage of a minute a whole fleet was once given back as silent. */
-      if (paused && core->now.mono_us >= core->leader.confirmed_us + mh_fleet_keep_alive_us (core))
+      if (paused
+          && core->now.mono_us >= core->leader.confirmed_us + mh_heartbeat_keep_alive_us (core))
         core->awake_us = core->now.mono_us;
       core->leader.valid_until_us = lease_end (core, sent);
       core->leader.confirmed_us = sent;
@@ -390,7 +391,7 @@
   refuse_waiters (core);
   mh_core_drop_calls (core);
   mh_store_clear (core);
-  mh_fleet_clear (core);
+  mh_cluster_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
@@ -423,7 +424,7 @@
   core->leader.rebuild_until_us
       = core->now.mono_us + 2 * core->settings->report_us + 2 * MH_SECOND_US;
   core->leader.usable_us = core->now.mono_us;
-  mh_fleet_loaded (core);
+  mh_cluster_records_loaded (core);
   mh_info (core, "%u unfinished jobs loaded; waiting for the workers' reports",
            g_hash_table_size (core->jobs));
   mh_scale_start (core);
@@ -444,8 +445,8 @@
     {
       const MhMachine *m = value;
       /* One that gives no answer either will not report. */
-      if (!m->releasing && !m->reported && !mh_failure_unreachable (m)
-          && (m->running || m->attempts->len))
+      if (!m->releasing && !m->heartbeat.reported && !mh_failure_is_unreachable (m)
+          && (m->listed_running || m->attempts->len))
         return false;
     }
   return true;
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -31,7 +31,7 @@
 static bool
 starved (const MhCore *core, const MhJob *job)
 {
-  return job->n_live == 0 && job->n_done == 0 && !mh_fault_backs_off (job)
+  return job->n_live == 0 && job->n_done == 0 && !mh_task_failure_backs_off (job)
          && core->now.mono_us - job->submitted_us > BEGIN_US;
 }
 
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -51,7 +51,7 @@
   g_free (job->tasks);
   g_free (job->records);
   g_array_unref (job->waiters);
-  mh_fault_clear_job (&job->faults);
+  mh_job_failures_clear (&job->failures);
   g_free (job);
 }
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -63,7 +63,7 @@
   GArray *waiters; /* MhWaiter */
   /* placement */
   bool guaranteed;
-  MhJobFaults faults;
+  MhJobFailures failures;
   gint64 retry_us;         /* no start before */
   gint64 wanted_us;        /* pending and unplaced since; 0: not */
   gint64 start_by_us;      /* the latest start that is in time */
--- a/src/placement/gang-scheduling.c
+++ b/src/placement/gang-scheduling.c
@@ -60,7 +60,7 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *other = job->tasks[i].live;
-      if (other->loaded || mh_job_record (a->job, i)->durable < other->need_rev)
+      if (mh_attempt_is_from_record (other) || mh_job_record (a->job, i)->durable < other->need_rev)
         return false;
     }
   return true;
@@ -102,7 +102,8 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *a = job->tasks[i].live;
-      if (a == NULL || !a->start_sent || mh_command_reaches (core, a->machine))
+      if (a == NULL || !mh_attempt_start_was_sent (a)
+          || mh_worker_command_can_send (core, a->machine))
         continue;
       mh_info (core,
                "gang %s: %s cannot be told at once; what was done since the last checkpoint "
@@ -124,7 +125,7 @@
     {
       MhAttempt *a = job->tasks[i].live;
       if (a)
-        mh_fleet_send_stop (core, a, saves ? grace_us + core->settings->gang_peer_us : 0);
+        mh_attempt_send_stop (core, a, saves ? grace_us + core->settings->gang_peer_us : 0);
     }
   settle_later (core, job);
 }
@@ -136,9 +137,9 @@
   job->ending = false;
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_fleet_attempt_over (core, job->tasks[i].live, true);
+      mh_attempt_proven_over (core, job->tasks[i].live, true);
     else if (job->tasks[i].state != MH_TASK_DONE)
-      mh_fleet_task_done (core, job, i);
+      mh_attempt_task_done (core, job, i);
 }
 
 /* The attempt is over: what is left of it would wait for the others, or notice that one is gone. */
@@ -150,10 +151,10 @@
       MhAttempt *a = job->tasks[i].live;
       if (a == NULL)
         continue;
-      if (!a->start_sent && !a->loaded)
-        mh_fleet_attempt_over (core, a, false);
-      else if (!a->stopping)
-        mh_fleet_send_stop (core, a, 0);
+      if (!mh_attempt_start_was_sent (a) && !mh_attempt_is_from_record (a))
+        mh_attempt_proven_over (core, a, false);
+      else if (!mh_attempt_is_stopping (a))
+        mh_attempt_send_stop (core, a, 0);
     }
   if (job->n_live == 0)
     {
@@ -185,7 +186,7 @@
     {
       const MhAttempt *a = job->tasks[i].live;
       if (a && a->phase == MH_TASK_FETCHING)
-        a->machine->hold_us = now + LATE_IMAGE_US;
+        a->machine->no_start_before_us = now + LATE_IMAGE_US;
     }
   mh_gang_stop (core, job, 0);
 }
@@ -255,7 +256,8 @@
   gint64 wx = x->wait_us / WAIT_STEP_US, wy = y->wait_us / WAIT_STEP_US;
   if (wx != wy)
     return wx < wy ? -1 : 1;
-  double px = mh_fleet_cpu_hourly (x->machine), py = mh_fleet_cpu_hourly (y->machine);
+  double px = mh_machine_hourly_cpu_price (x->machine),
+         py = mh_machine_hourly_cpu_price (y->machine);
   if (px != py)
     return px < py ? -1 : 1;
   if (x->slots[ROOM_NOW] != y->slots[ROOM_NOW])
@@ -288,7 +290,7 @@
                                s->gpus > 0 ? 0 : slots_in (&could, s) } };
       if (site.slots[ROOM_NOW] + site.slots[ROOM_SOON] + site.slots[ROOM_MADE] == 0)
         continue;
-      site.wait_us = mh_fleet_image_wait (f->core, m, f->job->image, s->image_gb);
+      site.wait_us = mh_machine_image_wait_us (f->core, m, f->job->image, s->image_gb);
       g_array_append_val (f->sites, site);
       if (!g_ptr_array_find (f->zones, m->zone, NULL))
         g_ptr_array_add (f->zones, m->zone);
@@ -433,7 +435,7 @@
       MhAttempt *a = g_ptr_array_index (victims, i);
       mh_info (f->core, "task %s/%u: stopped on %s to make room for gang %s", a->job->spec->id,
                a->index, site->machine->name, f->job->spec->id);
-      mh_fleet_stop (f->core, a, mh_job_grace_us (a->job));
+      mh_attempt_stop (f->core, a, mh_job_grace_us (a->job));
     }
 }
 
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -156,28 +156,28 @@
 static bool
 live (const MhMachine *m)
 {
-  return m->reported && !m->releasing && m->zone && m->type;
+  return m->heartbeat.reported && !m->releasing && m->zone && m->type;
 }
 
 static bool
 usable (const MhCore *core, const MhMachine *m)
 {
-  return live (m) && !m->draining && !m->ignored_answers && m->notice_until_us < 0
-         && core->now.mono_us >= m->hold_us && !mh_failure_reports_overdue (core, m);
+  return live (m) && !m->draining && !m->heartbeat.ignored_answers && m->notice_until_us < 0
+         && core->now.mono_us >= m->no_start_before_us && !mh_failure_is_report_overdue (core, m);
 }
 
 MhSpace
 mh_place_free (const MhMachine *m)
 {
-  return (MhSpace){ .cpus = m->type->cpus - m->used_cpus - m->promised_cpus,
-                    .gpus = m->type->gpus - m->used_gpus,
-                    .mem = m->type->mem_gb - m->used_mem - m->promised_mem };
+  return (MhSpace){ .cpus = m->type->cpus - m->usage.cpus - m->usage.reserved_cpus,
+                    .gpus = m->type->gpus - m->usage.gpus,
+                    .mem = m->type->mem_gb - m->usage.mem_gb - m->usage.reserved_mem_gb };
 }
 
 static double
 free_cpus (const MhMachine *m)
 {
-  return m->type->cpus - m->used_cpus;
+  return m->type->cpus - m->usage.cpus;
 }
 
 static bool
@@ -194,7 +194,8 @@
 walk_cost (const MhJobSpec *s, const Candidate *c, gint64 patience)
 {
   if (s->shape != MH_SHAPE_SERVICE)
-    return mh_fleet_cpu_hourly (c->machine) * (double)(c->wait_us + s->estimate_us + MH_SECOND_US)
+    return mh_machine_hourly_cpu_price (c->machine)
+           * (double)(c->wait_us + s->estimate_us + MH_SECOND_US)
            * (c->wait_us > patience ? TOO_LATE : 1);
   if (c->wait_us <= 0)
     return 0;
@@ -215,7 +216,8 @@
     return y->dear ? -1 : 1;
   if (x->crowd != y->crowd)
     return x->crowd < y->crowd ? -1 : 1;
-  double px = mh_fleet_cpu_hourly (x->machine), py = mh_fleet_cpu_hourly (y->machine);
+  double px = mh_machine_hourly_cpu_price (x->machine),
+         py = mh_machine_hourly_cpu_price (y->machine);
   if (px != py)
     return px < py ? -1 : 1;
   double fx = free_cpus (x->machine), fy = free_cpus (y->machine);
@@ -227,8 +229,8 @@
 static guint
 crowd_of (const MhCore *core, const MhMachine *m)
 {
-  guint most = MAX (1, (guint)(core->replicas * REPLICAS_AT_ONCE));
-  return m->replicas < most ? most - m->replicas : m->replicas + 1;
+  guint most = MAX (1, (guint)(core->service_replicas * REPLICAS_AT_ONCE));
+  return m->usage.replicas < most ? most - m->usage.replicas : m->usage.replicas + 1;
 }
 
 /* Where may the job's next task go, given the job's other tasks? */
@@ -330,12 +332,13 @@
       MhMachine *m = g_ptr_array_index (p->pass->usable, i);
       if (!fits_kind (p, m))
         continue;
-      least = MIN (least, mh_fleet_hourly (m));
+      least = MIN (least, mh_machine_hourly_price (m));
       if (!has_room (m, s))
         continue;
-      Candidate c = { .machine = m,
-                      .zone = p->zone_of[m->zone_index],
-                      .wait_us = mh_fleet_image_wait (p->core, m, p->job->image, s->image_gb) };
+      Candidate c
+          = { .machine = m,
+              .zone = p->zone_of[m->zone_index],
+              .wait_us = mh_machine_image_wait_us (p->core, m, p->job->image, s->image_gb) };
       c.cost = walk_cost (s, &c, p->patience);
       if (p->spread)
         c.crowd = crowd_of (p->core, m);
@@ -347,7 +350,7 @@
   for (guint i = 0; i < p->candidates->len && p->spread; i++)
     {
       Candidate *c = &g_array_index (p->candidates, Candidate, i);
-      c->dear = mh_fleet_hourly (c->machine) > MUCH_DEARER * least;
+      c->dear = mh_machine_hourly_price (c->machine) > MUCH_DEARER * least;
     }
   /* A service has few tasks, and each start changes what is best for the next. */
   if (!p->spread)
@@ -387,12 +390,12 @@
 MhAttempt *
 mh_place_start (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *m, guint urgency)
 {
-  MhAttempt *a = mh_fleet_attempt_new (core, job, index, attempt, m);
+  MhAttempt *a = mh_attempt_new (core, job, index, attempt, m);
   MhRecord *r = mh_job_record (job, index);
   mh_store_touch (core, r, urgency);
   a->need_rev = r->rev;
   mh_debug (core, "task %s/%u: attempt %u on %s (%s%s)", job->spec->id, index, a->attempt, m->name,
-            m->zone, mh_fleet_cached (m, job->image) ? ", image there" : "");
+            m->zone, mh_machine_has_image (m, job->image) ? ", image there" : "");
   return a;
 }
 
@@ -401,7 +404,7 @@
 {
   MhAttempt *a = mh_place_start (p->core, p->job, p->task, p->job->tasks[p->task].attempt + 1,
                                  c->machine, p->spread ? MH_URGENCY_USER : MH_URGENCY_START);
-  a->first = p->job->starved;
+  a->of_starved_job = p->job->starved;
   c->crowd = crowd_of (p->core, c->machine);
   g_array_index (p->zones, MhZoneCount, c->zone).count++;
 }
@@ -463,11 +466,11 @@
 may_stop (const MhJob *wants, const MhAttempt *a)
 {
   const MhJob *holds = a->job;
-  if (holds == wants || a->stopping)
+  if (holds == wants || mh_attempt_is_stopping (a))
     return false;
   /* The one task with which a starved job begins gives way to urgent work alone: it once was
      stopped in the very pass that had placed it. */
-  if (a->first && mh_queue_tier (wants) > 1)
+  if (a->of_starved_job && mh_queue_tier (wants) > 1)
     return false;
   /* Only from those that stand further back in the queue: else the two stop each other in turn, as
      urgent work beyond its guarantee and normal work within one once did for a thousand times. */
@@ -495,7 +498,8 @@
 loss_of (const MhCore *core, const MhAttempt *a)
 {
   const MhJobSpec *s = a->job->spec;
-  double ran = a->running_us ? (double)(core->now.mono_us - a->running_us) / MH_SECOND_US : 0;
+  double ran
+      = a->running_since_us ? (double)(core->now.mono_us - a->running_since_us) / MH_SECOND_US : 0;
   /* One task of a gang costs the whole of it, which has to gather again, also one that has just
      begun: those once were stopped first, up to four times in a row. */
   if (mh_gang_is (a->job))
@@ -513,8 +517,8 @@
 void
 mh_place_promise (MhMachine *m, const MhJobSpec *s, guint n)
 {
-  m->promised_cpus += s->cpus * n;
-  m->promised_mem += s->mem_gb * n;
+  m->usage.reserved_cpus += s->cpus * n;
+  m->usage.reserved_mem_gb += s->mem_gb * n;
 }
 
 static bool
@@ -540,7 +544,7 @@
   for (guint i = 0; i < m->attempts->len; i++)
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
-      if (a->stopping)
+      if (mh_attempt_is_stopping (a))
         add_task (&x, a->job->spec);
       else if (may_stop (wants, a))
         add_task (could, a->job->spec);
@@ -586,7 +590,7 @@
         continue;
       MhSpace x = mh_place_space (p->job, m, &could);
       if (enough (&x, s, 1)
-          && mh_fleet_image_wait (p->core, m, p->job->image, s->image_gb) <= wait_us)
+          && mh_machine_image_wait_us (p->core, m, p->job->image, s->image_gb) <= wait_us)
         {
           mh_place_promise (m, s, 1);
           return true;
@@ -613,7 +617,7 @@
       MhSpace x = mh_place_space (p->job, m, &could);
       if (!enough (&could, s, 1))
         continue;
-      gint64 wait = mh_fleet_image_wait (p->core, m, p->job->image, s->image_gb);
+      gint64 wait = mh_machine_image_wait_us (p->core, m, p->job->image, s->image_gb);
       if (wait > wait_us)
         continue;
       double loss
@@ -637,7 +641,7 @@
       MhAttempt *a = g_ptr_array_index (victims, i);
       mh_info (p->core, "task %s/%u: stopped on %s to make room for %s", a->job->spec->id, a->index,
                best->name, s->id);
-      mh_fleet_stop (p->core, a, mh_job_grace_us (a->job));
+      mh_attempt_stop (p->core, a, mh_job_grace_us (a->job));
     }
   mh_place_promise (best, s, 1);
   return true;
@@ -704,7 +708,7 @@
   MhCore *core = p->core;
   MhJob *job = p->job;
   const MhJobSpec *s = job->spec;
-  guint most = mh_fault_startable (core, job);
+  guint most = mh_task_failure_startable (core, job);
   while (most > 0 && next_pending (p) && p->pass->starts < STARTS_PER_PASS)
     {
       /* Not past a task that was passed over: it once was forgotten with that, and a replica never
@@ -801,7 +805,7 @@
   for (guint i = 0; i < p->pass->usable->len; i++)
     {
       MhMachine *m = g_ptr_array_index (p->pass->usable, i);
-      if (admits (p, m) && m->promised_cpus == 0
+      if (admits (p, m) && m->usage.reserved_cpus == 0
           && (best == NULL || free_cpus (m) > free_cpus (best)))
         best = m;
     }
@@ -834,7 +838,7 @@
       mh_core_wake_at (core, job->retry_us);
       return;
     }
-  if (mh_fault_startable (core, job) == 0)
+  if (mh_task_failure_startable (core, job) == 0)
     return;
   if (!counts_known (core, job)
       || !mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
@@ -863,7 +867,7 @@
   if (job->starved && job->n_live == 0)
     reserve (&p);
   /* Nothing is stopped for a job that is only tried. */
-  if (mh_job_pending (job) && !p.waits && pass->may_preempt && !mh_fault_backs_off (job))
+  if (mh_job_pending (job) && !p.waits && pass->may_preempt && !mh_task_failure_backs_off (job))
     make_room (&p);
 }
 
@@ -871,11 +875,11 @@
 add_coming (Pass *pass, const MhMachine *m)
 {
   gint64 now = pass->core->now.mono_us;
-  if (m->reported || m->releasing || m->type == NULL || m->zone == NULL || m->late_age_us
-      || now - m->rented_us > 2 * m->type->boot_us)
+  if (m->heartbeat.reported || m->releasing || m->type == NULL || m->zone == NULL
+      || m->boot.late_age_us || now - m->boot.rented_us > 2 * m->type->boot_us)
     return;
   Coming c = { .machine = m,
-               .arrives_us = MAX (m->rented_us + m->type->boot_us, now + m->type->boot_us / 4),
+               .arrives_us = MAX (m->boot.rented_us + m->type->boot_us, now + m->type->boot_us / 4),
                .cpus = m->type->cpus,
                .mem = m->type->mem_gb };
   g_array_append_val (pass->coming, c);
@@ -891,10 +895,11 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      m->promised_cpus = m->promised_mem = 0;
+      m->usage.reserved_cpus = m->usage.reserved_mem_gb = 0;
       add_coming (pass, m);
       /* A machine that may be cut off is no live one: a partitioned zone leaves the count. */
-      if (!live (m) || mh_fleet_silent (pass->core, m, pass->core->settings->report_us * 5 / 2))
+      if (!live (m)
+          || mh_cluster_is_silent (pass->core, m, pass->core->settings->report_us * 5 / 2))
         continue;
       guint i = 0;
       while (i < pass->zones->len && g_array_index (pass->zones, MhZoneCount, i).name != m->zone)
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -89,9 +89,10 @@
       g_autofree char *name = g_strdup_printf ("vm-%03u", i);
       g_autofree char *type = g_strdup_printf ("type-%u", pick (f, 3));
       const char *zone = zones[pick (f, 4)];
-      MhMachine *m = f->fleet[i] = mh_fleet_add (core, name, type, zone, pick (f, 3) == 0);
-      m->reported = pick (f, 10) > 0;
-      m->rented_us = 0; /* none that is about to come */
+      MhMachine *m = f->fleet[i]
+          = mh_cluster_add_machine (core, name, type, zone, pick (f, 3) == 0);
+      m->heartbeat.reported = pick (f, 10) > 0;
+      m->boot.rented_us = 0; /* none that is about to come */
       if (pick (f, 12) == 0)
         m->draining = true;
       if (pick (f, 12) == 0)
@@ -100,7 +101,7 @@
         {
           g_autofree char *image = g_strdup_printf ("img-%u", pick (f, 6));
           GRefString *ref = g_ref_string_new_intern (image);
-          mh_fleet_cache (m, ref, 2);
+          mh_machine_add_image (m, ref, 2);
           g_ref_string_release (ref);
         }
     }
@@ -111,10 +112,10 @@
       for (guint k = 0; k < job->spec->tasks; k++)
         {
           g_autofree char *name = g_strdup_printf ("vm-%03u", pick (f, MACHINES));
-          MhMachine *m = mh_fleet_machine (core, name);
-          if (m->used_cpus + job->spec->cpus <= m->type->cpus
-              && m->used_mem + job->spec->mem_gb <= m->type->mem_gb && pick (f, 3))
-            mh_fleet_attempt_new (core, job, k, 1, m)->phase = MH_TASK_RUNNING;
+          MhMachine *m = mh_cluster_find_machine (core, name);
+          if (m->usage.cpus + job->spec->cpus <= m->type->cpus
+              && m->usage.mem_gb + job->spec->mem_gb <= m->type->mem_gb && pick (f, 3))
+            mh_attempt_new (core, job, k, 1, m)->phase = MH_TASK_RUNNING;
         }
     }
   while (f->jobs < JOBS)
@@ -124,7 +125,7 @@
 static bool
 takes_part (const MhMachine *m)
 {
-  return m->reported && !m->draining && m->notice_until_us < 0;
+  return m->heartbeat.reported && !m->draining && m->notice_until_us < 0;
 }
 
 /* The documented order, worked out afresh. */
@@ -133,21 +134,21 @@
 {
   const MhJobSpec *s = job->spec;
   bool service = s->shape == MH_SHAPE_SERVICE;
-  double wait = (double)mh_fleet_image_wait (f->core, m, job->image, s->image_gb);
+  double wait = (double)mh_machine_image_wait_us (f->core, m, job->image, s->image_gb);
   /* Within a guarantee and without an aim: soon. */
-  double patience = 3e6, unit = mh_fleet_hourly (m) / m->type->cpus;
-  guint most = MAX (1, f->core->replicas / 24);
+  double patience = 3e6, unit = mh_machine_hourly_price (m) / m->type->cpus;
+  guint most = MAX (1, f->core->service_replicas / 24);
   memset (key, 0, 6 * sizeof *key);
   if (!service)
     key[0] = unit * (wait + (double)s->estimate_us + 1e6) * (wait > patience ? 1000 : 1);
   else
     {
       key[0] = wait <= 0 ? 0 : wait <= patience ? 1 : 2 + floor (wait / 10000000);
-      key[1] = mh_fleet_hourly (m) > 2 * least;
-      key[2] = m->replicas < most ? most - m->replicas : m->replicas + 1;
+      key[1] = mh_machine_hourly_price (m) > 2 * least;
+      key[2] = m->usage.replicas < most ? most - m->usage.replicas : m->usage.replicas + 1;
     }
   key[3] = unit;
-  key[4] = m->type->cpus - m->used_cpus;
+  key[4] = m->type->cpus - m->usage.cpus;
 }
 
 static bool
@@ -164,7 +165,7 @@
     only = g_array_index (f->live, const char *, 0);
   for (guint i = 0; i < MACHINES; i++)
     for (guint z = 0; z < 4; z++)
-      if (f->fleet[i]->reported && strcmp (f->fleet[i]->zone, zones[z]) == 0)
+      if (f->fleet[i]->heartbeat.reported && strcmp (f->fleet[i]->zone, zones[z]) == 0)
         counted[z] = only == NULL || strcmp (only, zones[z]) == 0;
   for (guint z = 0; z < 4; z++)
     {
@@ -203,7 +204,7 @@
         only = g_array_index (f->live, const char *, 0);
       kind[i] = kind[i] && (only == NULL || strcmp (only, m->zone) == 0);
       if (kind[i])
-        least = MIN (least, mh_fleet_hourly (m));
+        least = MIN (least, mh_machine_hourly_price (m));
     }
   for (guint i = 0; i < MACHINES; i++)
     key_of (f, job, f->fleet[i], least, keys[i]);
@@ -216,8 +217,8 @@
       for (guint i = 0; i < MACHINES; i++)
         {
           MhMachine *m = f->fleet[i];
-          if (!kind[i] || m->used_cpus + s->cpus > m->type->cpus
-              || m->used_mem + s->mem_gb > m->type->mem_gb || !zone_ok (f, job, m->zone))
+          if (!kind[i] || m->usage.cpus + s->cpus > m->type->cpus
+              || m->usage.mem_gb + s->mem_gb > m->type->mem_gb || !zone_ok (f, job, m->zone))
             continue;
           int order = 0;
           for (guint k = 0; k < 6 && best && order == 0; k++)
@@ -230,7 +231,7 @@
         }
       if (best == NULL)
         return;
-      mh_fleet_attempt_new (f->core, job, task, 1, best);
+      mh_attempt_new (f->core, job, task, 1, best);
       if (service)
         {
           /* Its own start is seen by the next of the service; nothing else has changed meanwhile.
