--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -39,7 +39,8 @@
 static bool
 may_rent (const MhCore *core)
 {
-  return core->leader.rebuilt && core->types && core->scale.listed && !core->scale.renting
+  return core->leader.rebuilt && mh_cluster_types (core) && core->scale.listed
+         && !core->scale.renting
          && (core->leader.own_epoch == 1
              || core->now.mono_us - core->leader.since_us > core->settings->list_lag_us);
 }
@@ -54,7 +55,7 @@
 static const char *
 waits_for (MhCore *core, const MhJob *job)
 {
-  if (mh_task_failure_backs_off (job))
+  if (mh_job_backs_off (job))
     return "its next try: it fails wherever it starts";
   if (core->now.mono_us < job->retry_us)
     return "its next try";
@@ -96,7 +97,7 @@
   double all = 0, used = 0, an_hour = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -27,7 +27,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -129,7 +129,7 @@
   gpointer value;
   if (!waiting)
     look_for_room (core, &staying);
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -58,7 +58,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -67,16 +67,15 @@
     }
   for (guint i = 0; i < plan->rooms->len; i++)
     (*zone_load (plan, g_array_index (plan->rooms, MhRoom, i).zone))++;
-  for (guint i = 0; i < core->types->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       for (char **zone = t->zones; zone && *zone; zone++)
         for (int spot = 0; spot < 2; spot++)
           {
             g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
             /* What comes up in a zone that is cut off is of no use until that is over. */
-            if (mh_rental_refused (core, t, *zone, spot)
-                || mh_failure_is_zone_partitioned (core, name))
+            if (mh_rental_refused (core, t, *zone, spot) || mh_zone_is_partitioned (core, name))
               continue;
             Kind k = { .type = t,
                        .zone = g_ref_string_acquire (name),
@@ -143,7 +142,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -176,7 +175,7 @@
   gint64 now = core->now.mono_us;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -226,9 +225,9 @@
   if (s->shape != MH_SHAPE_ARRAY)
     return 0;
   gint64 soonest = G_MAXINT64;
-  for (guint i = 0; i < core->types->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       if (mh_place_type_fits (s, t))
         soonest = MIN (soonest, t->boot_us);
     }
@@ -309,7 +308,7 @@
   Assignment assignment = { .job = job, .zone = mh_place_only_zone (job), .left = n };
   /* What is held for a gang is there already, and the rest has to come beside it. One that is being
      stopped will find its own room again. */
-  if (mh_gang_is (job))
+  if (mh_job_is_gang (job))
     {
       if (job->n_live || n < job->spec->tasks)
         return;
@@ -355,7 +354,7 @@
   /* A hundred jobs that come at once are on record only seconds later, and machines take long to
      come. But what is not on record has not been placed either: once there are machines, those jobs
      may find room on them, and machines were rented for each beside free ones. */
-  MhQueueScope scope = core->zones->len ? MH_QUEUE_ACCEPTED : MH_QUEUE_ALL;
+  MhQueueScope scope = mh_zone_any_heard (core) ? MH_QUEUE_ACCEPTED : MH_QUEUE_ALL;
   g_autoptr (GPtrArray) queue = mh_queue_jobs (core, scope);
   if (queue->len == 0)
     return;
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -17,11 +17,7 @@
   core->scale.types_us = core->now.mono_us + (types ? TYPES_US : MH_SECOND_US);
   if (types == NULL)
     return;
-  GPtrArray *old = core->types;
-  core->types = types;
-  mh_cluster_types_changed (core);
-  if (old)
-    g_ptr_array_unref (old);
+  mh_cluster_set_types (core, types);
 }
 
 static void
@@ -94,8 +90,8 @@
     {
       core->scale.types_busy = true;
       /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
-      mh_core_call (core, core->types ? MH_RANK_WORK : MH_RANK_LEASE, mh_wire_machine_types (), 0,
-                    CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
+      mh_core_call (core, mh_cluster_types (core) ? MH_RANK_WORK : MH_RANK_LEASE,
+                    mh_wire_machine_types (), 0, CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
     }
   if (!core->scale.list_busy && now >= core->scale.list_us)
     list_page (core, NULL);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -185,7 +185,7 @@
   gint64 now = core->now.mono_us;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
--- /dev/null
+++ b/src/cluster/attempt.c
@@ -0,0 +1,236 @@
+/* Placing, stopping and ending attempts, and what they occupy meanwhile. */
+#include "cluster/attempt.h"
+#include "cluster/cluster-state.h"
+#include "cluster/machine-registry.h"
+
+static void
+change_state (MhAttempt *attempt, MhAttemptEvent event)
+{
+  bool accepted = mh_attempt_state_after (&attempt->state, event);
+  g_return_if_fail (accepted);
+}
+
+/* ---- what attempts occupy ---- */
+
+static MhUse *
+team_use (MhCore *core, const char *team_name)
+{
+  MhUse *use = g_hash_table_lookup (core->cluster->team_use, team_name);
+  if (use == NULL)
+    {
+      const MhTeam *team = mh_settings_team (core->settings, team_name);
+      use = g_new0 (MhUse, 1);
+      /* A team that the settings no longer name still has its name in its jobs' specs, but those
+         go away; the settings' copy stays. */
+      const char *key = team ? team->name : g_intern_string (team_name);
+      g_hash_table_insert (core->cluster->team_use, (gpointer)key, use);
+    }
+  return use;
+}
+
+/* `sign` 1: the attempt occupies its share from now on; -1: no longer. */
+static void
+account (MhCore *core, const MhAttempt *attempt, int sign)
+{
+  const MhJobSpec *spec = attempt->job->spec;
+  MhMachine *machine = attempt->machine;
+  MhUse *team = team_use (core, spec->team);
+  team->cpus += sign * spec->cpus;
+  team->gpus += sign * spec->gpus;
+  machine->usage.cpus += sign * spec->cpus;
+  machine->usage.gpus += sign * spec->gpus;
+  machine->usage.mem_gb += sign * spec->mem_gb;
+  if (spec->shape == MH_SHAPE_SERVICE)
+    {
+      machine->usage.replicas += sign;
+      core->cluster->service_replicas += sign;
+    }
+  if (!machine->heartbeat.reported)
+    attempt->job->n_unheard += sign;
+}
+
+MhAttempt *
+mh_attempt_new (MhCore *core, MhJob *job, guint index, guint32 number, MhMachine *machine)
+{
+  MhTask *task = &job->tasks[index];
+  MhAttempt *attempt = g_new0 (MhAttempt, 1);
+  attempt->job = job;
+  attempt->index = index;
+  attempt->attempt = task->attempt = number;
+  attempt->machine = machine;
+  attempt->placed_us = core->now.mono_us;
+  attempt->phase = MH_TASK_FETCHING;
+  task->live = attempt;
+  task->state = MH_TASK_LIVE;
+  job->n_live++;
+  g_ptr_array_add (machine->attempts, attempt);
+  account (core, attempt, 1);
+  return attempt;
+}
+
+MhAttempt *
+mh_attempt_new_from_record (MhCore *core, MhJob *job, guint index, guint32 number,
+                            MhMachine *machine)
+{
+  MhAttempt *attempt = mh_attempt_new (core, job, index, number, machine);
+  attempt->start = MH_START_BY_EARLIER_LEADER;
+  return attempt;
+}
+
+/* ---- what the worker is told and shows ---- */
+
+void
+mh_attempt_note_start_sent (MhAttempt *attempt, bool answers_report)
+{
+  change_state (attempt, MH_ATTEMPT_EVENT_START_SENT);
+  attempt->start = MH_START_SENT;
+  attempt->start_session = attempt->machine->heartbeat.session;
+  if (answers_report)
+    attempt->start_sequence = attempt->machine->heartbeat.sequence;
+}
+
+void
+mh_attempt_note_start_refused (MhAttempt *attempt)
+{
+  if (attempt->shown || attempt->start_sequence != 0 || attempt->start != MH_START_SENT)
+    return;
+  change_state (attempt, MH_ATTEMPT_EVENT_START_REFUSED);
+  attempt->start = MH_START_NOT_SENT;
+}
+
+static void
+set_running (MhCore *core, MhAttempt *attempt, bool running)
+{
+  MhJob *job = attempt->job;
+  gint64 now_us = core->now.mono_us;
+  if (running && attempt->running_since_us == 0)
+    {
+      attempt->running_since_us = now_us;
+      job->n_running++;
+      mh_debug (core, "task %s/%u: runs on %s, %.1f s after it was submitted", job->spec->id,
+                attempt->index, attempt->machine->name,
+                (double)(now_us - job->submitted_us) / MH_SECOND_US);
+    }
+  else if (!running && attempt->running_since_us)
+    {
+      attempt->running_since_us = 0;
+      job->n_running--;
+    }
+}
+
+void
+mh_attempt_note_shown (MhCore *core, MhAttempt *attempt, MhTaskPhase phase)
+{
+  bool running = phase == MH_TASK_RUNNING || phase == MH_TASK_SAVING;
+  attempt->shown = attempt->shown_now = true;
+  attempt->phase = phase;
+  if (phase != MH_TASK_ENDED)
+    change_state (attempt,
+                  running ? MH_ATTEMPT_EVENT_SHOWN_RUNNING : MH_ATTEMPT_EVENT_SHOWN_WAITING);
+  set_running (core, attempt, running);
+  if (phase == MH_TASK_GATHERING && attempt->job->gathering_us == 0)
+    attempt->job->gathering_us = core->now.mono_us;
+}
+
+/* ---- the end ---- */
+
+void
+mh_attempt_finish_job_if_over (MhCore *core, MhJob *job)
+{
+  bool over = job->cancelled ? job->n_live == 0 : job->n_done == job->spec->tasks;
+  if (!over || job->finished)
+    return;
+  job->finished = true;
+  mh_store_touch (core, &job->records[0], job->cancelled ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
+}
+
+/* Out of all accounts; the attempt itself is left to the caller. */
+static void
+detach (MhCore *core, MhAttempt *attempt)
+{
+  MhMachine *machine = attempt->machine;
+  change_state (attempt, MH_ATTEMPT_EVENT_PROVEN_OVER);
+  set_running (core, attempt, false);
+  account (core, attempt, -1);
+  g_ptr_array_remove_fast (machine->attempts, attempt);
+  if (machine->attempts->len == 0)
+    {
+      machine->idle_since_us = core->now.mono_us;
+      /* No rounding is left behind. */
+      machine->usage.cpus = machine->usage.gpus = machine->usage.mem_gb = 0;
+    }
+  attempt->job->tasks[attempt->index].live = NULL;
+}
+
+void
+mh_attempt_discard (MhCore *core, MhAttempt *attempt)
+{
+  detach (core, attempt);
+  g_free (attempt);
+}
+
+void
+mh_attempt_proven_over (MhCore *core, MhAttempt *attempt, bool done)
+{
+  const MhClusterCallbacks *callbacks = core->cluster->callbacks;
+  MhJob *job = attempt->job;
+  MhTask *task = &job->tasks[attempt->index];
+  bool was_stopping = mh_attempt_is_stopping (attempt);
+  detach (core, attempt);
+  task->state = done ? MH_TASK_DONE : MH_TASK_PENDING;
+  job->n_live--;
+  if (done)
+    job->n_done++;
+  else
+    job->cursor = MIN (job->cursor, attempt->index);
+  if (!job->cancelled)
+    mh_store_touch (core, mh_job_record (job, attempt->index), MH_URGENCY_PROGRESS);
+  if (mh_job_is_gang (job))
+    callbacks->gang_task_over (core, job, done);
+  /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
+  callbacks->capacity_changed (core, was_stopping || job->spec->shape == MH_SHAPE_SERVICE);
+  g_free (attempt);
+  mh_attempt_finish_job_if_over (core, job);
+}
+
+void
+mh_attempt_task_done (MhCore *core, MhJob *job, guint index)
+{
+  job->tasks[index].state = MH_TASK_DONE;
+  job->n_done++;
+  mh_store_touch (core, mh_job_record (job, index), MH_URGENCY_START);
+  mh_attempt_finish_job_if_over (core, job);
+}
+
+/* ---- stops ---- */
+
+void
+mh_attempt_send_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us)
+{
+  if (mh_attempt_is_stopping (attempt) && grace_us >= attempt->grace_us)
+    return;
+  change_state (attempt, MH_ATTEMPT_EVENT_STOP_WANTED);
+  attempt->grace_us = grace_us;
+  attempt->stop_sent_us = 0;
+  mh_machine_schedule_commands (core, attempt->machine);
+}
+
+void
+mh_attempt_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us)
+{
+  if (mh_job_is_gang (attempt->job) && !mh_job_over (attempt->job))
+    core->cluster->callbacks->gang_stop (core, attempt->job, grace_us);
+  else if (attempt->start == MH_START_NOT_SENT)
+    mh_attempt_proven_over (core, attempt, false);
+  else
+    mh_attempt_send_stop (core, attempt, grace_us);
+}
+
+void
+mh_attempt_stop_job (MhCore *core, MhJob *job)
+{
+  for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
+    if (job->tasks[i].live)
+      mh_attempt_stop (core, job->tasks[i].live, 0);
+  mh_attempt_finish_job_if_over (core, job);
+}
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -1,43 +1,57 @@
-#include "controller/core-private.h"
+#include "cluster/boot-time.h"
+#include "cluster/cluster-state.h"
 
 #define MEAN_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
 #define DEVIATIONS 4.0
+/* The deviation of a single boot, as a part of what it took. */
+#define FIRST_DEVIATION_PART 4
 /* Boots usually take 0.6 to 1.5 times what the type says; some several times as long. What has been
-   seen moves the estimate between these multiples. */
+   seen moves the estimate between these multiples; before anything is seen it is the third one. */
 #define LEAST_BOOTS 1.5
 #define MOST_BOOTS 4.0
+#define UNSEEN_BOOTS 2
 /* Of the list of machines and of the first report. */
 #define SPARE_US (5 * MH_SECOND_US)
 /* A machine that is late is given back at this multiple of its age then. */
 #define GIVEN_UP 2
 /* Of a type that is not known. */
 #define UNKNOWN_BOOT_US (60 * MH_SECOND_US)
+/* A new leader may hear of a machine for the first time only so long after two reports' intervals.
+ */
+#define FIRST_REPORT_SPARE_US (6 * MH_SECOND_US)
 
-static MhBootStat *
-stat_of (MhCore *core, const MhMachineType *type)
+typedef struct
 {
-  MhBootStat *stat = g_hash_table_lookup (core->boot_stats, type->name);
-  if (stat == NULL)
+  double mean_us, deviation_us;
+  guint samples;
+} BootStatistics;
+
+static BootStatistics *
+statistics_of (MhCore *core, const MhMachineType *type)
+{
+  GHashTable *all = core->cluster->boot_statistics;
+  BootStatistics *statistics = g_hash_table_lookup (all, type->name);
+  if (statistics == NULL)
     {
-      stat = g_new0 (MhBootStat, 1);
-      g_hash_table_insert (core->boot_stats, g_strdup (type->name), stat);
+      statistics = g_new0 (BootStatistics, 1);
+      g_hash_table_insert (all, g_strdup (type->name), statistics);
     }
-  return stat;
+  return statistics;
 }
 
 static void
-add_sample (MhBootStat *stat, double took_us)
+add_sample (BootStatistics *statistics, double took_us)
 {
-  if (stat->samples++ == 0)
+  if (statistics->samples++ == 0)
     {
-      stat->mean_us = took_us;
-      stat->deviation_us = took_us / 4;
+      statistics->mean_us = took_us;
+      statistics->deviation_us = took_us / FIRST_DEVIATION_PART;
       return;
     }
-  double error = took_us - stat->mean_us;
-  stat->mean_us += MEAN_WEIGHT * error;
-  stat->deviation_us += DEVIATION_WEIGHT * (ABS (error) - stat->deviation_us);
+  double error_us = took_us - statistics->mean_us;
+  statistics->mean_us += MEAN_WEIGHT * error_us;
+  statistics->deviation_us += DEVIATION_WEIGHT * (ABS (error_us) - statistics->deviation_us);
 }
 
 void
@@ -45,18 +59,19 @@
 {
   /* Of one that another leader rented, or that was up before, nothing is known. */
   if (machine->type && machine->boot.rented_here && machine->heartbeat.session <= 1)
-    add_sample (stat_of (core, machine->type),
+    add_sample (statistics_of (core, machine->type),
                 (double)(core->now.mono_us - machine->boot.rented_us));
 }
 
-/* A machine of the type that has not joined by then is late. */
+/* A machine of the type that has not joined at that age is late. */
 static gint64
-late_us (const MhCore *core, const MhMachineType *type)
+late_at_us (const MhCore *core, const MhMachineType *type)
 {
-  double boot = type ? (double)type->boot_us : UNKNOWN_BOOT_US;
-  const MhBootStat *stat = type ? g_hash_table_lookup (core->boot_stats, type->name) : NULL;
-  double usual = stat ? stat->mean_us + DEVIATIONS * stat->deviation_us : 2 * boot;
-  return (gint64)CLAMP (usual, LEAST_BOOTS * boot, MOST_BOOTS * boot) + SPARE_US;
+  double boot_us = type ? (double)type->boot_us : UNKNOWN_BOOT_US;
+  const BootStatistics *seen
+      = type ? g_hash_table_lookup (core->cluster->boot_statistics, type->name) : NULL;
+  double usual_us = seen ? seen->mean_us + DEVIATIONS * seen->deviation_us : UNSEEN_BOOTS * boot_us;
+  return (gint64)CLAMP (usual_us, LEAST_BOOTS * boot_us, MOST_BOOTS * boot_us) + SPARE_US;
 }
 
 static void
@@ -69,18 +84,18 @@
                    "machine %s: has not joined %.0f s after it was rented (%s in %s); others are "
                    "rented in its place",
                    machine->name, (double)age_us / MH_SECOND_US, machine->type_name, machine->zone);
-  add_sample (stat_of (core, machine->type), (double)age_us);
+  add_sample (statistics_of (core, machine->type), (double)age_us);
 }
 
 void
 mh_boot_time_check (MhCore *core, MhMachine *machine)
 {
-  gint64 now = core->now.mono_us, age_us = now - machine->boot.rented_us;
-  if (machine->boot.late_age_us == 0 && age_us > late_us (core, machine->type))
+  gint64 now_us = core->now.mono_us;
+  gint64 age_us = now_us - machine->boot.rented_us;
+  if (machine->boot.late_age_us == 0 && age_us > late_at_us (core, machine->type))
     note_late (core, machine, age_us);
-  gint64 leading_us = now - core->leader.since_us;
-  /* It may report to this leader for the first time only now. */
-  if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us
-      && leading_us > core->settings->report_us * 2 + 6 * MH_SECOND_US)
-    mh_release_machine (core, machine, "never came up");
+  gint64 leading_us = now_us - core->leader.since_us;
+  bool all_reported = leading_us > core->settings->report_us * 2 + FIRST_REPORT_SPARE_US;
+  if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us && all_reported)
+    core->cluster->callbacks->release_machine (core, machine, "never came up");
 }
--- /dev/null
+++ b/src/cluster/cluster-state.h
@@ -0,0 +1,53 @@
+/* The state of the cluster layer, for its own files alone. */
+#pragma once
+
+#include "base/token-bucket.h"
+#include "cluster/cluster-types.h"
+#include "controller/core-private.h"
+
+/**
+ * MhSilenceThresholds:
+ * @cut_off: this side may be the one that is cut off: probes in vain are not believed
+ * @report_us: the longest that a worker takes to its next report, and some
+ * @suspect_us: after so long a machine that has reported to this leader is probed
+ * @replica_us: ... if it holds replicas of services
+ * @silent_us: after so long it is given back, whatever the probes brought
+ * @unheard_us: ... one that has not reported to this leader, since the election
+ *
+ * How long a machine may be silent, in microseconds.
+ */
+typedef struct
+{
+  bool cut_off;
+  gint64 report_us, suspect_us, replica_us, silent_us, unheard_us;
+} MhSilenceThresholds;
+
+/* Fields of MhCluster:
+   machines: name -> MhMachine, which owns its name
+   released, released_order: names of machines that are gone; the queue owns them, the oldest first
+   commands_due: MhMachine, not owned, that are looked at for commands in this step
+   types: MhMachineType; NULL until known
+   team_use: team -> MhUse; the names are the settings' or interned
+   service_replicas: attempts of services, on all machines
+   checked_us: monotonic time at which all machines were last checked
+   zones: of zone-silence.c
+   silence: as of the last check of all machines
+   probe_bucket, direct_bucket: rates of questions and of direct commands
+   boot_statistics: name of a type -> statistics of boot-time.c */
+struct MhCluster
+{
+  const MhSettings *settings;
+  const MhClusterCallbacks *callbacks;
+  GHashTable *machines;
+  GHashTable *released;
+  GQueue released_order;
+  GPtrArray *commands_due;
+  GPtrArray *types;
+  GHashTable *team_use;
+  guint service_replicas;
+  gint64 checked_us;
+  GArray *zones;
+  MhSilenceThresholds silence;
+  MhBucket probe_bucket, direct_bucket;
+  GHashTable *boot_statistics;
+};
--- /dev/null
+++ b/src/cluster/direct-command.c
@@ -0,0 +1,161 @@
+#include "cluster/direct-command.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster-state.h"
+#include "cluster/fencing.h"
+#include "cluster/heartbeat.h"
+#include "cluster/machine-registry.h"
+#include "cluster/worker-command.h"
+
+#include <string.h>
+
+#define TIMEOUT_US (2 * MH_SECOND_US)
+/* Direct commands that nobody waits for, by the processor's share: what they would say goes with
+   the answer to the next report, which costs nothing. A large array placed at once on a hundred
+   machines once kept the leader from all else for a second. */
+#define PATIENT_PER_CORE_S 250
+
+#define STATUS_OK 200
+#define STATUS_BAD_REQUEST 400
+#define STATUS_CONFLICT 409 /* other session, or a token that the worker has outgrown */
+
+void
+mh_direct_command_init (MhCluster *cluster, gint64 now_us)
+{
+  double rate = PATIENT_PER_CORE_S * cluster->settings->core_share;
+  mh_bucket_init (&cluster->direct_bucket, rate, MAX (1, rate / 4), now_us);
+}
+
+/* ---- the answer ---- */
+
+typedef struct
+{
+  char *machine;
+  GArray *commands; /* MhCommand */
+} DirectCall;
+
+static void
+direct_call_free (gpointer data)
+{
+  DirectCall *call = data;
+  g_free (call->machine);
+  g_array_unref (call->commands);
+  g_free (call);
+}
+
+static MhAttempt *
+find_attempt (const MhMachine *machine, const MhCommand *command)
+{
+  for (guint i = 0; i < machine->attempts->len; i++)
+    {
+      MhAttempt *attempt = mh_machine_attempt (machine, i);
+      if (attempt->index == command->index && attempt->attempt == command->attempt
+          && strcmp (attempt->job->spec->id, command->job) == 0)
+        return attempt;
+    }
+  return NULL;
+}
+
+static void
+start_answered (MhMachine *machine, const MhCommand *command, guint status)
+{
+  bool refused = status == STATUS_CONFLICT || status == STATUS_BAD_REQUEST;
+  MhAttempt *attempt = find_attempt (machine, command);
+  if (attempt && refused)
+    mh_attempt_note_start_refused (attempt);
+  MhUnacknowledgedStart *start
+      = mh_fencing_find_start (machine, command->job, command->index, command->attempt);
+  if (start == NULL)
+    return;
+  if (refused)
+    {
+      mh_fencing_remove_start (machine, start);
+      return;
+    }
+  start->answered = status == STATUS_OK;
+  start->lost = !start->answered;
+}
+
+static void
+stop_answered (const MhMachine *machine, const MhCommand *command, guint status)
+{
+  MhAttempt *attempt = find_attempt (machine, command);
+  if (attempt && status != STATUS_OK)
+    attempt->stop_sent_us = 0;
+}
+
+static void
+direct_call_answered (MhCore *core, gpointer data, guint status, const MhValue *body)
+{
+  const DirectCall *call = data;
+  MhMachine *machine = mh_cluster_find_machine (core, call->machine);
+  g_autoptr (MhReport) report = NULL;
+  if (status == STATUS_OK || status == STATUS_CONFLICT)
+    report = mh_wire_read_report (body);
+  if (machine == NULL)
+    return;
+  machine->direct_commands_in_flight--;
+  for (guint i = 0; i < call->commands->len; i++)
+    {
+      const MhCommand *command = &g_array_index (call->commands, MhCommand, i);
+      if (command->kind == MH_COMMAND_STOP)
+        stop_answered (machine, command, status);
+      else
+        start_answered (machine, command, status);
+    }
+  if (report)
+    mh_heartbeat_take_answer (core, machine, report);
+}
+
+/* ---- the command ---- */
+
+bool
+mh_direct_command_can_send (const MhCore *core, const MhMachine *machine)
+{
+  gint64 report_us = core->settings->report_us;
+  return core->settings->direct && !machine->direct_commands_in_flight
+         && machine->heartbeat.reported && !machine->releasing && machine->endpoint
+         && !machine->heartbeat.ignored_answers
+         && !mh_cluster_is_silent (core, machine, report_us * 3 / 2)
+         && !mh_fencing_has_lost_start (machine);
+}
+
+static void
+send_directly (MhCore *core, MhMachine *machine)
+{
+  guint64 token = mh_fencing_token (core, machine);
+  g_autoptr (GArray) commands = mh_commands_new ();
+  mh_bucket_take (&core->cluster->direct_bucket, 1);
+  mh_worker_command_collect_unsent (core, machine, commands);
+  for (guint i = 0; i < commands->len; i++)
+    {
+      const MhCommand *command = &g_array_index (commands, MhCommand, i);
+      if (command->kind == MH_COMMAND_START)
+        mh_fencing_add_start (machine, command, token);
+    }
+  DirectCall *call = g_new0 (DirectCall, 1);
+  call->machine = g_strdup (machine->name);
+  call->commands = g_array_ref (commands);
+  machine->direct_commands_in_flight++;
+  mh_core_call (core, MH_RANK_WORK,
+                mh_wire_commands (machine->endpoint, token, machine->heartbeat.session, commands),
+                0, TIMEOUT_US, direct_call_answered, call, direct_call_free);
+}
+
+void
+mh_direct_command_send_unsent (MhCore *core, MhMachine *machine)
+{
+  if (!mh_direct_command_can_send (core, machine))
+    return;
+  MhUnsentCommands unsent = mh_worker_command_unsent (machine);
+  if (unsent == MH_UNSENT_URGENT
+      || (unsent == MH_UNSENT_PATIENT
+          && mh_bucket_has (&core->cluster->direct_bucket, 1, core->now.mono_us)))
+    send_directly (core, machine);
+}
+
+void
+mh_direct_command_send_token (MhCore *core, MhMachine *machine)
+{
+  if (mh_direct_command_can_send (core, machine))
+    send_directly (core, machine);
+}
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -1,343 +1,355 @@
-/* Silence: who is asked, who is given back, and what is taken for cut off instead. Silence is no
-   proof of anything; only the release of a machine proves soon that its tasks are gone. */
-#include "controller/core-private.h"
+/* Silence: who is asked, who is given back, and what is taken for cut off instead. */
+#include "cluster/failure-detection.h"
+#include "cluster/boot-time.h"
+#include "cluster/cluster-state.h"
+#include "cluster/direct-command.h"
+#include "cluster/heartbeat.h"
+#include "cluster/machine-registry.h"
+#include "cluster/zone-silence.h"
 
 #include <string.h>
 
 /* Questions in a row without an answer: one may be a lost packet. */
 #define MAX_FAILED_PROBES 2u
-#define PROBE_TIMEOUT_US (MH_SECOND_US)
+#define PROBE_TIMEOUT_US MH_SECOND_US
 /* Machines are asked only as fast as the processor's share allows. */
 #define PROBES_PER_CORE_S 400
-/* A zone of so many machines from which nothing has come for so long, for most of a report's
-   interval (all may report at once), or while so many reports should have come, is partitioned, and
-   stays so for a while when its machines have been given back. */
-#define LEAST_OF_ZONE 3u
-#define PARTITION_US (2 * MH_SECOND_US)
-#define REPORTS_MISSED 4
-#define STAYS_PARTITIONED_US (30 * MH_SECOND_US)
-/* A leader that hears no worker for so long lets another one lead, where many should have reported
-   meanwhile. */
+/* A leader that hears no worker for so long lets another one lead, where so many reports should
+   have come meanwhile. */
 #define UNHEARD_LEADER_US (4 * MH_SECOND_US)
+#define UNHEARD_REPORTS 8
 /* A worker gives up on a controller that does not answer, and tries the next one. */
 #define WORKER_TRIES_NEXT_US (5 * MH_SECOND_US)
-/* Patience is doubled so often at the most. */
-#define LONGEST_HAND_OVERS 4u
+/* That time is doubled so often at the most. */
+#define MAX_DOUBLINGS 4u
 /* A worker that has just learnt of this leader reports again by itself. */
 #define SECOND_REPORT_US (MH_SECOND_US * 7 / 10)
+/* What runs on a machine whose reports do not arrive goes on until its worker's lease is over, and
+   so much longer. */
+#define LEASE_SPARE_US MH_SECOND_US
+/* Of the time to a worker's next report: delays, and its jitter. */
+#define REPORT_SPARE_US (MH_SECOND_US * 2 / 5)
+#define SUSPECT_SPARE_US (MH_SECOND_US / 3)
+/* A new leader's workers need time to find it. */
+#define FIND_LEADER_US (6 * MH_SECOND_US)
+/* Where most machines are silent at once, so much longer than what rules out a partition. */
+#define CUT_OFF_SPARE_US (5 * MH_SECOND_US)
+#define MOSTLY_UNHEARD_SPARE_US (10 * MH_SECOND_US)
+/* So many machines and more than half of all are most of them. */
+#define LEAST_OF_MOST 3u
 
-void
-mh_failure_init (MhCore *core)
-{
-  double rate = PROBES_PER_CORE_S * core->settings->core_share;
-  mh_bucket_init (&core->probe_bucket, rate, rate, core->now.mono_us);
-}
+#define STATUS_OK 200
 
 void
-mh_failure_clear (MhCore *core)
+mh_failure_init (MhCluster *cluster, gint64 now_us)
 {
-  for (guint i = 0; i < core->zones->len; i++)
-    g_ref_string_release (g_array_index (core->zones, MhZone, i).name);
-  g_array_set_size (core->zones, 0);
+  double rate = PROBES_PER_CORE_S * cluster->settings->core_share;
+  mh_bucket_init (&cluster->probe_bucket, rate, rate, now_us);
 }
 
-/* ---- zones ---- */
-
-static MhZone *
-find_zone (const MhCore *core, const GRefString *name)
+bool
+mh_failure_is_report_overdue (const MhCore *core, const MhMachine *machine)
 {
-  for (guint i = 0; i < core->zones->len; i++)
-    {
-      MhZone *z = &g_array_index (core->zones, MhZone, i);
-      if (z->name == name)
-        return z;
-    }
-  return NULL;
+  return mh_cluster_silence_us (core, machine->heartbeat.last_report_us)
+         > core->settings->report_us * 5 / 2;
 }
 
 bool
-mh_failure_is_zone_partitioned (const MhCore *core, const GRefString *name)
+mh_failure_is_unreachable (const MhMachine *machine)
 {
-  const MhZone *z = find_zone (core, name);
-  return z && core->now.mono_us < z->partitioned_until_us;
+  return machine->probe.failures >= MAX_FAILED_PROBES;
 }
 
-void
-mh_failure_note_message (MhCore *core, GRefString *name, bool is_report)
+static void
+release (MhCore *core, MhMachine *machine, const char *reason)
 {
-  MhZone *z = find_zone (core, name);
-  if (z == NULL)
-    {
-      MhZone fresh = { .name = g_ref_string_acquire (name) };
-      g_array_append_val (core->zones, fresh);
-      z = &g_array_index (core->zones, MhZone, core->zones->len - 1);
-    }
-  if (core->now.mono_us < z->partitioned_until_us)
-    mh_info (core, "zone %s: heard from again", z->name);
-  z->last_message_us = core->now.mono_us;
-  if (is_report)
-    {
-      z->last_report_us = core->now.mono_us;
-      core->leader.vain_hand_overs = 0;
-    }
-  z->partitioned_until_us = 0;
+  core->cluster->callbacks->release_machine (core, machine, reason);
 }
 
-/* Reports come from a zone as often as it has machines. When several should have come and none has,
-   the zone is cut off: its machines go on, and each is not to be taken for failed. */
+/* ---- probes ---- */
+
 static void
-look_at_zones (MhCore *core)
-{
-  gint64 now = core->now.mono_us;
-  for (guint i = 0; i < core->zones->len; i++)
-    {
-      MhZone *z = &g_array_index (core->zones, MhZone, i);
-      gint64 report = core->settings->report_us;
-      gint64 patience = MAX (report * 4 / 5, REPORTS_MISSED * report / MAX (z->machines, 1));
-      if (z->machines < LEAST_OF_ZONE
-          || mh_cluster_silence_us (core, z->last_message_us) < MAX (PARTITION_US, patience))
-        continue;
-      if (now >= z->partitioned_until_us)
-        mh_info (core, "zone %s: %u machines, and nothing comes from any of them", z->name,
-                 z->machines);
-      z->partitioned_until_us = now + STAYS_PARTITIONED_US;
-    }
-}
+probe (MhCore *core, MhMachine *machine);
 
-bool
-mh_failure_is_report_overdue (const MhCore *core, const MhMachine *m)
+static void
+probe_failed (MhCore *core, MhMachine *machine)
 {
-  return mh_cluster_silence_us (core, m->heartbeat.last_report_us)
-         > core->settings->report_us * 5 / 2;
+  /* The answer may have come while this process stood still, and the time-out with it. */
+  if (machine->probe.first_sent_us > core->awake_us
+      && ++machine->probe.failures < MAX_FAILED_PROBES)
+    probe (core, machine);
 }
 
-bool
-mh_failure_is_unreachable (const MhMachine *m)
+/* The answer to a question is newer than all that was known when it was put. One that counts from
+   the beginning comes from a worker that has lost its memory, of the tokens that it has seen too:
+   nothing that is still on its way there is fenced any more. */
+static bool
+worker_has_begun_anew (const MhMachine *machine, const MhReport *report)
 {
-  return m->probe.failures >= MAX_FAILED_PROBES;
+  const MhMachineProbe *asked = &machine->probe;
+  return machine->heartbeat.reported && !machine->releasing
+         && (report->session < asked->session
+             || (report->session == asked->session && report->sequence < asked->sequence));
 }
 
-/* ---- machines ---- */
-
 static void
-probe (MhCore *core, MhMachine *m);
-
-static void
-probe_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
+probe_answered (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
-  MhMachine *m = mh_cluster_find_machine (core, data);
-  g_autoptr (MhReport) r = status == 200 ? mh_wire_read_report (body) : NULL;
-  if (m == NULL)
+  const char *name = data;
+  MhMachine *machine = mh_cluster_find_machine (core, name);
+  g_autoptr (MhReport) report = status == STATUS_OK ? mh_wire_read_report (body) : NULL;
+  if (machine == NULL)
     return;
-  m->probe.in_flight = false;
-  if (r == NULL || strcmp (r->machine, m->name) != 0)
-    {
-      /* The answer may have come while this process stood still, and the time-out with it. */
-      if (m->probe.first_sent_us > core->awake_us && ++m->probe.failures < MAX_FAILED_PROBES)
-        probe (core, m);
-    }
-  else if (mh_heartbeat_take_answer (core, m, r))
+  machine->probe.in_flight = false;
+  if (report == NULL || strcmp (report->machine, machine->name) != 0)
+    probe_failed (core, machine);
+  else if (mh_heartbeat_take_answer (core, machine, report))
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (r->token < core->leader.own_epoch && mh_leader_valid (core))
-        mh_worker_command_send (core, m, true);
+      if (report->token < core->leader.own_epoch && mh_leader_valid (core))
+        mh_direct_command_send_token (core, machine);
     }
-  /* The answer to a question is newer than all that was known when it was put. One that counts from
-     the beginning comes from a worker that has lost its memory, of the epochs that it has seen too:
-     nothing that is still on its way there is fenced any more. */
-  else if (m->heartbeat.reported && !m->releasing
-           && (r->session < m->probe.session
-               || (r->session == m->probe.session && r->sequence < m->probe.sequence)))
-    mh_release_machine (core, m, "its worker has begun anew");
+  else if (worker_has_begun_anew (machine, report))
+    release (core, machine, "its worker has begun anew");
 }
 
 static void
-probe (MhCore *core, MhMachine *m)
+probe (MhCore *core, MhMachine *machine)
 {
-  m->probe.in_flight = true;
-  m->probe.session = m->heartbeat.reported ? m->heartbeat.session : 0;
-  m->probe.sequence = m->heartbeat.reported ? m->heartbeat.sequence : 0;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_show (m->endpoint), 0, PROBE_TIMEOUT_US, probe_reply,
-                g_strdup (m->name), g_free);
+  const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
+  machine->probe.in_flight = true;
+  machine->probe.session = heartbeat->reported ? heartbeat->session : 0;
+  machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
+  mh_core_call (core, MH_RANK_RULES, mh_wire_show (machine->endpoint), 0, PROBE_TIMEOUT_US,
+                probe_answered, g_strdup (machine->name), g_free);
 }
 
 static void
-ask (MhCore *core, MhMachine *m)
+start_probing (MhCore *core, MhMachine *machine)
 {
-  if (m->probe.in_flight || m->probe.failures || m->endpoint == NULL
-      || !mh_bucket_has (&core->probe_bucket, 1, core->now.mono_us))
+  MhBucket *bucket = &core->cluster->probe_bucket;
+  if (machine->probe.in_flight || machine->probe.failures || machine->endpoint == NULL
+      || !mh_bucket_has (bucket, 1, core->now.mono_us))
     return;
-  mh_bucket_take (&core->probe_bucket, 1);
-  m->probe.first_sent_us = core->now.mono_us;
-  probe (core, m);
+  mh_bucket_take (bucket, 1);
+  machine->probe.first_sent_us = core->now.mono_us;
+  probe (core, machine);
 }
 
+/* ---- one machine ---- */
+
 /* Whether others of its zone have been heard since it was first asked in vain; else it may be the
    first of many. */
 static bool
-others_heard (const MhCore *core, const MhMachine *m)
+others_are_heard (const MhCore *core, const MhMachine *machine)
 {
-  const MhZone *z = find_zone (core, m->zone);
-  return z == NULL || z->machines < LEAST_OF_ZONE || z->last_message_us > m->probe.first_sent_us;
+  const MhZone *zone = mh_zone_find (core, machine->zone);
+  return zone == NULL || zone->machines < MH_LEAST_MACHINES_OF_ZONE
+         || zone->last_message_us > machine->probe.first_sent_us;
 }
 
-/* Nothing comes from its whole zone: what runs there goes on until the worker's lease is over, and
-   nothing is gained by giving it back before. */
-static void
-check_in_partition (MhCore *core, MhMachine *m)
+/* Probes without an answer are believed only while this side is not the one that is cut off. */
+static bool
+is_believed_unreachable (const MhCore *core, const MhMachine *machine)
 {
-  if (mh_cluster_silence_us (core, m->heartbeat.last_message_us)
-      > core->settings->worker_lease_us + MH_SECOND_US)
-    mh_release_machine (core, m, "silent with all of its zone");
+  return mh_failure_is_unreachable (machine) && !core->cluster->silence.cut_off;
 }
 
 /* It answers, but its own reports reach nobody. What runs there goes on until its lease is over,
    and what it is told directly after that it would only lose again. */
 static bool
-reports_are_lost (const MhCore *core, const MhMachine *m)
+reports_are_lost (const MhCore *core, const MhMachine *machine)
 {
-  return mh_cluster_silence_us (core, m->heartbeat.last_message_us) < core->settings->silence_us
-         && mh_cluster_silence_us (core, m->heartbeat.last_report_us)
-                > core->settings->worker_lease_us + MH_SECOND_US;
+  const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
+  return mh_cluster_silence_us (core, heartbeat->last_message_us) < core->settings->silence_us
+         && mh_cluster_silence_us (core, heartbeat->last_report_us)
+                > core->settings->worker_lease_us + LEASE_SPARE_US;
+}
+
+/* Nothing comes from its whole zone: what runs there goes on until the worker's lease is over, and
+   nothing is gained by giving it back before. */
+static void
+check_in_partition (MhCore *core, MhMachine *machine)
+{
+  if (mh_cluster_is_silent (core, machine, core->settings->worker_lease_us + LEASE_SPARE_US))
+    release (core, machine, "silent with all of its zone");
 }
 
-/* Probes in vain are believed only while this side is not the one that is cut off. */
 static bool
-probed_in_vain (const MhCore *core, const MhMachine *m)
+has_failed (const MhCore *core, const MhMachine *machine)
 {
-  return mh_failure_is_unreachable (m) && !core->silence.cut_off;
+  const MhSilenceThresholds *silence = &core->cluster->silence;
+  bool overdue
+      = mh_cluster_silence_us (core, machine->heartbeat.last_report_us) > silence->report_us;
+  return mh_cluster_is_silent (core, machine, silence->silent_us)
+         || (is_believed_unreachable (core, machine) && others_are_heard (core, machine)
+             && overdue);
 }
 
 static void
-check_reported (MhCore *core, MhMachine *m)
+check_reported (MhCore *core, MhMachine *machine)
 {
-  const MhSilenceThresholds *patience = &core->silence;
-  gint64 silent = mh_cluster_silence_us (core, m->heartbeat.last_message_us);
-  bool overdue = mh_cluster_silence_us (core, m->heartbeat.last_report_us) > patience->report_us;
-  if (reports_are_lost (core, m))
-    mh_release_machine (core, m, "its reports do not come");
-  else if (probed_in_vain (core, m) && m->heartbeat.ignored_answers >= MH_MAX_IGNORED_ANSWERS)
-    mh_release_machine (core, m, "nothing reaches it");
-  else if (silent > patience->known_us
-           || (probed_in_vain (core, m) && others_heard (core, m) && overdue))
-    mh_release_machine (core, m, m->probe.failures ? "silent, and gives no answer" : "silent");
-  else if (m->heartbeat.ignored_answers
-           || silent > (m->usage.replicas ? patience->replica_us : patience->suspect_us))
-    ask (core, m);
+  const MhSilenceThresholds *silence = &core->cluster->silence;
+  gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
+  guint ignored_answers = machine->heartbeat.ignored_answers;
+  if (reports_are_lost (core, machine))
+    release (core, machine, "its reports do not come");
+  else if (is_believed_unreachable (core, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
+    release (core, machine, "nothing reaches it");
+  else if (has_failed (core, machine))
+    release (core, machine, machine->probe.failures ? "silent, and gives no answer" : "silent");
+  else if (ignored_answers || mh_cluster_is_silent (core, machine, suspect_us))
+    start_probing (core, machine);
 }
 
 /* Known from a record or the list, and not heard by this leader. A new leader does not wait for the
    workers to find it, where it knows their address. */
 static void
-check_unseen (MhCore *core, MhMachine *m)
+check_unheard (MhCore *core, MhMachine *machine)
 {
-  const MhSilenceThresholds *patience = &core->silence;
-  gint64 unseen = mh_cluster_silence_us (core, MAX (core->leader.since_us, m->discovered_us));
-  if (core->now.mono_us - m->heartbeat.unverified_us > SECOND_REPORT_US)
-    ask (core, m);
-  if (unseen > patience->unseen_us
-      || (probed_in_vain (core, m) && others_heard (core, m) && unseen > patience->report_us))
-    mh_release_machine (core, m, "silent since the change of leader");
+  const MhSilenceThresholds *silence = &core->cluster->silence;
+  gint64 unheard_us
+      = mh_cluster_silence_us (core, MAX (core->leader.since_us, machine->discovered_us));
+  if (core->now.mono_us - machine->heartbeat.unverified_us > SECOND_REPORT_US)
+    start_probing (core, machine);
+  if (unheard_us > silence->unheard_us
+      || (is_believed_unreachable (core, machine) && others_are_heard (core, machine)
+          && unheard_us > silence->report_us))
+    release (core, machine, "silent since the change of leader");
 }
 
 void
-mh_failure_check (MhCore *core, MhMachine *m)
+mh_failure_check (MhCore *core, MhMachine *machine)
 {
-  if (m->heartbeat.reported && mh_failure_is_zone_partitioned (core, m->zone))
-    check_in_partition (core, m);
-  else if (m->heartbeat.reported)
-    check_reported (core, m);
-  else if (m->attempts->len || m->listed_running)
-    check_unseen (core, m);
+  bool reported = machine->heartbeat.reported;
+  if (reported && mh_zone_is_partitioned (core, machine->zone))
+    check_in_partition (core, machine);
+  else if (reported)
+    check_reported (core, machine);
+  else if (machine->attempts->len || machine->listed_running)
+    check_unheard (core, machine);
   else
-    mh_boot_time_check (core, m);
+    mh_boot_time_check (core, machine);
 }
 
-void
-mh_failure_survey (MhCore *core)
+/* ---- all machines ---- */
+
+typedef struct
 {
-  guint silent = 0, unseen = 0, all = 0, hosts = 0;
-  gint64 usual = core->settings->silence_us;
-  /* A new leader's workers need time to find it. */
-  gint64 report = core->settings->report_us * 5 / 4 + MH_SECOND_US * 2 / 5;
-  MhSilenceThresholds p = { .report_us = report,
-                            .suspect_us = report + MH_SECOND_US / 3,
-                            .known_us = usual,
-                            .unseen_us = usual + 6 * MH_SECOND_US };
-  GHashTableIter it;
-  gpointer value;
-  for (guint i = 0; i < core->zones->len; i++)
-    g_array_index (core->zones, MhZone, i).machines = 0;
-  g_hash_table_iter_init (&it, core->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value))
+  guint machines, silent, unheard, with_replicas;
+} Census;
+
+static void
+count_machine (MhCore *core, const MhMachine *machine, Census *census)
+{
+  const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
+  if (machine->releasing || !(heartbeat->reported || machine->attempts->len))
+    return;
+  census->machines++;
+  census->with_replicas += machine->usage.replicas > 0;
+  if (!heartbeat->reported)
     {
-      MhMachine *m = value;
-      if (m->releasing || !(m->heartbeat.reported || m->attempts->len))
-        continue;
-      MhZone *z = m->heartbeat.reported ? find_zone (core, m->zone) : NULL;
-      if (z)
-        z->machines++;
-      all++;
-      hosts += m->usage.replicas > 0;
-      if (m->heartbeat.reported)
-        silent += m->probe.failures || m->heartbeat.ignored_answers
-                  || mh_cluster_silence_us (core, m->heartbeat.last_report_us) > usual;
-      else
-        unseen++;
+      census->unheard++;
+      return;
     }
-  look_at_zones (core);
+  MhZone *zone = mh_zone_find (core, machine->zone);
+  if (zone)
+    zone->machines++;
+  census->silent
+      += machine->probe.failures || heartbeat->ignored_answers
+         || mh_cluster_silence_us (core, heartbeat->last_report_us) > core->settings->silence_us;
+}
+
+static Census
+take_census (MhCore *core)
+{
+  Census census = { 0 };
+  GHashTableIter it;
+  gpointer machine;
+  for (guint i = 0; i < core->cluster->zones->len; i++)
+    g_array_index (core->cluster->zones, MhZone, i).machines = 0;
+  g_hash_table_iter_init (&it, core->cluster->machines);
+  while (g_hash_table_iter_next (&it, NULL, &machine))
+    count_machine (core, machine, &census);
+  return census;
+}
+
+static bool
+are_most (guint count, const Census *census)
+{
+  return count >= LEAST_OF_MOST && count * 2 > census->machines;
+}
+
+/* Machines with replicas are asked sooner, but only as many in a report's interval as the rate of
+   probes allows; both probes are over when the report is overdue. */
+static gint64
+replica_suspect_us (const MhCore *core, const Census *census, const MhSilenceThresholds *silence)
+{
+  double rate = PROBES_PER_CORE_S * core->settings->core_share;
+  gint64 all_probed_us = (gint64)((double)census->with_replicas * MH_SECOND_US / rate);
+  gint64 early_us = silence->report_us - MAX_FAILED_PROBES * PROBE_TIMEOUT_US;
+  return MIN (silence->suspect_us, MAX (early_us, all_probed_us));
+}
+
+void
+mh_failure_survey (MhCore *core)
+{
+  const MhSettings *settings = core->settings;
+  Census census = take_census (core);
+  mh_zone_check_all (core);
+  MhSilenceThresholds silence = { .silent_us = settings->silence_us };
+  silence.report_us = settings->report_us * 5 / 4 + REPORT_SPARE_US;
+  silence.suspect_us = silence.report_us + SUSPECT_SPARE_US;
+  silence.replica_us = replica_suspect_us (core, &census, &silence);
+  silence.unheard_us = settings->silence_us + FIND_LEADER_US;
   /* When most are silent at once it is rather this side that is cut off; and a former leader that
      is cut off from the state service alone may hold all workers for a while. Without this, a new
      leader once gave back a whole fleet of working machines. */
-  if (silent >= 3 && silent * 2 > all)
+  if (are_most (census.silent, &census))
     {
-      p.cut_off = true;
-      p.known_us = core->settings->worker_lease_us + 5 * MH_SECOND_US;
+      silence.cut_off = true;
+      silence.silent_us = settings->worker_lease_us + CUT_OFF_SPARE_US;
     }
-  if (unseen >= 3 && unseen * 2 > all)
-    p.unseen_us = MAX (p.unseen_us, mh_heartbeat_keep_alive_us (core) + 10 * MH_SECOND_US);
-  gint64 every
-      = (gint64)((double)hosts * MH_SECOND_US / (PROBES_PER_CORE_S * core->settings->core_share));
-  /* Both probes are over when the report is overdue. */
-  p.replica_us = MIN (p.suspect_us, MAX (report - MAX_FAILED_PROBES * PROBE_TIMEOUT_US, every));
-  core->silence = p;
+  if (are_most (census.unheard, &census))
+    silence.unheard_us
+        = MAX (silence.unheard_us, mh_heartbeat_keep_alive_us (core) + MOSTLY_UNHEARD_SPARE_US);
+  core->cluster->silence = silence;
 }
 
+/* ---- this leader ---- */
+
 /* How long a leader may get no report before it hands over. One that has just been elected gives
    the workers of the others time to find it: each waits for an answer of one after the other. Each
    time that it was of no use, since no report has come since, the next one waits twice as long. */
 static gint64
-unheard_patience_us (const MhCore *core, guint machines, bool any_report)
+max_unheard_us (const MhCore *core, guint machines, bool any_report)
 {
-  gint64 report = core->settings->report_us;
-  gint64 patience;
+  const MhSettings *settings = core->settings;
+  gint64 limit_us;
   if (any_report)
-    patience = CLAMP (report * 2 * REPORTS_MISSED / MAX (machines, 1), UNHEARD_LEADER_US,
-                      MAX (UNHEARD_LEADER_US, report * 3 / 2));
+    limit_us = CLAMP (settings->report_us * UNHEARD_REPORTS / MAX (machines, 1), UNHEARD_LEADER_US,
+                      MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
   else
-    patience = (gint64)core->settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return patience << MIN (core->leader.vain_hand_overs, LONGEST_HAND_OVERS);
+    limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
+  return limit_us << MIN (core->leader.vain_hand_overs, MAX_DOUBLINGS);
 }
 
-/* A leader that gets the reports of none of several workers, though the state service serves it, is
-   cut off from them. Another controller may not be; and their leases run out, also of those that
-   answer its questions. */
 void
 mh_failure_check_leader_unheard (MhCore *core)
 {
-  gint64 heard_us = 0;
+  gint64 last_report_us = 0;
   guint machines = 0;
-  for (guint i = 0; i < core->zones->len; i++)
+  for (guint i = 0; i < core->cluster->zones->len; i++)
     {
-      const MhZone *z = &g_array_index (core->zones, MhZone, i);
-      heard_us = MAX (heard_us, z->last_report_us);
-      machines += z->machines;
+      const MhZone *zone = &g_array_index (core->cluster->zones, MhZone, i);
+      last_report_us = MAX (last_report_us, zone->last_report_us);
+      machines += zone->machines;
     }
-  if (machines < LEAST_OF_ZONE || core->settings->members->len == 0)
+  if (machines < MH_LEAST_MACHINES_OF_ZONE || core->settings->members->len == 0)
     return;
-  gint64 unheard = mh_cluster_silence_us (core, MAX (heard_us, core->leader.since_us));
-  if (unheard <= unheard_patience_us (core, machines, heard_us > 0))
+  gint64 unheard_us = mh_cluster_silence_us (core, MAX (last_report_us, core->leader.since_us));
+  if (unheard_us <= max_unheard_us (core, machines, last_report_us > 0))
     return;
   core->leader.vain_hand_overs++;
   mh_leader_hand_over (core, "no worker is heard any more");
--- /dev/null
+++ b/src/cluster/fencing.c
@@ -0,0 +1,110 @@
+#include "cluster/fencing.h"
+#include "cluster/cluster-state.h"
+#include "election/election.h"
+
+#include <string.h>
+
+/* Direct starts that a late copy might repeat, before they are fenced without a clear waiting. */
+#define MAX_UNFENCED_STARTS 64u
+
+static MhUnacknowledgedStart *
+start_at (const MhMachine *machine, guint index)
+{
+  return &g_array_index (machine->fencing.unacknowledged, MhUnacknowledgedStart, index);
+}
+
+guint64
+mh_fencing_token (const MhCore *core, const MhMachine *machine)
+{
+  return core->leader.own_epoch + (machine ? machine->fencing.raises : 0);
+}
+
+MhUnacknowledgedStart *
+mh_fencing_find_start (const MhMachine *machine, const char *job, guint index, guint64 attempt)
+{
+  for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
+    {
+      MhUnacknowledgedStart *start = start_at (machine, i);
+      if (start->index == index && start->attempt == attempt && strcmp (start->job, job) == 0)
+        return start;
+    }
+  return NULL;
+}
+
+void
+mh_fencing_add_start (MhMachine *machine, const MhCommand *command, guint64 token)
+{
+  MhUnacknowledgedStart start = { .job = g_strdup (command->job),
+                                  .index = command->index,
+                                  .attempt = command->attempt,
+                                  .token = token,
+                                  .session = machine->heartbeat.session };
+  g_array_append_val (machine->fencing.unacknowledged, start);
+}
+
+void
+mh_fencing_remove_start (MhMachine *machine, const MhUnacknowledgedStart *start)
+{
+  g_array_remove_index_fast (machine->fencing.unacknowledged,
+                             (guint)(start - start_at (machine, 0)));
+}
+
+bool
+mh_fencing_has_lost_start (const MhMachine *machine)
+{
+  for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
+    if (start_at (machine, i)->lost)
+      return true;
+  return false;
+}
+
+void
+mh_fencing_forget_fenced (MhMachine *machine)
+{
+  const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
+  for (guint i = 0; i < machine->fencing.unacknowledged->len;)
+    {
+      const MhUnacknowledgedStart *start = start_at (machine, i);
+      if (start->session < heartbeat->session || start->token < heartbeat->token)
+        g_array_remove_index_fast (machine->fencing.unacknowledged, i);
+      else
+        i++;
+    }
+}
+
+static bool
+clear_waits_long (const MhCore *core, const MhMachine *machine)
+{
+  gint64 since_us = machine->fencing.clear_held_since_us;
+  return since_us && core->now.mono_us - since_us > core->settings->worker_lease_us / 2;
+}
+
+/* Whether a higher token would fence anything that the present one does not. */
+static bool
+would_fence_a_start (const MhCore *core, const MhMachine *machine)
+{
+  guint64 token = mh_fencing_token (core, machine);
+  for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
+    if (start_at (machine, i)->token == token)
+      return true;
+  return false;
+}
+
+void
+mh_fencing_raise_token (MhCore *core, MhMachine *machine)
+{
+  MhMachineFencing *fencing = &machine->fencing;
+  bool wanted = fencing->unacknowledged->len > MAX_UNFENCED_STARTS
+                || clear_waits_long (core, machine) || mh_fencing_has_lost_start (machine);
+  if (!wanted || !would_fence_a_start (core, machine))
+    return;
+  if (fencing->raises + 2 >= MH_EPOCHS_EACH)
+    {
+      mh_leader_lost (core, "the epochs of this leadership are used up");
+      return;
+    }
+  fencing->raises++;
+  fencing->clear_held_since_us = 0;
+  mh_debug (core, "machine %s: token raised to %" G_GUINT64_FORMAT " to fence direct starts",
+            machine->name, mh_fencing_token (core, machine));
+}
--- /dev/null
+++ b/src/cluster/image-wait.c
@@ -0,0 +1,55 @@
+#include "cluster/image-wait.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster-state.h"
+
+/* Of an image whose fetch should be over by now, so much is taken to be left. */
+#define LEAST_PART_LEFT 0.1
+
+static double
+fetch_gb_per_s (const MhMachine *machine)
+{
+  return machine->type && machine->type->fetch_gb_per_s > 0 ? machine->type->fetch_gb_per_s : 1;
+}
+
+/* Gigabytes that are left of an attempt's fetch. */
+static double
+fetch_left_gb (const MhCore *core, const MhAttempt *attempt, double rate)
+{
+  double image_gb = attempt->job->spec->image_gb;
+  double fetched_s = (double)(core->now.mono_us - attempt->placed_us) / MH_SECOND_US;
+  return MAX (image_gb - fetched_s * rate, image_gb * LEAST_PART_LEFT);
+}
+
+/* Whether an attempt before that one waits for the same image. */
+static bool
+is_counted_before (const MhMachine *machine, guint index)
+{
+  const GRefString *image = mh_machine_attempt (machine, index)->job->image;
+  for (guint i = 0; i < index; i++)
+    if (mh_machine_attempt (machine, i)->job->image == image)
+      return true;
+  return false;
+}
+
+gint64
+mh_machine_image_wait_us (const MhCore *core, const MhMachine *machine, const GRefString *image,
+                          double gb)
+{
+  if (mh_machine_has_image (machine, image))
+    return 0;
+  double rate = fetch_gb_per_s (machine);
+  double others_gb = 0;
+  for (guint i = 0; i < machine->attempts->len; i++)
+    {
+      const MhAttempt *attempt = mh_machine_attempt (machine, i);
+      if (mh_attempt_is_stopping (attempt) || attempt->phase != MH_TASK_FETCHING
+          || mh_machine_has_image (machine, attempt->job->image))
+        continue;
+      double left_gb = fetch_left_gb (core, attempt, rate);
+      if (attempt->job->image == image)
+        return (gint64)(left_gb / rate * MH_SECOND_US);
+      if (!is_counted_before (machine, i))
+        others_gb += left_gb;
+    }
+  return (gint64)((others_gb + gb) / rate * MH_SECOND_US);
+}
--- /dev/null
+++ b/src/cluster/image-wait.h
@@ -0,0 +1,19 @@
+/* How long a task would wait for its image on a machine. */
+#pragma once
+
+#include "cluster/machine.h"
+
+/**
+ * mh_machine_image_wait_us:
+ * @core: the controller
+ * @machine: a machine
+ * @image: an interned name
+ * @gb: the image's size in gigabytes
+ *
+ * Returns: for how long a task would wait for the image there, in microseconds: 0 if it is cached,
+ * the rest of the fetch if one is under way, else a fetch beside those that are, which may share
+ * the rate
+ */
+gint64
+mh_machine_image_wait_us (const MhCore *core, const MhMachine *machine, const GRefString *image,
+                          double gb);
--- /dev/null
+++ b/src/cluster/machine.c
@@ -0,0 +1,132 @@
+#include "cluster/machine.h"
+
+/* Where a type says nothing of its processors. */
+#define LEAST_CPUS 1e-3
+
+static void
+unacknowledged_clear (gpointer data)
+{
+  MhUnacknowledgedStart *start = data;
+  g_free (start->job);
+}
+
+static void
+orphan_clear (gpointer data)
+{
+  MhOrphan *orphan = data;
+  g_free (orphan->job);
+}
+
+static void
+image_free (gpointer data)
+{
+  MhMachineImage *image = data;
+  g_ref_string_release (image->name);
+  g_free (image);
+}
+
+MhMachine *
+mh_machine_new (const char *name, gint64 now_us)
+{
+  MhMachine *machine = g_new0 (MhMachine, 1);
+  machine->name = g_strdup (name);
+  machine->discovered_us = now_us;
+  machine->idle_since_us = now_us;
+  machine->boot.rented_us = now_us;
+  machine->heartbeat.last_message_us = now_us;
+  machine->heartbeat.last_report_us = now_us;
+  machine->notice_until_us = -1;
+  machine->attempts = g_ptr_array_new ();
+  machine->fencing.unacknowledged = g_array_new (FALSE, FALSE, sizeof (MhUnacknowledgedStart));
+  g_array_set_clear_func (machine->fencing.unacknowledged, unacknowledged_clear);
+  machine->orphans = g_array_new (FALSE, FALSE, sizeof (MhOrphan));
+  g_array_set_clear_func (machine->orphans, orphan_clear);
+  machine->images = g_ptr_array_new_with_free_func (image_free);
+  machine->failures.jobs = g_ptr_array_new_with_free_func (g_free);
+  return machine;
+}
+
+void
+mh_machine_free (gpointer data)
+{
+  MhMachine *machine = data;
+  g_free (machine->name);
+  g_free (machine->endpoint);
+  g_clear_pointer (&machine->zone, g_ref_string_release);
+  g_free (machine->type_name);
+  g_ptr_array_unref (machine->attempts);
+  g_array_unref (machine->fencing.unacknowledged);
+  g_array_unref (machine->orphans);
+  g_ptr_array_unref (machine->images);
+  g_ptr_array_unref (machine->failures.jobs);
+  g_free (machine);
+}
+
+double
+mh_machine_hourly_price (const MhMachine *machine)
+{
+  return machine->spot ? machine->type->spot_price : machine->type->price;
+}
+
+double
+mh_machine_hourly_cpu_price (const MhMachine *machine)
+{
+  return mh_machine_hourly_price (machine) / MAX (machine->type->cpus, LEAST_CPUS);
+}
+
+/* ---- images ---- */
+
+static MhMachineImage *
+image_at (const MhMachine *machine, guint index)
+{
+  return g_ptr_array_index (machine->images, index);
+}
+
+bool
+mh_machine_has_image (const MhMachine *machine, const GRefString *name)
+{
+  for (guint i = 0; i < machine->images->len; i++)
+    if (image_at (machine, i)->name == name)
+      return true;
+  return false;
+}
+
+/* Takes the image out of the cache's order; NULL: it is not there. */
+static MhMachineImage *
+steal_image (MhMachine *machine, const GRefString *name)
+{
+  for (guint i = 0; i < machine->images->len; i++)
+    if (image_at (machine, i)->name == name)
+      return g_ptr_array_steal_index (machine->images, i);
+  return NULL;
+}
+
+static void
+drop_least_recently_used (MhMachine *machine, double added_gb)
+{
+  double total_gb = added_gb;
+  for (guint i = 0; i < machine->images->len; i++)
+    total_gb += image_at (machine, i)->gb;
+  while (machine->type && machine->images->len && total_gb > machine->type->cache_gb)
+    {
+      total_gb -= image_at (machine, 0)->gb;
+      g_ptr_array_remove_index (machine->images, 0);
+    }
+}
+
+void
+mh_machine_add_image (MhMachine *machine, GRefString *name, double gb)
+{
+  guint count = machine->images->len;
+  if (count && image_at (machine, count - 1)->name == name)
+    return;
+  MhMachineImage *image = steal_image (machine, name);
+  if (image == NULL)
+    {
+      image = g_new0 (MhMachineImage, 1);
+      image->name = g_ref_string_acquire (name);
+      image->gb = gb;
+    }
+  drop_least_recently_used (machine, gb);
+  g_ptr_array_add (machine->images, image);
+}
--- /dev/null
+++ b/src/cluster/reconcile.c
@@ -0,0 +1,205 @@
+#include "cluster/reconcile.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster-state.h"
+#include "cluster/fencing.h"
+#include "cluster/task-failure.h"
+
+/* A machine that refused a task gets no other before, and its report shows then what it holds. */
+#define REFUSED_HOLD_US MH_SECOND_US
+/* A worker that does not know the job yet is asked again after so long. */
+#define UNKNOWN_JOB_RETRY_US (2 * MH_SECOND_US)
+
+/* ---- attempts that have ended ---- */
+
+static void
+note_done (MhCore *core, const MhAttempt *attempt)
+{
+  if (attempt->running_since_us && !mh_attempt_is_from_record (attempt))
+    mh_queue_learn (core, attempt->job->spec, core->now.mono_us - attempt->running_since_us);
+  mh_task_failure_record_success (core, attempt->machine, attempt->job);
+}
+
+static void
+note_failed (MhCore *core, const MhAttempt *attempt)
+{
+  /* A huge job that fails everywhere would fill the log with its tasks. */
+  GLogLevelFlags level = mh_job_backs_off (attempt->job) ? G_LOG_LEVEL_DEBUG : G_LOG_LEVEL_INFO;
+  mh_core_log (core, level, "task %s/%u: failed on %s", attempt->job->spec->id, attempt->index,
+               attempt->machine->name);
+  mh_task_failure_record_failure (core, attempt->machine, attempt->job);
+}
+
+static void
+note_refused (MhCore *core, const MhAttempt *attempt, const char *why)
+{
+  mh_info (core, "task %s/%u: %s refused it: %s", attempt->job->spec->id, attempt->index,
+           attempt->machine->name, why);
+  attempt->machine->no_start_before_us = core->now.mono_us + REFUSED_HOLD_US;
+}
+
+static void
+note_gang_broken (MhCore *core, const MhAttempt *attempt, const char *why)
+{
+  mh_info (core, "gang %s: task %u on %s: %s", attempt->job->spec->id, attempt->index,
+           attempt->machine->name, why);
+}
+
+static void
+note_job_unknown (MhCore *core, const MhAttempt *attempt)
+{
+  mh_info (core, "task %s/%u: %s does not know the job yet", attempt->job->spec->id, attempt->index,
+           attempt->machine->name);
+  attempt->job->retry_us = core->now.mono_us + UNKNOWN_JOB_RETRY_US;
+}
+
+static void
+attempt_ended (MhCore *core, MhAttempt *attempt, MhCause cause)
+{
+  switch (cause)
+    {
+    case MH_CAUSE_DONE:
+      note_done (core, attempt);
+      break;
+    case MH_CAUSE_ERROR:
+      note_failed (core, attempt);
+      break;
+    case MH_CAUSE_NO_ROOM:
+      note_refused (core, attempt, "no room");
+      break;
+    case MH_CAUSE_BUSY:
+      note_refused (core, attempt, "another attempt is there");
+      break;
+    case MH_CAUSE_PEERS:
+      note_gang_broken (core, attempt, "another task is gone");
+      break;
+    case MH_CAUSE_INCOMPLETE:
+      note_gang_broken (core, attempt, "the others did not come in time");
+      break;
+    case MH_CAUSE_UNKNOWN:
+      note_job_unknown (core, attempt);
+      break;
+    default:
+      break;
+    }
+  mh_attempt_proven_over (core, attempt, cause == MH_CAUSE_DONE);
+}
+
+/* ---- what is shown ---- */
+
+static void
+add_orphan (MhMachine *machine, const MhReportTask *shown)
+{
+  MhOrphan orphan = { .job = g_strdup (shown->job),
+                      .index = shown->index,
+                      .attempt = shown->attempt,
+                      .ended = shown->phase == MH_TASK_ENDED };
+  g_array_append_val (machine->orphans, orphan);
+}
+
+/* The task that is shown, NULL: no job here has it. A submission that is not on record yet has no
+   tasks: what is shown is left of a job that was over before, and whose user repeats himself. Such
+   a repetition once cost a leader its lead. */
+static const MhTask *
+find_task (const MhCore *core, const MhReportTask *shown)
+{
+  const MhJob *job = g_hash_table_lookup (core->jobs, shown->job);
+  if (job == NULL || !job->accepted || shown->index >= job->spec->tasks)
+    return NULL;
+  return &job->tasks[shown->index];
+}
+
+/* One that was stopped while it waited for its image ends without it. */
+static bool
+proves_image (const MhReportTask *shown)
+{
+  return shown->phase == MH_TASK_GATHERING || shown->phase == MH_TASK_RUNNING
+         || shown->phase == MH_TASK_SAVING || shown->cause == MH_CAUSE_DONE;
+}
+
+static void
+read_shown_attempt (MhCore *core, MhAttempt *attempt, const MhReportTask *shown)
+{
+  const MhJob *job = attempt->job;
+  mh_attempt_note_shown (core, attempt, shown->phase);
+  if (proves_image (shown))
+    mh_machine_add_image (attempt->machine, job->image, job->spec->image_gb);
+  if (shown->phase == MH_TASK_ENDED)
+    attempt_ended (core, attempt, shown->cause);
+}
+
+static void
+read_shown_task (MhCore *core, MhMachine *machine, const MhReportTask *shown)
+{
+  /* What it may do is not known: it is left alone. */
+  if (g_hash_table_contains (core->unreadable, shown->job))
+    {
+      machine->heartbeat.unreadable_tasks++;
+      return;
+    }
+  const MhTask *task = find_task (core, shown);
+  if (task && shown->attempt > task->attempt)
+    {
+      /* Each attempt is written before it is sent: memory must be behind the records. */
+      mh_leader_lost (core, "a worker runs an attempt that is not on record here");
+      return;
+    }
+  MhAttempt *attempt = task ? task->live : NULL;
+  bool is_ours = attempt && attempt->machine == machine && attempt->attempt == shown->attempt;
+  if (is_ours)
+    read_shown_attempt (core, attempt, shown);
+  /* One that has just ended is to be cleared at the worker. */
+  if (!is_ours || shown->phase == MH_TASK_ENDED)
+    add_orphan (machine, shown);
+}
+
+/* ---- what is not shown ---- */
+
+/* Whether the attempt, which is not shown, can neither be on the machine any more nor come to it.
+ */
+static bool
+is_proven_gone (const MhCore *core, const MhAttempt *attempt, MhMessageSource source)
+{
+  const MhMachine *machine = attempt->machine;
+  const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
+  /* Starts of earlier leaders are fenced by a token of this leadership. */
+  if (mh_attempt_is_from_record (attempt))
+    return heartbeat->token >= mh_fencing_token (core, NULL);
+  if (!mh_attempt_start_was_sent (attempt))
+    return false;
+  if (attempt->start_session < heartbeat->session)
+    return true;
+  /* One that was never shown is simply started again. */
+  if (source == MH_MESSAGE_ANSWER || (!attempt->shown && !mh_attempt_is_stopping (attempt)))
+    return false;
+  const MhUnacknowledgedStart *direct
+      = mh_fencing_find_start (machine, attempt->job->spec->id, attempt->index, attempt->attempt);
+  if (direct && !direct->answered)
+    return false;
+  return attempt->start_sequence == 0 || heartbeat->sequence > attempt->start_sequence;
+}
+
+static void
+end_attempts_proven_gone (MhCore *core, MhMachine *machine, MhMessageSource source)
+{
+  for (guint i = machine->attempts->len; i-- > 0;)
+    {
+      MhAttempt *attempt = mh_machine_attempt (machine, i);
+      if (attempt->shown_now || !is_proven_gone (core, attempt, source))
+        continue;
+      mh_info (core, "task %s/%u: attempt %u is gone from %s", attempt->job->spec->id,
+               attempt->index, attempt->attempt, machine->name);
+      mh_attempt_proven_over (core, attempt, false);
+    }
+}
+
+void
+mh_reconcile (MhCore *core, MhMachine *machine, const MhReport *report, MhMessageSource source)
+{
+  for (guint i = 0; i < machine->attempts->len; i++)
+    mh_machine_attempt (machine, i)->shown_now = false;
+  g_array_set_size (machine->orphans, 0);
+  machine->heartbeat.unreadable_tasks = 0;
+  for (guint i = 0; i < report->tasks->len; i++)
+    read_shown_task (core, machine, &g_array_index (report->tasks, MhReportTask, i));
+  end_attempts_proven_gone (core, machine, source);
+}
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -1,4 +1,7 @@
-#include "controller/core-private.h"
+#include "cluster/task-failure.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster-state.h"
+#include "cluster/machine-registry.h"
 
 #include <string.h>
 
@@ -12,6 +15,8 @@
 /* The first wait of the back-off; each one is twice the one before it, up to the last level. */
 #define FIRST_WAIT_US (2 * MH_SECOND_US)
 #define LAST_LEVEL 6u
+/* Failures that are remembered of a machine. */
+#define MAX_FAILED_JOBS 16u
 /* The wait varies by so much in all: jobs that were submitted together do not come together. */
 #define WAIT_SPREAD 0.5
 /* A try takes room that is there; only when it has found none by then a machine is rented for it:
@@ -20,35 +25,21 @@
 /* A machine that has failed a task takes no other for a while. */
 #define HOLD_US (5 * MH_SECOND_US)
 
-void
-mh_job_failures_clear (MhJobFailures *faults)
-{
-  g_clear_pointer (&faults->machines, g_ptr_array_unref);
-  faults->tries = 0;
-  faults->level = 0;
-}
-
-bool
-mh_task_failure_backs_off (const MhJob *job)
-{
-  return job->failures.level > 0;
-}
-
 guint
 mh_task_failure_startable (const MhCore *core, const MhJob *job)
 {
   guint pending = mh_job_pending (job);
-  if (!mh_task_failure_backs_off (job))
+  if (!mh_job_backs_off (job))
     return pending;
   if (core->now.mono_us < job->retry_us || job->n_live)
     return 0;
-  return mh_gang_is (job) ? pending : MIN (pending, 1);
+  return mh_job_is_gang (job) ? pending : MIN (pending, 1);
 }
 
 guint
 mh_task_failure_rentable (const MhCore *core, const MhJob *job)
 {
-  if (mh_task_failure_backs_off (job) && core->now.mono_us < job->retry_us + PLACED_BY_US)
+  if (mh_job_backs_off (job) && core->now.mono_us < job->retry_us + PLACED_BY_US)
     return 0;
   return mh_task_failure_startable (core, job);
 }
@@ -73,29 +64,29 @@
 static void
 note_failure (const MhCore *core, MhJob *job, const char *machine)
 {
-  MhJobFailures *faults = &job->failures;
-  if (faults->machines == NULL)
-    faults->machines = g_ptr_array_new_with_free_func (g_free);
-  bool known = g_ptr_array_find_with_equal_func (faults->machines, machine, g_str_equal, NULL);
+  MhJobFailures *failures = &job->failures;
+  if (failures->machines == NULL)
+    failures->machines = g_ptr_array_new_with_free_func (g_free);
+  bool known = g_ptr_array_find_with_equal_func (failures->machines, machine, g_str_equal, NULL);
   /* Tasks that were started together on one machine say no more than one of them. */
-  if (known && core->now.mono_us < faults->failed_us + HOLD_US)
+  if (known && core->now.mono_us < failures->failed_us + HOLD_US)
     return;
-  if (!known && faults->machines->len < FAILING_TRIES)
-    g_ptr_array_add (faults->machines, g_strdup (machine));
-  faults->tries++;
-  faults->failed_us = core->now.mono_us;
+  if (!known && failures->machines->len < FAILING_TRIES)
+    g_ptr_array_add (failures->machines, g_strdup (machine));
+  failures->tries++;
+  failures->failed_us = core->now.mono_us;
 }
 
 static bool
 fails_everywhere (const MhJob *job)
 {
-  return mh_task_failure_backs_off (job) || job->failures.tries >= FAILING_TRIES;
+  return mh_job_backs_off (job) || job->failures.tries >= FAILING_TRIES;
 }
 
 static void
 wait_before_retry (MhCore *core, MhJob *job)
 {
-  gint64 wait = FIRST_WAIT_US << (job->failures.level - 1);
+  gint64 wait = FIRST_WAIT_US << (job->failures.back_off_level - 1);
   double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * core->now.jitter;
   job->retry_us = core->now.mono_us + (gint64)((double)wait * factor);
 }
@@ -104,10 +95,10 @@
 static void
 stop_fetching (MhCore *core, MhJob *job)
 {
-  for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_gang_is (job); i++)
+  for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_job_is_gang (job); i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
-      if (attempt && attempt->phase == MH_TASK_FETCHING && !attempt->stopping)
+      if (attempt && attempt->phase == MH_TASK_FETCHING && !mh_attempt_is_stopping (attempt))
         mh_attempt_stop (core, attempt, 0);
     }
 }
@@ -116,8 +107,8 @@
 static void
 back_off (MhCore *core, MhJob *job)
 {
-  bool first = !mh_task_failure_backs_off (job);
-  job->failures.level = MIN (job->failures.level + 1, LAST_LEVEL);
+  bool first = !mh_job_backs_off (job);
+  job->failures.back_off_level = MIN (job->failures.back_off_level + 1, LAST_LEVEL);
   wait_before_retry (core, job);
   mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
   mh_info (core, "job %s: fails wherever it starts; next start in %.0f s", job->spec->id,
@@ -129,8 +120,8 @@
 void
 mh_task_failure_load_back_off (MhCore *core, MhJob *job, guint level)
 {
-  job->failures.level = MIN (level, LAST_LEVEL);
-  if (mh_task_failure_backs_off (job))
+  job->failures.back_off_level = MIN (level, LAST_LEVEL);
+  if (mh_job_backs_off (job))
     wait_before_retry (core, job);
 }
 
@@ -166,7 +157,7 @@
 {
   if (machine->failures.consecutive >= FAULTY_FAILURES
       || jobs_failing_here_alone (core, machine) >= FAULTY_FAILURES)
-    mh_release_machine (core, machine, "fails every task");
+    core->cluster->callbacks->release_machine (core, machine, "fails every task");
 }
 
 static void
@@ -175,7 +166,7 @@
   machine->no_start_before_us = core->now.mono_us + HOLD_US;
   if (runs_well (core, job))
     machine->failures.consecutive++;
-  else if (machine->failures.jobs->len < MH_FAILURES_KEPT)
+  else if (machine->failures.jobs->len < MAX_FAILED_JOBS)
     g_ptr_array_add (machine->failures.jobs, g_strdup (job->spec->id));
   judge_machine (core, machine);
 }
@@ -200,7 +191,7 @@
 mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job)
 {
   /* Others that were started with the first: nothing more is learnt from them. */
-  if (mh_task_failure_backs_off (job) && core->now.mono_us < job->retry_us)
+  if (mh_job_backs_off (job) && core->now.mono_us < job->retry_us)
     return;
   if (!runs_well (core, job))
     {
@@ -215,7 +206,7 @@
 void
 mh_task_failure_record_success (MhCore *core, MhMachine *machine, MhJob *job)
 {
-  if (mh_task_failure_backs_off (job))
+  if (mh_job_backs_off (job))
     {
       mh_info (core, "job %s: runs after all", job->spec->id);
       mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
--- a/src/cluster/task-failure.h
+++ b/src/cluster/task-failure.h
@@ -7,33 +7,57 @@
    the job's first record, so that a new leader goes on with it. */
 #pragma once
 
-#include "controller/core-types.h"
+#include "cluster/machine.h"
 
-/* What is known of a job's failures since it last succeeded. */
-typedef struct
-{
-  GPtrArray *machines; /* names of those on which it failed; NULL: none */
-  guint tries;         /* that failed, each on another machine or after a while */
-  gint64 failed_us;    /* the last one */
-  guint level;         /* of the back-off; 0: it does not back off */
-} MhJobFailures;
-
-void
-mh_job_failures_clear (MhJobFailures *faults);
-/* A task of the job failed by itself on the machine. */
+/**
+ * mh_task_failure_record_failure:
+ * @core: the controller
+ * @machine: where the task failed
+ * @job: its job
+ *
+ * A task failed by itself. May give the machine back, and may make the job back off, which stops
+ * those of its tasks that still fetch their image.
+ */
 void
 mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job);
-/* A task of the job completed there: neither is at fault. */
+
+/**
+ * mh_task_failure_record_success:
+ * @core: the controller
+ * @machine: where the task completed
+ * @job: its job
+ *
+ * Neither machine nor job is at fault. What the job failed on before is: those machines are blamed,
+ * and may be given back.
+ */
 void
 mh_task_failure_record_success (MhCore *core, MhMachine *machine, MhJob *job);
-/* A record tells of a back-off under an earlier leader. */
+
+/**
+ * mh_task_failure_load_back_off:
+ * @core: the controller
+ * @job: a job that is being loaded
+ * @level: of the back-off in its record; 0: it does not back off
+ */
 void
 mh_task_failure_load_back_off (MhCore *core, MhJob *job, guint level);
-bool
-mh_task_failure_backs_off (const MhJob *job);
-/* How many of the job's pending tasks may be started now. */
+
+/**
+ * mh_task_failure_startable:
+ * @core: the controller
+ * @job: a job
+ *
+ * Returns: how many of its pending tasks may be started now
+ */
 guint
 mh_task_failure_startable (const MhCore *core, const MhJob *job);
-/* ... and for how many machines may be rented. */
+
+/**
+ * mh_task_failure_rentable:
+ * @core: the controller
+ * @job: a job
+ *
+ * Returns: for how many of its pending tasks machines may be rented now
+ */
 guint
 mh_task_failure_rentable (const MhCore *core, const MhJob *job);
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -1,347 +1,199 @@
-/* Commands: what a machine is told, with the answer to its report or straight away, and what keeps
-   a late copy of a direct start from being carried out. */
-#include "controller/core-private.h"
+#include "cluster/worker-command.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster-state.h"
+#include "cluster/fencing.h"
 
-#include <string.h>
+/* An attempt that has not ended so long after its grace was over is stopped without any. */
+#define LATE_STOP_US MH_SECOND_US
 
-#define DIRECT_TIMEOUT_US (2 * MH_SECOND_US)
-/* Direct commands that nobody waits for, by the processor's share: what they would say goes with
-   the answer to the next report, which costs nothing. A large array placed at once on a hundred
-   machines once kept the leader from all else for a second. */
-#define DIRECTS_PER_CORE_S 250
-/* Direct starts that a late copy might repeat, before they are fenced without a clear waiting. */
-#define UNACKNOWLEDGED_KEPT 64u
+typedef enum
+{
+  ANSWER_TO_REPORT, /* all that holds is said again */
+  DIRECTLY          /* only what has not been said before */
+} Channel;
 
-void
-mh_worker_command_init (MhCore *core)
+static void
+add_command (GArray *commands, MhCommandKind kind, const MhAttempt *attempt, gint64 grace_us)
 {
-  double rate = DIRECTS_PER_CORE_S * core->settings->core_share;
-  mh_bucket_init (&core->direct_bucket, rate, MAX (1, rate / 4), core->now.mono_us);
+  MhCommand command = { .kind = kind,
+                        .job = g_strdup (attempt->job->spec->id),
+                        .index = attempt->index,
+                        .attempt = attempt->attempt,
+                        .grace_us = grace_us };
+  g_array_append_val (commands, command);
 }
 
-/* ---- fences ---- */
-
-MhUnacknowledgedStart *
-mh_worker_command_find_unacknowledged (const MhMachine *m, const char *job, guint index,
-                                       guint64 attempt)
+static void
+add_orphan_command (GArray *commands, MhCommandKind kind, const MhOrphan *orphan)
 {
-  for (guint i = 0; i < m->fencing.unacknowledged->len; i++)
-    {
-      MhUnacknowledgedStart *l
-          = &g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i);
-      if (l->index == index && l->attempt == attempt && strcmp (l->job, job) == 0)
-        return l;
-    }
-  return NULL;
+  MhCommand command = {
+    .kind = kind, .job = g_strdup (orphan->job), .index = orphan->index, .attempt = orphan->attempt
+  };
+  g_array_append_val (commands, command);
 }
 
-/* The fencing token that the machine is told: those of a leadership begin with own_epoch. */
-guint64
-mh_worker_command_token (const MhCore *core, const MhMachine *m)
+/* ---- starts and stops ---- */
+
+static bool
+is_durable (const MhAttempt *attempt)
 {
-  return core->leader.own_epoch + (m ? m->fencing.raises : 0);
+  return mh_job_record (attempt->job, attempt->index)->durable >= attempt->need_rev;
 }
 
-/* A direct start may have been lost, or a clear waits until no late copy of it can run it again:
-   the worker gets a higher token. It tells of that by one more report, so that clears are gathered.
- */
-void
-mh_worker_command_fence (MhCore *core, MhMachine *m)
+/* Every place of the gang is on record: a successor must not take a part of it for the whole. */
+static bool
+gang_is_durable (const MhJob *job)
 {
-  bool wanted = m->fencing.unacknowledged->len > UNACKNOWLEDGED_KEPT
-                || (m->fencing.clear_held_since_us
-                    && core->now.mono_us - m->fencing.clear_held_since_us
-                           > core->settings->worker_lease_us / 2);
-  bool helps = false;
-  for (guint i = 0; i < m->fencing.unacknowledged->len; i++)
+  if (job->ending || job->n_live < job->spec->tasks)
+    return false;
+  for (guint i = 0; i < job->spec->tasks; i++)
     {
-      const MhUnacknowledgedStart *l
-          = &g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i);
-      wanted |= l->lost;
-      helps |= l->token == mh_worker_command_token (core, m);
+      const MhAttempt *attempt = job->tasks[i].live;
+      if (mh_attempt_is_from_record (attempt) || !is_durable (attempt))
+        return false;
     }
-  if (!wanted || !helps)
-    return;
-  if (m->fencing.raises + 2 >= MH_EPOCHS_EACH)
-    {
-      mh_leader_lost (core, "the epochs of this leadership are used up");
-      return;
-    }
-  m->fencing.raises++;
-  m->fencing.clear_held_since_us = 0;
-  mh_debug (core, "machine %s: token raised to %" G_GUINT64_FORMAT " to fence direct starts",
-            m->name, mh_worker_command_token (core, m));
+  return true;
 }
 
-/* A late command is carried out only under its own session and an token that the worker has not
-   outgrown. */
-void
-mh_worker_command_forget_fenced (MhMachine *m)
+static bool
+may_start (const MhAttempt *attempt)
 {
-  for (guint i = 0; i < m->fencing.unacknowledged->len;)
-    {
-      const MhUnacknowledgedStart *l
-          = &g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i);
-      if (l->session < m->heartbeat.session || l->token < m->heartbeat.token)
-        g_array_remove_index_fast (m->fencing.unacknowledged, i);
-      else
-        i++;
-    }
+  bool unseen
+      = attempt->state == MH_ATTEMPT_RECORDED || attempt->state == MH_ATTEMPT_START_IN_FLIGHT;
+  return unseen && !mh_attempt_is_from_record (attempt) && is_durable (attempt)
+         && !mh_job_over (attempt->job) && !attempt->machine->releasing
+         && (!mh_job_is_gang (attempt->job) || gang_is_durable (attempt->job));
 }
 
-/* ---- what a machine is told ---- */
-
 static void
-add_command (GArray *commands, MhCommandKind kind, const char *job, guint index, guint64 attempt,
-             gint64 grace_us)
+add_stop (const MhCore *core, MhAttempt *attempt, GArray *commands)
 {
-  MhCommand o = {
-    .kind = kind, .job = g_strdup (job), .index = index, .attempt = attempt, .grace_us = grace_us
-  };
-  g_array_append_val (commands, o);
+  gint64 now_us = core->now.mono_us;
+  /* One that saves longer than it was given is ended by a second command. */
+  bool late
+      = attempt->stop_sent_us && now_us > attempt->stop_sent_us + attempt->grace_us + LATE_STOP_US;
+  add_command (commands, MH_COMMAND_STOP, attempt, late ? 0 : attempt->grace_us);
+  if (attempt->stop_sent_us == 0)
+    attempt->stop_sent_us = now_us;
 }
 
-static bool
-may_start (const MhAttempt *a)
+static void
+add_start (MhAttempt *attempt, GArray *commands, Channel channel)
 {
-  const MhRecord *r = mh_job_record (a->job, a->index);
-  return !a->seen && !a->stopping && !a->loaded && r->durable >= a->need_rev
-         && !mh_job_over (a->job) && !a->machine->releasing
-         && (!mh_gang_is (a->job) || mh_gang_on_record (a));
+  add_command (commands, MH_COMMAND_START, attempt, 0);
+  mh_attempt_note_start_sent (attempt, channel == ANSWER_TO_REPORT);
 }
 
-/* Starts and stops for a machine. Directly, only what has not been said before. */
 static void
-attempt_commands (MhCore *core, MhMachine *m, GArray *commands, bool direct)
+collect_for_attempts (MhCore *core, MhMachine *machine, GArray *commands, Channel channel)
 {
-  gint64 now = core->now.mono_us;
-  for (guint i = 0; i < m->attempts->len; i++)
+  for (guint i = 0; i < machine->attempts->len; i++)
     {
-      MhAttempt *a = mh_machine_attempt (m, i);
-      const char *job = a->job->spec->id;
-      if (a->stopping && !(direct && a->stop_sent_us))
-        {
-          /* One that saves longer than it was given is ended by a second command. */
-          bool late = a->stop_sent_us && now > a->stop_sent_us + a->grace_us + MH_SECOND_US;
-          add_command (commands, MH_COMMAND_STOP, job, a->index, a->attempt,
-                       late ? 0 : a->grace_us);
-          if (a->stop_sent_us == 0)
-            a->stop_sent_us = now;
-        }
-      else if (!a->stopping && may_start (a) && !(direct && a->start_sent))
+      MhAttempt *attempt = mh_machine_attempt (machine, i);
+      if (mh_attempt_is_stopping (attempt))
         {
-          add_command (commands, MH_COMMAND_START, job, a->index, a->attempt, 0);
-          a->start_sent = true;
-          a->start_session = m->heartbeat.session;
-          if (!direct)
-            a->start_sequence = m->heartbeat.sequence;
+          if (channel == ANSWER_TO_REPORT || attempt->stop_sent_us == 0)
+            add_stop (core, attempt, commands);
         }
+      else if (may_start (attempt)
+               && (channel == ANSWER_TO_REPORT || !mh_attempt_start_was_sent (attempt)))
+        add_start (attempt, commands, channel);
     }
 }
 
-static void
-orphan_commands (MhCore *core, MhMachine *m, GArray *commands)
+/* ---- orphans ---- */
+
+/* A result must not be cleared before it is on record. */
+static bool
+result_is_unrecorded (const MhCore *core, const MhOrphan *orphan)
 {
-  bool held = false;
-  for (guint i = 0; i < m->orphans->len; i++)
-    {
-      const MhOrphan *s = &g_array_index (m->orphans, MhOrphan, i);
-      if (!s->ended)
-        {
-          mh_info (core, "task %s/%u: stopping orphaned attempt %" G_GUINT64_FORMAT " on %s",
-                   s->job, s->index, s->attempt, m->name);
-          add_command (commands, MH_COMMAND_STOP, s->job, s->index, s->attempt, 0);
-          continue;
-        }
-      /* Once cleared the attempt is forgotten there, and a start that is still on its way, or a
-         late copy of one that was carried out, would run it again; and a result must not be cleared
-         before it is on record. */
-      const MhUnacknowledgedStart *unacknowledged
-          = mh_worker_command_find_unacknowledged (m, s->job, s->index, s->attempt);
-      if (unacknowledged)
-        {
-          held |= unacknowledged->token == mh_worker_command_token (core, m); /* not fenced yet */
-          continue;
-        }
-      MhJob *job = g_hash_table_lookup (core->jobs, s->job);
-      if (job && s->index < job->spec->tasks && job->tasks[s->index].state == MH_TASK_DONE)
-        {
-          const MhRecord *r = mh_job_record (job, s->index);
-          if (job->finished || r->durable < r->rev)
-            continue;
-        }
-      add_command (commands, MH_COMMAND_CLEAR, s->job, s->index, s->attempt, 0);
-    }
-  m->fencing.clear_held_since_us = !held                            ? 0
-                                   : m->fencing.clear_held_since_us ? m->fencing.clear_held_since_us
-                                                                    : core->now.mono_us;
+  MhJob *job = g_hash_table_lookup (core->jobs, orphan->job);
+  if (job == NULL || orphan->index >= job->spec->tasks
+      || job->tasks[orphan->index].state != MH_TASK_DONE)
+    return false;
+  const MhRecord *record = mh_job_record (job, orphan->index);
+  return job->finished || record->durable < record->rev;
 }
 
-/* For the answer to its report. */
-void
-mh_worker_command_collect (MhCore *core, MhMachine *m, GArray *commands)
+static void
+stop_orphan (MhCore *core, const MhMachine *machine, const MhOrphan *orphan, GArray *commands)
 {
-  attempt_commands (core, m, commands, false);
-  orphan_commands (core, m, commands);
+  mh_info (core, "task %s/%u: stopping orphaned attempt %" G_GUINT64_FORMAT " on %s", orphan->job,
+           orphan->index, orphan->attempt, machine->name);
+  add_orphan_command (commands, MH_COMMAND_STOP, orphan);
 }
 
-/* A confirmed cancellation stands under every leader: telling of it is no commands of this one's,
-   and is right whatever has happened since. */
-void
-mh_worker_command_collect_cancelled (const MhMachine *m, GArray *commands)
+/* Once cleared an attempt is forgotten at the worker, and a start that is still on its way, or a
+   late copy of one that was carried out, would run it again. */
+static void
+collect_for_orphans (MhCore *core, MhMachine *machine, GArray *commands)
 {
-  for (guint i = 0; i < m->attempts->len; i++)
+  guint64 token = mh_fencing_token (core, machine);
+  bool clear_held = false;
+  for (guint i = 0; i < machine->orphans->len; i++)
     {
-      const MhAttempt *a = mh_machine_attempt (m, i);
-      if (a->job->cancel_durable)
-        add_command (commands, MH_COMMAND_STOP, a->job->spec->id, a->index, a->attempt, 0);
+      const MhOrphan *orphan = &g_array_index (machine->orphans, MhOrphan, i);
+      const MhUnacknowledgedStart *start
+          = mh_fencing_find_start (machine, orphan->job, orphan->index, orphan->attempt);
+      if (!orphan->ended)
+        stop_orphan (core, machine, orphan, commands);
+      else if (start)
+        clear_held |= start->token == token; /* not fenced by a higher one yet */
+      else if (!result_is_unrecorded (core, orphan))
+        add_orphan_command (commands, MH_COMMAND_CLEAR, orphan);
     }
+  gint64 *held_since_us = &machine->fencing.clear_held_since_us;
+  if (!clear_held)
+    *held_since_us = 0;
+  else if (*held_since_us == 0)
+    *held_since_us = core->now.mono_us;
 }
 
-/* ---- straight away ---- */
-
-typedef struct
-{
-  char *machine;
-  GArray *commands;
-} Direct;
+/* ---- what is told when ---- */
 
-static void
-direct_free (gpointer data)
+void
+mh_worker_command_collect (MhCore *core, MhMachine *machine, GArray *commands)
 {
-  Direct *d = data;
-  g_free (d->machine);
-  g_array_unref (d->commands);
-  g_free (d);
+  collect_for_attempts (core, machine, commands, ANSWER_TO_REPORT);
+  collect_for_orphans (core, machine, commands);
 }
 
-static MhAttempt *
-find_attempt (MhMachine *m, const MhCommand *o)
+void
+mh_worker_command_collect_unsent (MhCore *core, MhMachine *machine, GArray *commands)
 {
-  for (guint i = 0; i < m->attempts->len; i++)
-    {
-      MhAttempt *a = mh_machine_attempt (m, i);
-      if (a->index == o->index && a->attempt == o->attempt
-          && strcmp (a->job->spec->id, o->job) == 0)
-        return a;
-    }
-  return NULL;
+  collect_for_attempts (core, machine, commands, DIRECTLY);
 }
 
-static void
-direct_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
+void
+mh_worker_command_collect_cancelled (const MhMachine *machine, GArray *commands)
 {
-  Direct *d = data;
-  MhMachine *m = mh_cluster_find_machine (core, d->machine);
-  g_autoptr (MhReport) r = status == 200 || status == 409 ? mh_wire_read_report (body) : NULL;
-  if (m == NULL)
-    return;
-  m->direct_commands_in_flight--;
-  for (guint i = 0; i < d->commands->len; i++)
+  for (guint i = 0; i < machine->attempts->len; i++)
     {
-      const MhCommand *o = &g_array_index (d->commands, MhCommand, i);
-      MhAttempt *a = find_attempt (m, o);
-      MhUnacknowledgedStart *l
-          = mh_worker_command_find_unacknowledged (m, o->job, o->index, o->attempt);
-      if (o->kind == MH_COMMAND_STOP)
-        {
-          if (a && status != 200)
-            a->stop_sent_us = 0;
-          continue;
-        }
-      bool refused = status == 409 || status == 400;
-      if (refused && a && !a->seen && a->start_sequence == 0)
-        a->start_sent = false; /* nothing was carried out, nor will a copy be */
-      if (l && refused)
-        g_array_remove_index_fast (
-            m->fencing.unacknowledged,
-            (guint)(l - (MhUnacknowledgedStart *)m->fencing.unacknowledged->data));
-      else if (l)
-        {
-          l->answered = status == 200;
-          l->lost = !l->answered;
-        }
+      const MhAttempt *attempt = mh_machine_attempt (machine, i);
+      if (attempt->job->cancel_durable)
+        add_command (commands, MH_COMMAND_STOP, attempt, 0);
     }
-  if (r)
-    mh_heartbeat_take_answer (core, m, r);
 }
 
-typedef enum
-{
-  NOTHING_UNSENT,
-  PATIENT_COMMANDS,
-  URGENT_COMMANDS /* a replica or a gang starts, or room is made */
-} UnsentCommands;
-
-static UnsentCommands
-unsent_commands (const MhMachine *m)
+static MhUnsentCommands
+unsent_for_attempt (const MhAttempt *attempt)
 {
-  UnsentCommands found = NOTHING_UNSENT;
-  for (guint i = 0; i < m->attempts->len; i++)
+  if (mh_attempt_is_stopping (attempt))
     {
-      const MhAttempt *a = mh_machine_attempt (m, i);
-      bool waited_for = a->job->spec->shape != MH_SHAPE_ARRAY;
-      if (a->stopping ? a->stop_sent_us != 0 : a->start_sent || !may_start (a))
-        continue;
-      if (a->stopping ? !mh_job_over (a->job) : waited_for)
-        return URGENT_COMMANDS;
-      found = PATIENT_COMMANDS;
+      if (attempt->stop_sent_us)
+        return MH_UNSENT_NONE;
+      return mh_job_over (attempt->job) ? MH_UNSENT_PATIENT : MH_UNSENT_URGENT;
     }
-  return found;
-}
-
-static bool
-anything_lost (const MhMachine *m)
-{
-  for (guint i = 0; i < m->fencing.unacknowledged->len; i++)
-    if (g_array_index (m->fencing.unacknowledged, MhUnacknowledgedStart, i).lost)
-      return true;
-  return false;
-}
-
-bool
-mh_worker_command_can_send (const MhCore *core, const MhMachine *m)
-{
-  return core->settings->direct && !m->direct_commands_in_flight && m->heartbeat.reported
-         && !m->releasing && m->endpoint && !m->heartbeat.ignored_answers
-         && !mh_cluster_is_silent (core, m, core->settings->report_us * 3 / 2)
-         && !anything_lost (m);
+  if (mh_attempt_start_was_sent (attempt) || !may_start (attempt))
+    return MH_UNSENT_NONE;
+  return attempt->job->spec->shape == MH_SHAPE_ARRAY ? MH_UNSENT_PATIENT : MH_UNSENT_URGENT;
 }
 
-/* `token_only`: no commands, but the worker learns of this leader, and so does a former one that it
-   still reports to. */
-void
-mh_worker_command_send (MhCore *core, MhMachine *m, bool token_only)
+MhUnsentCommands
+mh_worker_command_unsent (const MhMachine *machine)
 {
-  /* One at a time, and none to a machine that may not be there. Its next report will carry them. */
-  if (!mh_worker_command_can_send (core, m))
-    return;
-  UnsentCommands unsaid = unsent_commands (m);
-  if (!token_only
-      && (unsaid == NOTHING_UNSENT
-          || (unsaid == PATIENT_COMMANDS
-              && !mh_bucket_has (&core->direct_bucket, 1, core->now.mono_us))))
-    return;
-  mh_bucket_take (&core->direct_bucket, 1);
-  g_autoptr (GArray) commands = mh_commands_new ();
-  attempt_commands (core, m, commands, true);
-  Direct *d = g_new0 (Direct, 1);
-  d->machine = g_strdup (m->name);
-  d->commands = g_array_ref (commands);
-  guint64 token = mh_worker_command_token (core, m);
-  for (guint i = 0; i < commands->len; i++)
-    {
-      const MhCommand *o = &g_array_index (commands, MhCommand, i);
-      MhUnacknowledgedStart l = {
-        .index = o->index, .attempt = o->attempt, .token = token, .session = m->heartbeat.session
-      };
-      if (o->kind != MH_COMMAND_START)
-        continue;
-      l.job = g_strdup (o->job);
-      g_array_append_val (m->fencing.unacknowledged, l);
-    }
-  m->direct_commands_in_flight++;
-  mh_core_call (core, MH_RANK_WORK,
-                mh_wire_commands (m->endpoint, token, m->heartbeat.session, commands), 0,
-                DIRECT_TIMEOUT_US, direct_reply, d, direct_free);
+  MhUnsentCommands most_urgent = MH_UNSENT_NONE;
+  for (guint i = 0; i < machine->attempts->len && most_urgent != MH_UNSENT_URGENT; i++)
+    most_urgent = MAX (most_urgent, unsent_for_attempt (mh_machine_attempt (machine, i)));
+  return most_urgent;
 }
--- a/src/cluster/worker-command.h
+++ b/src/cluster/worker-command.h
@@ -1,36 +1,61 @@
-/* Commands to workers, and the fencing of late copies of them.
+/* What a machine is told with the answer to its report: starts, stops and clears.
 
-   A start leaves only when its attempt is durable. A start that was sent directly may be carried
-   out late; the worker is given a higher fencing token before its end is cleared. */
+   A start leaves only when its attempt is durable. A result is cleared at the worker only when it
+   is durable too, and when no late copy of the start can run the attempt again (fencing.h). */
 #pragma once
 
-#include "cluster/machine-registry.h"
+#include "cluster/machine.h"
 
-void
-mh_worker_command_init (MhCore *core);
-/* The fencing token that the machine is told: those of a leadership begin with own_epoch. NULL: not
- * known.
+/**
+ * MhUnsentCommands:
+ * @MH_UNSENT_NONE: nothing has to be said
+ * @MH_UNSENT_PATIENT: nobody waits: it can go with the answer to the next report
+ * @MH_UNSENT_URGENT: a replica or a gang starts, or room is made
+ *
+ * What has not been said to a machine yet.
+ */
+typedef enum
+{
+  MH_UNSENT_NONE,
+  MH_UNSENT_PATIENT,
+  MH_UNSENT_URGENT
+} MhUnsentCommands;
+
+/**
+ * mh_worker_command_unsent:
+ * @machine: a machine
+ *
+ * Returns: whether there are starts or stops that have not been said, and how urgent they are
+ */
+MhUnsentCommands
+mh_worker_command_unsent (const MhMachine *machine);
+
+/**
+ * mh_worker_command_collect:
+ * @core: the controller
+ * @machine: a machine whose report is being answered
+ * @commands: (element-type MhCommand): the answer's commands, to which all that hold are added
  */
-guint64
-mh_worker_command_token (const MhCore *core, const MhMachine *machine);
-/* A direct start of the attempt that is not fenced yet. */
-MhUnacknowledgedStart *
-mh_worker_command_find_unacknowledged (const MhMachine *machine, const char *job, guint index,
-                                       guint64 attempt);
-/* Forgets those that the token in its last report fences. */
-void
-mh_worker_command_forget_fenced (MhMachine *machine);
-/* Raises its token where something waits for that. */
-void
-mh_worker_command_fence (MhCore *core, MhMachine *machine);
 void
 mh_worker_command_collect (MhCore *core, MhMachine *machine, GArray *commands);
-/* Stops for the tasks of cancelled jobs alone. */
+
+/**
+ * mh_worker_command_collect_unsent:
+ * @core: the controller
+ * @machine: a machine that is told directly
+ * @commands: (element-type MhCommand): to which the starts and stops are added that were not said
+ * yet
+ */
 void
-mh_worker_command_collect_cancelled (const MhMachine *machine, GArray *commands);
-/* Whether a command would leave for the machine now. */
-bool
-mh_worker_command_can_send (const MhCore *core, const MhMachine *machine);
-/* Directly, what has not been said. `token_only`: even if that is nothing but the token. */
+mh_worker_command_collect_unsent (MhCore *core, MhMachine *machine, GArray *commands);
+
+/**
+ * mh_worker_command_collect_cancelled:
+ * @machine: a machine
+ * @commands: (element-type MhCommand): to which stops for the tasks of cancelled jobs are added
+ *
+ * A confirmed cancellation stands under every leader: telling of it is no command of this one's,
+ * and right whatever has happened since.
+ */
 void
-mh_worker_command_send (MhCore *core, MhMachine *machine, bool token_only);
+mh_worker_command_collect_cancelled (const MhMachine *machine, GArray *commands);
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -3,14 +3,18 @@
 #pragma once
 
 #include "controller/core.h"
-#include "cluster/boot-time.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster.h"
+#include "cluster/direct-command.h"
+#include "cluster/heartbeat.h"
+#include "cluster/image-wait.h"
 #include "base/token-bucket.h"
-#include "cluster/worker-command.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/zone-silence.h"
 #include "placement/gang-scheduling.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
@@ -115,19 +119,8 @@
   } limits;   /* on record, so that no later leader has to find out */
   guint txns; /* in flight */
   guint64 rev;
-  GHashTable *machines;    /* name -> MhMachine */
-  GHashTable *returned;    /* names of machines that are gone */
-  GQueue returned_order;   /* Returned */
-  GPtrArray *commands_due; /* MhMachine, not owned */
-  GArray *zones;           /* MhZone */
-  MhSilenceThresholds silence;
-  guint service_replicas; /* of services, on all machines */
-  gint64 swept_us;
-  MhBucket probe_bucket, direct_bucket;
-  GPtrArray *types;               /* MhMachineType; NULL until known */
-  GHashTable *team_use;           /* team -> MhUse */
+  MhCluster *cluster;
   GHashTable *class_stats;        /* class -> MhClassStat */
-  GHashTable *boot_stats;         /* type -> MhBootStat */
   gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
   GHashTable *gangs;              /* ids of those that a task's end has consequences for */
   gint64 gangs_looked_us;
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -367,10 +367,10 @@
   double n = spec->shape == MH_SHAPE_ARRAY ? 1 : spec->tasks;
   if (spec->cpus * n > team->cpus_max + 1e-9 || spec->gpus * n > team->gpus_max + 1e-9)
     return 422;
-  if (core->types == NULL)
+  if (mh_cluster_types (core) == NULL)
     return 503;
-  for (guint i = 0; i < core->types->len; i++)
-    if (mh_place_type_fits (spec, g_ptr_array_index (core->types, i)))
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+    if (mh_place_type_fits (spec, g_ptr_array_index (mh_cluster_types (core), i)))
       return spec->shape == MH_SHAPE_GANG && !mh_gang_possible (core, spec) ? 422 : 0;
   return 422;
 }
@@ -380,12 +380,12 @@
 static void
 keep_known_types (const MhCore *core, MhJobSpec *spec)
 {
-  if (spec->types == NULL || core->types == NULL)
+  if (spec->types == NULL || mh_cluster_types (core) == NULL)
     return;
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
-  for (guint i = 0; i < core->types->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       if (g_strv_contains ((const char *const *)spec->types, t->name))
         g_strv_builder_add (known, t->name);
     }
@@ -613,6 +613,7 @@
   mh_leader_step (core);
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
+      mh_gang_step (core);
       mh_cluster_step (core);
       mh_place_step (core);
       mh_scale_step (core);
@@ -629,6 +630,21 @@
   mh_core_step (core);
 }
 
+static void
+note_capacity_changed (MhCore *core, bool urgent)
+{
+  core->place_wanted = true;
+  core->place_urgent |= urgent;
+}
+
+static const MhClusterCallbacks cluster_callbacks = {
+  .release_machine = mh_release_machine,
+  .capacity_changed = note_capacity_changed,
+  .gang_loaded = mh_gang_loaded,
+  .gang_task_over = mh_gang_task_over,
+  .gang_stop = mh_gang_stop,
+};
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -642,22 +658,15 @@
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_machine_free);
-  core->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  core->returned = g_hash_table_new (g_str_hash, g_str_equal);
+  core->cluster = mh_cluster_new (settings, &cluster_callbacks, t);
   core->gangs = mh_gang_table ();
-  core->commands_due = g_ptr_array_new ();
-  core->zones = g_array_new (FALSE, TRUE, sizeof (MhZone));
   core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->boot_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_queue_init (&core->actions);
   /* The other controllers read and watch a little too. */
   mh_bucket_init (&core->state_bucket, settings->state_rps * 0.75, settings->state_rps * 0.4, t);
   mh_bucket_init (&core->write_bucket, settings->state_write_rps * WRITE_SHARE,
                   settings->state_write_rps * WRITE_BURST_S, t);
-  mh_worker_command_init (core);
-  mh_failure_init (core);
   mh_bucket_init (&core->cloud_bucket, settings->cloud_rps * 0.9, settings->cloud_rps * 1.5, t);
   mh_leader_start (core);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
@@ -675,26 +684,21 @@
     return;
   mh_store_clear (core);
   mh_cluster_clear (core);
+  mh_gang_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   mh_core_drop_calls (core);
   g_queue_clear_full (&core->actions, (GDestroyNotify)mh_action_free);
   g_queue_clear_full (&core->finals_order, g_free);
-  g_clear_pointer (&core->types, g_ptr_array_unref);
   g_hash_table_unref (core->calls);
   g_hash_table_unref (core->forwards);
   g_hash_table_unref (core->lookups);
-  g_hash_table_unref (core->machines);
   g_hash_table_unref (core->jobs);
   g_hash_table_unref (core->unreadable);
   g_hash_table_unref (core->finals);
-  g_hash_table_unref (core->team_use);
-  g_hash_table_unref (core->returned);
+  g_clear_pointer (&core->cluster, mh_cluster_free);
   g_hash_table_unref (core->gangs);
-  g_ptr_array_unref (core->commands_due);
-  g_array_unref (core->zones);
   g_hash_table_unref (core->class_stats);
-  g_hash_table_unref (core->boot_stats);
   g_hash_table_unref (core->scale.refused);
   g_free (core->leader.node);
   g_free (core);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -392,6 +392,7 @@
   mh_core_drop_calls (core);
   mh_store_clear (core);
   mh_cluster_clear (core);
+  mh_gang_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
@@ -438,9 +439,9 @@
   gpointer value;
   if (core->now.mono_us >= core->leader.rebuild_until_us)
     return true;
-  if (core->types == NULL || !core->scale.listed)
+  if (mh_cluster_types (core) == NULL || !core->scale.listed)
     return false;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -31,7 +31,7 @@
 static bool
 starved (const MhCore *core, const MhJob *job)
 {
-  return job->n_live == 0 && job->n_done == 0 && !mh_task_failure_backs_off (job)
+  return job->n_live == 0 && job->n_done == 0 && !mh_job_backs_off (job)
          && core->now.mono_us - job->submitted_us > BEGIN_US;
 }
 
@@ -86,9 +86,9 @@
 gint64
 mh_queue_fetch_us (const MhCore *core, const MhJobSpec *s)
 {
-  for (guint i = 0; core->types && i < core->types->len; i++)
+  for (guint i = 0; mh_cluster_types (core) && i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       if (mh_place_type_fits (s, t) && t->fetch_gb_per_s > 0)
         return (gint64)(s->image_gb / t->fetch_gb_per_s * MH_SECOND_US);
     }
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -61,6 +61,18 @@
   return &job->records[index / job->chunk];
 }
 
+bool
+mh_job_is_gang (const MhJob *job)
+{
+  return job->spec->shape == MH_SHAPE_GANG;
+}
+
+bool
+mh_job_backs_off (const MhJob *job)
+{
+  return job->failures.back_off_level > 0;
+}
+
 guint
 mh_job_pending (const MhJob *job)
 {
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "controller/core-types.h"
-#include "cluster/task-failure.h"
+#include "jobs/job-failures.h"
 
 typedef enum
 {
@@ -87,6 +87,10 @@
 mh_job_free (MhJob *job);
 MhRecord *
 mh_job_record (MhJob *job, guint index); /* that holds task `index` */
+bool
+mh_job_is_gang (const MhJob *job); /* its tasks run all at the same time, or not at all */
+bool
+mh_job_backs_off (const MhJob *job); /* it fails wherever it starts */
 guint
 mh_job_pending (const MhJob *job);
 bool
--- a/src/placement/gang-scheduling.c
+++ b/src/placement/gang-scheduling.c
@@ -19,12 +19,6 @@
 #define WAIT_STEP_US (2 * MH_SECOND_US)
 #define LOOK_US MH_SECOND_US
 
-bool
-mh_gang_is (const MhJob *job)
-{
-  return job->spec->shape == MH_SHAPE_GANG;
-}
-
 /* ---- can it ever run ---- */
 
 /* All tasks at once, with the zones that it allows and that its types are offered in. */
@@ -36,9 +30,9 @@
   if (s->one_zone || s->zone)
     return false;
   const char *first = NULL;
-  for (guint i = 0; core->types && i < core->types->len; i++)
+  for (guint i = 0; mh_cluster_types (core) && i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       for (char **zone = t->zones; mh_place_type_fits (s, t) && zone && *zone; zone++)
         if (first && strcmp (first, *zone) != 0)
           return true;
@@ -50,28 +44,18 @@
 
 /* ---- the life of an attempt ---- */
 
-/* Every place of the attempt is on record: a successor must not take a part of it for the whole. */
-bool
-mh_gang_on_record (const MhAttempt *a)
-{
-  const MhJob *job = a->job;
-  if (job->ending || job->n_live < job->spec->tasks)
-    return false;
-  for (guint i = 0; i < job->spec->tasks; i++)
-    {
-      const MhAttempt *other = job->tasks[i].live;
-      if (mh_attempt_is_from_record (other) || mh_job_record (a->job, i)->durable < other->need_rev)
-        return false;
-    }
-  return true;
-}
-
 GHashTable *
 mh_gang_table (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
+void
+mh_gang_clear (MhCore *core)
+{
+  g_hash_table_remove_all (core->gangs);
+}
+
 static void
 settle_later (MhCore *core, const MhJob *job)
 {
@@ -103,7 +87,7 @@
     {
       const MhAttempt *a = job->tasks[i].live;
       if (a == NULL || !mh_attempt_start_was_sent (a)
-          || mh_worker_command_can_send (core, a->machine))
+          || mh_direct_command_can_send (core, a->machine))
         continue;
       mh_info (core,
                "gang %s: %s cannot be told at once; what was done since the last checkpoint "
@@ -208,7 +192,7 @@
   core->gangs_looked_us = core->now.mono_us;
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &job))
-    if (mh_gang_is (job))
+    if (mh_job_is_gang (job))
       take_back (core, job);
 }
 
--- a/src/placement/gang-scheduling.h
+++ b/src/placement/gang-scheduling.h
@@ -13,13 +13,12 @@
 
 GHashTable *
 mh_gang_table (void);
-bool
-mh_gang_is (const MhJob *job);
 /* False: its tasks can never run all at once. */
 bool
 mh_gang_possible (const MhCore *core, const MhJobSpec *spec);
-bool
-mh_gang_on_record (const MhAttempt *attempt);
+/* Forgets what a task's end has consequences for. */
+void
+mh_gang_clear (MhCore *core);
 void
 mh_gang_task_over (MhCore *core, MhJob *job, bool done);
 void
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -48,7 +48,7 @@
 mh_place_quota_fits (MhCore *core, const MhJob *job, double more_cpus, double more_gpus)
 {
   const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
-  const MhUse *use = g_hash_table_lookup (core->team_use, job->spec->team);
+  const MhUse *use = mh_cluster_team_use (core, job->spec->team);
   if (team == NULL)
     return false;
   return (use ? use->cpus : 0) + more_cpus <= team->cpus_max + EPSILON
@@ -60,7 +60,7 @@
 mh_place_quota_room (MhCore *core, const MhJob *job, const MhUse *also, guint n)
 {
   const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
-  const MhUse *use = g_hash_table_lookup (core->team_use, job->spec->team);
+  const MhUse *use = mh_cluster_team_use (core, job->spec->team);
   const MhJobSpec *s = job->spec;
   if (team == NULL)
     return 0;
@@ -229,7 +229,7 @@
 static guint
 crowd_of (const MhCore *core, const MhMachine *m)
 {
-  guint most = MAX (1, (guint)(core->service_replicas * REPLICAS_AT_ONCE));
+  guint most = MAX (1, (guint)(mh_cluster_service_replicas (core) * REPLICAS_AT_ONCE));
   return m->usage.replicas < most ? most - m->usage.replicas : m->usage.replicas + 1;
 }
 
@@ -282,8 +282,8 @@
   const char *only = mh_place_only_zone (p->job);
   p->spread = s->shape == MH_SHAPE_SERVICE;
   mh_place_spread_rule (core, s, &p->max_skew, &p->soft);
-  for (guint i = 0; i < core->types->len; i++)
-    p->type_fits[i] = mh_place_type_fits (s, g_ptr_array_index (core->types, i));
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+    p->type_fits[i] = mh_place_type_fits (s, g_ptr_array_index (mh_cluster_types (core), i));
   for (guint i = 0; i < p->pass->zones->len; i++)
     {
       MhZoneCount z = g_array_index (p->pass->zones, MhZoneCount, i);
@@ -482,7 +482,7 @@
     return true;
   /* One task costs the whole gang, which is placed again as soon as there is room: for a guarantee
      alone a gang was stopped forty times in a row, and each time for a part of its room. */
-  return wants->guaranteed && !mh_gang_is (holds)
+  return wants->guaranteed && !mh_job_is_gang (holds)
          && strcmp (holds->spec->team, wants->spec->team) != 0;
 }
 
@@ -502,7 +502,7 @@
       = a->running_since_us ? (double)(core->now.mono_us - a->running_since_us) / MH_SECOND_US : 0;
   /* One task of a gang costs the whole of it, which has to gather again, also one that has just
      begun: those once were stopped first, up to four times in a row. */
-  if (mh_gang_is (a->job))
+  if (mh_job_is_gang (a->job))
     return s->tasks * mh_place_loss (s, GATHERING_LOSS_S + ran);
   return mh_place_loss (s, 1 + ran);
 }
@@ -843,7 +843,7 @@
   if (!counts_known (core, job)
       || !mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
     return;
-  if (mh_gang_is (job))
+  if (mh_job_is_gang (job))
     {
       place_gang (pass, job);
       return;
@@ -851,7 +851,7 @@
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
   g_autoptr (GArray) zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount));
   g_autofree guint *zone_of = g_new0 (guint, pass->zones->len + 1);
-  g_autofree bool *type_fits = g_new0 (bool, core->types->len + 1);
+  g_autofree bool *type_fits = g_new0 (bool, mh_cluster_types (core)->len + 1);
   Placing p = { .pass = pass,
                 .core = core,
                 .job = job,
@@ -867,7 +867,7 @@
   if (job->starved && job->n_live == 0)
     reserve (&p);
   /* Nothing is stopped for a job that is only tried. */
-  if (mh_job_pending (job) && !p.waits && pass->may_preempt && !mh_task_failure_backs_off (job))
+  if (mh_job_pending (job) && !p.waits && pass->may_preempt && !mh_job_backs_off (job))
     make_room (&p);
 }
 
@@ -891,7 +891,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, pass->core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (pass->core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
@@ -923,7 +923,7 @@
                 + (core->place_urgent   ? URGENT_PASS_US
                    : core->place_wanted ? PASS_US
                                         : IDLE_PASS_US);
-  if (now < next || core->types == NULL)
+  if (now < next || mh_cluster_types (core) == NULL)
     {
       mh_core_wake_at (core, MAX (next, now + 5000));
       return;
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -28,8 +28,8 @@
       mh_value_set_uint (m, "c", job->chunk);
       if (job->cancelled)
         mh_value_set_bool (m, "x", true);
-      if (mh_task_failure_backs_off (job))
-        mh_value_set_uint (m, "e", job->failures.level);
+      if (mh_job_backs_off (job))
+        mh_value_set_uint (m, "e", job->failures.back_off_level);
     }
   MhValue *list = mh_value_list ();
   guint first = r->chunk * job->chunk;
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -70,7 +70,7 @@
   *team = (MhTeam){ .name = g_strdup ("red"), .cpus = 1e6, .cpus_max = 1e6 };
   g_ptr_array_add (f->settings->teams, team);
   MhCore *core = f->core = mh_core_new (f->settings, &now);
-  core->types = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
+  GPtrArray *types = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
   for (guint i = 0; i < 3; i++)
     {
       MhMachineType *t = g_new0 (MhMachineType, 1);
@@ -82,8 +82,9 @@
       t->price = 0.3 * (i + 1) * (i + 1);
       t->spot_price = t->price / 3;
       t->zones = g_strdupv ((char **)(const char *[]){ "a", "b", "c", "d", NULL });
-      g_ptr_array_add (core->types, t);
+      g_ptr_array_add (types, t);
     }
+  mh_cluster_set_types (core, types);
   for (guint i = 0; i < MACHINES; i++)
     {
       g_autofree char *name = g_strdup_printf ("vm-%03u", i);
@@ -137,7 +138,7 @@
   double wait = (double)mh_machine_image_wait_us (f->core, m, job->image, s->image_gb);
   /* Within a guarantee and without an aim: soon. */
   double patience = 3e6, unit = mh_machine_hourly_price (m) / m->type->cpus;
-  guint most = MAX (1, f->core->service_replicas / 24);
+  guint most = MAX (1, mh_cluster_service_replicas (f->core) / 24);
   memset (key, 0, 6 * sizeof *key);
   if (!service)
     key[0] = unit * (wait + (double)s->estimate_us + 1e6) * (wait > patience ? 1000 : 1);
