--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -107,8 +107,8 @@
     {
       attempt->running_since_us = now_us;
       job->n_running++;
-      mh_debug (core, "task %s/%u: runs on %s, %.1f s after it was submitted", job->spec->id,
-                attempt->index, attempt->machine->name,
+      mh_debug (core, "task running job=%s task=%u machine=%s since_submission_s=%.1f",
+                job->spec->id, attempt->index, attempt->machine->name,
                 (double)(now_us - job->submitted_us) / MH_SECOND_US);
     }
   else if (!running && attempt->running_since_us)
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -81,8 +81,7 @@
   if (machine->type == NULL || !machine->boot.rented_here)
     return;
   mh_info_limited (core, MH_LOG_BOOT,
-                   "machine %s: has not joined %.0f s after it was rented (%s in %s); others are "
-                   "rented in its place",
+                   "machine late to join, replaced machine=%s age_s=%.0f type=%s zone=%s",
                    machine->name, (double)age_us / MH_SECOND_US, machine->type_name, machine->zone);
   add_sample (statistics_of (core, machine->type), (double)age_us);
 }
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -105,6 +105,6 @@
     }
   fencing->raises++;
   fencing->clear_held_since_us = 0;
-  mh_debug (core, "machine %s: token raised to %" G_GUINT64_FORMAT " to fence direct starts",
-            machine->name, mh_fencing_token (core, machine));
+  mh_debug (core, "fencing token raised machine=%s token=%" G_GUINT64_FORMAT, machine->name,
+            mh_fencing_token (core, machine));
 }
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -30,8 +30,8 @@
     mh_machine_attempt (machine, i)->job->n_unheard--;
   machine->idle_since_us = core->now.mono_us;
   core->cluster->callbacks->capacity_changed (core, false);
-  mh_info (core, "machine %s: reports (%s in %s%s, %u tasks)", machine->name, report->type,
-           report->zone, report->spot ? ", spot" : "", report->tasks->len);
+  mh_info (core, "machine joined machine=%s type=%s zone=%s spot=%s tasks=%u", machine->name,
+           report->type, report->zone, report->spot ? "true" : "false", report->tasks->len);
 }
 
 static void
@@ -62,7 +62,7 @@
 {
   bool noticed = report->notice_us >= 0;
   if (noticed && machine->notice_until_us < 0)
-    mh_info (core, "machine %s: the cloud takes it back in %.1f s", machine->name,
+    mh_info (core, "machine has preemption notice machine=%s left_s=%.1f", machine->name,
              (double)report->notice_us / MH_SECOND_US);
   machine->notice_until_us = noticed ? core->now.mono_us + report->notice_us : -1;
 }
@@ -181,7 +181,7 @@
     {
     case ANSWER_IGNORED:
       if (++heartbeat->ignored_answers == MH_MAX_IGNORED_ANSWERS)
-        mh_info (core, "machine %s: reports, but shows nothing of what it is told", machine->name);
+        mh_info (core, "machine ignores answers machine=%s", machine->name);
       break;
     case ANSWER_FOLLOWED:
       heartbeat->ignored_answers = 0;
@@ -255,7 +255,7 @@
 {
   if (machine)
     return machine;
-  mh_info (core, "machine %s: not known before; it is used", report->machine);
+  mh_info (core, "machine not known before, used machine=%s", report->machine);
   return mh_cluster_add_machine (core, report->machine, report->type, report->zone, report->spot);
 }
 
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -24,31 +24,31 @@
 {
   /* A huge job that fails everywhere would fill the log with its tasks. */
   GLogLevelFlags level = mh_job_backs_off (attempt->job) ? G_LOG_LEVEL_DEBUG : G_LOG_LEVEL_INFO;
-  mh_core_log (core, level, "task %s/%u: failed on %s", attempt->job->spec->id, attempt->index,
-               attempt->machine->name);
+  mh_core_log (core, level, "task failed job=%s task=%u machine=%s", attempt->job->spec->id,
+               attempt->index, attempt->machine->name);
   mh_task_failure_record_failure (core, attempt->machine, attempt->job);
 }
 
 static void
 note_refused (MhCore *core, const MhAttempt *attempt, const char *why)
 {
-  mh_info (core, "task %s/%u: %s refused it: %s", attempt->job->spec->id, attempt->index,
-           attempt->machine->name, why);
+  mh_info (core, "task refused job=%s task=%u machine=%s reason=%s", attempt->job->spec->id,
+           attempt->index, attempt->machine->name, why);
   attempt->machine->no_start_before_us = core->now.mono_us + REFUSED_HOLD_US;
 }
 
 static void
 note_gang_broken (MhCore *core, const MhAttempt *attempt, const char *why)
 {
-  mh_info (core, "gang %s: task %u on %s: %s", attempt->job->spec->id, attempt->index,
-           attempt->machine->name, why);
+  mh_info (core, "gang attempt ended job=%s task=%u machine=%s reason=%s", attempt->job->spec->id,
+           attempt->index, attempt->machine->name, why);
 }
 
 static void
 note_job_unknown (MhCore *core, const MhAttempt *attempt)
 {
-  mh_info (core, "task %s/%u: %s does not know the job yet", attempt->job->spec->id, attempt->index,
-           attempt->machine->name);
+  mh_info (core, "job not known to worker yet job=%s task=%u machine=%s", attempt->job->spec->id,
+           attempt->index, attempt->machine->name);
   attempt->job->retry_us = core->now.mono_us + UNKNOWN_JOB_RETRY_US;
 }
 
@@ -64,16 +64,16 @@
       note_failed (core, attempt);
       break;
     case MH_CAUSE_NO_ROOM:
-      note_refused (core, attempt, "no room");
+      note_refused (core, attempt, "no-room");
       break;
     case MH_CAUSE_BUSY:
-      note_refused (core, attempt, "another attempt is there");
+      note_refused (core, attempt, "other-attempt-there");
       break;
     case MH_CAUSE_PEERS:
-      note_gang_broken (core, attempt, "another task is gone");
+      note_gang_broken (core, attempt, "other-task-gone");
       break;
     case MH_CAUSE_INCOMPLETE:
-      note_gang_broken (core, attempt, "the others did not come in time");
+      note_gang_broken (core, attempt, "incomplete-in-time");
       break;
     case MH_CAUSE_UNKNOWN:
       note_job_unknown (core, attempt);
@@ -186,8 +186,8 @@
       MhAttempt *attempt = mh_machine_attempt (machine, i);
       if (attempt->shown_now || !is_proven_gone (core, attempt, source))
         continue;
-      mh_info (core, "task %s/%u: attempt %u is gone from %s", attempt->job->spec->id,
-               attempt->index, attempt->attempt, machine->name);
+      mh_info (core, "attempt proven gone job=%s task=%u attempt=%u machine=%s",
+               attempt->job->spec->id, attempt->index, attempt->attempt, machine->name);
       mh_attempt_proven_over (core, attempt, false);
     }
 }
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -111,7 +111,7 @@
   job->failures.back_off_level = MIN (job->failures.back_off_level + 1, LAST_LEVEL);
   wait_before_retry (core, job);
   mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
-  mh_info (core, "job %s: fails wherever it starts; next start in %.0f s", job->spec->id,
+  mh_info (core, "job backs off, fails wherever it starts job=%s next_start_s=%.0f", job->spec->id,
            (double)(job->retry_us - core->now.mono_us) / MH_SECOND_US);
   if (first)
     stop_fetching (core, job);
@@ -208,7 +208,7 @@
 {
   if (mh_job_backs_off (job))
     {
-      mh_info (core, "job %s: runs after all", job->spec->id);
+      mh_info (core, "job runs after back-off job=%s", job->spec->id);
       mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
     }
   machine->failures.consecutive = 0;
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -118,8 +118,9 @@
 static void
 stop_orphan (MhCore *core, const MhMachine *machine, const MhOrphan *orphan, GArray *commands)
 {
-  mh_info (core, "task %s/%u: stopping orphaned attempt %" G_GUINT64_FORMAT " on %s", orphan->job,
-           orphan->index, orphan->attempt, machine->name);
+  mh_info (core,
+           "stopping orphaned attempt job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s",
+           orphan->job, orphan->index, orphan->attempt, machine->name);
   add_orphan_command (commands, MH_COMMAND_STOP, orphan);
 }
 
--- a/src/cluster/zone-silence.c
+++ b/src/cluster/zone-silence.c
@@ -53,7 +53,7 @@
   gint64 now_us = core->now.mono_us;
   MhZone *zone = find_or_add (core, name);
   if (now_us < zone->partitioned_until_us)
-    mh_info (core, "zone %s: heard from again", zone->name);
+    mh_info (core, "zone heard from again zone=%s", zone->name);
   zone->last_message_us = now_us;
   zone->partitioned_until_us = 0;
   if (!is_report)
@@ -98,7 +98,7 @@
       if (!is_silent (core, zone))
         continue;
       if (now_us >= zone->partitioned_until_us)
-        mh_info (core, "zone %s: %u machines, and nothing comes from any of them", zone->name,
+        mh_info (core, "zone silent, taken for partitioned zone=%s machines=%u", zone->name,
                  zone->machines);
       zone->partitioned_until_us = now_us + STAYS_PARTITIONED_US;
     }
--- a/tests/test-boots.c
+++ b/tests/test-boots.c
@@ -29,7 +29,7 @@
   SimUser *user = wants_four_machines (sim);
   sim_run (sim, 14);
   g_assert_cmpuint (sim->world->machines->len, <=, 5);
-  g_assert_true (sim_logged (sim, "has not joined"));
+  g_assert_true (sim_logged (sim, "machine late to join"));
   sim_run (sim, 15);
   g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, TASKS);
   WAIT (sim, 200, told_done, user);
--- a/tests/test-faults.c
+++ b/tests/test-faults.c
@@ -32,8 +32,8 @@
   WAIT (sim, 120, told_done, good);
   sim_run (sim, 60);
   g_assert_false (sim_logged (sim, "fails every task"));
-  g_assert_true (sim_logged (sim, "job j-000002: fails wherever it starts"));
-  g_assert_true (sim_logged (sim, "job j-000003: fails wherever it starts"));
+  g_assert_true (sim_logged (sim, "fails wherever it starts job=j-000002"));
+  g_assert_true (sim_logged (sim, "fails wherever it starts job=j-000003"));
   sim_cancel (first);
   sim_cancel (second);
   WAIT (sim, 10, told_cancelled, first);
@@ -86,7 +86,7 @@
   sim_run (sim, 20);
   user->job->fails = false;
   WAIT (sim, 180, told_done, user);
-  g_assert_true (sim_logged (sim, "runs after all"));
+  g_assert_true (sim_logged (sim, "job runs after back-off"));
   finish (sim);
 }
 
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -224,7 +224,7 @@
   for (guint i = 0; i < late->tasks->len; i++)
     g_array_index (late->tasks, WorldTask, i).ready_us += 8 * MH_SECOND_US;
   WAIT (sim, 60, told_done, u);
-  g_assert_true (sim_logged (sim, "did not come in time"));
+  g_assert_true (sim_logged (sim, "incomplete-in-time"));
   finish (sim);
 }
 
@@ -255,7 +255,7 @@
         }
       sim_run (sim, 1);
     }
-  g_assert_true (sim_logged (sim, "next start in"));
+  g_assert_true (sim_logged (sim, "next_start_s="));
   g_assert_cmpuint (sim->world->starts - starts, <=, 32); /* eight attempts */
   g_assert_cmpuint (world_running (sim->world, other->job->spec->id), ==, 1);
   sim_cancel (u);
@@ -568,7 +568,7 @@
   t->ready_us = sim->now_us + 300 * MH_SECOND_US;
   WAIT (sim, 150, told_done, u);
   g_assert_true (sim_logged (sim, "taken back"));
-  g_assert_false (sim_logged (sim, "did not come in time"));
+  g_assert_false (sim_logged (sim, "incomplete-in-time"));
   finish (sim);
 }
 
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -269,7 +269,7 @@
   SimUser *next = sim_submit (sim, sim_spec (3, MH_SHAPE_ARRAY, 1, 1), 1);
   WAIT (sim, 25, told_done, next);
   g_assert_cmpuint (sim->world->machines->len, >, lease_lengths);
-  g_autofree char *line = g_strdup_printf ("machine %s: reports", m->name);
+  g_autofree char *line = g_strdup_printf ("machine joined machine=%s ", m->name);
   guint reported = 0;
   for (guint i = 0; i < sim->log->len; i++)
     reported += strstr (g_ptr_array_index (sim->log, i), line) != NULL;
@@ -300,7 +300,7 @@
   s->estimate_us = 60 * MH_SECOND_US;
   sim_submit (sim, s, 60);
   sim_run (sim, 8);
-  g_assert_true (sim_logged (sim, "nothing comes from any of them"));
+  g_assert_true (sim_logged (sim, "zone silent, taken for partitioned"));
   for (guint i = 0; i < sim->world->machines->len; i++)
     {
       const WorldMachine *m = g_ptr_array_index (sim->world->machines, i);
