--- a/tests/test-boots.c
+++ b/tests/test-boot-time.c
@@ -90,9 +90,9 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/boots/slow", test_slow_boots);
-  g_test_add_func ("/boots/never-joins", test_never_joins);
-  g_test_add_func ("/boots/joins-late", test_joins_late);
-  g_test_add_func ("/boots/fast-and-usual", test_fast_boots_and_usual_ones);
+  g_test_add_func ("/boot-time/slow", test_slow_boots);
+  g_test_add_func ("/boot-time/never-joins", test_never_joins);
+  g_test_add_func ("/boot-time/joins-late", test_joins_late);
+  g_test_add_func ("/boot-time/fast-and-usual", test_fast_boots_and_usual_ones);
   return g_test_run ();
 }
--- /dev/null
+++ b/tests/test-machine.c
@@ -0,0 +1,120 @@
+/* A machine by itself: the account of its cached images, and the direct starts that are not fenced.
+ */
+#include "cluster/fencing.h"
+
+static MhMachine *
+machine_with_cache (const MhMachineType *type)
+{
+  MhMachine *machine = mh_machine_new ("vm-1", 0);
+  machine->type = type;
+  return machine;
+}
+
+static void
+add_image (MhMachine *machine, const char *name, double gb)
+{
+  g_autoptr (GRefString) image = g_ref_string_new_intern (name);
+  mh_machine_add_image (machine, image, gb);
+}
+
+static bool
+has_image (const MhMachine *machine, const char *name)
+{
+  g_autoptr (GRefString) image = g_ref_string_new_intern (name);
+  return mh_machine_has_image (machine, image);
+}
+
+/* Without this tasks would be placed for an image that the worker has dropped. */
+static void
+test_least_recently_used_image_is_dropped (void)
+{
+  const MhMachineType type = { .cache_gb = 10 };
+  MhMachine *machine = machine_with_cache (&type);
+  add_image (machine, "first", 4);
+  add_image (machine, "second", 4);
+  add_image (machine, "third", 4);
+  g_assert_false (has_image (machine, "first"));
+  g_assert_true (has_image (machine, "second"));
+  g_assert_true (has_image (machine, "third"));
+  mh_machine_free (machine);
+}
+
+/* Without this an image that is in use all the time would be taken for dropped. */
+static void
+test_image_used_again_is_kept (void)
+{
+  const MhMachineType type = { .cache_gb = 10 };
+  MhMachine *machine = machine_with_cache (&type);
+  add_image (machine, "first", 4);
+  add_image (machine, "second", 4);
+  add_image (machine, "first", 4);
+  add_image (machine, "third", 4);
+  g_assert_true (has_image (machine, "first"));
+  g_assert_false (has_image (machine, "second"));
+  g_assert_cmpuint (machine->images->len, ==, 2);
+  mh_machine_free (machine);
+}
+
+static void
+add_start (MhMachine *machine, guint index, guint64 token)
+{
+  char job[] = "j-000001";
+  const MhCommand command = { .kind = MH_COMMAND_START, .job = job, .index = index, .attempt = 1 };
+  mh_fencing_add_start (machine, &command, token);
+}
+
+static bool
+has_start (const MhMachine *machine, guint index)
+{
+  return mh_fencing_find_start (machine, "j-000001", index, 1) != NULL;
+}
+
+/* Without this an ended attempt would be cleared while a late copy of its start can still run it.
+ */
+static void
+test_start_is_kept_until_fenced (void)
+{
+  MhMachine *machine = mh_machine_new ("vm-1", 0);
+  machine->heartbeat.session = 3;
+  add_start (machine, 0, 7);
+  add_start (machine, 1, 8);
+  machine->heartbeat.token = 7;
+  mh_fencing_forget_fenced (machine);
+  g_assert_true (has_start (machine, 0));
+  machine->heartbeat.token = 8;
+  mh_fencing_forget_fenced (machine);
+  g_assert_false (has_start (machine, 0));
+  g_assert_true (has_start (machine, 1));
+  machine->heartbeat.session = 4;
+  mh_fencing_forget_fenced (machine);
+  g_assert_false (has_start (machine, 1));
+  mh_machine_free (machine);
+}
+
+/* Without this a refused start would hold up the clear of another. */
+static void
+test_refused_start_alone_is_removed (void)
+{
+  MhMachine *machine = mh_machine_new ("vm-1", 0);
+  add_start (machine, 0, 7);
+  add_start (machine, 1, 7);
+  mh_fencing_remove_start (machine, mh_fencing_find_start (machine, "j-000001", 0, 1));
+  g_assert_false (has_start (machine, 0));
+  g_assert_true (has_start (machine, 1));
+  g_assert_false (mh_fencing_has_lost_start (machine));
+  mh_fencing_find_start (machine, "j-000001", 1, 1)->lost = true;
+  g_assert_true (mh_fencing_has_lost_start (machine));
+  mh_machine_free (machine);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/machine/least-recently-used-image-is-dropped",
+                   test_least_recently_used_image_is_dropped);
+  g_test_add_func ("/machine/image-used-again-is-kept", test_image_used_again_is_kept);
+  g_test_add_func ("/machine/start-is-kept-until-fenced", test_start_is_kept_until_fenced);
+  g_test_add_func ("/machine/refused-start-alone-is-removed", test_refused_start_alone_is_removed);
+  return g_test_run ();
+}
--- a/tests/test-faults.c
+++ b/tests/test-task-failure.c
@@ -110,11 +110,11 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/faults/no-machine-is-blamed", test_no_machine_is_blamed);
-  g_test_add_func ("/faults/tries-are-few", test_tries_are_few);
-  g_test_add_func ("/faults/back-off-survives-the-leader", test_back_off_survives_the_leader);
-  g_test_add_func ("/faults/runs-after-all", test_runs_after_all);
-  g_test_add_func ("/faults/faulty-machine-beside-failing-job",
+  g_test_add_func ("/task-failure/no-machine-is-blamed", test_no_machine_is_blamed);
+  g_test_add_func ("/task-failure/tries-are-few", test_tries_are_few);
+  g_test_add_func ("/task-failure/back-off-survives-the-leader", test_back_off_survives_the_leader);
+  g_test_add_func ("/task-failure/runs-after-all", test_runs_after_all);
+  g_test_add_func ("/task-failure/faulty-machine-beside-failing-job",
                    test_faulty_machine_beside_failing_job);
   return g_test_run ();
 }
