--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -101,12 +101,12 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      leaving += m->releasing;
+      leaving += mh_machine_is_releasing (m);
       an_hour += m->type ? mh_machine_hourly_price (m) : 0;
-      live += m->heartbeat.reported && !m->releasing;
-      coming += !m->heartbeat.reported && !m->releasing;
-      idle += m->heartbeat.reported && !m->releasing && m->attempts->len == 0;
-      if (m->type && m->heartbeat.reported && !m->releasing)
+      live += m->heartbeat.reported && !mh_machine_is_releasing (m);
+      coming += !m->heartbeat.reported && !mh_machine_is_releasing (m);
+      idle += m->heartbeat.reported && !mh_machine_is_releasing (m) && m->attempts->len == 0;
+      if (m->type && m->heartbeat.reported && !mh_machine_is_releasing (m))
         {
           all += m->type->cpus;
           used += m->usage.cpus;
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -12,7 +12,7 @@
 static bool
 steady (const MhMachine *m)
 {
-  return m->heartbeat.reported && !m->releasing && m->type && m->notice_until_us < 0;
+  return m->heartbeat.reported && !mh_machine_is_releasing (m) && m->type && m->notice_until_us < 0;
 }
 
 /* The machines that stay, and how much of them is in use. */
@@ -31,7 +31,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (!steady (m) || m->draining
+      if (!steady (m) || mh_machine_is_draining (m)
           || mh_cluster_is_silent (core, m, core->settings->report_us * 2))
         continue;
       staying->all += m->type->cpus;
@@ -51,7 +51,8 @@
 fits_elsewhere (MhCore *core, const MhMachine *m, Staying *staying)
 {
   g_autoptr (GArray) rooms = g_array_copy (staying->rooms);
-  double own = m->draining ? 0 : m->type->cpus, moved = m->draining ? m->usage.cpus : 0;
+  double own = mh_machine_is_draining (m) ? 0 : m->type->cpus,
+         moved = mh_machine_is_draining (m) ? m->usage.cpus : 0;
   if (staying->used + moved > (staying->all - own) * FULLEST)
     return false;
   for (guint k = 0; k < rooms->len; k++)
@@ -133,12 +134,13 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      if (m->draining && (waiting || !steady (m) || !fits_elsewhere (core, m, &staying)))
-        m->draining = false;
+      if (mh_machine_is_draining (m)
+          && (waiting || !steady (m) || !fits_elsewhere (core, m, &staying)))
+        mh_machine_change_state (m, MH_MACHINE_EVENT_DRAIN_CANCELLED);
       if (waiting || !steady (m))
         continue;
       all++;
-      if (m->draining)
+      if (mh_machine_is_draining (m))
         {
           draining++;
           empty_machine (core, m);
@@ -161,7 +163,7 @@
         continue;
       mh_info (core, "machine %s: being emptied: %.0f of %.0f cpus in use", m->name, m->usage.cpus,
                m->type->cpus);
-      m->draining = true;
+      mh_machine_change_state (m, MH_MACHINE_EVENT_DRAIN_STARTED);
       draining++;
       empty_machine (core, m);
     }
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -62,7 +62,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (!m->releasing && m->heartbeat.reported && m->zone)
+      if (!mh_machine_is_releasing (m) && m->heartbeat.reported && m->zone)
         (*zone_load (plan, m->zone))++;
     }
   for (guint i = 0; i < plan->rooms->len; i++)
@@ -146,7 +146,8 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (m->heartbeat.reported || m->releasing || m->type == NULL || m->zone == NULL)
+      if (m->heartbeat.reported || mh_machine_is_releasing (m) || m->type == NULL
+          || m->zone == NULL)
         continue;
       if (m->boot.late_age_us)
         continue; /* perhaps it never comes */
@@ -179,7 +180,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (m->releasing || !m->heartbeat.reported || m->notice_until_us >= 0)
+      if (mh_machine_is_releasing (m) || !m->heartbeat.reported || m->notice_until_us >= 0)
         continue;
       for (guint i = 0; i < m->attempts->len; i++)
         {
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -24,7 +24,7 @@
 listed (MhCore *core, const MhListedMachine *l)
 {
   MhMachine *m = mh_cluster_find_machine (core, l->name);
-  if (mh_cluster_was_released (core, l->name) || (m && m->releasing))
+  if (mh_cluster_was_released (core, l->name) || (m && mh_machine_is_releasing (m)))
     return; /* lists lag */
   if (m == NULL || m->type_name == NULL)
     {
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -73,10 +73,10 @@
 void
 mh_release_machine (MhCore *core, MhMachine *m, const char *why)
 {
-  if (m->releasing)
+  if (mh_machine_is_releasing (m))
     return;
   mh_info (core, "machine %s: given back: %s", m->name, why);
-  m->releasing = true;
+  mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
   core->scale.lost_cpus += m->usage.cpus;
   const char *names[] = { m->name, NULL };
   want (core, g_strdupv ((char **)names), NULL);
@@ -169,7 +169,7 @@
       MhMachine *m = mh_cluster_find_machine (core, *name);
       if (m == NULL)
         m = mh_cluster_add_machine (core, *name, NULL, NULL, false);
-      m->releasing = true;
+      mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
     want (core, names, g_strdup (e->key));
@@ -189,10 +189,10 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      if (!m->heartbeat.reported || m->releasing || m->attempts->len
+      if (!m->heartbeat.reported || mh_machine_is_releasing (m) || m->attempts->len
           || m->heartbeat.unreadable_tasks)
         continue;
-      if (m->notice_until_us >= 0 || m->draining)
+      if (m->notice_until_us >= 0 || mh_machine_is_draining (m))
         mh_release_machine (core, m, "empty, as was wanted");
       else if (now - m->idle_since_us > core->settings->idle_us
                && now - m->boot.rented_us > MH_LEAST_PAID_US)
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -128,6 +128,7 @@
 void
 mh_cluster_machine_released (MhCore *core, MhMachine *machine)
 {
+  mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_CONFIRMED);
   mh_cluster_remember_released (core, machine->name);
   while (machine->attempts->len)
     mh_attempt_proven_over (core, mh_machine_attempt (machine, machine->attempts->len - 1), false);
@@ -169,7 +170,7 @@
 static void
 check_machine (MhCore *core, MhMachine *machine)
 {
-  if (machine->releasing)
+  if (mh_machine_is_releasing (machine))
     return;
   mh_failure_check (core, machine);
   if (machine->notice_until_us >= 0)
@@ -186,7 +187,7 @@
     {
       MhMachine *machine = g_ptr_array_index (due, i);
       machine->commands_due = false;
-      if (!machine->releasing)
+      if (!mh_machine_is_releasing (machine))
         mh_direct_command_send_unsent (core, machine);
     }
   g_ptr_array_set_size (due, 0);
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -113,7 +113,7 @@
 {
   gint64 report_us = core->settings->report_us;
   return core->settings->direct && !machine->direct_commands_in_flight
-         && machine->heartbeat.reported && !machine->releasing && machine->endpoint
+         && machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->endpoint
          && !machine->heartbeat.ignored_answers
          && !mh_cluster_is_silent (core, machine, report_us * 3 / 2)
          && !mh_fencing_has_lost_start (machine);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -87,7 +87,7 @@
 worker_has_begun_anew (const MhMachine *machine, const MhReport *report)
 {
   const MhMachineProbe *asked = &machine->probe;
-  return machine->heartbeat.reported && !machine->releasing
+  return machine->heartbeat.reported && !mh_machine_is_releasing (machine)
          && (report->session < asked->session
              || (report->session == asked->session && report->sequence < asked->sequence));
 }
@@ -244,7 +244,7 @@
 count_machine (MhCore *core, const MhMachine *machine, Census *census)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  if (machine->releasing || !(heartbeat->reported || machine->attempts->len))
+  if (mh_machine_is_releasing (machine) || !(heartbeat->reported || machine->attempts->len))
     return;
   census->machines++;
   census->with_replicas += machine->usage.replicas > 0;
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -40,6 +40,7 @@
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   bool first = !heartbeat->reported;
   heartbeat->reported = true;
+  mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
   heartbeat->last_message_us = core->now.mono_us;
   if (source == MH_MESSAGE_ANSWER)
     heartbeat->ignored_answers = 0;
@@ -109,7 +110,7 @@
 static void
 note_unverified_report (MhCore *core, MhMachine *machine, const MhReport *report)
 {
-  if (machine == NULL || machine->heartbeat.reported || machine->releasing)
+  if (machine == NULL || machine->heartbeat.reported || mh_machine_is_releasing (machine))
     return;
   if (machine->endpoint == NULL)
     machine->endpoint = g_strdup (report->endpoint);
--- a/src/cluster/machine.c
+++ b/src/cluster/machine.c
@@ -62,6 +62,13 @@
   g_free (machine);
 }
 
+void
+mh_machine_change_state (MhMachine *machine, MhMachineEvent event)
+{
+  bool accepted = mh_machine_state_after (&machine->state, event);
+  g_return_if_fail (accepted);
+}
+
 double
 mh_machine_hourly_price (const MhMachine *machine)
 {
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -1,6 +1,7 @@
 /* A machine: what it is, and what is known of its boot, its heartbeats and its failures. */
 #pragma once
 
+#include "cluster/machine-state.h"
 #include "jobs/job.h"
 
 /* Answers in a row of which the next report shows nothing, after which nothing is taken to reach
@@ -173,8 +174,7 @@
  * @zone_index: of its zone, in this placement pass
  * @spot: it may be taken back by the cloud after a notice
  * @listed_running: the cloud's list shows it as running
- * @draining: it takes nothing new; what it holds is moved
- * @releasing: it is being given back; it counts until that is confirmed
+ * @state: changes in mh_machine_change_state() alone
  * @commands_due: it is looked at for commands in this step
  * @direct_commands_in_flight: direct commands without an answer yet
  * @discovered_us: monotonic time since which it is known, in microseconds
@@ -197,7 +197,8 @@
   GRefString *zone;
   const MhMachineType *type;
   guint type_index, zone_index;
-  bool spot, listed_running, draining, releasing;
+  bool spot, listed_running;
+  MhMachineState state;
   bool commands_due;
   guint direct_commands_in_flight;
   gint64 discovered_us, idle_since_us, notice_until_us, no_start_before_us;
@@ -229,6 +230,38 @@
 void
 mh_machine_free (gpointer machine);
 
+/**
+ * mh_machine_change_state:
+ * @machine: a machine
+ * @event: something that can happen to it in its state
+ */
+void
+mh_machine_change_state (MhMachine *machine, MhMachineEvent event);
+
+/**
+ * mh_machine_is_draining:
+ * @machine: a machine
+ *
+ * Returns: %TRUE if it takes nothing new, and what it holds is moved
+ */
+static inline bool
+mh_machine_is_draining (const MhMachine *machine)
+{
+  return machine->state == MH_MACHINE_DRAINING;
+}
+
+/**
+ * mh_machine_is_releasing:
+ * @machine: a machine
+ *
+ * Returns: %TRUE if it is being given back; what it holds counts until that is confirmed
+ */
+static inline bool
+mh_machine_is_releasing (const MhMachine *machine)
+{
+  return machine->state == MH_MACHINE_RELEASING;
+}
+
 /**
  * mh_machine_attempt:
  * @machine: a machine
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -61,7 +61,7 @@
   bool unseen
       = attempt->state == MH_ATTEMPT_RECORDED || attempt->state == MH_ATTEMPT_START_IN_FLIGHT;
   return unseen && !mh_attempt_is_from_record (attempt) && is_durable (attempt)
-         && !mh_job_over (attempt->job) && !attempt->machine->releasing
+         && !mh_job_over (attempt->job) && !mh_machine_is_releasing (attempt->machine)
          && (!mh_job_is_gang (attempt->job) || gang_is_durable (attempt->job));
 }
 
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -446,7 +446,7 @@
     {
       const MhMachine *m = value;
       /* One that gives no answer either will not report. */
-      if (!m->releasing && !m->heartbeat.reported && !mh_failure_is_unreachable (m)
+      if (!mh_machine_is_releasing (m) && !m->heartbeat.reported && !mh_failure_is_unreachable (m)
           && (m->listed_running || m->attempts->len))
         return false;
     }
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -156,14 +156,15 @@
 static bool
 live (const MhMachine *m)
 {
-  return m->heartbeat.reported && !m->releasing && m->zone && m->type;
+  return m->heartbeat.reported && !mh_machine_is_releasing (m) && m->zone && m->type;
 }
 
 static bool
 usable (const MhCore *core, const MhMachine *m)
 {
-  return live (m) && !m->draining && !m->heartbeat.ignored_answers && m->notice_until_us < 0
-         && core->now.mono_us >= m->no_start_before_us && !mh_failure_is_report_overdue (core, m);
+  return live (m) && !mh_machine_is_draining (m) && !m->heartbeat.ignored_answers
+         && m->notice_until_us < 0 && core->now.mono_us >= m->no_start_before_us
+         && !mh_failure_is_report_overdue (core, m);
 }
 
 MhSpace
@@ -875,7 +876,7 @@
 add_coming (Pass *pass, const MhMachine *m)
 {
   gint64 now = pass->core->now.mono_us;
-  if (m->heartbeat.reported || m->releasing || m->type == NULL || m->zone == NULL
+  if (m->heartbeat.reported || mh_machine_is_releasing (m) || m->type == NULL || m->zone == NULL
       || m->boot.late_age_us || now - m->boot.rented_us > 2 * m->type->boot_us)
     return;
   Coming c = { .machine = m,
--- /dev/null
+++ b/tests/test-cluster-states.c
@@ -0,0 +1,105 @@
+/* Every transition of the states of attempts and machines, and every event that is refused. */
+#include "cluster/attempt-state.h"
+#include "cluster/machine-state.h"
+
+#include <glib.h>
+
+#define MOST_EVENTS 6
+#define REFUSED (-1)
+
+typedef struct
+{
+  const char *name;
+  int after[MOST_EVENTS]; /* by event */
+} StateRow;
+
+/* In the order of MhAttemptEvent: start sent, start refused, shown waiting, shown running, stop
+   wanted, proven over. */
+static const StateRow attempt_rows[] = {
+  [MH_ATTEMPT_RECORDED] = { "recorded",
+                            { MH_ATTEMPT_START_IN_FLIGHT, REFUSED, MH_ATTEMPT_FETCHING,
+                              MH_ATTEMPT_RUNNING, MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+  [MH_ATTEMPT_START_IN_FLIGHT]
+  = { "start-in-flight",
+      { MH_ATTEMPT_START_IN_FLIGHT, MH_ATTEMPT_RECORDED, MH_ATTEMPT_FETCHING, MH_ATTEMPT_RUNNING,
+        MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+  [MH_ATTEMPT_FETCHING] = { "fetching",
+                            { REFUSED, REFUSED, MH_ATTEMPT_FETCHING, MH_ATTEMPT_RUNNING,
+                              MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+  [MH_ATTEMPT_RUNNING] = { "running",
+                           { REFUSED, REFUSED, MH_ATTEMPT_FETCHING, MH_ATTEMPT_RUNNING,
+                             MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+  [MH_ATTEMPT_STOPPING] = { "stopping",
+                            { REFUSED, MH_ATTEMPT_STOPPING, MH_ATTEMPT_STOPPING,
+                              MH_ATTEMPT_STOPPING, MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+  [MH_ATTEMPT_OVER] = { "over", { REFUSED, REFUSED, REFUSED, REFUSED, REFUSED, REFUSED } },
+};
+
+/* In the order of MhMachineEvent: reported, drain started, drain cancelled, release wanted, release
+   confirmed. */
+static const StateRow machine_rows[] = {
+  [MH_MACHINE_STARTING]
+  = { "starting",
+      { MH_MACHINE_JOINED, REFUSED, REFUSED, MH_MACHINE_RELEASING, MH_MACHINE_RELEASED } },
+  [MH_MACHINE_JOINED] = { "joined",
+                          { MH_MACHINE_JOINED, MH_MACHINE_DRAINING, REFUSED, MH_MACHINE_RELEASING,
+                            MH_MACHINE_RELEASED } },
+  [MH_MACHINE_DRAINING] = { "draining",
+                            { MH_MACHINE_DRAINING, REFUSED, MH_MACHINE_JOINED, MH_MACHINE_RELEASING,
+                              MH_MACHINE_RELEASED } },
+  [MH_MACHINE_RELEASING]
+  = { "releasing",
+      { MH_MACHINE_RELEASING, REFUSED, REFUSED, MH_MACHINE_RELEASING, MH_MACHINE_RELEASED } },
+  [MH_MACHINE_RELEASED] = { "released", { REFUSED, REFUSED, REFUSED, REFUSED, REFUSED } },
+};
+
+/* Without this a start could leave for an attempt that is stopped or over, and run a task twice. */
+static void
+test_attempt (gconstpointer data)
+{
+  const StateRow *row = data;
+  MhAttemptState before = (MhAttemptState)(row - attempt_rows);
+  for (int event = 0; event <= MH_ATTEMPT_EVENT_PROVEN_OVER; event++)
+    {
+      MhAttemptState state = before;
+      bool accepted = mh_attempt_state_after (&state, (MhAttemptEvent)event);
+      g_assert_cmpint (accepted, ==, row->after[event] != REFUSED);
+      g_assert_cmpint (state, ==, accepted ? (MhAttemptState)row->after[event] : before);
+    }
+}
+
+/* Without this a machine whose release may be under way would be used again. */
+static void
+test_machine (gconstpointer data)
+{
+  const StateRow *row = data;
+  MhMachineState before = (MhMachineState)(row - machine_rows);
+  for (int event = 0; event <= MH_MACHINE_EVENT_RELEASE_CONFIRMED; event++)
+    {
+      MhMachineState state = before;
+      bool accepted = mh_machine_state_after (&state, (MhMachineEvent)event);
+      g_assert_cmpint (accepted, ==, row->after[event] != REFUSED);
+      g_assert_cmpint (state, ==, accepted ? (MhMachineState)row->after[event] : before);
+    }
+}
+
+static void
+add_rows (const char *subject, const StateRow *rows, gsize count, GTestDataFunc func)
+{
+  for (gsize i = 0; i < count; i++)
+    {
+      g_autofree char *path = g_strdup_printf ("/%s/state/%s", subject, rows[i].name);
+      g_test_add_data_func (path, &rows[i], func);
+    }
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  G_STATIC_ASSERT (G_N_ELEMENTS (attempt_rows) == MH_ATTEMPT_OVER + 1);
+  G_STATIC_ASSERT (G_N_ELEMENTS (machine_rows) == MH_MACHINE_RELEASED + 1);
+  add_rows ("attempt", attempt_rows, G_N_ELEMENTS (attempt_rows), test_attempt);
+  add_rows ("machine", machine_rows, G_N_ELEMENTS (machine_rows), test_machine);
+  return g_test_run ();
+}
