--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -17,29 +17,25 @@
   core->scale.types_us = core->now.mono_us + (types ? TYPES_US : MH_SECOND_US);
   if (types == NULL)
     return;
-  GPtrArray *old = core->types;
-  core->types = types;
-  mh_fleet_types_changed (core);
-  if (old)
-    g_ptr_array_unref (old);
+  mh_cluster_set_types (core, types);
 }
 
 static void
 listed (MhCore *core, const MhListedMachine *l)
 {
-  MhMachine *m = mh_fleet_machine (core, l->name);
-  if (mh_fleet_returned (core, l->name) || (m && m->releasing))
+  MhMachine *m = mh_cluster_find_machine (core, l->name);
+  if (mh_cluster_was_released (core, l->name) || (m && mh_machine_is_releasing (m)))
     return; /* lists lag */
   if (m == NULL || m->type_name == NULL)
     {
       if (m == NULL)
-        m = mh_fleet_add (core, l->name, l->type, l->zone, l->spot);
+        m = mh_cluster_add_machine (core, l->name, l->type, l->zone, l->spot);
       else
-        mh_fleet_identify (core, m, l->type, l->zone, l->spot);
-      m->rented_us = core->now.mono_us - l->age_us;
+        mh_cluster_identify_machine (core, m, l->type, l->zone, l->spot);
+      m->boot.rented_us = core->now.mono_us - l->age_us;
       m->endpoint = m->endpoint ? m->endpoint : g_strdup (l->endpoint);
     }
-  m->running = l->state == MH_LISTED_RUNNING;
+  m->listed_running = l->state == MH_LISTED_RUNNING;
   if (l->state == MH_LISTED_FAILED)
     mh_release_machine (core, m, "failed");
 }
@@ -94,8 +90,8 @@
     {
       core->scale.types_busy = true;
       /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
-      mh_core_call (core, core->types ? MH_CALL_WORK : MH_CALL_LEASE, mh_wire_machine_types (), 0,
-                    CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
+      mh_core_call (core, mh_cluster_types (core) ? MH_CALL_WORK : MH_CALL_LEASE,
+                    mh_wire_machine_types (), 0, CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
     }
   if (!core->scale.list_busy && now >= core->scale.list_us)
     list_page (core, NULL);
