--- a/tests/random-day.c
+++ b/tests/random-day.c
@@ -1,60 +1,61 @@
 #include "random-day.h"
-#include "sim.h"
+#include "stand-in/simulation.h"
+
+#include "stand-in/decision-log.h"
 
 static void
-odd_requests (Sim *sim)
+odd_requests (Simulation *simulation)
 {
-  MhJobSpec *s = sim_spec (900000 + sim->users->len, MH_SHAPE_ARRAY, 1, 1);
-  if (g_rand_boolean (sim->random))
+  MhJobSpec *s = job_spec_new (900000 + simulation->users->len, MH_SHAPE_ARRAY, 1, 1);
+  if (g_rand_boolean (simulation->random))
     s->mem_gb = 1000;
   else
     {
       g_free (s->team);
       s->team = g_strdup ("nobody");
     }
-  for (guint i = 0; i < sim->users->len; i++)
+  for (guint i = 0; i < simulation->users->len; i++)
     {
-      SimUser *u = g_ptr_array_index (sim->users, i);
+      User *u = g_ptr_array_index (simulation->users, i);
       if (u->told_done)
-        sim_cancel (u);
+        user_cancel (u);
     }
-  sim_submit (sim, s, 1)->impossible = true;
+  simulation_submit (simulation, s, 1)->infeasible = true;
 }
 
 static void
-some_failure (Sim *sim)
+some_failure (Simulation *simulation)
 {
-  GRand *r = sim->random;
-  SimNode *n = &sim->nodes[g_rand_int_range (r, 0, SIM_NODES)];
-  gint64 until = sim->now_us + g_rand_int_range (r, 1, 25) * MH_SECOND_US;
-  SimWorker *w
-      = sim->workers->len
-            ? g_ptr_array_index (sim->workers, g_rand_int_range (r, 0, (gint)sim->workers->len))
-            : NULL;
+  GRand *r = simulation->random;
+  ControllerNode *n = &simulation->nodes[g_rand_int_range (r, 0, SIMULATION_NODES)];
+  gint64 until = simulation->clock->now_us + g_rand_int_range (r, 1, 25) * MH_SECOND_US;
+  Worker *w = simulation->workers->len ? g_ptr_array_index (
+                  simulation->workers, g_rand_int_range (r, 0, (gint)simulation->workers->len))
+                                       : NULL;
   switch (g_rand_int_range (r, 0, 21))
     {
     case 0:
     case 1:
-      sim_stop_node (sim, n->index);
+      simulation_stop_node (simulation, n->index);
       break;
     case 2:
-      for (guint i = 0; i < SIM_NODES; i++)
-        sim_stop_node (sim, i);
+      for (guint i = 0; i < SIMULATION_NODES; i++)
+        simulation_stop_node (simulation, i);
       break;
     case 3:
-      n->state_cut_us = until;
+      n->store_cut_until_us = until;
       break;
     case 4:
-      n->peers_cut_us = until;
+      n->peers_cut_until_us = until;
       break;
     case 5:
-      n->workers_cut_us = until;
+      n->workers_cut_until_us = until;
       break;
     case 6:
-      sim->world->outage_until_us = until;
+      simulation->store->outage_until_us = until;
       break;
     case 7:
-      sim->world->cloud_outage_until_us = until;
+      simulation->cloud->outage_until_us = until;
       break;
     case 8:
       if (w)
@@ -62,48 +63,48 @@
       break;
     case 9:
       if (w)
-        w->cut_us = until;
+        w->cut_until_us = until;
       break;
     case 10: /* back at once, whatever it was doing: perhaps in the middle of an election */
-      sim_stop_node (sim, n->index);
-      sim_run (sim, g_rand_double_range (r, 0.01, 0.4));
-      sim_start_node (sim, n->index);
+      simulation_stop_node (simulation, n->index);
+      simulation_run (simulation, g_rand_double_range (r, 0.01, 0.4));
+      simulation_start_node (simulation, n->index);
       break;
     case 11: /* keeps its workers alone */
-      n->state_cut_us = n->peers_cut_us = until;
+      n->store_cut_until_us = n->peers_cut_until_us = until;
       break;
     case 12:
-      sim_freeze_node (sim, n->index, g_rand_double_range (r, 0.3, 20));
+      simulation_freeze_node (simulation, n->index, g_rand_double_range (r, 0.3, 20));
       break;
     case 13: /* between deciding and sending */
-      n->freeze_deciding_us = g_rand_int_range (r, 1, 12) * MH_SECOND_US;
+      n->freeze_before_acting_us = g_rand_int_range (r, 1, 12) * MH_SECOND_US;
       break;
     case 14:
       if (w)
-        w->answers_lost_us = until + 20 * MH_SECOND_US;
+        w->answers_lost_until_us = until + 20 * MH_SECOND_US;
       break;
     case 15: /* reports reach nobody, commands arrive */
       if (w)
-        w->reports_lost_us = until + 20 * MH_SECOND_US;
+        w->reports_lost_until_us = until + 20 * MH_SECOND_US;
       break;
     case 16: /* refused alone, and a moment later everybody is */
-      n->state_refused_us = until;
+      n->store_refuses_until_us = until;
       if (g_rand_boolean (r))
-        sim->world->outage_until_us = until + 30 * MH_SECOND_US;
+        simulation->store->outage_until_us = until + 30 * MH_SECOND_US;
       break;
     case 17:
-      n->reports_lost_us = until;
+      n->reports_lost_until_us = until;
       break;
     case 18:
-      n->lists_lost_us = until;
+      n->key_lists_lost_until_us = until;
       break;
     case 19: /* can never run, or is over */
-      odd_requests (sim);
+      odd_requests (simulation);
       break;
     default:
       if (w)
         {
-          world_fail (w->machine);
+          machine_fail (w->machine);
         }
     }
 }
@@ -115,67 +116,69 @@
 /* All begin with the version in production. The limits that come next are announced on every other
    of these days. */
 static void
-begin_with_production (Sim *sim, bool limits)
+begin_with_production (Simulation *simulation, bool limits)
 {
-  for (guint i = 0; i < SIM_NODES; i++)
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim_stop_node (sim, i);
+      simulation_stop_node (simulation, i);
       if (limits)
         {
-          sim->nodes[i].settings->value_bytes = NEXT_VALUE_BYTES;
-          sim->nodes[i].settings->txn_ops = sim->nodes[i].settings->batch = NEXT_TXN_OPS;
-          sim->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS;
+          simulation->nodes[i].settings->value_bytes = NEXT_VALUE_BYTES;
+          simulation->nodes[i].settings->txn_ops = simulation->nodes[i].settings->batch
+              = NEXT_TXN_OPS;
+          simulation->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS;
         }
-      sim_restart_node (sim, i, CONTROLLER_PRODUCTION, 0);
+      simulation_restart_node (simulation, i, CONTROLLER_PRODUCTION, 0);
     }
 }
 
 /* Whoever starts again next has either version; now and then one is replaced. */
 static void
-draw_versions (Sim *sim)
+draw_versions (Simulation *simulation)
 {
-  for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].controller == NULL)
-      sim->nodes[i].version
-          = g_rand_boolean (sim->random) ? CONTROLLER_CURRENT : CONTROLLER_PRODUCTION;
-  if (g_rand_int_range (sim->random, 0, 4) == 0)
-    sim_stop_node (sim, (guint)g_rand_int_range (sim->random, 0, SIM_NODES));
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    if (simulation->nodes[i].controller == NULL)
+      simulation->nodes[i].version
+          = g_rand_boolean (simulation->random) ? CONTROLLER_CURRENT : CONTROLLER_PRODUCTION;
+  if (g_rand_int_range (simulation->random, 0, 4) == 0)
+    simulation_stop_node (simulation,
+                          (guint)g_rand_int_range (simulation->random, 0, SIMULATION_NODES));
 }
 
 void
 random_day_run (guint seed, GChecksum *digest)
 {
-  Sim *sim = sim_new (seed);
-  GRand *r = sim->random;
-  sim->digest = digest;
+  Simulation *simulation = simulation_new (seed);
+  GRand *r = simulation->random;
+  simulation->digest = digest;
   bool versions = seed > RANDOM_DAY_VERSIONS;
   bool limits = versions && seed % 2;
   if (versions)
-    begin_with_production (sim, limits);
+    begin_with_production (simulation, limits);
   guint number = 0;
   /* Now and then the fleet is large, or very large. */
   guint machines = seed % 40 == 0 ? 2000 : seed % 20 == 0 ? 250 : 0;
   if (machines)
     {
-      sim->world->capacity = machines + 70;
+      simulation->cloud->capacity = machines + 70;
       for (guint i = 0; i < machines; i++)
-        world_add_machine (sim->world, "small", i % 2 ? "a" : "b", false);
+        cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
     }
-  sim->lose = 0.01;
-  sim->late = 0.005;
-  sim->copies = 0.03;
+  simulation->network->loss_probability = 0.01;
+  simulation->network->delay_probability = 0.005;
+  simulation->network->duplicate_probability = 0.03;
   if (seed % 3 == 0)
-    sim->late_writes = 0.1;
+    simulation->network->late_write_probability = 0.1;
   if (seed % 4 == 0)
-    sim->cancel_at_end = 0.4;
+    simulation->cancel_at_end_probability = 0.4;
   for (guint turn = 0; turn < 60; turn++)
     {
       if (turn % 3 == 0)
         {
           bool service = g_rand_int_range (r, 0, 3) == 0;
-          MhJobSpec *s = sim_spec (++number, service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY,
-                                   (guint)g_rand_int_range (r, 1, service ? 4 : 12),
-                                   g_rand_int_range (r, 1, 3));
+          MhJobSpec *s = job_spec_new (++number, service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY,
+                                       (guint)g_rand_int_range (r, 1, service ? 4 : 12),
+                                       g_rand_int_range (r, 1, 3));
           if (!service && g_rand_int_range (r, 0, 3) == 0)
             {
               s->shape = MH_SHAPE_GANG;
@@ -191,66 +194,70 @@
             s->zone = g_strdup ("b");
           /* At most half of its tasks may be in a zone, and only one zone is allowed. */
           bool impossible = s->shape == MH_SHAPE_GANG && s->scatter && s->zone && s->tasks > 1;
-          sim_submit (sim, s, service ? 0 : g_rand_double_range (r, 1, 10))->impossible
+          simulation_submit (simulation, s, service ? 0 : g_rand_double_range (r, 1, 10))
+              ->infeasible
               = impossible;
         }
       if (turn > 5 && g_rand_int_range (r, 0, 3) == 0)
-        some_failure (sim);
-      if (sim->users->len && g_rand_int_range (r, 0, 6) == 0)
-        sim_cancel (g_ptr_array_index (sim->users, g_rand_int_range (r, 0, (gint)sim->users->len)));
+        some_failure (simulation);
+      if (simulation->users->len && g_rand_int_range (r, 0, 6) == 0)
+        user_cancel (g_ptr_array_index (simulation->users,
+                                        g_rand_int_range (r, 0, (gint)simulation->users->len)));
       if (versions)
-        draw_versions (sim);
+        draw_versions (simulation);
       if (limits && turn == 30)
         {
-          sim->settings->value_bytes = NEXT_VALUE_BYTES;
-          sim->settings->txn_ops = NEXT_TXN_OPS;
-          sim->world->write_rps = NEXT_WRITE_RPS;
+          simulation->settings->value_bytes = NEXT_VALUE_BYTES;
+          simulation->settings->txn_ops = NEXT_TXN_OPS;
+          simulation->store->write_rps = NEXT_WRITE_RPS;
         }
-      for (guint i = 0; i < SIM_NODES; i++)
+      for (guint i = 0; i < SIMULATION_NODES; i++)
         if (g_rand_boolean (r))
-          sim_start_node (sim, i);
-      sim_run (sim, 2);
-      sim_leader (sim); /* asserts that there is at most one */
+          simulation_start_node (simulation, i);
+      simulation_run (simulation, 2);
+      simulation_leader (simulation); /* asserts that there is at most one */
     }
   /* Then all is well again, and everything that was accepted must come to its end. */
-  sim->lose = sim->late = sim->copies = sim->late_writes = 0;
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_start_node (sim, i);
-  for (guint i = 0; i < sim->users->len; i++)
+  simulation->network->loss_probability = simulation->network->delay_probability
+      = simulation->network->duplicate_probability = simulation->network->late_write_probability
+      = 0;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_start_node (simulation, i);
+  for (guint i = 0; i < simulation->users->len; i++)
     {
-      SimUser *u = g_ptr_array_index (sim->users, i);
+      User *u = g_ptr_array_index (simulation->users, i);
       if (u->job->run_us == 0)
-        sim_cancel (u);
+        user_cancel (u);
     }
   bool settled = false;
   for (guint second = 0; second < 400 && !settled; second++)
     {
-      settled = sim_until (sim, 1, sim_all_settled, NULL);
+      settled = simulation_until (simulation, 1, simulation_all_settled, NULL);
       if (second > 60) /* the last troubles are over too */
-        world_check_waiting (sim->world);
+        rule_checks_waiting_jobs (simulation->rules);
     }
-  sim_assert_rules (sim);
+  simulation_assert_rules (simulation);
   if (!settled)
-    for (guint i = 0; i < sim->users->len; i++)
+    for (guint i = 0; i < simulation->users->len; i++)
       {
-        const SimUser *u = g_ptr_array_index (sim->users, i);
-        guint running = world_running (sim->world, u->job->spec->id);
+        const User *u = g_ptr_array_index (simulation->users, i);
+        guint running = simulation_running_tasks (simulation, u->job->spec->id);
         if ((!u->told_done && !u->told_cancelled) || running)
           g_printerr ("left: %s, %u of %u done, %u running, last answer %u%s%s\n", u->job->spec->id,
-                      u->job->n_done, u->job->spec->tasks, running, u->last_status,
+                      u->job->done_count, u->job->spec->tasks, running, u->last_status,
                       u->told_cancelled ? ", told cancelled" : "",
                       u->told_done ? ", told done" : "");
       }
   g_assert_true (settled);
   /* Nobody's job is forgotten: each was asked about many times since. */
-  sim_run (sim, 75);
-  for (guint i = 0; i < sim->users->len; i++)
+  simulation_run (simulation, 75);
+  for (guint i = 0; i < simulation->users->len; i++)
     {
-      const SimUser *u = g_ptr_array_index (sim->users, i);
-      if (!u->impossible)
-        g_assert_cmpint (sim->now_us - u->answered_us, <, 75 * MH_SECOND_US);
+      const User *u = g_ptr_array_index (simulation->users, i);
+      if (!u->infeasible)
+        g_assert_cmpint (simulation->clock->now_us - u->last_answer_us, <, 75 * MH_SECOND_US);
     }
-  g_assert_cmpuint (sim->world->starts, >, 0);
-  sim_digest_state (sim);
-  sim_free (sim);
+  g_assert_cmpuint (simulation->rules->task_starts, >, 0);
+  decision_log_state (simulation);
+  simulation_free (simulation);
 }
--- /dev/null
+++ b/tests/stand-in/cloud.c
@@ -0,0 +1,258 @@
+#include "stand-in/cloud.h"
+
+#include <string.h>
+
+#define DEFAULT_BOOT_US (4 * MH_SECOND_US)
+#define DEFAULT_CAPACITY 12
+#define DEFAULT_ZONES 2
+#define DEFAULT_PAGE 500
+
+Cloud *
+cloud_new (GPtrArray *machines, gint64 list_lag_us, struct WorkerRuntime *runtime)
+{
+  Cloud *cloud = g_new0 (Cloud, 1);
+  cloud->boot_us = DEFAULT_BOOT_US;
+  cloud->list_lag_us = list_lag_us;
+  cloud->capacity = DEFAULT_CAPACITY;
+  cloud->zones = DEFAULT_ZONES;
+  cloud->machines = g_ptr_array_ref (machines);
+  cloud->rentals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  cloud->runtime = runtime;
+  return cloud;
+}
+
+void
+cloud_free (Cloud *cloud)
+{
+  g_ptr_array_unref (cloud->machines);
+  g_hash_table_unref (cloud->rentals);
+  g_free (cloud);
+}
+
+Machine *
+cloud_add_machine (Cloud *cloud, const char *type, const char *zone, bool spot)
+{
+  Machine *machine = machine_new ((guint)++cloud->machines_rented, type, zone, cloud->runtime);
+  machine->spot = spot;
+  machine->rented_us = cloud->now_us;
+  machine->up_us = cloud->now_us + cloud->boot_us;
+  g_ptr_array_add (cloud->machines, machine);
+  return machine;
+}
+
+static Machine *
+find_machine (const Cloud *cloud, const char *name)
+{
+  for (guint i = 0; i < cloud->machines->len; i++)
+    {
+      Machine *machine = g_ptr_array_index (cloud->machines, i);
+      if (strcmp (machine->name, name) == 0)
+        return machine;
+    }
+  return NULL;
+}
+
+/* ---- types ---- */
+
+static MhValue *
+write_zones (const Cloud *cloud)
+{
+  MhValue *zones = mh_value_list ();
+  for (guint i = 0; i < cloud->zones; i++)
+    {
+      const char name[] = { (char)('a' + i), '\0' };
+      mh_value_push (zones, mh_value_text (name));
+    }
+  return zones;
+}
+
+static MhValue *
+write_types (const Cloud *cloud)
+{
+  guint count;
+  const MachineType *types = machine_types (&count);
+  MhValue *list = mh_value_list ();
+  for (guint i = 0; i < count; i++)
+    {
+      MhValue *item = mh_value_map ();
+      mh_value_set_text (item, "sku", types[i].name);
+      mh_value_set_number (item, "cpus", types[i].cpus);
+      mh_value_set_number (item, "mem_gb", types[i].mem_gb);
+      mh_value_set_number (item, "cache_gb", 50);
+      mh_value_set_number (item, "pull_gb_per_s", 1);
+      mh_value_set_number (item, "hourly", types[i].price);
+      mh_value_set_number (item, "spot_price", types[i].spot_price);
+      mh_value_set_number (item, "boot_s", 4);
+      mh_value_set (item, "halls", write_zones (cloud));
+      mh_value_push (list, item);
+    }
+  MhValue *body = mh_value_map ();
+  mh_value_set (body, "racks", list);
+  return body;
+}
+
+/* ---- rentals ---- */
+
+static guint
+count_live (const Cloud *cloud)
+{
+  guint live = 0;
+  for (guint i = 0; i < cloud->machines->len; i++)
+    live += !((const Machine *)g_ptr_array_index (cloud->machines, i))->gone;
+  return live;
+}
+
+/* As many as the capacity allows. Returns their names, with commas. */
+static char *
+rent_machines (Cloud *cloud, const MhValue *body)
+{
+  g_autofree char *type = mh_value_get_text (body, "rack");
+  g_autofree char *zone = mh_value_get_text (body, "hall");
+  guint64 count = 0;
+  bool spot = false;
+  mh_value_get_uint (body, "number", &count);
+  mh_value_get_bool (body, "standby", &spot);
+  GString *names = g_string_new (NULL);
+  for (guint live = count_live (cloud); count > 0 && live < cloud->capacity; count--, live++)
+    g_string_append_printf (names, "%s%s", names->len ? "," : "",
+                            cloud_add_machine (cloud, type, zone, spot)->name);
+  return g_string_free (names, FALSE);
+}
+
+static MhValue *
+write_names (const char *names)
+{
+  g_auto (GStrv) each = g_strsplit (names, ",", -1);
+  MhValue *list = mh_value_list (), *body = mh_value_map ();
+  for (guint i = 0; each[i]; i++)
+    mh_value_push (list, mh_value_text (each[i]));
+  mh_value_set (body, "boxes", list);
+  return body;
+}
+
+/* A rental that is asked for again has the machines that it got at first. */
+static void
+rent (Cloud *cloud, const MhValue *body, ServiceReply *reply)
+{
+  g_autofree char *rental = mh_value_get_text (body, "rental");
+  const char *known = g_hash_table_lookup (cloud->rentals, rental);
+  g_autofree char *names = known ? g_strdup (known) : rent_machines (cloud, body);
+  if (*names == '\0')
+    {
+      reply->status = 503;
+      reply->body = mh_value_map ();
+      mh_value_set_text (reply->body, "error", "no capacity");
+      return;
+    }
+  if (known == NULL)
+    g_hash_table_insert (cloud->rentals, g_strdup (rental), g_strdup (names));
+  reply->body = write_names (names);
+}
+
+static void
+release (Cloud *cloud, const MhValue *body)
+{
+  const MhValue *list = mh_value_get (body, "boxes");
+  for (gsize i = 0; i < mh_value_size (list); i++)
+    {
+      g_autofree char *name = mh_value_as_text (mh_value_at (list, i));
+      Machine *machine = find_machine (cloud, name);
+      if (machine && !machine->gone)
+        machine_take_away (machine, cloud->now_us);
+    }
+}
+
+/* ---- the list ---- */
+
+static MhValue *
+write_machine (const Machine *machine, gint64 as_of_us)
+{
+  const char *status = machine->up_us > as_of_us ? "starting" : "running";
+  MhValue *item = mh_value_map ();
+  mh_value_set_text (item, "id", machine->name);
+  mh_value_set_text (item, "endpoint", machine->endpoint);
+  mh_value_set_text (item, "rack", machine->type);
+  mh_value_set_text (item, "hall", machine->zone);
+  mh_value_set_bool (item, "standby", machine->spot);
+  mh_value_set_text (item, "status", machine->failed ? "failed" : status);
+  mh_value_set_number (item, "held_s", (double)(as_of_us - machine->rented_us) / 1e6);
+  return item;
+}
+
+static bool
+is_listed (const Machine *machine, gint64 as_of_us, const char *after)
+{
+  if (machine->rented_us > as_of_us || (machine->gone && machine->gone_us <= as_of_us))
+    return false;
+  return after == NULL || strcmp (machine->name, after) > 0;
+}
+
+static char *
+parameter (const char *path, const char *name)
+{
+  const char *start = strstr (path, name);
+  if (start == NULL)
+    return NULL;
+  start += strlen (name);
+  return g_strndup (start, strcspn (start, "&"));
+}
+
+/* A page, in the order of the names. */
+static MhValue *
+list_machines (const Cloud *cloud, const char *path)
+{
+  g_autofree char *limit_text = parameter (path, "limit="), *after = parameter (path, "since=");
+  guint64 limit = limit_text ? g_ascii_strtoull (limit_text, NULL, 10) : DEFAULT_PAGE;
+  gint64 as_of_us = cloud->now_us - cloud->list_lag_us;
+  MhValue *list = mh_value_list (), *body = mh_value_map ();
+  bool more = false;
+  for (guint i = 0; i < cloud->machines->len && !more; i++)
+    {
+      const Machine *machine = g_ptr_array_index (cloud->machines, i);
+      if (!is_listed (machine, as_of_us, after))
+        continue;
+      more = mh_value_size (list) >= limit;
+      if (!more)
+        mh_value_push (list, write_machine (machine, as_of_us));
+    }
+  mh_value_set (body, "boxes", list);
+  mh_value_set_bool (body, "has_next", more);
+  return body;
+}
+
+void
+cloud_serve (Cloud *cloud, const ServiceRequest *request, ServiceReply *reply)
+{
+  const char *path = request->path;
+  *reply = (ServiceReply){ .status = 200 };
+  if (cloud->now_us < cloud->outage_until_us)
+    reply->status = 503;
+  else if (strcmp (path, "/machine_types") == 0)
+    reply->body = write_types (cloud);
+  else if (strcmp (path, "/machines") == 0)
+    rent (cloud, request->body, reply);
+  else if (strcmp (path, "/machines/release") == 0)
+    release (cloud, request->body);
+  else if (g_str_has_prefix (path, "/machines?"))
+    {
+      cloud->list_requests++;
+      reply->body = list_machines (cloud, path);
+    }
+  else
+    reply->status = 400;
+}
+
+static gint
+compare_names (gconstpointer left, gconstpointer right)
+{
+  return strcmp (left, right);
+}
+
+void
+cloud_describe_rentals (const Cloud *cloud, GString *out)
+{
+  g_autoptr (GList) names = g_list_sort (g_hash_table_get_keys (cloud->rentals), compare_names);
+  for (const GList *link = names; link; link = link->next)
+    g_string_append_printf (out, "rental %s %s\n", (const char *)link->data,
+                            (const char *)g_hash_table_lookup (cloud->rentals, link->data));
+}
--- /dev/null
+++ b/tests/stand-in/controller-node.c
@@ -0,0 +1,231 @@
+#include "stand-in/controller-node.h"
+
+#include "stand-in/simulation.h"
+
+#include "stand-in/decision-log.h"
+#include "stand-in/outgoing-call.h"
+#include "stand-in/peer-message.h"
+
+#define WALL_CLOCK_START_US 1700000000000000
+#define WALL_CLOCK_SKEW_US 1000
+#define LARGEST_DRIFT 0.0005
+#define SHORTEST_TIMER_US 1000
+
+static void
+pending_request_free (gpointer data)
+{
+  PendingRequest *request = data;
+  if (request->free_data)
+    request->free_data (request->data);
+  g_free (request->job_id);
+  mh_job_spec_free (request->spec);
+  g_free (request);
+}
+
+MhJobSpec *
+job_spec_copy (const MhJobSpec *spec)
+{
+  g_autoptr (MhValue) message = mh_wire_write_submission (spec);
+  MhJobSpec *copy = mh_wire_read_submission (message);
+  g_assert_nonnull (copy);
+  return copy;
+}
+
+void
+controller_node_init (ControllerNode *node, Simulation *simulation, guint index,
+                      MhSettings *settings)
+{
+  node->simulation = simulation;
+  node->index = index;
+  node->settings = settings;
+  node->name = g_strdup (settings->node);
+  node->clock_drift = g_rand_double_range (simulation->random, -LARGEST_DRIFT, LARGEST_DRIFT);
+  node->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_request_free);
+}
+
+void
+controller_node_clear (ControllerNode *node)
+{
+  controller_node_stop (node);
+  g_hash_table_unref (node->pending);
+  mh_settings_free (node->settings);
+  g_free (node->name);
+}
+
+/* ---- clocks ---- */
+
+static gint64
+monotonic_us (const ControllerNode *node)
+{
+  gint64 now_us = node->simulation->clock->now_us;
+  return MH_SECOND_US * (node->index + 1) + (gint64)((double)now_us * (1 + node->clock_drift));
+}
+
+MhNow
+controller_node_now (ControllerNode *node)
+{
+  gint64 now_us = node->simulation->clock->now_us;
+  return (MhNow){ .mono_us = monotonic_us (node),
+                  .wall_us
+                  = WALL_CLOCK_START_US + now_us + (gint64)WALL_CLOCK_SKEW_US * node->index,
+                  .jitter = g_rand_double (node->simulation->random) };
+}
+
+bool
+controller_node_is_frozen (const ControllerNode *node)
+{
+  return node->frozen_until_us > node->simulation->clock->now_us;
+}
+
+/* ---- inputs ---- */
+
+/* Returns the id that the controller calls the request by. */
+static guint64
+expect_answer (ControllerNode *node, PendingRequest *request)
+{
+  guint64 id = fake_clock_next_number (node->simulation->clock);
+  g_hash_table_insert (node->pending, g_memdup2 (&id, sizeof id), request);
+  return id;
+}
+
+void
+controller_node_user_request (ControllerNode *node, PendingRequest *request, bool forwarded)
+{
+  MhNow now = controller_node_now (node);
+  guint64 id = expect_answer (node, request);
+  controller_user (node->controller, &now, id, request->verb, request->job_id,
+                   request->spec ? job_spec_copy (request->spec) : NULL, forwarded);
+  controller_node_drain (node);
+}
+
+void
+controller_node_report (ControllerNode *node, PendingRequest *request, const MhValue *report)
+{
+  MhNow now = controller_node_now (node);
+  controller_report (node->controller, &now, expect_answer (node, request), report);
+  controller_node_drain (node);
+}
+
+bool
+controller_node_leads (ControllerNode *node)
+{
+  MhNow now = controller_node_now (node);
+  controller_tick (node->controller, &now);
+  controller_node_drain (node);
+  return controller_leads (node->controller);
+}
+
+/* ---- actions ---- */
+
+static void
+answer_request (ControllerNode *node, const MhAction *action)
+{
+  const PendingRequest *request = g_hash_table_lookup (node->pending, &action->id);
+  if (request == NULL)
+    return;
+  request->answered (node, request, action);
+  g_hash_table_remove (node->pending, &action->id);
+}
+
+static void
+carry_out (ControllerNode *node, MhAction *action)
+{
+  switch (action->kind)
+    {
+    case MH_ACTION_CALL:
+      outgoing_call_send (node, g_steal_pointer (&action->request), action);
+      break;
+    case MH_ACTION_ANNOUNCE_LEADER:
+      peer_message_announce (node, action);
+      break;
+    case MH_ACTION_FORWARD:
+      peer_message_forward (node, action, g_hash_table_lookup (node->pending, &action->id));
+      break;
+    case MH_ACTION_LOG:
+      simulation_log (node->simulation, node->name, action->text);
+      break;
+    default:
+      answer_request (node, action);
+    }
+}
+
+static void
+wake (gpointer data)
+{
+  ControllerNode *node = data;
+  if (node->controller == NULL || node->simulation->clock->now_us < node->next_wake_us)
+    return;
+  node->next_wake_us = G_MAXINT64;
+  node->wake_count++;
+  MhNow now = controller_node_now (node);
+  controller_tick (node->controller, &now);
+  controller_node_drain (node);
+}
+
+static void
+set_timer (ControllerNode *node)
+{
+  FakeClock *clock = node->simulation->clock;
+  gint64 in_us = controller_next_wake (node->controller) - monotonic_us (node);
+  gint64 wake_us = clock->now_us + MAX (in_us, SHORTEST_TIMER_US);
+  if (node->next_wake_us != G_MAXINT64 && wake_us >= node->next_wake_us)
+    return;
+  node->next_wake_us = wake_us;
+  fake_clock_add_pausable (clock, &node->frozen_until_us, wake_us, wake, node, NULL);
+}
+
+static void
+resume (gpointer data)
+{
+  ControllerNode *node = data;
+  if (node->controller)
+    controller_node_drain (node);
+}
+
+void
+controller_node_drain (ControllerNode *node)
+{
+  FakeClock *clock = node->simulation->clock;
+  if (node->freeze_before_acting_us)
+    node->frozen_until_us = clock->now_us + node->freeze_before_acting_us;
+  node->freeze_before_acting_us = 0;
+  if (controller_node_is_frozen (node))
+    {
+      fake_clock_add_pausable (clock, &node->frozen_until_us, node->frozen_until_us, resume, node,
+                               NULL);
+      return;
+    }
+  /* Taking an action draws nothing at random, so that a day does not hang on what is logged. */
+  MhAction *action;
+  while ((action = controller_pop (node->controller, monotonic_us (node))))
+    {
+      decision_log_action (node, action);
+      carry_out (node, action);
+      mh_action_free (action);
+    }
+  set_timer (node);
+}
+
+/* ---- process ---- */
+
+void
+controller_node_stop (ControllerNode *node)
+{
+  g_clear_pointer (&node->controller, controller_free);
+  g_hash_table_remove_all (node->pending);
+  node->worker_calls = 0;
+  node->incarnation++;
+}
+
+void
+controller_node_start (ControllerNode *node)
+{
+  if (node->controller)
+    return;
+  MhNow now = controller_node_now (node);
+  node->next_wake_us = G_MAXINT64;
+  node->frozen_until_us = node->freeze_before_acting_us = 0;
+  node->controller = controller_new (node->version, node->settings, &now);
+  controller_tick (node->controller, &now);
+  controller_node_drain (node);
+}
--- /dev/null
+++ b/tests/stand-in/gang-runtime.c
@@ -0,0 +1,124 @@
+/* The part of worker-runtime.h that runs gangs: what their workers do together. */
+#include "stand-in/worker-runtime.h"
+
+#include <string.h>
+
+/* The tasks of a gang on machines that do not stand still. */
+typedef struct
+{
+  GPtrArray *started; /* MachineTask: running or saving */
+  guint gathered, saved;
+  guint64 attempt;
+} GangState;
+
+static void
+collect_task (const WorkerRuntime *runtime, const MhJobSpec *spec, MachineTask *task,
+              GangState *state)
+{
+  if (strcmp (task->job_id, spec->id) != 0 || task->phase == MH_TASK_ENDED)
+    return;
+  state->attempt = task->attempt;
+  state->gathered += task->phase == MH_TASK_GATHERING;
+  state->saved += task->phase == MH_TASK_SAVING
+                  && runtime->now_us >= task->stop_requested_us + spec->save_us;
+  if (task->phase >= MH_TASK_RUNNING)
+    g_ptr_array_add (state->started, task);
+}
+
+static void
+collect_tasks (const WorkerRuntime *runtime, const GPtrArray *machines, const MhJobSpec *spec,
+               GangState *state)
+{
+  for (guint i = 0; i < machines->len; i++)
+    {
+      const Machine *machine = g_ptr_array_index (machines, i);
+      if (!machine->up || runtime->now_us < machine->hung_until_us)
+        continue;
+      for (guint j = 0; j < machine->tasks->len; j++)
+        collect_task (runtime, spec, machine_task (machine, j), state);
+    }
+}
+
+static void
+begin_running (const WorkerRuntime *runtime, const GPtrArray *machines, WorkloadJob *job,
+               guint64 attempt)
+{
+  job->running_attempt = attempt;
+  job->running_since_us = runtime->now_us;
+  job->stop_requested_us = job->incomplete_since_us = 0;
+  for (guint i = 0; i < machines->len; i++)
+    {
+      const Machine *machine = g_ptr_array_index (machines, i);
+      for (guint j = 0; j < machine->tasks->len; j++)
+        {
+          MachineTask *task = machine_task (machine, j);
+          if (strcmp (task->job_id, job->spec->id) == 0 && task->phase == MH_TASK_GATHERING)
+            task->phase = MH_TASK_RUNNING;
+        }
+    }
+}
+
+static void
+end_gang (WorkloadJob *job, const GPtrArray *tasks, const char *cause)
+{
+  for (guint i = 0; i < tasks->len; i++)
+    {
+      MachineTask *task = g_ptr_array_index (tasks, i);
+      task->phase = MH_TASK_ENDED;
+      task->cause = cause;
+    }
+  job->running_attempt = 0;
+  job->incomplete_since_us = job->stop_requested_us = 0;
+}
+
+/* The others have waited for a lost task, or for one that does not save, for long enough. */
+static bool
+gives_up (const WorkerRuntime *runtime, const WorkloadJob *job)
+{
+  gint64 patience_us = runtime->settings->gang_peer_us;
+  if (job->incomplete_since_us && runtime->now_us > job->incomplete_since_us + patience_us)
+    return true;
+  return job->stop_requested_us
+         && runtime->now_us > job->stop_requested_us + job->spec->save_us + patience_us;
+}
+
+static void
+advance_running (const WorkerRuntime *runtime, WorkloadJob *job, const GangState *state)
+{
+  const MhJobSpec *spec = job->spec;
+  gint64 until_us = job->stop_requested_us ? job->stop_requested_us : runtime->now_us;
+  gint64 progress_us = job->saved_progress_us + until_us - job->running_since_us;
+  if (state->started->len < spec->tasks && job->incomplete_since_us == 0)
+    job->incomplete_since_us = runtime->now_us;
+  bool undisturbed = job->stop_requested_us == 0 && job->incomplete_since_us == 0;
+  if (state->saved == spec->tasks)
+    {
+      job->saved_progress_us = progress_us;
+      job->orderly_stops++;
+      end_gang (job, state->started, "stopped");
+    }
+  else if (gives_up (runtime, job))
+    {
+      if (spec->checkpoint_us)
+        job->saved_progress_us = progress_us / spec->checkpoint_us * spec->checkpoint_us;
+      end_gang (job, state->started, "peers");
+    }
+  else if (job->run_us && progress_us >= job->run_us && undisturbed)
+    {
+      end_gang (job, state->started, "done");
+      memset (job->task_done, 1, spec->tasks);
+      job->done_count = spec->tasks;
+    }
+}
+
+void
+worker_runtime_advance_gang (WorkerRuntime *runtime, const GPtrArray *machines, WorkloadJob *job)
+{
+  g_autoptr (GPtrArray) started = g_ptr_array_new ();
+  GangState state = { .started = started };
+  collect_tasks (runtime, machines, job->spec, &state);
+  if (state.gathered == job->spec->tasks)
+    begin_running (runtime, machines, job, state.attempt);
+  else if (job->running_attempt != 0 && started->len > 0)
+    advance_running (runtime, job, &state);
+}
--- /dev/null
+++ b/tests/stand-in/key-value-requests.c
@@ -0,0 +1,311 @@
+/* The protocol of the key-value store: the requests of key-value-store.h and their answers. */
+#include "stand-in/key-value-store-private.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#define KEY_PATH "/kv/"
+#define FINAL_RECORD_PATH "/kv/f/"
+#define LEASE_PATH "/grants/"
+#define LEADER_KEY "leader"
+#define DEFAULT_PAGE 1000
+#define CONDITIONS_PER_CHANGE 4u
+#define TRANSACTION_BYTES 65536
+
+static MhValue *
+write_key (const char *name, const StoredKey *key)
+{
+  MhValue *item = mh_value_map ();
+  mh_value_set_text (item, "key", name);
+  mh_value_set (item, "v", cbor_incref (key->value));
+  mh_value_set_uint (item, "stamp", key->version);
+  return item;
+}
+
+static MhValue *
+write_revision (const KeyValueStore *store)
+{
+  MhValue *body = mh_value_map ();
+  mh_value_set_uint (body, "ledger", store->revision);
+  return body;
+}
+
+static char *
+query_parameter (const char *path, const char *name)
+{
+  g_autofree char *mark = g_strconcat (name, "=", NULL);
+  const char *query = strchr (path, '?');
+  const char *start = query ? strstr (query, mark) : NULL;
+  if (start == NULL)
+    return NULL;
+  start += strlen (mark);
+  return g_strndup (start, strcspn (start, "&"));
+}
+
+/* ---- reading ---- */
+
+static void
+serve_key (KeyValueStore *store, const char *name, ServiceReply *reply)
+{
+  const StoredKey *key = g_tree_lookup (store->keys, name);
+  reply->status = key ? 200 : 404;
+  reply->body = key ? write_key (name, key) : write_revision (store);
+}
+
+typedef struct
+{
+  const char *prefix, *after;
+  guint limit;
+  MhValue *entries;
+  bool more;
+} KeyPage;
+
+static gboolean
+collect_page (gpointer name, gpointer value, gpointer data)
+{
+  KeyPage *page = data;
+  if (!g_str_has_prefix (name, page->prefix) || (page->after && strcmp (name, page->after) <= 0))
+    return FALSE;
+  if (mh_value_size (page->entries) >= page->limit)
+    {
+      page->more = true;
+      return TRUE;
+    }
+  mh_value_push (page->entries, write_key (name, value));
+  return FALSE;
+}
+
+static MhValue *
+list_keys (const KeyValueStore *store, const char *path)
+{
+  g_autofree char *prefix = query_parameter (path, "starts");
+  g_autofree char *after = query_parameter (path, "since");
+  g_autofree char *limit = query_parameter (path, "limit");
+  KeyPage page = { .prefix = prefix ? prefix : "",
+                   .after = after,
+                   .limit = limit ? (guint)g_ascii_strtoull (limit, NULL, 10) : DEFAULT_PAGE,
+                   .entries = mh_value_list () };
+  g_tree_foreach (store->keys, collect_page, &page);
+  MhValue *body = write_revision (store);
+  mh_value_set (body, "entries", page.entries);
+  mh_value_set_bool (body, "has_next", page.more);
+  return body;
+}
+
+/* ---- transactions ---- */
+
+/* Transactions whose conditions fail count as well. */
+static bool
+within_write_rate (KeyValueStore *store, gsize changes)
+{
+  if (store->write_rps <= 0)
+    return true;
+  double gained
+      = store->write_rps * (double)(store->now_us - store->write_tokens_us) / MH_SECOND_US;
+  store->write_tokens = MIN (store->write_rps, store->write_tokens + gained);
+  store->write_tokens_us = store->now_us;
+  if (store->write_tokens < (double)changes)
+    {
+      store->throttled_writes++;
+      return false;
+    }
+  store->write_tokens -= (double)changes;
+  return true;
+}
+
+/* Returns the names of the keys that have another version than their conditions say. */
+static MhValue *
+failed_conditions (const KeyValueStore *store, const MhValue *conditions, bool *fenced)
+{
+  MhValue *failed = mh_value_list ();
+  *fenced = false;
+  for (gsize i = 0; i < mh_value_size (conditions); i++)
+    {
+      const MhValue *condition = mh_value_at (conditions, i);
+      g_autofree char *name = mh_value_get_text (condition, "key");
+      guint64 version = 0;
+      mh_value_get_uint (condition, "stamp", &version);
+      *fenced |= strcmp (name, LEADER_KEY) == 0;
+      const StoredKey *key = g_tree_lookup (store->keys, name);
+      if ((key ? key->version : 0) != version)
+        mh_value_push (failed, mh_value_text (name));
+    }
+  return failed;
+}
+
+static bool
+within_sizes (const KeyValueStore *store, const MhValue *body)
+{
+  guint most = store->settings->txn_ops;
+  return mh_value_size (mh_value_get (body, "apply")) <= most
+         && mh_value_size (mh_value_get (body, "if")) <= (gsize)CONDITIONS_PER_CHANGE * most
+         && mh_value_json_size (body) <= TRANSACTION_BYTES;
+}
+
+/* Their leases exist, and their values are not too large. */
+static bool
+changes_are_possible (const KeyValueStore *store, const MhValue *changes)
+{
+  for (gsize i = 0; i < mh_value_size (changes); i++)
+    {
+      const MhValue *change = mh_value_at (changes, i), *value = mh_value_get (change, "v");
+      guint64 lease;
+      if (mh_value_get_uint (change, "claim", &lease) && !key_value_store_has_lease (store, lease))
+        return false;
+      if (value && mh_value_json_size (value) > store->settings->value_bytes)
+        return false;
+    }
+  return true;
+}
+
+static void
+apply_changes (KeyValueStore *store, const MhValue *changes)
+{
+  store->revision++;
+  for (gsize i = 0; i < mh_value_size (changes); i++)
+    {
+      const MhValue *change = mh_value_at (changes, i);
+      g_autofree char *put = mh_value_get_text (change, "put");
+      g_autofree char *drop = mh_value_get_text (change, "drop");
+      guint64 lease = 0;
+      mh_value_get_uint (change, "claim", &lease);
+      key_value_store_change (store, put ? put : drop, put ? mh_value_get (change, "v") : NULL,
+                              lease);
+    }
+}
+
+static void
+refuse_as_malformed (KeyValueStore *store, ServiceReply *reply)
+{
+  store->malformed_writes++;
+  reply->status = 400;
+}
+
+static void
+serve_transaction (KeyValueStore *store, const MhValue *body, ServiceReply *reply)
+{
+  const MhValue *changes = mh_value_get (body, "apply");
+  bool fenced;
+  if (!within_sizes (store, body))
+    {
+      refuse_as_malformed (store, reply);
+      return;
+    }
+  if (!within_write_rate (store, mh_value_size (changes)))
+    {
+      reply->status = 429;
+      return;
+    }
+  g_autoptr (MhValue) failed = failed_conditions (store, mh_value_get (body, "if"), &fenced);
+  if (!fenced && store->unfenced)
+    store->unfenced (store->unfenced_data);
+  if (!changes_are_possible (store, changes))
+    {
+      refuse_as_malformed (store, reply);
+      return;
+    }
+  if (mh_value_size (failed) == 0)
+    apply_changes (store, changes);
+  else
+    reply->status = 409;
+  reply->body = write_revision (store);
+  if (reply->status == 409)
+    mh_value_set (reply->body, "failed", g_steal_pointer (&failed));
+}
+
+/* ---- leases ---- */
+
+static void
+serve_new_lease (KeyValueStore *store, const MhValue *body, ServiceReply *reply)
+{
+  guint64 life_ms = 0;
+  mh_value_get_uint (body, "life_ms", &life_ms);
+  guint64 lease = key_value_store_grant_lease (store, (gint64)life_ms * 1000);
+  reply->body = mh_value_map ();
+  mh_value_set_uint (reply->body, "claim", lease);
+}
+
+static void
+serve_lease (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply)
+{
+  guint64 lease = g_ascii_strtoull (request->path + strlen (LEASE_PATH), NULL, 10);
+  bool known = strcmp (request->method, "DELETE") == 0 ? key_value_store_end_lease (store, lease)
+                                                       : key_value_store_renew_lease (store, lease);
+  if (!known)
+    reply->status = 404;
+}
+
+/* ---- watches ---- */
+
+static void
+begin_watch (KeyValueStore *store, const ServiceRequest *request)
+{
+  g_autofree char *since = query_parameter (request->path, "since");
+  g_autofree char *hold_ms = query_parameter (request->path, "hold_ms");
+  Watch watch = { .token = request->token,
+                  .since = g_ascii_strtoull (since, NULL, 10),
+                  .prefix = query_parameter (request->path, "starts"),
+                  .until_us = store->now_us + g_ascii_strtoll (hold_ms, NULL, 10) * 1000 };
+  g_array_append_val (store->watches, watch);
+}
+
+static MhValue *
+write_change (const KeyChange *change)
+{
+  MhValue *item = mh_value_map ();
+  mh_value_set_text (item, change->value ? "put" : "drop", change->name);
+  if (change->value)
+    mh_value_set (item, "v", cbor_incref (change->value));
+  mh_value_set_uint (item, "stamp", change->version);
+  return item;
+}
+
+MhValue *
+key_value_store_watch_news (const KeyValueStore *store, const Watch *watch)
+{
+  MhValue *news = NULL;
+  for (guint i = 0; i < store->history->len; i++)
+    {
+      const KeyChange *change = &g_array_index (store->history, KeyChange, i);
+      if (change->version <= watch->since || !g_str_has_prefix (change->name, watch->prefix))
+        continue;
+      if (news == NULL)
+        news = mh_value_list ();
+      mh_value_push (news, write_change (change));
+    }
+  if (news == NULL && store->now_us < watch->until_us)
+    return NULL;
+  MhValue *body = write_revision (store);
+  mh_value_set (body, "news", news ? news : mh_value_list ());
+  return body;
+}
+
+/* ---- all requests ---- */
+
+bool
+key_value_store_serve (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply)
+{
+  const char *path = request->path;
+  *reply = (ServiceReply){ .status = 200 };
+  store->final_record_reads += g_str_has_prefix (path, FINAL_RECORD_PATH);
+  if (store->now_us < store->outage_until_us)
+    reply->status = 503;
+  else if (g_str_has_prefix (path, KEY_PATH))
+    serve_key (store, path + strlen (KEY_PATH), reply);
+  else if (g_str_has_prefix (path, "/kv?"))
+    reply->body = list_keys (store, path);
+  else if (strcmp (path, "/multi") == 0)
+    serve_transaction (store, request->body, reply);
+  else if (strcmp (path, "/grants") == 0)
+    serve_new_lease (store, request->body, reply);
+  else if (g_str_has_prefix (path, LEASE_PATH))
+    serve_lease (store, request, reply);
+  else if (g_str_has_prefix (path, "/watch?"))
+    {
+      begin_watch (store, request);
+      return false;
+    }
+  else
+    reply->status = 400;
+  return true;
+}
--- /dev/null
+++ b/tests/stand-in/key-value-store.c
@@ -0,0 +1,254 @@
+#include "stand-in/key-value-store-private.h"
+
+#include <string.h>
+
+static void
+key_free (gpointer data)
+{
+  StoredKey *key = data;
+  mh_value_unref (key->value);
+  g_free (key);
+}
+
+static void
+change_clear (gpointer data)
+{
+  KeyChange *change = data;
+  g_free (change->name);
+  mh_value_unref (change->value);
+}
+
+static void
+watch_clear (gpointer data)
+{
+  Watch *watch = data;
+  g_free (watch->prefix);
+}
+
+static gint
+compare_names (gconstpointer left, gconstpointer right, gpointer data)
+{
+  (void)data;
+  return strcmp (left, right);
+}
+
+KeyValueStore *
+key_value_store_new (const MhSettings *settings)
+{
+  KeyValueStore *store = g_new0 (KeyValueStore, 1);
+  store->settings = settings;
+  store->keys = g_tree_new_full (compare_names, NULL, g_free, key_free);
+  store->lease_ends = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  store->lease_lengths = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  store->history = g_array_new (FALSE, FALSE, sizeof (KeyChange));
+  g_array_set_clear_func (store->history, change_clear);
+  store->watches = g_array_new (FALSE, FALSE, sizeof (Watch));
+  g_array_set_clear_func (store->watches, watch_clear);
+  return store;
+}
+
+void
+key_value_store_free (KeyValueStore *store)
+{
+  g_tree_unref (store->keys);
+  g_hash_table_unref (store->lease_ends);
+  g_hash_table_unref (store->lease_lengths);
+  g_array_unref (store->history);
+  g_array_unref (store->watches);
+  g_free (store);
+}
+
+void
+key_value_store_set_unfenced (KeyValueStore *store, KeyValueStoreUnfenced unfenced, gpointer data)
+{
+  store->unfenced = unfenced;
+  store->unfenced_data = data;
+}
+
+void
+key_value_store_change (KeyValueStore *store, const char *name, MhValue *value, guint64 lease)
+{
+  KeyChange change = { .name = g_strdup (name),
+                       .value = value ? cbor_incref (value) : NULL,
+                       .version = store->revision };
+  if (value)
+    {
+      StoredKey *key = g_new0 (StoredKey, 1);
+      key->value = cbor_incref (value);
+      key->version = store->revision;
+      key->lease = lease;
+      g_tree_replace (store->keys, g_strdup (name), key);
+    }
+  else
+    g_tree_remove (store->keys, name);
+  g_array_append_val (store->history, change);
+}
+
+void
+key_value_store_corrupt (KeyValueStore *store, const char *name)
+{
+  g_autoptr (MhValue) value = mh_value_map ();
+  mh_value_set_text (value, "s", "?");
+  store->revision++;
+  key_value_store_change (store, name, value, 0);
+}
+
+/* ---- leases ---- */
+
+guint64
+key_value_store_grant_lease (KeyValueStore *store, gint64 length_us)
+{
+  guint64 lease = ++store->last_lease;
+  gint64 end_us = store->now_us + length_us;
+  g_hash_table_insert (store->lease_lengths, g_memdup2 (&lease, sizeof lease),
+                       g_memdup2 (&length_us, sizeof length_us));
+  g_hash_table_insert (store->lease_ends, g_memdup2 (&lease, sizeof lease),
+                       g_memdup2 (&end_us, sizeof end_us));
+  return lease;
+}
+
+bool
+key_value_store_has_lease (const KeyValueStore *store, guint64 lease)
+{
+  return g_hash_table_contains (store->lease_ends, &lease);
+}
+
+bool
+key_value_store_renew_lease (KeyValueStore *store, guint64 lease)
+{
+  gint64 *end_us = g_hash_table_lookup (store->lease_ends, &lease);
+  const gint64 *length_us = g_hash_table_lookup (store->lease_lengths, &lease);
+  if (end_us == NULL)
+    return false;
+  *end_us = store->now_us + *length_us;
+  return true;
+}
+
+typedef struct
+{
+  guint64 lease;
+  GPtrArray *names;
+} AttachedKeys;
+
+static gboolean
+collect_attached (gpointer name, gpointer value, gpointer data)
+{
+  AttachedKeys *attached = data;
+  const StoredKey *key = value;
+  if (key->lease == attached->lease)
+    g_ptr_array_add (attached->names, g_strdup (name));
+  return FALSE;
+}
+
+bool
+key_value_store_end_lease (KeyValueStore *store, guint64 lease)
+{
+  g_autoptr (GPtrArray) names = g_ptr_array_new_with_free_func (g_free);
+  AttachedKeys attached = { .lease = lease, .names = names };
+  if (!key_value_store_has_lease (store, lease))
+    return false;
+  g_tree_foreach (store->keys, collect_attached, &attached);
+  if (names->len)
+    store->revision++;
+  for (guint i = 0; i < names->len; i++)
+    key_value_store_change (store, g_ptr_array_index (names, i), NULL, 0);
+  g_hash_table_remove (store->lease_ends, &lease);
+  return true;
+}
+
+static void
+restart_leases (KeyValueStore *store)
+{
+  GHashTableIter it;
+  gpointer lease, end_us;
+  g_hash_table_iter_init (&it, store->lease_ends);
+  while (g_hash_table_iter_next (&it, &lease, &end_us))
+    {
+      const gint64 *length_us = g_hash_table_lookup (store->lease_lengths, lease);
+      *(gint64 *)end_us = store->now_us + *length_us;
+    }
+}
+
+static void
+expire_leases (KeyValueStore *store)
+{
+  g_autoptr (GArray) expired = g_array_new (FALSE, FALSE, sizeof (guint64));
+  GHashTableIter it;
+  gpointer lease, end_us;
+  g_hash_table_iter_init (&it, store->lease_ends);
+  while (g_hash_table_iter_next (&it, &lease, &end_us))
+    if (*(gint64 *)end_us <= store->now_us)
+      g_array_append_val (expired, *(guint64 *)lease);
+  for (guint i = 0; i < expired->len; i++)
+    key_value_store_end_lease (store, g_array_index (expired, guint64, i));
+}
+
+/* ---- watches and time ---- */
+
+gpointer
+key_value_store_watch_token (const KeyValueStore *store, guint index)
+{
+  return g_array_index (store->watches, Watch, index).token;
+}
+
+static void
+end_watches (KeyValueStore *store, GArray *ended)
+{
+  for (guint i = 0; i < store->watches->len;)
+    {
+      const Watch *watch = &g_array_index (store->watches, Watch, i);
+      EndedWatch answer = { .token = watch->token,
+                            .status = 200,
+                            .body = key_value_store_watch_news (store, watch) };
+      if (answer.body == NULL)
+        {
+          i++;
+          continue;
+        }
+      g_array_append_val (ended, answer);
+      g_array_remove_index (store->watches, i);
+    }
+}
+
+void
+key_value_store_advance (KeyValueStore *store, gint64 now_us, GArray *ended)
+{
+  bool was_out = store->now_us < store->outage_until_us;
+  store->now_us = now_us;
+  if (now_us < store->outage_until_us)
+    return;
+  if (was_out)
+    restart_leases (store);
+  expire_leases (store);
+  end_watches (store, ended);
+}
+
+/* ---- description ---- */
+
+static void
+describe_value (GString *out, const MhValue *value)
+{
+  if (value == NULL)
+    return;
+  g_autoptr (GBytes) bytes = mh_value_save (value);
+  g_autofree char *sum = g_compute_checksum_for_bytes (G_CHECKSUM_SHA256, bytes);
+  g_string_append (out, sum);
+}
+
+static gboolean
+describe_key (gpointer name, gpointer value, gpointer data)
+{
+  const StoredKey *key = value;
+  GString *out = data;
+  g_string_append_printf (out, "key %s %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " ",
+                          (const char *)name, key->version, key->lease);
+  describe_value (out, key->value);
+  g_string_append_c (out, '\n');
+  return FALSE;
+}
+
+void
+key_value_store_describe_keys (const KeyValueStore *store, GString *out)
+{
+  g_tree_foreach (store->keys, describe_key, out);
+}
--- /dev/null
+++ b/tests/stand-in/network.c
@@ -0,0 +1,73 @@
+#include "stand-in/network.h"
+
+#include "protocol/types.h"
+
+#define SHORTEST_DELAY_US 500
+#define LONGEST_DELAY_US 8000
+#define LONGEST_LATE_US (30 * MH_SECOND_US)
+#define LONGEST_DUPLICATE_US (60 * MH_SECOND_US)
+#define SHORTEST_LATE_WRITE_S 2
+#define LONGEST_LATE_WRITE_S 12
+
+Network *
+network_new (GRand *random, GDestroyNotify call_unref)
+{
+  Network *network = g_new0 (Network, 1);
+  network->random = random;
+  network->held_commands = g_ptr_array_new_with_free_func (call_unref);
+  network->held_writes = g_ptr_array_new_with_free_func (call_unref);
+  network->kept_requests = g_ptr_array_new_with_free_func (call_unref);
+  return network;
+}
+
+void
+network_free (Network *network)
+{
+  g_ptr_array_unref (network->held_commands);
+  g_ptr_array_unref (network->held_writes);
+  g_ptr_array_unref (network->kept_requests);
+  g_free (network);
+}
+
+/* What cannot happen draws nothing. */
+static bool
+draw (Network *network, double probability)
+{
+  return probability > 0 && g_rand_double (network->random) < probability;
+}
+
+gint64
+network_draw_delay (Network *network)
+{
+  gint64 delay_us = g_rand_int_range (network->random, SHORTEST_DELAY_US, LONGEST_DELAY_US);
+  if (draw (network, network->delay_probability))
+    delay_us += g_rand_int_range (network->random, 0, LONGEST_LATE_US);
+  return delay_us;
+}
+
+bool
+network_draw_loss (Network *network)
+{
+  return draw (network, network->loss_probability);
+}
+
+bool
+network_draw_duplicate (Network *network)
+{
+  return draw (network, network->duplicate_probability);
+}
+
+gint64
+network_draw_duplicate_delay (Network *network)
+{
+  return g_rand_int_range (network->random, 1, LONGEST_DUPLICATE_US);
+}
+
+gint64
+network_draw_late_write (Network *network)
+{
+  if (!draw (network, network->late_write_probability))
+    return 0;
+  return g_rand_int_range (network->random, SHORTEST_LATE_WRITE_S, LONGEST_LATE_WRITE_S)
+         * MH_SECOND_US;
+}
--- /dev/null
+++ b/tests/stand-in/outgoing-call.c
@@ -0,0 +1,290 @@
+#include "stand-in/outgoing-call.h"
+
+#include "stand-in/simulation.h"
+
+#include <string.h>
+
+#define AFTER_FAULT_US 1000
+
+struct OutgoingCall
+{
+  Simulation *simulation;
+  guint node, incarnation; /* of the sender */
+  guint64 id;
+  MhRequest *request;
+  bool answered; /* or nobody waits for an answer */
+  guint status;
+  MhValue *body;
+};
+
+static void
+arrive (gpointer data);
+
+static void
+call_clear (gpointer data)
+{
+  OutgoingCall *call = data;
+  mh_request_free (call->request);
+  mh_value_unref (call->body);
+}
+
+void
+outgoing_call_unref (gpointer data)
+{
+  g_rc_box_release_full (data, call_clear);
+}
+
+static ControllerNode *
+sender_of (const OutgoingCall *call)
+{
+  return &call->simulation->nodes[call->node];
+}
+
+static bool
+is_write (const OutgoingCall *call)
+{
+  return strcmp (call->request->path, "/multi") == 0;
+}
+
+/* ---- answers ---- */
+
+static void
+deliver_answer (gpointer data)
+{
+  OutgoingCall *call = data;
+  ControllerNode *node = sender_of (call);
+  if (call->answered)
+    return;
+  call->answered = true;
+  if (node->controller == NULL || node->incarnation != call->incarnation)
+    return;
+  node->worker_calls -= call->request->target == MH_TARGET_WORKER;
+  MhNow now = controller_node_now (node);
+  controller_reply (node->controller, &now, call->id, call->status, call->body);
+  controller_node_drain (node);
+}
+
+static void
+time_out (gpointer data)
+{
+  OutgoingCall *call = data;
+  if (call->answered)
+    return;
+  call->status = 0;
+  g_clear_pointer (&call->body, mh_value_unref);
+  deliver_answer (call);
+}
+
+/* The body is taken over. */
+static void
+answer (OutgoingCall *call, guint status, MhValue *body)
+{
+  Simulation *simulation = call->simulation;
+  ControllerNode *node = sender_of (call);
+  gint64 now_us = simulation->clock->now_us;
+  call->status = status;
+  call->body = body;
+  if (network_draw_loss (simulation->network))
+    return;
+  if (call->request->target == MH_TARGET_STATE && now_us < node->store_cut_until_us)
+    return;
+  if (is_write (call) && now_us < node->write_answers_lost_until_us)
+    return;
+  fake_clock_add_pausable (simulation->clock, &node->frozen_until_us,
+                           now_us + network_draw_delay (simulation->network), deliver_answer,
+                           g_rc_box_acquire (call), outgoing_call_unref);
+}
+
+void
+outgoing_call_end_watch (OutgoingCall *call, guint status, MhValue *body)
+{
+  answer (call, status, body);
+  outgoing_call_unref (call);
+}
+
+/* ---- copies ---- */
+
+/* The same request once more, as an old copy of it: nobody waits for its answer. */
+static OutgoingCall *
+copy_call (const OutgoingCall *call)
+{
+  OutgoingCall *copy = g_rc_box_new0 (OutgoingCall);
+  copy->simulation = call->simulation;
+  copy->node = call->node;
+  copy->incarnation = call->incarnation;
+  copy->request = mh_request_copy (call->request);
+  copy->answered = true;
+  return copy;
+}
+
+static void
+arrive_later (OutgoingCall *call, gint64 in_us)
+{
+  FakeClock *clock = call->simulation->clock;
+  fake_clock_add (clock, clock->now_us + in_us, arrive, call, outgoing_call_unref);
+}
+
+static void
+keep_copies (const OutgoingCall *call)
+{
+  Network *network = call->simulation->network;
+  if (call->answered || strcmp (call->request->method, "GET") == 0)
+    return;
+  if (network->keep_requests)
+    g_ptr_array_add (network->kept_requests, copy_call (call));
+  if (network_draw_duplicate (network))
+    arrive_later (copy_call (call), network_draw_duplicate_delay (network));
+}
+
+/* ---- arrival ---- */
+
+static void
+arrive_at_worker (OutgoingCall *call)
+{
+  Simulation *simulation = call->simulation;
+  gint64 now_us = simulation->clock->now_us;
+  const Worker *worker = worker_by_endpoint (simulation, call->request->endpoint);
+  if (worker == NULL || !worker->machine->up || worker->machine->gone)
+    return;
+  if (worker->answers_lost_until_us > now_us)
+    return;
+  /* Held back by a hang or a cut, it is carried out afterwards, however late. */
+  gint64 until_us = worker_unreachable_until (worker, sender_of (call));
+  if (until_us > now_us)
+    {
+      arrive_later (g_rc_box_acquire (call), until_us + AFTER_FAULT_US - now_us);
+      return;
+    }
+  guint status = 200;
+  MhValue *reply;
+  if (strcmp (call->request->path, "/show") == 0)
+    reply = worker_protocol_report (worker->machine);
+  else
+    status = worker_protocol_commands (worker->machine, call->request->body, &reply);
+  answer (call, status, reply);
+}
+
+/* Returns whether a transaction comes late, is held back or is lost. */
+static bool
+intercept_write (OutgoingCall *call)
+{
+  Simulation *simulation = call->simulation;
+  const ControllerNode *node = sender_of (call);
+  gint64 late_us = call->answered ? 0 : network_draw_late_write (simulation->network);
+  if (late_us > 0)
+    {
+      arrive_later (copy_call (call), late_us);
+      return true;
+    }
+  if (node->hold_writes)
+    {
+      g_ptr_array_add (simulation->network->held_writes, g_rc_box_acquire (call));
+      return true;
+    }
+  return simulation->clock->now_us < node->writes_lost_until_us;
+}
+
+static void
+arrive_at_service (OutgoingCall *call)
+{
+  const ControllerNode *node = sender_of (call);
+  const MhRequest *called = call->request;
+  gint64 now_us = call->simulation->clock->now_us;
+  bool store = called->target == MH_TARGET_STATE;
+  if (store && now_us < node->store_cut_until_us)
+    return;
+  if (store && now_us < node->store_refuses_until_us)
+    {
+      answer (call, 503, NULL);
+      return;
+    }
+  if (g_str_has_prefix (called->path, "/kv?") && now_us < node->key_lists_lost_until_us)
+    return;
+  if (is_write (call) && intercept_write (call))
+    return;
+  ServiceRequest request
+      = { .method = called->method, .path = called->path, .body = called->body, .token = call };
+  ServiceReply reply;
+  if (environment_serve (call->simulation->environment, called->target, &request, &reply))
+    answer (call, reply.status, reply.body);
+  else
+    g_rc_box_acquire (call); /* the watch holds it */
+}
+
+static void
+arrive (gpointer data)
+{
+  OutgoingCall *call = data;
+  Network *network = call->simulation->network;
+  keep_copies (call);
+  if (call->request->target != MH_TARGET_WORKER)
+    arrive_at_service (call);
+  else if (network->hold_commands)
+    g_ptr_array_add (network->held_commands, g_rc_box_acquire (call));
+  else
+    arrive_at_worker (call);
+}
+
+void
+outgoing_call_send (ControllerNode *node, MhRequest *request, const MhAction *action)
+{
+  Simulation *simulation = node->simulation;
+  FakeClock *clock = simulation->clock;
+  OutgoingCall *call = g_rc_box_new0 (OutgoingCall);
+  call->simulation = simulation;
+  call->node = node->index;
+  call->incarnation = node->incarnation;
+  call->id = action->id;
+  call->request = request;
+  node->worker_calls += request->target == MH_TARGET_WORKER;
+  node->peak_worker_calls = MAX (node->peak_worker_calls, node->worker_calls);
+  fake_clock_add_pausable (clock, &node->frozen_until_us, clock->now_us + action->timeout_us,
+                           time_out, g_rc_box_acquire (call), outgoing_call_unref);
+  if (!network_draw_loss (simulation->network))
+    arrive_later (g_rc_box_acquire (call), network_draw_delay (simulation->network));
+  outgoing_call_unref (call);
+}
+
+/* ---- what a test holds or keeps ---- */
+
+void
+outgoing_calls_release_commands (Simulation *simulation)
+{
+  GPtrArray *held = simulation->network->held_commands;
+  simulation->network->hold_commands = false;
+  for (guint i = 0; i < held->len; i++)
+    arrive_at_worker (g_ptr_array_index (held, i));
+  g_ptr_array_set_size (held, 0);
+}
+
+void
+outgoing_calls_release_write (Simulation *simulation, bool arrives)
+{
+  GPtrArray *held = simulation->network->held_writes;
+  g_assert_cmpuint (held->len, >, 0);
+  OutgoingCall *call = g_ptr_array_steal_index (held, 0);
+  ControllerNode *node = sender_of (call);
+  node->hold_writes = false;
+  if (arrives)
+    arrive (call);
+  else
+    time_out (call);
+  node->hold_writes = true;
+  outgoing_call_unref (call);
+}
+
+void
+outgoing_calls_repeat_kept (Simulation *simulation)
+{
+  GPtrArray *kept = simulation->network->kept_requests;
+  for (guint i = 0; i < kept->len; i++)
+    arrive (g_ptr_array_index (kept, i));
+  g_ptr_array_set_size (kept, 0);
+}
+
+bool
+outgoing_calls_kept_is_command (const Simulation *simulation, guint kept)
+{
+  const OutgoingCall *call = g_ptr_array_index (simulation->network->kept_requests, kept);
+  return strcmp (call->request->path, "/commands") == 0;
+}
--- /dev/null
+++ b/tests/stand-in/peer-message.c
@@ -0,0 +1,151 @@
+#include "stand-in/peer-message.h"
+
+#include "stand-in/simulation.h"
+
+#include <string.h>
+
+typedef struct
+{
+  Simulation *simulation;
+  guint from, to;
+  guint incarnation; /* of the sender */
+  guint64 id;        /* of the request; of an announcement: the epoch */
+  char *text;        /* the job's id; of an announcement: the leader's node */
+  MhUserVerb verb;
+  MhJobSpec *spec;
+  MhUserAnswer answer;
+  bool answered;
+} PeerMessage;
+
+static void
+message_free (gpointer data)
+{
+  PeerMessage *message = data;
+  g_free (message->text);
+  mh_job_spec_free (message->spec);
+  g_free (message);
+}
+
+static PeerMessage *
+message_new (const ControllerNode *from, guint64 id)
+{
+  PeerMessage *message = g_new0 (PeerMessage, 1);
+  message->simulation = from->simulation;
+  message->from = from->index;
+  message->incarnation = from->incarnation;
+  message->id = id;
+  return message;
+}
+
+/* Handed to `node` after `in_us`, and when it does not stand still. */
+static void
+send (PeerMessage *message, const ControllerNode *node, gint64 in_us, FakeClockFunc arrive)
+{
+  FakeClock *clock = message->simulation->clock;
+  fake_clock_add_pausable (clock, &node->frozen_until_us, clock->now_us + in_us, arrive, message,
+                           message_free);
+}
+
+static bool
+is_cut (const PeerMessage *message)
+{
+  const ControllerNode *nodes = message->simulation->nodes;
+  gint64 now_us = message->simulation->clock->now_us;
+  return nodes[message->from].peers_cut_until_us > now_us
+         || nodes[message->to].peers_cut_until_us > now_us;
+}
+
+/* ---- announcements ---- */
+
+static void
+announcement_arrives (gpointer data)
+{
+  const PeerMessage *message = data;
+  ControllerNode *node = &message->simulation->nodes[message->to];
+  if (node->controller == NULL || is_cut (message))
+    return;
+  MhNow now = controller_node_now (node);
+  controller_leader_announced (node->controller, &now, message->text, message->id);
+  controller_node_drain (node);
+}
+
+void
+peer_message_announce (ControllerNode *from, const MhAction *action)
+{
+  const ControllerNode *receiver = simulation_node_named (from->simulation, action->text);
+  PeerMessage *message = message_new (from, action->id);
+  message->to = receiver->index;
+  message->text = g_strdup (from->name);
+  send (message, receiver, network_draw_delay (from->simulation->network), announcement_arrives);
+}
+
+/* ---- forwarded requests ---- */
+
+/* The answer, or that there was none in time. */
+static void
+answer_arrives (gpointer data)
+{
+  const PeerMessage *message = data;
+  ControllerNode *node = &message->simulation->nodes[message->from];
+  if (node->controller == NULL || node->incarnation != message->incarnation)
+    return;
+  MhNow now = controller_node_now (node);
+  controller_forwarded (node->controller, &now, message->id,
+                        message->answered ? &message->answer : NULL);
+  controller_node_drain (node);
+}
+
+/* The request's data is the message, which is sent back as its own answer. */
+static void
+request_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+{
+  const PeerMessage *message = request->data;
+  if (is_cut (message))
+    return;
+  const ControllerNode *asker = &node->simulation->nodes[message->from];
+  PeerMessage *back = g_new0 (PeerMessage, 1);
+  back->simulation = message->simulation;
+  back->from = message->from;
+  back->incarnation = message->incarnation;
+  back->id = message->id;
+  back->answer = action->answer;
+  back->answered = true;
+  send (back, asker, network_draw_delay (node->simulation->network), answer_arrives);
+}
+
+static void
+request_arrives (gpointer data)
+{
+  PeerMessage *message = data;
+  ControllerNode *node = &message->simulation->nodes[message->to];
+  if (node->controller == NULL || is_cut (message))
+    return;
+  PeerMessage *waiting = g_new0 (PeerMessage, 1);
+  waiting->simulation = message->simulation;
+  waiting->from = message->from;
+  waiting->to = message->to;
+  waiting->incarnation = message->incarnation;
+  waiting->id = message->id;
+  PendingRequest *request = g_new0 (PendingRequest, 1);
+  request->answered = request_answered;
+  request->data = waiting;
+  request->free_data = message_free;
+  request->verb = message->verb;
+  request->job_id = g_strdup (message->text);
+  request->spec = g_steal_pointer (&message->spec);
+  controller_node_user_request (node, request, true);
+}
+
+void
+peer_message_forward (ControllerNode *from, const MhAction *action, const PendingRequest *request)
+{
+  const ControllerNode *receiver = simulation_node_named (from->simulation, action->text);
+  g_assert_nonnull (request);
+  PeerMessage *message = message_new (from, action->id);
+  message->to = receiver->index;
+  message->verb = request->verb;
+  message->text = g_strdup (request->job_id);
+  message->spec = request->spec ? job_spec_copy (request->spec) : NULL;
+  send (message, receiver, network_draw_delay (from->simulation->network), request_arrives);
+  send (message_new (from, action->id), from, action->timeout_us, answer_arrives);
+}
--- /dev/null
+++ b/tests/stand-in/rule-checks.c
@@ -0,0 +1,211 @@
+#include "stand-in/rule-checks.h"
+
+#include <string.h>
+
+#define LONGEST_WAIT_US (90 * MH_SECOND_US)
+#define QUOTA_TOLERANCE 1e-6
+
+RuleChecks *
+rule_checks_new (const MhSettings *settings, const Workload *workload, GPtrArray *machines)
+{
+  RuleChecks *rules = g_new0 (RuleChecks, 1);
+  rules->settings = settings;
+  rules->workload = workload;
+  rules->machines = g_ptr_array_ref (machines);
+  rules->violations = g_ptr_array_new_with_free_func (g_free);
+  return rules;
+}
+
+void
+rule_checks_free (RuleChecks *rules)
+{
+  g_ptr_array_unref (rules->machines);
+  g_ptr_array_unref (rules->violations);
+  g_free (rules);
+}
+
+void
+rule_checks_report (RuleChecks *rules, const char *format, ...)
+{
+  va_list args;
+  va_start (args, format);
+  g_autofree char *text = g_strdup_vprintf (format, args);
+  va_end (args);
+  g_ptr_array_add (rules->violations,
+                   g_strdup_printf ("%.3f %s", (double)rules->now_us / 1e6, text));
+}
+
+static bool
+past_cancel_limit (const RuleChecks *rules, const WorkloadJob *job)
+{
+  return job->cancelled_us && rules->now_us > job->cancelled_us + rules->settings->cancel_us;
+}
+
+/* ---- a task starts ---- */
+
+typedef struct
+{
+  const Machine *machine;
+  const MachineTask *task;
+  const WorkloadJob *job;
+  double team_cpus;
+  guint same_zone, other_zones; /* further tasks of the job */
+} TaskStart;
+
+static void
+check_beside (RuleChecks *rules, TaskStart *start, const Machine *machine, const MachineTask *other)
+{
+  if (other == start->task || strcmp (other->job_id, start->task->job_id) != 0)
+    return;
+  /* Not a rule of the protocol but ours. */
+  if (workload_job_is_gang (start->job) && other->attempt != start->task->attempt)
+    rule_checks_report (rules, "two attempts of gang %s at once", start->task->job_id);
+  if (other->index == start->task->index)
+    rule_checks_report (rules, "ran_twice: %s starts on %s while on %s", start->task->task_id,
+                        start->machine->name, machine->name);
+  if (strcmp (machine->zone, start->machine->zone) == 0)
+    start->same_zone++;
+  else
+    start->other_zones++;
+}
+
+static void
+check_beside_all_on (RuleChecks *rules, TaskStart *start, const Machine *machine)
+{
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      const MachineTask *other = machine_task (machine, i);
+      const WorkloadJob *other_job = workload_find (rules->workload, other->job_id);
+      if (other->phase == MH_TASK_ENDED)
+        continue;
+      if (strcmp (other_job->spec->team, start->job->spec->team) == 0)
+        start->team_cpus += other_job->spec->cpus;
+      check_beside (rules, start, machine, other);
+    }
+}
+
+static bool
+in_right_place (const TaskStart *start)
+{
+  const MhJobSpec *spec = start->job->spec;
+  if (!machine_allowed (start->machine, spec))
+    return false;
+  if (spec->one_zone && start->other_zones)
+    return false;
+  return !spec->scatter || start->same_zone + 1 <= (spec->tasks + 1) / 2;
+}
+
+void
+rule_checks_task_started (RuleChecks *rules, const Machine *machine, const MachineTask *task,
+                          const WorkloadJob *job)
+{
+  TaskStart start = { .machine = machine, .task = task, .job = job };
+  for (guint i = 0; i < rules->machines->len; i++)
+    check_beside_all_on (rules, &start, g_ptr_array_index (rules->machines, i));
+  const MhTeam *team = mh_settings_team (rules->settings, job->spec->team);
+  if (start.team_cpus > team->cpus_max + QUOTA_TOLERANCE)
+    rule_checks_report (rules, "quota: %s uses %.1f", team->name, start.team_cpus);
+  if (!in_right_place (&start))
+    rule_checks_report (rules, "wrong_place: %s on %s", task->task_id, machine->name);
+  if (past_cancel_limit (rules, job))
+    rule_checks_report (rules, "ran_cancelled: %s starts", task->task_id);
+  rules->task_starts++;
+}
+
+/* ---- a task runs ---- */
+
+void
+rule_checks_task_running (RuleChecks *rules, const Machine *machine, const MachineTask *task,
+                          WorkloadJob *job)
+{
+  if (task->phase == MH_TASK_ENDED || !past_cancel_limit (rules, job))
+    return;
+  rule_checks_report (rules, "ran_cancelled: %s is still on %s", task->task_id, machine->name);
+  job->cancelled_us = G_MAXINT64 / 2; /* once is enough */
+}
+
+/* ---- a job waits ---- */
+
+/* Tasks that need no start: on a machine, unless they must be started again. */
+static guint
+tasks_placed_on (const Machine *machine, const WorkloadJob *job)
+{
+  guint count = 0;
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      const MachineTask *task = machine_task (machine, i);
+      count += strcmp (task->job_id, job->spec->id) == 0
+               && (task->phase != MH_TASK_ENDED || !job->task_done[task->index]);
+    }
+  return count;
+}
+
+static bool
+wants_a_task_within_quota (const RuleChecks *rules, const WorkloadJob *job)
+{
+  const MhJobSpec *spec = job->spec;
+  const MhTeam *team = mh_settings_team (rules->settings, spec->team);
+  double team_cpus = 0, unused = 0;
+  guint placed = 0;
+  for (guint i = 0; i < rules->machines->len; i++)
+    {
+      const Machine *machine = g_ptr_array_index (rules->machines, i);
+      machine_add_use (machine, rules->workload, spec->team, &team_cpus, &unused);
+      placed += tasks_placed_on (machine, job);
+    }
+  return placed + job->done_count < spec->tasks
+         && team_cpus + spec->cpus <= team->cpus_max + QUOTA_TOLERANCE;
+}
+
+static bool
+is_usable (const RuleChecks *rules, const Machine *machine)
+{
+  return machine->up && !machine->gone && !machine->failed && !machine->faulty
+         && rules->now_us >= machine->hung_until_us;
+}
+
+/* A task of the job could start now, whatever its other tasks do. */
+static bool
+could_start (const RuleChecks *rules, const WorkloadJob *job)
+{
+  if (!wants_a_task_within_quota (rules, job))
+    return false;
+  for (guint i = 0; i < rules->machines->len; i++)
+    {
+      const Machine *machine = g_ptr_array_index (rules->machines, i);
+      if (is_usable (rules, machine) && machine_allowed (machine, job->spec)
+          && machine_has_room (machine, rules->workload, job->spec))
+        return true;
+    }
+  return false;
+}
+
+/* Jobs whose zones depend on their other tasks, and services, which are spread, are left out. */
+static bool
+must_not_wait (const RuleChecks *rules, const WorkloadJob *job)
+{
+  const MhJobSpec *spec = job->spec;
+  return spec->shape == MH_SHAPE_ARRAY && !spec->one_zone && !spec->scatter && job->accepted
+         && !job->cancelled_us && could_start (rules, job);
+}
+
+void
+rule_checks_waiting_jobs (RuleChecks *rules)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, rules->workload->jobs);
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    {
+      WorkloadJob *job = value;
+      if (!must_not_wait (rules, job))
+        job->schedulable_since_us = 0;
+      else if (job->schedulable_since_us == 0)
+        job->schedulable_since_us = rules->now_us;
+      else if (rules->now_us - job->schedulable_since_us > LONGEST_WAIT_US)
+        {
+          rule_checks_report (rules, "left waiting: %s, though there is room", job->spec->id);
+          job->schedulable_since_us = rules->now_us;
+        }
+    }
+}
--- /dev/null
+++ b/tests/stand-in/simulation-settings.h
@@ -0,0 +1,8 @@
+/* The settings of simulated nodes. */
+#pragma once
+
+#include "settings/settings.h"
+
+/** simulation_settings_new: Returns: (transfer full): of the node with that index */
+MhSettings *
+simulation_settings_new (guint index);
--- /dev/null
+++ b/tests/stand-in/user.c
@@ -0,0 +1,243 @@
+#include "stand-in/user.h"
+
+#include "stand-in/simulation.h"
+
+#define ASK_INTERVAL_US MH_SECOND_US
+#define SETTLED_ASK_INTERVAL_US (10 * MH_SECOND_US)
+#define SETTLED_REPEAT_PROBABILITY 0.5
+#define ANSWER_TURNS 50
+#define ANSWER_TURN_S 0.1
+
+MhJobSpec *
+job_spec_new (guint number, MhShape shape, guint tasks, double cpus)
+{
+  MhJobSpec *spec = g_new0 (MhJobSpec, 1);
+  spec->id = g_strdup_printf ("j-%06u", number);
+  spec->class_name = g_strdup (shape == MH_SHAPE_SERVICE ? "live" : "batch");
+  spec->team = g_strdup (number % 2 ? "red" : "blue");
+  spec->image = g_strdup_printf ("img-%u", number % 3);
+  spec->image_gb = 0.5;
+  spec->shape = shape;
+  spec->priority = shape == MH_SHAPE_SERVICE ? MH_PRIORITY_HIGH : MH_PRIORITY_NORMAL;
+  spec->tasks = tasks;
+  spec->cpus = cpus;
+  spec->mem_gb = 1;
+  spec->spot = shape == MH_SHAPE_ARRAY;
+  spec->estimate_us = shape == MH_SHAPE_ARRAY ? 5 * MH_SECOND_US : 0;
+  spec->deadline_us = -1;
+  return spec;
+}
+
+void
+user_cancel (User *user)
+{
+  user->wants_cancel = true;
+}
+
+bool
+user_is_settled (const User *user)
+{
+  return user->told_done || user->told_cancelled;
+}
+
+/* ---- answers ---- */
+
+static void
+report_violation (const User *user, const char *rule, const MhUserAnswer *answer)
+{
+  rule_checks_report (user->simulation->rules, "%s: %s got %u, state %u", rule, user->job->spec->id,
+                      answer->status, answer->state);
+}
+
+static void
+log_answer (const User *user, const PendingRequest *request, const MhUserAnswer *answer)
+{
+  if (simulation_prints_log ())
+    g_print ("%9.3f user %s: verb %d answered %u, state %d, %u done\n",
+             (double)user->simulation->clock->now_us / 1e6, user->job->spec->id, request->verb,
+             answer->status, answer->state, answer->done);
+}
+
+/* What was told once stays true, and only what happened is told. */
+static void
+check_state (User *user, const MhUserAnswer *answer)
+{
+  WorkloadJob *job = user->job;
+  if (answer->state == MH_JOB_DONE)
+    {
+      if (job->done_count < job->spec->tasks)
+        report_violation (user, "not_done", answer);
+      user->told_done = true;
+    }
+  else if (user->told_done)
+    report_violation (user, "went_back", answer);
+  if (answer->state == MH_JOB_CANCELLED)
+    {
+      if (!user->wants_cancel || user->told_done)
+        report_violation (user, "went_back", answer);
+      user->told_cancelled = true;
+      if (job->cancelled_us == 0)
+        job->cancelled_us = user->simulation->clock->now_us;
+    }
+  else if (user->told_cancelled)
+    report_violation (user, "went_back", answer);
+}
+
+static bool
+denies_job (const MhUserAnswer *answer)
+{
+  return answer->status == 404 || answer->status == 400 || answer->status == 422;
+}
+
+static void
+user_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+{
+  User *user = request->data;
+  const MhUserAnswer *answer = &action->answer;
+  gint64 now_us = node->simulation->clock->now_us;
+  log_answer (user, request, answer);
+  user->last_status = answer->status;
+  if (user->job->accepted && denies_job (answer))
+    report_violation (user, "forgotten", answer);
+  if (answer->status != 200 && answer->status != 201)
+    return;
+  user->last_answer_us = now_us;
+  if (user->infeasible)
+    report_violation (user, "accepted though it can't run", answer);
+  if (request->verb == MH_USER_SUBMIT)
+    user->job->accepted = true;
+  /* An answer to what was asked before the user knew more may be older. */
+  if (request->sent_us < user->final_answer_us)
+    return;
+  if (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED)
+    user->final_answer_us = now_us;
+  check_state (user, answer);
+}
+
+/* ---- questions ---- */
+
+static PendingRequest *
+new_request (MhUserVerb verb, const char *job_id, MhJobSpec *spec)
+{
+  PendingRequest *request = g_new0 (PendingRequest, 1);
+  request->verb = verb;
+  request->job_id = g_strdup (job_id);
+  request->spec = spec;
+  return request;
+}
+
+static MhUserVerb
+draw_verb (User *user)
+{
+  GRand *random = user->simulation->random;
+  bool settled = user_is_settled (user);
+  /* What was carried out is now and then asked for again. */
+  double repeat_probability
+      = settled ? SETTLED_REPEAT_PROBABILITY : user->simulation->network->duplicate_probability;
+  bool again = g_rand_double (random) < repeat_probability;
+  if (!user->job->accepted || again)
+    return MH_USER_SUBMIT;
+  if (user->wants_cancel && (!settled || g_rand_boolean (random)))
+    return MH_USER_CANCEL;
+  return MH_USER_STATUS;
+}
+
+static void
+ask_node (User *user, ControllerNode *node)
+{
+  const MhJobSpec *spec = user->job->spec;
+  if (node->controller == NULL || controller_node_is_frozen (node))
+    return; /* the user gives up soon */
+  MhUserVerb verb = draw_verb (user);
+  PendingRequest *request
+      = new_request (verb, spec->id, verb == MH_USER_SUBMIT ? job_spec_copy (spec) : NULL);
+  request->answered = user_answered;
+  request->data = user;
+  request->sent_us = user->simulation->clock->now_us;
+  controller_node_user_request (node, request, false);
+}
+
+static void
+ask_any_node (User *user)
+{
+  Simulation *simulation = user->simulation;
+  ask_node (user, &simulation->nodes[g_rand_int_range (simulation->random, 0, SIMULATION_NODES)]);
+}
+
+void
+simulation_ask_all (Simulation *simulation, User *user)
+{
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    ask_node (user, &simulation->nodes[i]);
+}
+
+static void
+user_turn (gpointer data)
+{
+  User *user = data;
+  FakeClock *clock = user->simulation->clock;
+  /* Even settled jobs are asked about now and then: their answer must never change. */
+  gint64 interval_us = user_is_settled (user) ? SETTLED_ASK_INTERVAL_US : ASK_INTERVAL_US;
+  fake_clock_add (clock, clock->now_us + interval_us, user_turn, user, NULL);
+  ask_any_node (user);
+}
+
+User *
+simulation_submit (Simulation *simulation, MhJobSpec *spec, double run_s)
+{
+  User *user = g_new0 (User, 1);
+  user->simulation = simulation;
+  user->job = workload_add (simulation->environment->workload, spec, (gint64)(run_s * 1e6));
+  g_ptr_array_add (simulation->users, user);
+  fake_clock_add (simulation->clock, simulation->clock->now_us, user_turn, user, NULL);
+  return user;
+}
+
+void
+users_cancel_finished (Simulation *simulation)
+{
+  for (guint i = 0; i < simulation->users->len; i++)
+    {
+      User *user = g_ptr_array_index (simulation->users, i);
+      if (user->finished || user->job->done_count < user->job->spec->tasks)
+        continue;
+      user->finished = true;
+      if (g_rand_double (simulation->random) >= simulation->cancel_at_end_probability)
+        continue;
+      user_cancel (user);
+      ask_any_node (user);
+      ask_any_node (user);
+    }
+}
+
+/* ---- single questions of a test ---- */
+
+static void
+test_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+{
+  MhUserAnswer *answer = request->data;
+  (void)node;
+  *answer = action->answer;
+}
+
+void
+simulation_ask_later (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
+                      MhJobSpec *spec, MhUserAnswer *answer)
+{
+  PendingRequest *request = new_request (verb, job_id, spec);
+  request->answered = test_answered;
+  request->data = answer;
+  controller_node_user_request (&simulation->nodes[node], request, false);
+}
+
+guint
+simulation_ask (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
+                MhJobSpec *spec, MhUserAnswer *answer)
+{
+  *answer = (MhUserAnswer){};
+  simulation_ask_later (simulation, node, verb, job_id, spec, answer);
+  for (guint i = 0; i < ANSWER_TURNS && answer->status == 0; i++)
+    simulation_run (simulation, ANSWER_TURN_S);
+  g_assert_cmpuint (answer->status, !=, 0);
+  return answer->status;
+}
--- /dev/null
+++ b/tests/stand-in/worker-protocol.c
@@ -0,0 +1,112 @@
+#include "stand-in/worker-protocol.h"
+
+#include <string.h>
+
+static const char *const phase_words[] = {
+  [MH_TASK_FETCHING] = "pulling", [MH_TASK_GATHERING] = "gathering", [MH_TASK_RUNNING] = "running",
+  [MH_TASK_SAVING] = "saving",    [MH_TASK_ENDED] = "ended",
+};
+
+static MhValue *
+write_task (const MachineTask *task)
+{
+  MhValue *item = mh_value_map ();
+  mh_value_set_text (item, "leg", task->task_id);
+  mh_value_set_uint (item, "try", task->attempt);
+  mh_value_set_text (item, "status", phase_words[task->phase]);
+  if (task->phase == MH_TASK_ENDED)
+    mh_value_set_text (item, "cause", task->cause);
+  return item;
+}
+
+MhValue *
+worker_protocol_report (Machine *machine)
+{
+  MhValue *report = mh_value_map (), *tasks = mh_value_list ();
+  machine->sequence++;
+  mh_value_set_text (report, "box", machine->name);
+  mh_value_set_text (report, "endpoint", machine->endpoint);
+  mh_value_set_text (report, "rack", machine->type);
+  mh_value_set_text (report, "hall", machine->zone);
+  mh_value_set_bool (report, "standby", machine->spot);
+  mh_value_set_uint (report, "tenure", machine->session);
+  mh_value_set_uint (report, "tick", machine->sequence);
+  mh_value_set_uint (report, "epoch", machine->token);
+  if (machine->preempted_at_us)
+    mh_value_set_number (report, "warning_s",
+                         (double)(machine->preempted_at_us - machine->runtime->now_us) / 1e6);
+  for (guint i = 0; i < machine->tasks->len; i++)
+    mh_value_push (tasks, write_task (machine_task (machine, i)));
+  mh_value_set (report, "legs", tasks);
+  return report;
+}
+
+static void
+stop_or_clear (Machine *machine, guint position, const char *verb, const MhValue *command)
+{
+  MachineTask *task = machine_task (machine, position);
+  double grace_s = 0;
+  mh_value_get_number (command, "wind_down_s", &grace_s);
+  if (strcmp (verb, "kill") == 0)
+    worker_runtime_stop_task (machine->runtime, task, grace_s);
+  else if (strcmp (verb, "clear") == 0 && task->phase == MH_TASK_ENDED)
+    g_array_remove_index (machine->tasks, position);
+}
+
+static void
+carry_out (Machine *machine, const MhValue *command)
+{
+  g_autofree char *verb = mh_value_get_text (command, "verb");
+  g_autofree char *task_id = mh_value_get_text (command, "leg");
+  guint64 attempt = 0;
+  mh_value_get_uint (command, "try", &attempt);
+  if (strcmp (verb, "run") == 0)
+    {
+      worker_runtime_start_task (machine->runtime, machine, task_id, attempt);
+      return;
+    }
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      const MachineTask *task = machine_task (machine, i);
+      if (strcmp (task->task_id, task_id) != 0 || task->attempt != attempt)
+        continue;
+      stop_or_clear (machine, i, verb, command);
+      return;
+    }
+}
+
+static void
+carry_out_all (Machine *machine, const MhValue *commands)
+{
+  for (gsize i = 0; i < mh_value_size (commands); i++)
+    carry_out (machine, mh_value_at (commands, i));
+}
+
+void
+worker_protocol_response (Machine *machine, gint64 sent_us, guint64 session, const MhValue *body)
+{
+  guint64 token;
+  if (!machine->up || session != machine->session || !mh_value_get_uint (body, "epoch", &token)
+      || token < machine->token)
+    return;
+  machine->token = token;
+  machine->lease_from_us = MAX (machine->lease_from_us, sent_us);
+  carry_out_all (machine, mh_value_get (body, "orders"));
+}
+
+guint
+worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **reply)
+{
+  guint64 token, session;
+  *reply = NULL;
+  if (!mh_value_get_uint (body, "epoch", &token) || !mh_value_get_uint (body, "tenure", &session))
+    return 400;
+  bool current = token >= machine->token && session == machine->session;
+  if (current)
+    {
+      machine->token = token;
+      carry_out_all (machine, mh_value_get (body, "orders"));
+    }
+  *reply = worker_protocol_report (machine);
+  return current ? 200 : 409;
+}
--- /dev/null
+++ b/tests/stand-in/worker-runtime.c
@@ -0,0 +1,196 @@
+#include "stand-in/worker-runtime.h"
+
+#include <string.h>
+
+#define FAILS_AFTER_US MH_SECOND_US
+
+WorkerRuntime *
+worker_runtime_new (const MhSettings *settings, Workload *workload, RuleChecks *rules)
+{
+  WorkerRuntime *runtime = g_new0 (WorkerRuntime, 1);
+  runtime->settings = settings;
+  runtime->workload = workload;
+  runtime->rules = rules;
+  return runtime;
+}
+
+void
+worker_runtime_free (WorkerRuntime *runtime)
+{
+  g_free (runtime);
+}
+
+static void
+end_task (MachineTask *task, const char *cause)
+{
+  task->phase = MH_TASK_ENDED;
+  task->cause = cause;
+}
+
+/* ---- commands ---- */
+
+/* An earlier attempt that has ended stays listed beside a later one until it is cleared. */
+static bool
+has_attempt (const Machine *machine, const char *task_id, guint64 attempt, bool *other_runs)
+{
+  *other_runs = false;
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      const MachineTask *other = machine_task (machine, i);
+      if (strcmp (other->task_id, task_id) != 0)
+        continue;
+      if (other->attempt == attempt)
+        return true;
+      *other_runs |= other->phase != MH_TASK_ENDED;
+    }
+  return false;
+}
+
+static const char *
+cause_of_refusal (const WorkerRuntime *runtime, const Machine *machine, const WorkloadJob *job,
+                  bool other_runs)
+{
+  if (job == NULL)
+    return "no_such";
+  if (other_runs)
+    return "in_use";
+  return machine_has_room (machine, runtime->workload, job->spec) ? NULL : "full";
+}
+
+static void
+begin_task (const WorkerRuntime *runtime, const Machine *machine, const WorkloadJob *job,
+            MachineTask *task)
+{
+  bool cached = g_hash_table_contains (machine->images, job->spec->image);
+  gint64 fetch_us = cached ? 0 : (gint64)(job->spec->image_gb * 1e6);
+  if (!cached)
+    task->phase = MH_TASK_FETCHING;
+  else
+    task->phase = workload_job_is_gang (job) ? MH_TASK_GATHERING : MH_TASK_RUNNING;
+  task->ready_us = runtime->now_us + fetch_us;
+  if (job->run_us)
+    task->end_us = task->ready_us + job->run_us + job->stagger_us * task->index;
+}
+
+void
+worker_runtime_start_task (WorkerRuntime *runtime, Machine *machine, const char *task_id,
+                           guint64 attempt)
+{
+  g_auto (GStrv) parts = g_strsplit (task_id, "/", 2);
+  const WorkloadJob *job = workload_find (runtime->workload, parts[0]);
+  bool other_runs;
+  if (has_attempt (machine, task_id, attempt, &other_runs))
+    return;
+  MachineTask task = { .task_id = g_strdup (task_id),
+                       .job_id = g_strdup (parts[0]),
+                       .index = (guint)g_ascii_strtoull (parts[1], NULL, 10),
+                       .attempt = attempt };
+  const char *refusal = cause_of_refusal (runtime, machine, job, other_runs);
+  if (refusal)
+    end_task (&task, refusal);
+  else
+    begin_task (runtime, machine, job, &task);
+  g_array_append_val (machine->tasks, task);
+  if (refusal == NULL)
+    rule_checks_task_started (runtime->rules, machine,
+                              machine_task (machine, machine->tasks->len - 1), job);
+}
+
+/* A running task of a gang that has checkpoints saves, when it is given the time. */
+static bool
+saves_first (const WorkerRuntime *runtime, MachineTask *task, double grace_s)
+{
+  WorkloadJob *job = workload_find (runtime->workload, task->job_id);
+  if (task->phase == MH_TASK_SAVING)
+    return grace_s > 0;
+  if (job == NULL || !workload_job_is_gang (job) || task->phase != MH_TASK_RUNNING)
+    return false;
+  if (job->spec->checkpoint_us == 0 || grace_s * 1e6 < (double)job->spec->save_us)
+    return false;
+  task->phase = MH_TASK_SAVING;
+  task->stop_requested_us = runtime->now_us;
+  if (job->stop_requested_us == 0)
+    job->stop_requested_us = runtime->now_us;
+  return true;
+}
+
+void
+worker_runtime_stop_task (WorkerRuntime *runtime, MachineTask *task, double grace_s)
+{
+  if (!saves_first (runtime, task, grace_s) && task->phase != MH_TASK_ENDED)
+    end_task (task, "stopped");
+}
+
+/* ---- time ---- */
+
+/* Returns whether its worker acts now. */
+static bool
+advance_power (const WorkerRuntime *runtime, Machine *machine)
+{
+  if (machine->gone || machine->failed)
+    return false;
+  if (machine->preempted_at_us && runtime->now_us >= machine->preempted_at_us)
+    {
+      machine_take_away (machine, runtime->now_us);
+      return false;
+    }
+  if (!machine->up)
+    {
+      if (runtime->now_us < machine->up_us)
+        return false;
+      machine->up = true;
+      machine->lease_from_us = runtime->now_us;
+    }
+  return runtime->now_us >= machine->hung_until_us;
+}
+
+/* A worker whose lease has expired stops all tasks and begins a new incarnation. */
+static void
+advance_lease (const WorkerRuntime *runtime, Machine *machine)
+{
+  if (runtime->now_us <= machine->lease_from_us + runtime->settings->worker_lease_us)
+    return;
+  g_array_set_size (machine->tasks, 0);
+  machine->session++;
+  machine->sequence = 0;
+  machine->lease_from_us = runtime->now_us;
+}
+
+static void
+advance_task (const WorkerRuntime *runtime, Machine *machine, MachineTask *task)
+{
+  gint64 now_us = runtime->now_us;
+  WorkloadJob *job = task->workload_job;
+  bool gang = job && workload_job_is_gang (job);
+  if (task->phase == MH_TASK_FETCHING && now_us >= task->ready_us)
+    {
+      task->phase = gang ? MH_TASK_GATHERING : MH_TASK_RUNNING;
+      g_hash_table_add (machine->images, g_strdup (job->spec->image));
+    }
+  if (task->phase == MH_TASK_RUNNING && (machine->faulty || (job && job->fails))
+      && now_us >= task->ready_us + FAILS_AFTER_US)
+    end_task (task, "error");
+  if (task->phase == MH_TASK_GATHERING && now_us > task->ready_us + runtime->settings->gang_wait_us)
+    end_task (task, "incomplete");
+  if (task->phase == MH_TASK_RUNNING && !gang && task->end_us && now_us >= task->end_us)
+    {
+      end_task (task, "done");
+      workload_job_finish_task (job, task->index);
+    }
+  rule_checks_task_running (runtime->rules, machine, task, job);
+}
+
+void
+worker_runtime_advance (WorkerRuntime *runtime, Machine *machine)
+{
+  if (!advance_power (runtime, machine))
+    return;
+  advance_lease (runtime, machine);
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      MachineTask *task = machine_task (machine, i);
+      if (task->workload_job == NULL)
+        task->workload_job = workload_find (runtime->workload, task->job_id);
+      advance_task (runtime, machine, task);
+    }
+}
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -3,113 +3,113 @@
 #include <string.h>
 
 bool
-told_done (Sim *sim, gpointer data)
+told_done (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  return ((SimUser *)data)->told_done;
+  (void)simulation;
+  return ((User *)data)->told_done;
 }
 
 bool
-told_cancelled (Sim *sim, gpointer data)
+told_cancelled (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  return ((SimUser *)data)->told_cancelled;
+  (void)simulation;
+  return ((User *)data)->told_cancelled;
 }
 
 bool
-all_run (Sim *sim, gpointer data)
+all_run (Simulation *simulation, gpointer data)
 {
-  const SimUser *u = data;
-  return world_running (sim->world, u->job->spec->id) == u->job->spec->tasks;
+  const User *u = data;
+  return simulation_running_tasks (simulation, u->job->spec->id) == u->job->spec->tasks;
 }
 
 bool
-all_done (Sim *sim, gpointer data)
+all_done (Simulation *simulation, gpointer data)
 {
-  const SimUser *u = data;
-  (void)sim;
-  return u->job->n_done == u->job->spec->tasks;
+  const User *u = data;
+  (void)simulation;
+  return u->job->done_count == u->job->spec->tasks;
 }
 
 bool
-accepted (Sim *sim, gpointer data)
+accepted (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  return ((SimUser *)data)->job->accepted;
+  (void)simulation;
+  return ((User *)data)->job->accepted;
 }
 
 bool
-has_leader (Sim *sim, gpointer data)
+has_leader (Simulation *simulation, gpointer data)
 {
   (void)data;
-  return sim_leader (sim) != NULL;
+  return simulation_leader (simulation) != NULL;
 }
 
 bool
-is_gone (Sim *sim, gpointer data)
+is_gone (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  return ((WorldMachine *)data)->gone;
+  (void)simulation;
+  return ((Machine *)data)->gone;
 }
 
-SimWorker *
-sim_worker (Sim *sim, guint index)
+Worker *
+simulation_worker (Simulation *simulation, guint index)
 {
-  return g_ptr_array_index (sim->workers, index);
+  return g_ptr_array_index (simulation->workers, index);
 }
 
-SimWorker *
-worker_of (Sim *sim, const char *leg)
+Worker *
+worker_of (Simulation *simulation, const char *leg)
 {
-  for (guint i = 0; i < sim->workers->len; i++)
+  for (guint i = 0; i < simulation->workers->len; i++)
     {
-      SimWorker *w = g_ptr_array_index (sim->workers, i);
+      Worker *w = g_ptr_array_index (simulation->workers, i);
       for (guint k = 0; k < w->machine->tasks->len; k++)
-        if (strcmp (g_array_index (w->machine->tasks, WorldTask, k).leg, leg) == 0)
+        if (strcmp (g_array_index (w->machine->tasks, MachineTask, k).task_id, leg) == 0)
           return w;
     }
   return NULL;
 }
 
 void
-add_small_machines (Sim *sim, guint count)
+add_small_machines (Simulation *simulation, guint count)
 {
   for (guint i = 0; i < count; i++)
-    world_add_machine (sim->world, "small", "a", false);
+    cloud_add_machine (simulation->cloud, "small", "a", false);
 }
 
-SimUser *
-running_service (Sim *sim, guint number, guint tasks)
+User *
+running_service (Simulation *simulation, guint number, guint tasks)
 {
-  SimUser *u = sim_submit (sim, sim_spec (number, MH_SHAPE_SERVICE, tasks, 1), 0);
-  WAIT (sim, 60, all_run, u);
+  User *u = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_SERVICE, tasks, 1), 0);
+  WAIT (simulation, 60, all_run, u);
   return u;
 }
 
-SimUser *
-running_array (Sim *sim, guint number, guint tasks, double run_s)
+User *
+running_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
-  MhJobSpec *s = sim_spec (number, MH_SHAPE_ARRAY, tasks, 1);
+  MhJobSpec *s = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
   s->estimate_us = 300 * MH_SECOND_US;
-  SimUser *u = sim_submit (sim, s, run_s);
-  WAIT (sim, 60, all_run, u);
+  User *u = simulation_submit (simulation, s, run_s);
+  WAIT (simulation, 60, all_run, u);
   return u;
 }
 
 void
-wait_all (Sim *sim, double seconds)
+wait_all (Simulation *simulation, double seconds)
 {
-  for (guint second = 0; second < seconds && !sim_all_settled (sim, NULL); second++)
+  for (guint second = 0; second < seconds && !simulation_all_settled (simulation, NULL); second++)
     {
-      sim_run (sim, 1);
-      world_check_waiting (sim->world);
+      simulation_run (simulation, 1);
+      rule_checks_waiting_jobs (simulation->rules);
     }
-  g_assert_true (sim_all_settled (sim, NULL));
+  g_assert_true (simulation_all_settled (simulation, NULL));
 }
 
 void
-finish (Sim *sim)
+finish (Simulation *simulation)
 {
-  sim_assert_rules (sim);
-  sim_free (sim);
+  simulation_assert_rules (simulation);
+  simulation_free (simulation);
 }
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -1,40 +1,41 @@
 /* What scenarios wait for and begin with. */
 #pragma once
 
-#include "sim.h"
+#include "stand-in/simulation.h"
 
-#define WAIT(sim, seconds, what, data) g_assert_true (sim_until (sim, seconds, what, data))
+#define WAIT(simulation, seconds, what, data)                                                      \
+  g_assert_true (simulation_until (simulation, seconds, what, data))
 
-/* For sim_until: `data` is a SimUser, a WorldMachine or nothing. */
+/* For simulation_until: `data` is a User, a Machine or nothing. */
 bool
-told_done (Sim *sim, gpointer data);
+told_done (Simulation *simulation, gpointer data);
 bool
-told_cancelled (Sim *sim, gpointer data);
+told_cancelled (Simulation *simulation, gpointer data);
 bool
-all_run (Sim *sim, gpointer data);
+all_run (Simulation *simulation, gpointer data);
 bool
-all_done (Sim *sim, gpointer data);
+all_done (Simulation *simulation, gpointer data);
 bool
-accepted (Sim *sim, gpointer data);
+accepted (Simulation *simulation, gpointer data);
 bool
-has_leader (Sim *sim, gpointer data);
+has_leader (Simulation *simulation, gpointer data);
 bool
-is_gone (Sim *sim, gpointer data);
-SimWorker *
-sim_worker (Sim *sim, guint index);
-SimWorker *
-worker_of (Sim *sim, const char *leg);
+is_gone (Simulation *simulation, gpointer data);
+Worker *
+simulation_worker (Simulation *simulation, guint index);
+Worker *
+worker_of (Simulation *simulation, const char *leg);
 /* Machines of four cpus, all in zone a. */
 void
-add_small_machines (Sim *sim, guint count);
-SimUser *
-running_service (Sim *sim, guint number, guint tasks);
+add_small_machines (Simulation *simulation, guint count);
+User *
+running_service (Simulation *simulation, guint number, guint tasks);
 /* An array that is expected to run for long, so that none of its tasks waits for another. */
-SimUser *
-running_array (Sim *sim, guint number, guint tasks, double run_s);
+User *
+running_array (Simulation *simulation, guint number, guint tasks, double run_s);
 /* Until every job is settled; none may wait beside free room meanwhile. */
 void
-wait_all (Sim *sim, double seconds);
+wait_all (Simulation *simulation, double seconds);
 /* The last step: no rule was broken. */
 void
-finish (Sim *sim);
+finish (Simulation *simulation);
--- a/tests/test-boots.c
+++ b/tests/test-boots.c
@@ -6,16 +6,16 @@
 #define TASKS 16u
 
 /* Four machines of four cpus are wanted for as long as the test looks. */
-static SimUser *
-wants_four_machines (Sim *sim)
+static User *
+wants_four_machines (Simulation *simulation)
 {
-  MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, TASKS, 1);
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
   spec->types = g_strsplit ("small", ",", 1);
   spec->estimate_us = 300 * MH_SECOND_US;
-  SimUser *user = sim_submit (sim, spec, 120);
-  WAIT (sim, 20, accepted, user);
-  sim_run (sim, 3);
-  g_assert_cmpuint (sim->world->machines->len, ==, TASKS / 4);
+  User *user = simulation_submit (simulation, spec, 120);
+  WAIT (simulation, 20, accepted, user);
+  simulation_run (simulation, 3);
+  g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4);
   return user;
 }
 
@@ -24,66 +24,66 @@
 static void
 test_slow_boots (void)
 {
-  Sim *sim = sim_new (61);
-  sim->world->boot_us = 18 * MH_SECOND_US;
-  SimUser *user = wants_four_machines (sim);
-  sim_run (sim, 14);
-  g_assert_cmpuint (sim->world->machines->len, <=, 5);
-  g_assert_true (sim_logged (sim, "has not joined"));
-  sim_run (sim, 15);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, TASKS);
-  WAIT (sim, 200, told_done, user);
-  finish (sim);
+  Simulation *simulation = simulation_new (61);
+  simulation->cloud->boot_us = 18 * MH_SECOND_US;
+  User *user = wants_four_machines (simulation);
+  simulation_run (simulation, 14);
+  g_assert_cmpuint (simulation->cloud->machines->len, <=, 5);
+  g_assert_true (simulation_logged (simulation, "has not joined"));
+  simulation_run (simulation, 15);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
+  WAIT (simulation, 200, told_done, user);
+  finish (simulation);
 }
 
 /* One of them never joins: another takes its place, and it is given back soon. */
 static void
 test_never_joins (void)
 {
-  Sim *sim = sim_new (62);
-  wants_four_machines (sim);
-  WorldMachine *machine = g_ptr_array_index (sim->world->machines, 0);
+  Simulation *simulation = simulation_new (62);
+  wants_four_machines (simulation);
+  Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = G_MAXINT64;
-  sim_run (sim, 25);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, TASKS);
-  g_assert_cmpuint (sim->world->machines->len, ==, TASKS / 4 + 1);
+  simulation_run (simulation, 25);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
+  g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
   g_assert_true (machine->gone);
-  g_assert_true (sim_logged (sim, "never came up"));
-  finish (sim);
+  g_assert_true (simulation_logged (simulation, "never came up"));
+  finish (simulation);
 }
 
 /* One joins after another was rented in its place: it is used, since it is there. */
 static void
 test_joins_late (void)
 {
-  Sim *sim = sim_new (63);
-  wants_four_machines (sim);
-  WorldMachine *machine = g_ptr_array_index (sim->world->machines, 0);
-  machine->up_us = sim->now_us + 10 * MH_SECOND_US;
-  sim_run (sim, 20);
+  Simulation *simulation = simulation_new (63);
+  wants_four_machines (simulation);
+  Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
+  machine->up_us = simulation->clock->now_us + 10 * MH_SECOND_US;
+  simulation_run (simulation, 20);
   g_assert_true (machine->up);
   g_assert_false (machine->gone);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, TASKS);
-  finish (sim);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
+  finish (simulation);
 }
 
 /* Boots were fast for a while, and then are as usual: those on their way are still counted on. */
 static void
 test_fast_boots_and_usual_ones (void)
 {
-  Sim *sim = sim_new (64);
-  sim->world->boot_us = MH_SECOND_US / 5;
-  SimUser *user = wants_four_machines (sim);
-  sim_run (sim, 3);
-  guint rented = sim->world->machines->len;
-  sim->world->boot_us = 6 * MH_SECOND_US;
-  SimUser *more = sim_submit (sim, sim_spec (2, MH_SHAPE_SERVICE, 4, 1), 0);
-  WAIT (sim, 30, all_run, more);
-  g_assert_cmpuint (sim->world->machines->len - rented, <=, 4);
-  sim_run (sim, 10);
-  g_assert_cmpuint (sim->world->machines->len - rented, <=, 4);
-  WAIT (sim, 200, told_done, user);
-  finish (sim);
+  Simulation *simulation = simulation_new (64);
+  simulation->cloud->boot_us = MH_SECOND_US / 5;
+  User *user = wants_four_machines (simulation);
+  simulation_run (simulation, 3);
+  guint rented = simulation->cloud->machines->len;
+  simulation->cloud->boot_us = 6 * MH_SECOND_US;
+  User *more = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
+  WAIT (simulation, 30, all_run, more);
+  g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
+  simulation_run (simulation, 10);
+  g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
+  WAIT (simulation, 200, told_done, user);
+  finish (simulation);
 }
 
 int
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -9,21 +9,21 @@
 
 /* Every node is asked within milliseconds. */
 static void
-ask_closely (Sim *sim, SimUser *user, double seconds)
+ask_closely (Simulation *simulation, User *user, double seconds)
 {
-  gint64 end = sim->now_us + (gint64)(seconds * MH_SECOND_US);
-  while (sim->now_us < end)
+  gint64 end = simulation->clock->now_us + (gint64)(seconds * MH_SECOND_US);
+  while (simulation->clock->now_us < end)
     {
-      sim_ask_all (sim, user);
-      sim_run (sim, 0.003);
+      simulation_ask_all (simulation, user);
+      simulation_run (simulation, 0.003);
     }
 }
 
 static bool
-cancel_asked (Sim *sim, gpointer data)
+cancel_asked (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  const SimUser *user = data;
+  (void)simulation;
+  const User *user = data;
   return user->told_cancelled || user->told_done;
 }
 
@@ -35,30 +35,31 @@
   for (guint round = 0; round < 8; round++)
     {
       bool cancels = round % 2, leader_ends = round / 2 % 2, peers_cut = round / 4;
-      Sim *sim = sim_new (300 + round);
-      running_service (sim, 1, 1);
-      SimUser *user = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 2, 1), 1.5);
-      WAIT (sim, 30, accepted, user);
+      Simulation *simulation = simulation_new (300 + round);
+      running_service (simulation, 1, 1);
+      User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 1.5);
+      WAIT (simulation, 30, accepted, user);
       if (peers_cut)
-        sim->nodes[(sim_leader (sim)->index + 1) % SIM_NODES].peers_cut_us
-            = sim->now_us + 20 * MH_SECOND_US;
-      ask_closely (sim, user, 0.3);
-      guint leader = sim_leader (sim)->index;
+        simulation->nodes[(simulation_leader (simulation)->index + 1) % SIMULATION_NODES]
+            .peers_cut_until_us
+            = simulation->clock->now_us + 20 * MH_SECOND_US;
+      ask_closely (simulation, user, 0.3);
+      guint leader = simulation_leader (simulation)->index;
       if (cancels && leader_ends) /* and what it knows of that goes with it */
-        sim->nodes[leader].writes_lost_us = sim->now_us + MH_SECOND_US;
+        simulation->nodes[leader].writes_lost_until_us = simulation->clock->now_us + MH_SECOND_US;
       if (cancels)
         {
-          sim_cancel (user);
-          ask_closely (sim, user, 0.1);
+          user_cancel (user);
+          ask_closely (simulation, user, 0.1);
         }
       if (leader_ends)
-        sim_stop_node (sim, leader);
-      for (guint i = 0; i < 200 && !cancel_asked (sim, user); i++)
-        ask_closely (sim, user, 0.05);
-      g_assert_true (cancel_asked (sim, user));
-      sim_start_node (sim, leader);
-      ask_closely (sim, user, 1.5);
-      finish (sim);
+        simulation_stop_node (simulation, leader);
+      for (guint i = 0; i < 200 && !cancel_asked (simulation, user); i++)
+        ask_closely (simulation, user, 0.05);
+      g_assert_true (cancel_asked (simulation, user));
+      simulation_start_node (simulation, leader);
+      ask_closely (simulation, user, 1.5);
+      finish (simulation);
     }
 }
 
@@ -69,31 +70,33 @@
 {
   for (guint cancels = 0; cancels < 2; cancels++)
     {
-      Sim *sim = sim_new (310 + cancels);
-      SimUser *first = running_service (sim, 1, 1);
-      sim->hold_commands = true;
-      SimUser *user = sim_submit (sim, sim_spec (2, MH_SHAPE_SERVICE, 2, 1), 0);
-      WAIT (sim, 10, accepted, user);
-      sim_run (sim, 0.2);
-      g_assert_cmpuint (sim->held->len, >, 0);
-      SimNode *old = sim_leader (sim);
-      old->state_cut_us = old->peers_cut_us = sim->now_us + 30 * MH_SECOND_US;
-      old->workers_cut_us = old->state_cut_us;
-      sim->hold_commands = false; /* those of its successor arrive */
-      sim_run (sim, 3);
+      Simulation *simulation = simulation_new (310 + cancels);
+      User *first = running_service (simulation, 1, 1);
+      simulation->network->hold_commands = true;
+      User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 2, 1), 0);
+      WAIT (simulation, 10, accepted, user);
+      simulation_run (simulation, 0.2);
+      g_assert_cmpuint (simulation->network->held_commands->len, >, 0);
+      ControllerNode *old = simulation_leader (simulation);
+      old->store_cut_until_us = old->peers_cut_until_us
+          = simulation->clock->now_us + 30 * MH_SECOND_US;
+      old->workers_cut_until_us = old->store_cut_until_us;
+      simulation->network->hold_commands = false; /* those of its successor arrive */
+      simulation_run (simulation, 3);
       if (cancels)
         {
-          sim_cancel (user);
-          WAIT (sim, 20, told_cancelled, user);
+          user_cancel (user);
+          WAIT (simulation, 20, told_cancelled, user);
         }
-      sim_run (sim, 10);
-      guint starts = sim->world->starts;
-      sim_release_commands (sim);
-      sim_run (sim, CANCEL_S + 1); /* the cut is over too */
-      g_assert_cmpuint (sim->world->starts, ==, starts);
-      g_assert_cmpuint (world_running (sim->world, user->job->spec->id), ==, cancels ? 0 : 2);
-      g_assert_cmpuint (world_running (sim->world, first->job->spec->id), ==, 1);
-      finish (sim);
+      simulation_run (simulation, 10);
+      guint starts = simulation->rules->task_starts;
+      outgoing_calls_release_commands (simulation);
+      simulation_run (simulation, CANCEL_S + 1); /* the cut is over too */
+      g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+      g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==,
+                        cancels ? 0 : 2);
+      g_assert_cmpuint (simulation_running_tasks (simulation, first->job->spec->id), ==, 1);
+      finish (simulation);
     }
 }
 
@@ -104,36 +107,37 @@
 {
   for (guint returns = 0; returns < 2; returns++)
     {
-      Sim *sim = sim_new (320 + returns);
-      SimUser *users[20];
+      Simulation *simulation = simulation_new (320 + returns);
+      User *users[20];
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
         {
-          users[i] = sim_submit (sim, sim_spec (1 + i, MH_SHAPE_SERVICE, 2, 0.5), 0);
+          users[i]
+              = simulation_submit (simulation, job_spec_new (1 + i, MH_SHAPE_SERVICE, 2, 0.5), 0);
         }
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-        WAIT (sim, 60, all_run, users[i]);
-      guint leader = sim_leader (sim)->index;
-      guint starts = sim->world->starts;
-      sim->hold_commands = true;
+        WAIT (simulation, 60, all_run, users[i]);
+      guint leader = simulation_leader (simulation)->index;
+      guint starts = simulation->rules->task_starts;
+      simulation->network->hold_commands = true;
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
         {
           if (i == 3)
-            sim_stop_node (sim, leader);
+            simulation_stop_node (simulation, leader);
           if (i == 3 + 2 && returns) /* within a fraction of a second */
-            sim_start_node (sim, leader);
-          sim_cancel (users[i]);
-          sim_ask_all (sim, users[i]);
-          sim_run (sim, 0.1);
+            simulation_start_node (simulation, leader);
+          user_cancel (users[i]);
+          simulation_ask_all (simulation, users[i]);
+          simulation_run (simulation, 0.1);
         }
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-        WAIT (sim, 20, told_cancelled, users[i]);
-      sim_run (sim, CANCEL_S + 1);
-      sim_release_commands (sim);
-      sim_run (sim, 1);
+        WAIT (simulation, 20, told_cancelled, users[i]);
+      simulation_run (simulation, CANCEL_S + 1);
+      outgoing_calls_release_commands (simulation);
+      simulation_run (simulation, 1);
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-        g_assert_cmpuint (world_running (sim->world, users[i]->job->spec->id), ==, 0);
-      g_assert_cmpuint (sim->world->starts, ==, starts);
-      finish (sim);
+        g_assert_cmpuint (simulation_running_tasks (simulation, users[i]->job->spec->id), ==, 0);
+      g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+      finish (simulation);
     }
 }
 
@@ -142,24 +146,26 @@
 static void
 test_many_small_jobs (void)
 {
-  Sim *sim = sim_new (330);
+  Simulation *simulation = simulation_new (330);
   guint number = 0;
   for (guint turn = 0; turn < 480; turn++)
     {
-      sim_submit (sim, sim_spec (++number, MH_SHAPE_ARRAY, 1, 1),
-                  g_rand_double_range (sim->random, 0.5, 3));
+      simulation_submit (simulation, job_spec_new (++number, MH_SHAPE_ARRAY, 1, 1),
+                         g_rand_double_range (simulation->random, 0.5, 3));
       if (turn % 4 == 3)
-        sim_cancel (g_ptr_array_index (
-            sim->users, sim->users->len - 1 - (guint)g_rand_int_range (sim->random, 0, 4)));
+        user_cancel (g_ptr_array_index (simulation->users,
+                                        simulation->users->len - 1
+                                            - (guint)g_rand_int_range (simulation->random, 0, 4)));
       if (turn == 150 || turn == 300)
-        sim_stop_node (sim, sim_leader (sim) ? sim_leader (sim)->index : 0);
+        simulation_stop_node (
+            simulation, simulation_leader (simulation) ? simulation_leader (simulation)->index : 0);
       if (turn == 160 || turn == 301)
-        for (guint i = 0; i < SIM_NODES; i++)
-          sim_start_node (sim, i);
-      sim_run (sim, 0.25);
+        for (guint i = 0; i < SIMULATION_NODES; i++)
+          simulation_start_node (simulation, i);
+      simulation_run (simulation, 0.25);
     }
-  WAIT (sim, 90, sim_all_settled, NULL);
-  finish (sim);
+  WAIT (simulation, 90, simulation_all_settled, NULL);
+  finish (simulation);
 }
 
 /* The leader's transactions are carried out, their answers are lost, and other nodes read what they
@@ -171,29 +177,31 @@
   for (guint round = 0; round < 6; round++)
     {
       bool leader_ends = round % 2;
-      Sim *sim = sim_new (340 + round);
-      SimUser *ends = sim_submit (sim, sim_spec (1, MH_SHAPE_ARRAY, 2, 1), 4 + 0.5 * round);
-      SimUser *cancelled = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 2, 1), 100);
-      WAIT (sim, 60, all_run, ends);
-      WAIT (sim, 60, all_run, cancelled);
-      SimNode *leader = sim_leader (sim);
-      guint other = (leader->index + 1) % SIM_NODES;
-      leader->write_answers_lost_us = sim->now_us + 8 * MH_SECOND_US;
-      leader->peers_cut_us = leader->write_answers_lost_us; /* the others read by themselves */
-      sim_cancel (cancelled);
-      SimUser *submitted = sim_submit (sim, sim_spec (3, MH_SHAPE_ARRAY, 1, 1), 2);
-      SimUser *const users[] = { ends, cancelled, submitted };
+      Simulation *simulation = simulation_new (340 + round);
+      User *ends
+          = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 4 + 0.5 * round);
+      User *cancelled = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 100);
+      WAIT (simulation, 60, all_run, ends);
+      WAIT (simulation, 60, all_run, cancelled);
+      ControllerNode *leader = simulation_leader (simulation);
+      guint other = (leader->index + 1) % SIMULATION_NODES;
+      leader->write_answers_lost_until_us = simulation->clock->now_us + 8 * MH_SECOND_US;
+      leader->peers_cut_until_us
+          = leader->write_answers_lost_until_us; /* the others read by themselves */
+      user_cancel (cancelled);
+      User *submitted = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 2);
+      User *const users[] = { ends, cancelled, submitted };
       for (guint i = 0; i < 300; i++)
         {
           if (i == 150 && leader_ends)
-            sim_stop_node (sim, leader->index);
-          sim_restart_node (sim, other, CONTROLLER_CURRENT, 0);
-          sim_ask_all (sim, users[i % G_N_ELEMENTS (users)]);
-          sim_run (sim, 0.03);
+            simulation_stop_node (simulation, leader->index);
+          simulation_restart_node (simulation, other, CONTROLLER_CURRENT, 0);
+          simulation_ask_all (simulation, users[i % G_N_ELEMENTS (users)]);
+          simulation_run (simulation, 0.03);
         }
-      sim_start_node (sim, leader->index);
-      WAIT (sim, 90, sim_all_settled, NULL);
-      finish (sim);
+      simulation_start_node (simulation, leader->index);
+      WAIT (simulation, 90, simulation_all_settled, NULL);
+      finish (simulation);
     }
 }
 
@@ -204,22 +212,23 @@
 {
   for (guint seed = 0; seed < 6; seed++)
     {
-      Sim *sim = sim_new (350 + seed);
-      sim->world->boot_us = MH_SECOND_US;
-      sim->late_writes = 0.3;
+      Simulation *simulation = simulation_new (350 + seed);
+      simulation->cloud->boot_us = MH_SECOND_US;
+      simulation->network->late_write_probability = 0.3;
       for (guint turn = 0; turn < 8; turn++)
         {
-          MhJobSpec *spec = sim_spec (1 + turn, MH_SHAPE_ARRAY, 6, 1);
-          sim_submit (sim, spec, 3);
-          sim_run (sim, g_rand_double_range (sim->random, 0.5, 2.5));
-          guint ends = sim_leader (sim) ? sim_leader (sim)->index : turn % SIM_NODES;
-          sim_stop_node (sim, ends);
-          sim_run (sim, g_rand_double_range (sim->random, 0.05, 2));
-          sim_start_node (sim, ends);
+          MhJobSpec *spec = job_spec_new (1 + turn, MH_SHAPE_ARRAY, 6, 1);
+          simulation_submit (simulation, spec, 3);
+          simulation_run (simulation, g_rand_double_range (simulation->random, 0.5, 2.5));
+          guint ends = simulation_leader (simulation) ? simulation_leader (simulation)->index
+                                                      : turn % SIMULATION_NODES;
+          simulation_stop_node (simulation, ends);
+          simulation_run (simulation, g_rand_double_range (simulation->random, 0.05, 2));
+          simulation_start_node (simulation, ends);
         }
-      sim->late_writes = 0;
-      WAIT (sim, 200, sim_all_settled, NULL);
-      finish (sim);
+      simulation->network->late_write_probability = 0;
+      WAIT (simulation, 200, simulation_all_settled, NULL);
+      finish (simulation);
     }
 }
 
@@ -230,39 +239,39 @@
 {
   for (guint round = 0; round < 2; round++)
     {
-      Sim *sim = sim_new (360 + round);
-      SimUser *service = running_service (sim, 1, 2);
-      SimUser *array = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 6, 1), 4);
-      WAIT (sim, 60, all_run, array);
+      Simulation *simulation = simulation_new (360 + round);
+      User *service = running_service (simulation, 1, 2);
+      User *array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 6, 1), 4);
+      WAIT (simulation, 60, all_run, array);
       g_autoptr (GPtrArray) old = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
-      for (guint i = 0; i < sim->workers->len; i++)
-        g_ptr_array_add (
-            old,
-            world_report (sim->world, ((SimWorker *)g_ptr_array_index (sim->workers, i))->machine));
-      WAIT (sim, 60, told_done, array);
-      SimUser *second = sim_submit (sim, sim_spec (4, MH_SHAPE_ARRAY, 6, 1), 30);
-      WAIT (sim, 60, all_run, second);
-      guint starts = sim->world->starts;
-      guint leader = sim_leader (sim)->index;
+      for (guint i = 0; i < simulation->workers->len; i++)
+        g_ptr_array_add (old, worker_protocol_report (
+                                  ((Worker *)g_ptr_array_index (simulation->workers, i))->machine));
+      WAIT (simulation, 60, told_done, array);
+      User *second = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 6, 1), 30);
+      WAIT (simulation, 60, all_run, second);
+      guint starts = simulation->rules->task_starts;
+      guint leader = simulation_leader (simulation)->index;
       if (round) /* all sessions end, and the old reports are of earlier ones */
-        for (guint i = 0; i < SIM_NODES; i++)
-          sim_stop_node (sim, i);
-      sim_stop_node (sim, leader);
-      sim_run (sim, round ? 20 : 0.2);
-      for (guint i = 0; i < SIM_NODES; i++)
-        sim_start_node (sim, i);
+        for (guint i = 0; i < SIMULATION_NODES; i++)
+          simulation_stop_node (simulation, i);
+      simulation_stop_node (simulation, leader);
+      simulation_run (simulation, round ? 20 : 0.2);
+      for (guint i = 0; i < SIMULATION_NODES; i++)
+        simulation_start_node (simulation, i);
       for (guint step = 0; step < 60; step++)
         {
-          for (guint i = 0; i < SIM_NODES; i++)
+          for (guint i = 0; i < SIMULATION_NODES; i++)
             for (guint k = 0; k < old->len; k++)
-              sim_late_report (sim, &sim->nodes[i], g_ptr_array_index (old, k));
-          sim_run (sim, 0.05);
+              workers_deliver_late_report (simulation, &simulation->nodes[i],
+                                           g_ptr_array_index (old, k));
+          simulation_run (simulation, 0.05);
         }
-      WAIT (sim, 120, told_done, second);
-      WAIT (sim, 60, all_run, service);
+      WAIT (simulation, 120, told_done, second);
+      WAIT (simulation, 60, all_run, service);
       if (!round)
-        g_assert_cmpuint (sim->world->starts, ==, starts);
-      finish (sim);
+        g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+      finish (simulation);
     }
 }
 
@@ -274,43 +283,43 @@
 {
   for (guint hangs = 0; hangs < 2; hangs++)
     {
-      Sim *sim = sim_new (370 + hangs);
-      SimUser *running[4], *waiting[4];
+      Simulation *simulation = simulation_new (370 + hangs);
+      User *running[4], *waiting[4];
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
         {
-          MhJobSpec *spec = sim_spec (1 + i, MH_SHAPE_ARRAY, 8, 1);
+          MhJobSpec *spec = job_spec_new (1 + i, MH_SHAPE_ARRAY, 8, 1);
           spec->estimate_us = 300 * MH_SECOND_US;
-          running[i] = sim_submit (sim, spec, 300);
+          running[i] = simulation_submit (simulation, spec, 300);
         }
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
-        WAIT (sim, 90, all_run, running[i]);
+        WAIT (simulation, 90, all_run, running[i]);
       for (guint i = 0; i < G_N_ELEMENTS (waiting); i++)
-        waiting[i] = sim_submit (sim, sim_spec (11 + i, MH_SHAPE_ARRAY, 8, 1), 3);
-      sim_run (sim, 3);
+        waiting[i] = simulation_submit (simulation, job_spec_new (11 + i, MH_SHAPE_ARRAY, 8, 1), 3);
+      simulation_run (simulation, 3);
       guint silent = 0;
-      for (guint i = 0; i < sim->workers->len; i += 2)
+      for (guint i = 0; i < simulation->workers->len; i += 2)
         {
-          SimWorker *worker = g_ptr_array_index (sim->workers, i);
-          gint64 until = sim->now_us + 25 * MH_SECOND_US;
+          Worker *worker = g_ptr_array_index (simulation->workers, i);
+          gint64 until = simulation->clock->now_us + 25 * MH_SECOND_US;
           if (hangs)
             worker->machine->hung_until_us = until;
           else
-            worker->cut_us = until;
+            worker->cut_until_us = until;
           silent++;
         }
       g_assert_cmpuint (silent, >, 0);
-      sim_cancel (running[0]);
-      sim_cancel (running[1]);
-      sim_run (sim, 0.5);
-      guint leader = sim_leader (sim)->index;
-      sim_stop_node (sim, leader);
-      sim_run (sim, 3);
-      sim_start_node (sim, leader);
-      WAIT (sim, 30, told_cancelled, running[0]);
-      WAIT (sim, 30, told_cancelled, running[1]);
+      user_cancel (running[0]);
+      user_cancel (running[1]);
+      simulation_run (simulation, 0.5);
+      guint leader = simulation_leader (simulation)->index;
+      simulation_stop_node (simulation, leader);
+      simulation_run (simulation, 3);
+      simulation_start_node (simulation, leader);
+      WAIT (simulation, 30, told_cancelled, running[0]);
+      WAIT (simulation, 30, told_cancelled, running[1]);
       for (guint i = 0; i < G_N_ELEMENTS (waiting); i++)
-        WAIT (sim, 200, told_done, waiting[i]);
-      finish (sim);
+        WAIT (simulation, 200, told_done, waiting[i]);
+      finish (simulation);
     }
 }
 
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -6,7 +6,7 @@
 static MhJobSpec *
 gang_spec (guint number, guint tasks, double cpus)
 {
-  MhJobSpec *s = sim_spec (number, MH_SHAPE_GANG, tasks, cpus);
+  MhJobSpec *s = job_spec_new (number, MH_SHAPE_GANG, tasks, cpus);
   s->spot = false;
   s->one_zone = true;
   s->estimate_us = 20 * MH_SECOND_US;
@@ -16,17 +16,17 @@
 }
 
 static bool
-runs (Sim *sim, gpointer data)
+runs (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  return ((SimUser *)data)->job->running_attempt != 0;
+  (void)simulation;
+  return ((User *)data)->job->running_attempt != 0;
 }
 
-static SimUser *
-running_gang (Sim *sim, guint number, guint tasks, double cpus, double run_s)
+static User *
+running_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s)
 {
-  SimUser *u = sim_submit (sim, gang_spec (number, tasks, cpus), run_s);
-  WAIT (sim, 60, runs, u);
+  User *u = simulation_submit (simulation, gang_spec (number, tasks, cpus), run_s);
+  WAIT (simulation, 60, runs, u);
   return u;
 }
 
@@ -34,19 +34,19 @@
 static void
 test_life (void)
 {
-  Sim *sim = sim_new (1);
-  SimUser *u = running_gang (sim, 1, 6, 2, 10);
-  const WorldMachine *first = worker_of (sim, "j-000001/0")->machine;
+  Simulation *simulation = simulation_new (1);
+  User *u = running_gang (simulation, 1, 6, 2, 10);
+  const Machine *first = worker_of (simulation, "j-000001/0")->machine;
   for (guint i = 1; i < 6; i++)
     {
       g_autofree char *leg = g_strdup_printf ("j-000001/%u", i);
-      const WorldMachine *m = worker_of (sim, leg)->machine;
+      const Machine *m = worker_of (simulation, leg)->machine;
       g_assert_cmpstr (m->zone, ==, first->zone);
-      g_assert_cmpuint (g_array_index (m->tasks, WorldTask, 0).attempt, ==, 1);
+      g_assert_cmpuint (g_array_index (m->tasks, MachineTask, 0).attempt, ==, 1);
     }
-  WAIT (sim, 40, told_done, u);
-  g_assert_cmpuint (sim->world->starts, ==, 6);
-  finish (sim);
+  WAIT (simulation, 40, told_done, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
+  finish (simulation);
 }
 
 /* The gang is done, and one of its machines fails before it has told so: the others' word is
@@ -54,48 +54,49 @@
 static void
 test_done_together (void)
 {
-  Sim *sim = sim_new (13);
-  add_small_machines (sim, 3);
+  Simulation *simulation = simulation_new (13);
+  add_small_machines (simulation, 3);
   MhJobSpec *s = gang_spec (1, 6, 2);
   s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  SimUser *u = sim_submit (sim, s, 8);
-  WAIT (sim, 60, runs, u);
-  SimWorker *w = worker_of (sim, "j-000001/0");
-  WorldMachine *m = w->machine;
-  sim_run (sim, 5);
-  w->reports_lost_us = sim->now_us + 30 * MH_SECOND_US;
-  WAIT (sim, 30, all_done, u);
-  world_fail (m);
-  WAIT (sim, 20, told_done, u);
-  g_assert_cmpuint (sim->world->starts, ==, 6);
-  finish (sim);
+  User *u = simulation_submit (simulation, s, 8);
+  WAIT (simulation, 60, runs, u);
+  Worker *w = worker_of (simulation, "j-000001/0");
+  Machine *m = w->machine;
+  simulation_run (simulation, 5);
+  w->reports_lost_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
+  WAIT (simulation, 30, all_done, u);
+  machine_fail (m);
+  WAIT (simulation, 20, told_done, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
+  finish (simulation);
 }
 
 static void
 test_refusals (void)
 {
-  Sim *sim = sim_new (2);
+  Simulation *simulation = simulation_new (2);
   MhUserAnswer a;
-  sim_run (sim, 5);
-  g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &a), ==,
-                    422); /* of 16 */
+  simulation_run (simulation, 5);
+  g_assert_cmpuint (
+      simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &a), ==,
+      422); /* of 16 */
   MhJobSpec *s = gang_spec (2, 2, 1);
   s->scatter = true; /* and in one zone */
-  g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000002", s, &a), ==, 422);
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", s, &a), ==, 422);
   s = gang_spec (3, 4, 1);
   s->one_zone = false;
   s->scatter = true;
   s->zone = g_strdup ("a");
-  g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000003", s, &a), ==, 422);
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000003", s, &a), ==, 422);
   s = gang_spec (4, 1, 1);
   s->mem_gb = 100;
-  g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000004", s, &a), ==, 422);
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", s, &a), ==, 422);
   s = gang_spec (5, 4, 1);
   s->one_zone = false;
   s->scatter = true;
-  SimUser *u = sim_submit (sim, s, 3);
-  WAIT (sim, 60, told_done, u);
-  finish (sim);
+  User *u = simulation_submit (simulation, s, 3);
+  WAIT (simulation, 60, told_done, u);
+  finish (simulation);
 }
 
 /* While there is room for a part only, nothing of it is started, and smaller work does not keep it
@@ -103,70 +104,70 @@
 static void
 test_all_or_none (void)
 {
-  Sim *sim = sim_new (3);
-  sim->world->capacity = 2;
-  sim->world->zones = 1;
+  Simulation *simulation = simulation_new (3);
+  simulation->cloud->capacity = 2;
+  simulation->cloud->zones = 1;
   MhJobSpec *s = gang_spec (1, 4, 2); /* two whole small machines */
   s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
   s->spot = true;
-  SimUser *small[6];
+  User *small[6];
   for (guint i = 0; i < G_N_ELEMENTS (small); i++)
     {
-      MhJobSpec *other = sim_spec (10 + i, MH_SHAPE_ARRAY, 4, 1);
+      MhJobSpec *other = job_spec_new (10 + i, MH_SHAPE_ARRAY, 4, 1);
       other->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
       other->priority = MH_PRIORITY_LOW;
-      small[i] = sim_submit (sim, other, 4 + i);
+      small[i] = simulation_submit (simulation, other, 4 + i);
     }
-  sim_run (sim, 10);
-  SimUser *u = sim_submit (sim, s, 5);
+  simulation_run (simulation, 10);
+  User *u = simulation_submit (simulation, s, 5);
   guint parts = 0;
   for (guint i = 0; i < 600 && !u->told_done; i++)
     {
-      guint n = world_running (sim->world, "j-000001");
-      parts += n > 0 && n < 4 && u->job->n_done == 0;
-      sim_run (sim, 0.1);
+      guint n = simulation_running_tasks (simulation, "j-000001");
+      parts += n > 0 && n < 4 && u->job->done_count == 0;
+      simulation_run (simulation, 0.1);
     }
   g_assert_true (u->told_done);
   g_assert_cmpuint (parts, <=, 10); /* only until the commands are there: a second */
   for (guint i = 0; i < G_N_ELEMENTS (small); i++)
-    WAIT (sim, 120, told_done, small[i]);
-  finish (sim);
+    WAIT (simulation, 120, told_done, small[i]);
+  finish (simulation);
 }
 
 /* Two gangs, each of which needs most of what there is, do not hold room from each other. */
 static void
 test_two_gangs (void)
 {
-  Sim *sim = sim_new (4);
-  sim->world->capacity = 2;
-  sim->world->zones = 1;
-  SimUser *users[4];
+  Simulation *simulation = simulation_new (4);
+  simulation->cloud->capacity = 2;
+  simulation->cloud->zones = 1;
+  User *users[4];
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
     {
       MhJobSpec *s = gang_spec (1 + i, 3, 2);
       s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-      users[i] = sim_submit (sim, s, 5);
+      users[i] = simulation_submit (simulation, s, 5);
     }
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-    WAIT (sim, 200, told_done, users[i]);
-  g_assert_cmpuint (sim->world->starts, ==, 12); /* each once */
-  finish (sim);
+    WAIT (simulation, 200, told_done, users[i]);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 12); /* each once */
+  finish (simulation);
 }
 
 /* No start leaves before all places are on record. */
 static void
 test_on_record_first (void)
 {
-  Sim *sim = sim_new (5);
-  SimUser *u = sim_submit (sim, gang_spec (1, 4, 1), 20);
-  WAIT (sim, 30, accepted, u);
-  SimNode *leader = sim_leader (sim);
-  leader->writes_lost_us = sim->now_us + 15 * MH_SECOND_US;
-  sim_run (sim, 14);
-  g_assert_cmpuint (sim->world->starts, ==, 0);
-  WAIT (sim, 30, runs, u);
-  WAIT (sim, 60, told_done, u);
-  finish (sim);
+  Simulation *simulation = simulation_new (5);
+  User *u = simulation_submit (simulation, gang_spec (1, 4, 1), 20);
+  WAIT (simulation, 30, accepted, u);
+  ControllerNode *leader = simulation_leader (simulation);
+  leader->writes_lost_until_us = simulation->clock->now_us + 15 * MH_SECOND_US;
+  simulation_run (simulation, 14);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 0);
+  WAIT (simulation, 30, runs, u);
+  WAIT (simulation, 60, told_done, u);
+  finish (simulation);
 }
 
 /* A machine is lost, hangs, is cut off, sends no reports or gets no answers: the rest ends, and the
@@ -176,38 +177,38 @@
 {
   for (guint how = 0; how < 5; how++)
     {
-      Sim *sim = sim_new (6 + how);
-      add_small_machines (sim, 6);
+      Simulation *simulation = simulation_new (6 + how);
+      add_small_machines (simulation, 6);
       MhJobSpec *s = gang_spec (1, 6, 2);
       s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-      SimUser *u = sim_submit (sim, s, 25);
-      WAIT (sim, 60, runs, u);
-      SimWorker *w = worker_of (sim, "j-000001/0");
+      User *u = simulation_submit (simulation, s, 25);
+      WAIT (simulation, 60, runs, u);
+      Worker *w = worker_of (simulation, "j-000001/0");
       if (how == 0)
         {
-          world_fail (w->machine);
+          machine_fail (w->machine);
         }
       else if (how == 1)
-        w->machine->hung_until_us = sim->now_us + 100 * MH_SECOND_US;
+        w->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
       else if (how == 2)
-        w->cut_us = sim->now_us + 60 * MH_SECOND_US;
+        w->cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       else if (how == 3)
-        w->reports_lost_us = sim->now_us + 60 * MH_SECOND_US;
+        w->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       else
-        w->answers_lost_us = sim->now_us + 60 * MH_SECOND_US;
-      WAIT (sim, 200, told_done, u);
-      finish (sim);
+        w->answers_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+      WAIT (simulation, 200, told_done, u);
+      finish (simulation);
     }
 }
 
-static SimUser *
-gang_on_small_machines (Sim *sim, guint machines, double run_s)
+static User *
+gang_on_small_machines (Simulation *simulation, guint machines, double run_s)
 {
-  sim->world->capacity = 0;
-  add_small_machines (sim, machines);
+  simulation->cloud->capacity = 0;
+  add_small_machines (simulation, machines);
   MhJobSpec *spec = gang_spec (1, 4, 2);
   spec->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  return sim_submit (sim, spec, run_s);
+  return simulation_submit (simulation, spec, run_s);
 }
 
 /* Its workers give up before its last image is there: that is an end like others, and the next
@@ -215,17 +216,17 @@
 static void
 test_incomplete (void)
 {
-  Sim *sim = sim_new (14);
-  sim->settings->gang_wait_us = 4 * MH_SECOND_US; /* the workers', not the controllers' */
-  SimUser *u = gang_on_small_machines (sim, 2, 5);
-  for (guint i = 0; i < 400 && worker_of (sim, "j-000001/3") == NULL; i++)
-    sim_run (sim, 0.05);
-  WorldMachine *late = worker_of (sim, "j-000001/3")->machine;
+  Simulation *simulation = simulation_new (14);
+  simulation->settings->gang_wait_us = 4 * MH_SECOND_US; /* the workers', not the controllers' */
+  User *u = gang_on_small_machines (simulation, 2, 5);
+  for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
+    simulation_run (simulation, 0.05);
+  Machine *late = worker_of (simulation, "j-000001/3")->machine;
   for (guint i = 0; i < late->tasks->len; i++)
-    g_array_index (late->tasks, WorldTask, i).ready_us += 8 * MH_SECOND_US;
-  WAIT (sim, 60, told_done, u);
-  g_assert_true (sim_logged (sim, "did not come in time"));
-  finish (sim);
+    g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
+  WAIT (simulation, 60, told_done, u);
+  g_assert_true (simulation_logged (simulation, "did not come in time"));
+  finish (simulation);
 }
 
 /* It fails on every machine: the attempts come ever more slowly, other work goes on, and its user
@@ -233,36 +234,36 @@
 static void
 test_fails_everywhere (void)
 {
-  Sim *sim = sim_new (15);
-  SimUser *u = gang_on_small_machines (sim, 4, 20);
-  SimUser *other = running_service (sim, 2, 1);
-  WAIT (sim, 60, accepted, u);
-  guint starts = sim->world->starts;
+  Simulation *simulation = simulation_new (15);
+  User *u = gang_on_small_machines (simulation, 4, 20);
+  User *other = running_service (simulation, 2, 1);
+  WAIT (simulation, 60, accepted, u);
+  guint starts = simulation->rules->task_starts;
   for (guint second = 0; second < 60; second++)
     {
-      for (guint i = 0; i < sim->world->machines->len; i++)
+      for (guint i = 0; i < simulation->cloud->machines->len; i++)
         {
-          const WorldMachine *machine = g_ptr_array_index (sim->world->machines, i);
+          const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
           for (guint k = 0; k < machine->tasks->len; k++)
             {
-              WorldTask *task = &g_array_index (machine->tasks, WorldTask, k);
+              MachineTask *task = &g_array_index (machine->tasks, MachineTask, k);
               if (task->index != 1 || task->phase != MH_TASK_RUNNING
-                  || strcmp (task->job, "j-000001") != 0)
+                  || strcmp (task->job_id, "j-000001") != 0)
                 continue;
               task->phase = MH_TASK_ENDED;
               task->cause = "error";
             }
         }
-      sim_run (sim, 1);
+      simulation_run (simulation, 1);
     }
-  g_assert_true (sim_logged (sim, "next start in"));
-  g_assert_cmpuint (sim->world->starts - starts, <=, 32); /* eight attempts */
-  g_assert_cmpuint (world_running (sim->world, other->job->spec->id), ==, 1);
-  sim_cancel (u);
-  WAIT (sim, 10, told_cancelled, u);
-  sim_run (sim, 42);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  finish (sim);
+  g_assert_true (simulation_logged (simulation, "next start in"));
+  g_assert_cmpuint (simulation->rules->task_starts - starts, <=, 32); /* eight attempts */
+  g_assert_cmpuint (simulation_running_tasks (simulation, other->job->spec->id), ==, 1);
+  user_cancel (u);
+  WAIT (simulation, 10, told_cancelled, u);
+  simulation_run (simulation, 42);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  finish (simulation);
 }
 
 /* Direct starts of an attempt that was given up arrive while the next one runs, on a machine that
@@ -270,31 +271,31 @@
 static void
 test_late_start_of_an_old_attempt (void)
 {
-  Sim *sim = sim_new (16);
-  sim->keep_requests = true;
-  sim->world->capacity = 0;
+  Simulation *simulation = simulation_new (16);
+  simulation->network->keep_requests = true;
+  simulation->cloud->capacity = 0;
   for (guint i = 0; i < 4; i++)
-    world_add_machine (sim->world, "small", i % 2 ? "a" : "b", false);
+    cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   MhJobSpec *spec = gang_spec (1, 4, 1);
   spec->one_zone = false;
   spec->scatter = true;
-  SimUser *u = sim_submit (sim, spec, 25);
-  WAIT (sim, 60, runs, u);
-  world_fail (worker_of (sim, "j-000001/0")->machine);
-  sim_run (sim, 1);
+  User *u = simulation_submit (simulation, spec, 25);
+  WAIT (simulation, 60, runs, u);
+  machine_fail (worker_of (simulation, "j-000001/0")->machine);
+  simulation_run (simulation, 1);
   for (guint i = 0; i < 600 && u->job->running_attempt < 2; i++)
-    sim_run (sim, 0.1);
+    simulation_run (simulation, 0.1);
   g_assert_cmpuint (u->job->running_attempt, ==, 2);
-  sim->keep_requests = false;
-  g_assert_cmpuint (sim->kept->len, >, 0);
-  for (guint i = sim->kept->len; i-- > 0;)
-    if (!sim_is_command (sim, i))
-      g_ptr_array_remove_index (sim->kept, i);
-  sim_repeat_requests (sim);
-  sim_run (sim, 2);
+  simulation->network->keep_requests = false;
+  g_assert_cmpuint (simulation->network->kept_requests->len, >, 0);
+  for (guint i = simulation->network->kept_requests->len; i-- > 0;)
+    if (!outgoing_calls_kept_is_command (simulation, i))
+      g_ptr_array_remove_index (simulation->network->kept_requests, i);
+  outgoing_calls_repeat_kept (simulation);
+  simulation_run (simulation, 2);
   g_assert_cmpuint (u->job->running_attempt, ==, 2);
-  WAIT (sim, 60, told_done, u);
-  finish (sim);
+  WAIT (simulation, 60, told_done, u);
+  finish (simulation);
 }
 
 /* A report from the time of an attempt that was given up comes while the next one runs, also to a
@@ -304,26 +305,27 @@
 {
   for (guint new_leader = 0; new_leader < 2; new_leader++)
     {
-      Sim *sim = sim_new (17 + new_leader);
-      SimUser *u = gang_on_small_machines (sim, 5, 25);
-      WAIT (sim, 60, runs, u);
-      g_autoptr (MhValue) old = world_report (sim->world, worker_of (sim, "j-000001/3")->machine);
-      world_fail (worker_of (sim, "j-000001/0")->machine);
+      Simulation *simulation = simulation_new (17 + new_leader);
+      User *u = gang_on_small_machines (simulation, 5, 25);
+      WAIT (simulation, 60, runs, u);
+      g_autoptr (MhValue) old
+          = worker_protocol_report (worker_of (simulation, "j-000001/3")->machine);
+      machine_fail (worker_of (simulation, "j-000001/0")->machine);
       for (guint i = 0; i < 600 && u->job->running_attempt != 2; i++)
-        sim_run (sim, 0.1);
+        simulation_run (simulation, 0.1);
       g_assert_cmpuint (u->job->running_attempt, ==, 2);
       if (new_leader)
         {
-          sim_stop_node (sim, sim_leader (sim)->index);
-          WAIT (sim, 10, has_leader, NULL);
+          simulation_stop_node (simulation, simulation_leader (simulation)->index);
+          WAIT (simulation, 10, has_leader, NULL);
         }
-      for (guint i = 0; i < SIM_NODES; i++)
-        if (sim->nodes[i].controller)
-          sim_late_report (sim, &sim->nodes[i], old);
-      sim_run (sim, 3);
+      for (guint i = 0; i < SIMULATION_NODES; i++)
+        if (simulation->nodes[i].controller)
+          workers_deliver_late_report (simulation, &simulation->nodes[i], old);
+      simulation_run (simulation, 3);
       g_assert_cmpuint (u->job->running_attempt, ==, 2);
-      WAIT (sim, 60, told_done, u);
-      finish (sim);
+      WAIT (simulation, 60, told_done, u);
+      finish (simulation);
     }
 }
 
@@ -332,74 +334,76 @@
 static void
 test_stopped_while_one_cannot_be_told (void)
 {
-  Sim *sim = sim_new (19);
-  SimUser *u = gang_on_small_machines (sim, 2, 40);
-  WAIT (sim, 60, runs, u);
-  SimWorker *cut = worker_of (sim, "j-000001/0");
-  cut->cut_us = sim->now_us + 7 * MH_SECOND_US;
-  sim_run (sim, 5);
-  SimUser *urgent = sim_submit (sim, sim_spec (2, MH_SHAPE_SERVICE, 1, 4), 0);
-  sim_run (sim, 1);
-  g_assert_true (sim_logged (sim, "cannot be told at once"));
-  WAIT (sim, 60, all_run, urgent);
-  sim_cancel (urgent);
-  sim->world->capacity = 12;
-  WAIT (sim, 120, told_done, u);
-  finish (sim);
+  Simulation *simulation = simulation_new (19);
+  User *u = gang_on_small_machines (simulation, 2, 40);
+  WAIT (simulation, 60, runs, u);
+  Worker *cut = worker_of (simulation, "j-000001/0");
+  cut->cut_until_us = simulation->clock->now_us + 7 * MH_SECOND_US;
+  simulation_run (simulation, 5);
+  User *urgent = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
+  simulation_run (simulation, 1);
+  g_assert_true (simulation_logged (simulation, "cannot be told at once"));
+  WAIT (simulation, 60, all_run, urgent);
+  user_cancel (urgent);
+  simulation->cloud->capacity = 12;
+  WAIT (simulation, 120, told_done, u);
+  finish (simulation);
 }
 
 /* All its tasks have ended, and nothing of that is on record: nobody is told that it is done. */
 static void
 test_done_only_on_record (void)
 {
-  Sim *sim = sim_new (20);
-  SimUser *u = gang_on_small_machines (sim, 2, 8);
-  WAIT (sim, 60, runs, u);
-  SimNode *leader = sim_leader (sim);
-  leader->writes_lost_us = sim->now_us + 25 * MH_SECOND_US;
-  WAIT (sim, 15, all_done, u);
-  sim_run (sim, 6);
+  Simulation *simulation = simulation_new (20);
+  User *u = gang_on_small_machines (simulation, 2, 8);
+  WAIT (simulation, 60, runs, u);
+  ControllerNode *leader = simulation_leader (simulation);
+  leader->writes_lost_until_us = simulation->clock->now_us + 25 * MH_SECOND_US;
+  WAIT (simulation, 15, all_done, u);
+  simulation_run (simulation, 6);
   g_assert_false (u->told_done);
-  sim_stop_node (sim, leader->index);
-  WAIT (sim, 30, told_done, u);
-  g_assert_cmpuint (sim->world->starts, ==, 4);
-  finish (sim);
+  simulation_stop_node (simulation, leader->index);
+  WAIT (simulation, 30, told_done, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
+  finish (simulation);
 }
 
 /* What can never run is refused without a leader too; what cannot be decided is not. */
 static void
 test_refusals_without_a_leader (void)
 {
-  Sim *sim = sim_new (21);
+  Simulation *simulation = simulation_new (21);
   MhUserAnswer answer;
-  sim_run (sim, 5);
-  guint last = (sim_leader (sim)->index + 1) % SIM_NODES;
-  sim->nodes[last].writes_lost_us = sim->now_us + 60 * MH_SECOND_US;
-  for (guint i = 0; i < SIM_NODES; i++)
+  simulation_run (simulation, 5);
+  guint last = (simulation_leader (simulation)->index + 1) % SIMULATION_NODES;
+  simulation->nodes[last].writes_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     if (i != last)
-      sim_stop_node (sim, i);
-  sim_run (sim, 3);
-  g_assert_null (sim_leader (sim));
-  g_assert_cmpuint (sim_ask (sim, last, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer),
-                    ==, 422);
-  g_assert_cmpuint (sim_ask (sim, last, MH_USER_SUBMIT, "j-000002", gang_spec (2, 16, 1), &answer),
-                    ==, 503);
-  finish (sim);
+      simulation_stop_node (simulation, i);
+  simulation_run (simulation, 3);
+  g_assert_null (simulation_leader (simulation));
+  g_assert_cmpuint (
+      simulation_ask (simulation, last, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer),
+      ==, 422);
+  g_assert_cmpuint (
+      simulation_ask (simulation, last, MH_USER_SUBMIT, "j-000002", gang_spec (2, 16, 1), &answer),
+      ==, 503);
+  finish (simulation);
 }
 
 /* A task fails on a faulty machine. */
 static void
 test_task_fails (void)
 {
-  Sim *sim = sim_new (12);
-  add_small_machines (sim, 4);
+  Simulation *simulation = simulation_new (12);
+  add_small_machines (simulation, 4);
   MhJobSpec *s = gang_spec (1, 4, 2);
   s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  SimUser *u = sim_submit (sim, s, 15);
-  WAIT (sim, 60, runs, u);
-  worker_of (sim, "j-000001/2")->machine->sick = true;
-  WAIT (sim, 300, told_done, u);
-  finish (sim);
+  User *u = simulation_submit (simulation, s, 15);
+  WAIT (simulation, 60, runs, u);
+  worker_of (simulation, "j-000001/2")->machine->faulty = true;
+  WAIT (simulation, 300, told_done, u);
+  finish (simulation);
 }
 
 /* Controllers change at every step of a gang's life. */
@@ -408,17 +412,17 @@
 {
   for (guint step = 0; step < 24; step++)
     {
-      Sim *sim = sim_new (20 + step);
-      SimUser *u = sim_submit (sim, gang_spec (1, 5, 2), 8);
-      WAIT (sim, 30, accepted, u);
-      sim_run (sim, 0.6 * step);
-      SimNode *leader = sim_leader (sim);
+      Simulation *simulation = simulation_new (20 + step);
+      User *u = simulation_submit (simulation, gang_spec (1, 5, 2), 8);
+      WAIT (simulation, 30, accepted, u);
+      simulation_run (simulation, 0.6 * step);
+      ControllerNode *leader = simulation_leader (simulation);
       guint stopped = leader ? leader->index : 0;
-      sim_stop_node (sim, stopped);
-      sim_run (sim, step % 2 ? 0.2 : 3);
-      sim_start_node (sim, stopped);
-      WAIT (sim, 120, told_done, u);
-      finish (sim);
+      simulation_stop_node (simulation, stopped);
+      simulation_run (simulation, step % 2 ? 0.2 : 3);
+      simulation_start_node (simulation, stopped);
+      WAIT (simulation, 120, told_done, u);
+      finish (simulation);
     }
 }
 
@@ -428,15 +432,15 @@
 {
   for (guint step = 0; step < 12; step++)
     {
-      Sim *sim = sim_new (60 + step);
-      SimUser *u = sim_submit (sim, gang_spec (1, 5, 2), 60);
-      WAIT (sim, 30, accepted, u);
-      sim_run (sim, 0.8 * step);
-      sim_cancel (u);
-      WAIT (sim, 10, told_cancelled, u);
-      sim_run (sim, 50);
-      g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-      finish (sim);
+      Simulation *simulation = simulation_new (60 + step);
+      User *u = simulation_submit (simulation, gang_spec (1, 5, 2), 60);
+      WAIT (simulation, 30, accepted, u);
+      simulation_run (simulation, 0.8 * step);
+      user_cancel (u);
+      WAIT (simulation, 10, told_cancelled, u);
+      simulation_run (simulation, 50);
+      g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+      finish (simulation);
     }
 }
 
@@ -445,20 +449,20 @@
 static void
 test_orderly_stop (void)
 {
-  Sim *sim = sim_new (80);
-  sim->world->capacity = 1;
+  Simulation *simulation = simulation_new (80);
+  simulation->cloud->capacity = 1;
   MhJobSpec *s = gang_spec (1, 4, 4);
   s->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
-  SimUser *u = sim_submit (sim, s, 20);
-  WAIT (sim, 60, runs, u);
-  sim_run (sim, 6);
-  SimUser *urgent = sim_submit (sim, sim_spec (2, MH_SHAPE_SERVICE, 1, 4), 0);
-  WAIT (sim, 20, all_run, urgent);
-  g_assert_cmpuint (u->job->saves, ==, 1);
-  g_assert_cmpint (u->job->saved_us, >, 4 * MH_SECOND_US);
-  sim_cancel (urgent);
-  WAIT (sim, 90, told_done, u);
-  finish (sim);
+  User *u = simulation_submit (simulation, s, 20);
+  WAIT (simulation, 60, runs, u);
+  simulation_run (simulation, 6);
+  User *urgent = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
+  WAIT (simulation, 20, all_run, urgent);
+  g_assert_cmpuint (u->job->orderly_stops, ==, 1);
+  g_assert_cmpint (u->job->saved_progress_us, >, 4 * MH_SECOND_US);
+  user_cancel (urgent);
+  WAIT (simulation, 90, told_done, u);
+  finish (simulation);
 }
 
 /* Room for urgent work is made by the end of single tasks, as long as that does: one task of a gang
@@ -466,25 +470,25 @@
 static void
 test_order_of_victims (void)
 {
-  Sim *sim = sim_new (85);
-  sim->world->capacity = 1;
-  MhJobSpec *single = sim_spec (2, MH_SHAPE_ARRAY, 8, 1);
+  Simulation *simulation = simulation_new (85);
+  simulation->cloud->capacity = 1;
+  MhJobSpec *single = job_spec_new (2, MH_SHAPE_ARRAY, 8, 1);
   single->estimate_us = 300 * MH_SECOND_US;
   single->spot = false;
   single->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
-  SimUser *array = sim_submit (sim, single, 90);
-  WAIT (sim, 60, all_run, array);
-  sim_run (sim, 10); /* so that each of them has run for longer than the gang */
+  User *array = simulation_submit (simulation, single, 90);
+  WAIT (simulation, 60, all_run, array);
+  simulation_run (simulation, 10); /* so that each of them has run for longer than the gang */
   MhJobSpec *s = gang_spec (1, 4, 2);
   s->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
-  SimUser *u = sim_submit (sim, s, 20);
-  WAIT (sim, 20, runs, u); /* now the machine is full */
-  SimUser *urgent = sim_submit (sim, sim_spec (3, MH_SHAPE_SERVICE, 1, 2), 0);
-  WAIT (sim, 20, all_run, urgent);
-  g_assert_cmpuint (u->job->saves, ==, 0);
+  User *u = simulation_submit (simulation, s, 20);
+  WAIT (simulation, 20, runs, u); /* now the machine is full */
+  User *urgent = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 2), 0);
+  WAIT (simulation, 20, all_run, urgent);
+  g_assert_cmpuint (u->job->orderly_stops, ==, 0);
   g_assert_cmpuint (u->job->running_attempt, ==, 1);
-  WAIT (sim, 60, told_done, u);
-  finish (sim);
+  WAIT (simulation, 60, told_done, u);
+  finish (simulation);
 }
 
 /* A gang runs beyond its team's guarantee, and another team's work within one wants its room: one
@@ -492,21 +496,21 @@
 static void
 test_not_stopped_for_a_guarantee_alone (void)
 {
-  Sim *sim = sim_new (87);
-  sim->world->capacity = 0;
-  add_small_machines (sim, 3);
+  Simulation *simulation = simulation_new (87);
+  simulation->cloud->capacity = 0;
+  add_small_machines (simulation, 3);
   MhJobSpec *s = gang_spec (1, 6, 2); /* 12 cpus, of which 8 are guaranteed */
   s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  SimUser *u = sim_submit (sim, s, 25);
-  WAIT (sim, 60, runs, u);
-  SimUser *other = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 2, 2), 3);
-  sim_run (sim, 15);
+  User *u = simulation_submit (simulation, s, 25);
+  WAIT (simulation, 60, runs, u);
+  User *other = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 2), 3);
+  simulation_run (simulation, 15);
   g_assert_cmpuint (u->job->running_attempt, ==, 1);
-  g_assert_cmpuint (u->job->saves, ==, 0);
-  WAIT (sim, 30, told_done, u);
-  WAIT (sim, 30, told_done, other);
-  g_assert_cmpuint (sim->world->starts, ==, 8);
-  finish (sim);
+  g_assert_cmpuint (u->job->orderly_stops, ==, 0);
+  WAIT (simulation, 30, told_done, u);
+  WAIT (simulation, 30, told_done, other);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 8);
+  finish (simulation);
 }
 
 /* Nothing is there: as many machines as the whole gang needs are rented in one zone, and it starts
@@ -514,20 +518,20 @@
 static void
 test_rented_whole (void)
 {
-  Sim *sim = sim_new (86);
+  Simulation *simulation = simulation_new (86);
   MhJobSpec *s = gang_spec (1, 6, 2);
   s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  SimUser *u = sim_submit (sim, s, 5);
-  WAIT (sim, 30, accepted, u);
-  sim_run (sim, 3);
-  g_assert_cmpuint (sim->world->machines->len, ==, 3);
+  User *u = simulation_submit (simulation, s, 5);
+  WAIT (simulation, 30, accepted, u);
+  simulation_run (simulation, 3);
+  g_assert_cmpuint (simulation->cloud->machines->len, ==, 3);
   for (guint i = 0; i < 3; i++)
-    g_assert_cmpstr (((WorldMachine *)g_ptr_array_index (sim->world->machines, i))->zone, ==,
-                     ((WorldMachine *)g_ptr_array_index (sim->world->machines, 0))->zone);
-  g_assert_cmpuint (sim->world->starts, ==, 0);
-  WAIT (sim, 30, told_done, u);
-  g_assert_cmpuint (sim->world->starts, ==, 6);
-  finish (sim);
+    g_assert_cmpstr (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->zone, ==,
+                     ((Machine *)g_ptr_array_index (simulation->cloud->machines, 0))->zone);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 0);
+  WAIT (simulation, 30, told_done, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
+  finish (simulation);
 }
 
 /* The cloud takes one of its machines back: with enough notice the gang saves together before that,
@@ -537,19 +541,19 @@
 {
   for (guint enough = 0; enough < 2; enough++)
     {
-      Sim *sim = sim_new (83 + enough);
-      add_small_machines (sim, 3);
+      Simulation *simulation = simulation_new (83 + enough);
+      add_small_machines (simulation, 3);
       MhJobSpec *s = gang_spec (1, 4, 2);
       s->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-      SimUser *u = sim_submit (sim, s, 30);
-      WAIT (sim, 60, runs, u);
-      sim_run (sim, 8);
-      WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
-      m->taken_us = sim->now_us + (enough ? 12 : 2) * MH_SECOND_US;
-      WAIT (sim, 20, is_gone, m);
-      g_assert_cmpuint (u->job->saves, ==, enough);
-      WAIT (sim, 120, told_done, u);
-      finish (sim);
+      User *u = simulation_submit (simulation, s, 30);
+      WAIT (simulation, 60, runs, u);
+      simulation_run (simulation, 8);
+      Machine *m = worker_of (simulation, "j-000001/0")->machine;
+      m->preempted_at_us = simulation->clock->now_us + (enough ? 12 : 2) * MH_SECOND_US;
+      WAIT (simulation, 20, is_gone, m);
+      g_assert_cmpuint (u->job->orderly_stops, ==, enough);
+      WAIT (simulation, 120, told_done, u);
+      finish (simulation);
     }
 }
 
@@ -558,34 +562,34 @@
 static void
 test_late_image (void)
 {
-  Sim *sim = sim_new (81);
-  SimUser *u = sim_submit (sim, gang_spec (1, 4, 4), 5);
-  WAIT (sim, 30, accepted, u);
-  for (guint i = 0; i < 400 && worker_of (sim, "j-000001/3") == NULL; i++)
-    sim_run (sim, 0.05);
-  SimWorker *w = worker_of (sim, "j-000001/3");
-  WorldTask *t = &g_array_index (w->machine->tasks, WorldTask, w->machine->tasks->len - 1);
-  t->ready_us = sim->now_us + 300 * MH_SECOND_US;
-  WAIT (sim, 150, told_done, u);
-  g_assert_true (sim_logged (sim, "taken back"));
-  g_assert_false (sim_logged (sim, "did not come in time"));
-  finish (sim);
+  Simulation *simulation = simulation_new (81);
+  User *u = simulation_submit (simulation, gang_spec (1, 4, 4), 5);
+  WAIT (simulation, 30, accepted, u);
+  for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
+    simulation_run (simulation, 0.05);
+  Worker *w = worker_of (simulation, "j-000001/3");
+  MachineTask *t = &g_array_index (w->machine->tasks, MachineTask, w->machine->tasks->len - 1);
+  t->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  WAIT (simulation, 150, told_done, u);
+  g_assert_true (simulation_logged (simulation, "taken back"));
+  g_assert_false (simulation_logged (simulation, "did not come in time"));
+  finish (simulation);
 }
 
 /* A gang of more tasks than one record holds, under the limits that come next. */
 static void
 test_small_records (void)
 {
-  Sim *sim = sim_new (82);
-  sim_limit (sim, 2048, 5);
+  Simulation *simulation = simulation_new (82);
+  simulation_limit (simulation, 2048, 5);
   MhJobSpec *s = gang_spec (1, 60, 0.2);
   s->mem_gb = 0.1;
-  SimUser *u = sim_submit (sim, s, 8);
-  WAIT (sim, 60, runs, u);
-  g_assert_nonnull (g_tree_lookup (sim->world->keys, "t/j-000001/00001"));
-  sim_stop_node (sim, sim_leader (sim)->index);
-  WAIT (sim, 60, told_done, u);
-  finish (sim);
+  User *u = simulation_submit (simulation, s, 8);
+  WAIT (simulation, 60, runs, u);
+  g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  WAIT (simulation, 60, told_done, u);
+  finish (simulation);
 }
 
 int
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -11,27 +11,27 @@
 {
   for (guint seed = 65; seed < 75; seed++)
     {
-      Sim *sim = sim_new (seed);
-      sim->late_writes = 0.3;
+      Simulation *simulation = simulation_new (seed);
+      simulation->network->late_write_probability = 0.3;
       for (guint i = 1; i <= 8; i++)
         {
-          SimUser *u = sim_submit (sim, sim_spec (i, MH_SHAPE_ARRAY, 3, 1), 3);
-          sim_run (sim, 4);
+          User *u = simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 3, 1), 3);
+          simulation_run (simulation, 4);
           if (i % 4 == 0)
-            sim_cancel (u);
-          SimNode *leader = i % 3 == 0 ? sim_leader (sim) : NULL;
+            user_cancel (u);
+          ControllerNode *leader = i % 3 == 0 ? simulation_leader (simulation) : NULL;
           if (leader)
             {
-              sim_stop_node (sim, leader->index);
-              sim_run (sim, 0.3);
-              sim_start_node (sim, leader->index);
+              simulation_stop_node (simulation, leader->index);
+              simulation_run (simulation, 0.3);
+              simulation_start_node (simulation, leader->index);
             }
         }
-      sim_run (sim, 30);
-      sim->late_writes = 0;
-      wait_all (sim, 200);
-      g_assert_false (sim_logged (sim, "cannot be accounted for"));
-      finish (sim);
+      simulation_run (simulation, 30);
+      simulation->network->late_write_probability = 0;
+      wait_all (simulation, 200);
+      g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
+      finish (simulation);
     }
 }
 
@@ -40,25 +40,28 @@
 static void
 test_late_write_meets_a_final_record (void)
 {
-  Sim *sim = sim_new (75);
+  Simulation *simulation = simulation_new (75);
   MhUserAnswer a;
-  SimUser *u = sim_submit (sim, sim_spec (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (sim, 60, told_done, u);
-  sim_run (sim, 5);
-  sim_stop_node (sim, sim_leader (sim)->index); /* the next one knows it from the record alone */
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 3);
-  SimNode *leader = sim_leader (sim);
-  leader->writes_lost_us = sim->now_us + MH_SECOND_US * 3 / 2; /* the first copy gets no answer */
+  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 60, told_done, u);
+  simulation_run (simulation, 5);
+  simulation_stop_node (
+      simulation,
+      simulation_leader (simulation)->index); /* the next one knows it from the record alone */
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 3);
+  ControllerNode *leader = simulation_leader (simulation);
+  leader->writes_lost_until_us
+      = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first copy gets no answer */
   for (guint i = 0; i < 3; i++)
-    if (sim_ask (sim, leader->index, MH_USER_SUBMIT, "j-000001", sim_spec (1, MH_SHAPE_ARRAY, 1, 1),
-                 &a)
+    if (simulation_ask (simulation, leader->index, MH_USER_SUBMIT, "j-000001",
+                        job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &a)
         != 503)
       break;
   g_assert_cmpint (a.state, ==, MH_JOB_DONE);
-  g_assert_true (sim_leader (sim) == leader);
-  g_assert_false (sim_logged (sim, "cannot be accounted for"));
-  finish (sim);
+  g_assert_true (simulation_leader (simulation) == leader);
+  g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
+  finish (simulation);
 }
 
 /* The same, and while its write waits the user asks, and submits once more: what the question found
@@ -66,68 +69,68 @@
 static void
 test_question_between_repeated_submissions (void)
 {
-  Sim *sim = sim_new (86);
-  SimUser *u = sim_submit (sim, sim_spec (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (sim, 60, told_done, u);
-  sim_run (sim, 5);
-  sim_stop_node (sim, sim_leader (sim)->index);
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 3);
-  SimNode *leader = sim_leader (sim);
-  leader->writes_lost_us = sim->now_us + 4 * MH_SECOND_US;
+  Simulation *simulation = simulation_new (86);
+  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 60, told_done, u);
+  simulation_run (simulation, 5);
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 3);
+  ControllerNode *leader = simulation_leader (simulation);
+  leader->writes_lost_until_us = simulation->clock->now_us + 4 * MH_SECOND_US;
   const MhUserVerb verbs[] = { MH_USER_SUBMIT, MH_USER_STATUS, MH_USER_SUBMIT };
   MhUserAnswer answers[G_N_ELEMENTS (verbs)] = {};
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
     {
-      sim_ask_later (sim, leader->index, verbs[i], "j-000001",
-                     verbs[i] == MH_USER_SUBMIT ? sim_spec (1, MH_SHAPE_ARRAY, 1, 1) : NULL,
-                     &answers[i]);
-      sim_run (sim, 0.3);
+      simulation_ask_later (
+          simulation, leader->index, verbs[i], "j-000001",
+          verbs[i] == MH_USER_SUBMIT ? job_spec_new (1, MH_SHAPE_ARRAY, 1, 1) : NULL, &answers[i]);
+      simulation_run (simulation, 0.3);
     }
-  sim_run (sim, 8);
+  simulation_run (simulation, 8);
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
     g_assert_true (answers[i].status == 200 && answers[i].state == MH_JOB_DONE);
-  finish (sim);
+  finish (simulation);
 }
 
 /* A report of an earlier session comes after one of the next: what it shows is not there. */
 static void
 test_report_of_an_earlier_session (void)
 {
-  Sim *sim = sim_new (77);
-  SimUser *u = running_service (sim, 1, 1);
-  SimWorker *w = worker_of (sim, "j-000001/0");
+  Simulation *simulation = simulation_new (77);
+  User *u = running_service (simulation, 1, 1);
+  Worker *w = worker_of (simulation, "j-000001/0");
   w->machine->sequence += 100; /* the next session counts from the beginning */
-  g_autoptr (MhValue) old = world_report (sim->world, w->machine);
-  w->reports_lost_us = sim->now_us + 22 * MH_SECOND_US; /* its lease ends */
-  sim_run (sim, 24);
-  WAIT (sim, 30, all_run, u);
-  guint starts = sim->world->starts;
+  g_autoptr (MhValue) old = worker_protocol_report (w->machine);
+  w->reports_lost_until_us = simulation->clock->now_us + 22 * MH_SECOND_US; /* its lease ends */
+  simulation_run (simulation, 24);
+  WAIT (simulation, 30, all_run, u);
+  guint starts = simulation->rules->task_starts;
   for (guint i = 0; i < 3; i++)
     {
-      sim_late_report (sim, sim_leader (sim), old);
-      sim_run (sim, 6);
+      workers_deliver_late_report (simulation, simulation_leader (simulation), old);
+      simulation_run (simulation, 6);
     }
-  g_assert_cmpuint (sim->world->starts, ==, starts);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 1);
-  finish (sim);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
+  finish (simulation);
 }
 
 /* A cancellation, a question and a repeated submission at the very end of a job's last task. */
 static void
 test_cancel_at_the_end (void)
 {
-  Sim *sim = sim_new (79);
-  sim->cancel_at_end = 1;
-  sim->copies = 0.2;
+  Simulation *simulation = simulation_new (79);
+  simulation->cancel_at_end_probability = 1;
+  simulation->network->duplicate_probability = 0.2;
   for (guint i = 1; i <= 30; i++)
     {
-      sim_submit (sim, sim_spec (i, MH_SHAPE_ARRAY, 1 + i % 3, 1), 1 + i % 4);
-      sim_run (sim, 1);
+      simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 1 + i % 3, 1), 1 + i % 4);
+      simulation_run (simulation, 1);
     }
-  sim->copies = 0;
-  wait_all (sim, 200);
-  finish (sim);
+  simulation->network->duplicate_probability = 0;
+  wait_all (simulation, 200);
+  finish (simulation);
 }
 
 /* A report is held back until a new leader has acted, and then arrives there: the start that it
@@ -135,23 +138,23 @@
 static void
 test_report_held_until_a_new_leader_acted (void)
 {
-  Sim *sim = sim_new (81);
-  running_service (sim, 1, 1);
-  SimWorker *w = worker_of (sim, "j-000001/0");
-  sim_run (sim, 8);
-  g_autoptr (MhValue) held = world_report (sim->world, w->machine);
-  sim_stop_node (sim, sim_leader (sim)->index);
-  WAIT (sim, 10, has_leader, NULL);
-  SimUser *u = sim_submit (sim, sim_spec (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (sim, 20, all_run, u);
-  sim_run (sim, 1);
+  Simulation *simulation = simulation_new (81);
+  running_service (simulation, 1, 1);
+  Worker *w = worker_of (simulation, "j-000001/0");
+  simulation_run (simulation, 8);
+  g_autoptr (MhValue) held = worker_protocol_report (w->machine);
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  WAIT (simulation, 10, has_leader, NULL);
+  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 20, all_run, u);
+  simulation_run (simulation, 1);
   for (guint i = 0; i < 3; i++)
     {
-      sim_late_report (sim, sim_leader (sim), held);
-      sim_run (sim, 4);
+      workers_deliver_late_report (simulation, simulation_leader (simulation), held);
+      simulation_run (simulation, 4);
     }
-  g_assert_cmpuint (sim->world->starts, ==, 2);
-  finish (sim);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
+  finish (simulation);
 }
 
 /* Repeated submissions of what is not over, cancels of what is done, and jobs that can't run: each
@@ -159,40 +162,43 @@
 static void
 test_odd_requests (void)
 {
-  Sim *sim = sim_new (84);
+  Simulation *simulation = simulation_new (84);
   MhUserAnswer a;
-  SimUser *u = running_service (sim, 1, 1), *done;
-  done = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (sim, 60, told_done, done);
-  for (guint i = 0; i < SIM_NODES; i++)
+  User *u = running_service (simulation, 1, 1), *done;
+  done = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 60, told_done, done);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      g_assert_cmpuint (
-          sim_ask (sim, i, MH_USER_SUBMIT, "j-000001", sim_spec (1, MH_SHAPE_SERVICE, 1, 1), &a),
-          ==, 200);
-      g_assert_cmpuint (sim_ask (sim, i, MH_USER_CANCEL, "j-000002", NULL, &a), ==, 200);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_SUBMIT, "j-000001",
+                                        job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), &a),
+                        ==, 200);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &a), ==,
+                        200);
       g_assert_cmpint (a.state, ==, MH_JOB_DONE);
     }
   /* Two of three nodes end, the leader among them, and the third cannot be elected: what can be
      told from the settings and the records is told, the rest is not. */
-  SimNode *last = &sim->nodes[(sim_leader (sim)->index + 1) % SIM_NODES];
-  last->writes_lost_us = sim->now_us + 60 * MH_SECOND_US;
-  for (guint i = 0; i < SIM_NODES; i++)
+  ControllerNode *last
+      = &simulation->nodes[(simulation_leader (simulation)->index + 1) % SIMULATION_NODES];
+  last->writes_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     if (i != last->index)
-      sim_stop_node (sim, i);
-  sim_run (sim, 3);
-  g_assert_null (sim_leader (sim));
-  MhJobSpec *s = sim_spec (5, MH_SHAPE_ARRAY, 1, 1);
+      simulation_stop_node (simulation, i);
+  simulation_run (simulation, 3);
+  g_assert_null (simulation_leader (simulation));
+  MhJobSpec *s = job_spec_new (5, MH_SHAPE_ARRAY, 1, 1);
   g_free (s->team);
   s->team = g_strdup ("nobody");
-  g_assert_cmpuint (sim_ask (sim, last->index, MH_USER_SUBMIT, "j-000005", s, &a), ==, 422);
-  g_assert_cmpuint (sim_ask (sim, last->index, MH_USER_SUBMIT, "j-000007",
-                             sim_spec (7, MH_SHAPE_ARRAY, 1, 1), &a),
+  g_assert_cmpuint (simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000005", s, &a), ==,
+                    422);
+  g_assert_cmpuint (simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000007",
+                                    job_spec_new (7, MH_SHAPE_ARRAY, 1, 1), &a),
                     ==, 503);
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_start_node (sim, i);
-  sim_run (sim, 10);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_start_node (simulation, i);
+  simulation_run (simulation, 10);
   g_assert_false (u->told_done || u->told_cancelled);
-  finish (sim);
+  finish (simulation);
 }
 
 /* A record that is not understood, as another version may write it: its job is neither unknown nor
@@ -200,21 +206,22 @@
 static void
 test_record_not_understood (void)
 {
-  Sim *sim = sim_new (85);
+  Simulation *simulation = simulation_new (85);
   MhUserAnswer a;
-  running_service (sim, 1, 1);
-  sim_run (sim, 10);
-  guint leader = sim_leader (sim)->index;
-  sim_stop_node (sim, leader);
-  world_spoil (sim->world, "j/j-000001");
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 90);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 1);
-  g_assert_cmpuint (sim->world->starts, ==, 1);
-  for (guint i = 0; i < SIM_NODES; i++)
+  running_service (simulation, 1, 1);
+  simulation_run (simulation, 10);
+  guint leader = simulation_leader (simulation)->index;
+  simulation_stop_node (simulation, leader);
+  key_value_store_corrupt (simulation->store, "j/j-000001");
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 90);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     if (i != leader)
-      g_assert_cmpuint (sim_ask (sim, i, MH_USER_STATUS, "j-000001", NULL, &a), ==, 503);
-  finish (sim);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &a), ==,
+                        503);
+  finish (simulation);
 }
 
 /* Jobs written in large records go on under limits that take only small ones: they are
@@ -224,31 +231,32 @@
 {
   for (guint step = 0; step < 12; step++)
     {
-      Sim *sim = sim_new (90 + step);
-      sim->world->capacity = 6;
-      MhJobSpec *s = sim_spec (1, MH_SHAPE_ARRAY, 320, 0.04);
+      Simulation *simulation = simulation_new (90 + step);
+      simulation->cloud->capacity = 6;
+      MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
       s->mem_gb = 0.1;
       s->estimate_us = 600 * MH_SECOND_US;
-      SimUser *u = sim_submit (sim, s, 40);
-      WAIT (sim, 60, all_run, u);
-      SimUser *cancelled = running_service (sim, 3, 2);
-      sim_limit (sim, 2048, 5);
-      sim_run (sim, 1 + 0.1 * step);
+      User *u = simulation_submit (simulation, s, 40);
+      WAIT (simulation, 60, all_run, u);
+      User *cancelled = running_service (simulation, 3, 2);
+      simulation_limit (simulation, 2048, 5);
+      simulation_run (simulation, 1 + 0.1 * step);
       if (step)
-        sim_stop_node (sim, sim_leader (sim) ? sim_leader (sim)->index : 0);
-      sim_cancel (cancelled);
-      sim_run (sim, 0.7 * step);
-      for (guint i = 0; i < SIM_NODES; i++)
-        sim_start_node (sim, i);
-      WAIT (sim, 10, told_cancelled, cancelled);
-      WAIT (sim, 120, told_done, u);
-      g_assert_true (sim_logged (sim, "re-chunked into"));
-      g_assert_false (sim_logged (sim, "refused by the state service"));
-      g_assert_cmpuint (sim->world->writes_malformed, ==, 0);
-      g_assert_cmpuint (sim->world->starts, ==, 322);
-      sim_run (sim, 15);
-      g_assert_null (g_tree_lookup (sim->world->keys, "t/j-000001/00001"));
-      finish (sim);
+        simulation_stop_node (
+            simulation, simulation_leader (simulation) ? simulation_leader (simulation)->index : 0);
+      user_cancel (cancelled);
+      simulation_run (simulation, 0.7 * step);
+      for (guint i = 0; i < SIMULATION_NODES; i++)
+        simulation_start_node (simulation, i);
+      WAIT (simulation, 10, told_cancelled, cancelled);
+      WAIT (simulation, 120, told_done, u);
+      g_assert_true (simulation_logged (simulation, "re-chunked into"));
+      g_assert_false (simulation_logged (simulation, "refused by the state service"));
+      g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
+      g_assert_cmpuint (simulation->rules->task_starts, ==, 322);
+      simulation_run (simulation, 15);
+      g_assert_null (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
+      finish (simulation);
     }
 }
 
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -7,50 +7,50 @@
 #define NEXT_WRITE_RPS 6.0
 
 static void
-announce_write_rps (Sim *sim)
+announce_write_rps (Simulation *simulation)
 {
-  for (guint i = 0; i < SIM_NODES; i++)
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim_stop_node (sim, i);
-      sim->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS;
-      sim_start_node (sim, i);
+      simulation_stop_node (simulation, i);
+      simulation->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS;
+      simulation_start_node (simulation, i);
     }
 }
 
-static SimUser *
-submit_array (Sim *sim, guint number, guint tasks)
+static User *
+submit_array (Simulation *simulation, guint number, guint tasks)
 {
-  MhJobSpec *spec = sim_spec (number, MH_SHAPE_ARRAY, tasks, 0.2);
+  MhJobSpec *spec = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 0.2);
   spec->mem_gb = 0.1;
-  return sim_submit (sim, spec, 4);
+  return simulation_submit (simulation, spec, 4);
 }
 
 static void
-submit_many (Sim *sim, guint first, guint count)
+submit_many (Simulation *simulation, guint first, guint count)
 {
   for (guint i = 0; i < count; i++)
-    submit_array (sim, first + i, 3);
+    submit_array (simulation, first + i, 3);
 }
 
 static bool
-refused (Sim *sim, gpointer unused)
+refused (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return sim->world->writes_refused > 0;
+  return simulation->store->throttled_writes > 0;
 }
 
 /* The announced rate holds, and the leader has met it. */
-static Sim *
+static Simulation *
 sim_after_rate_fell (guint32 seed)
 {
-  Sim *sim = sim_new (seed);
-  announce_write_rps (sim);
-  WAIT (sim, 20, has_leader, NULL);
-  sim->world->write_rps = NEXT_WRITE_RPS;
-  submit_many (sim, 1, 20);
-  WAIT (sim, 30, refused, NULL);
-  sim_run (sim, 20);
-  return sim;
+  Simulation *simulation = simulation_new (seed);
+  announce_write_rps (simulation);
+  WAIT (simulation, 20, has_leader, NULL);
+  simulation->store->write_rps = NEXT_WRITE_RPS;
+  submit_many (simulation, 1, 20);
+  WAIT (simulation, 30, refused, NULL);
+  simulation_run (simulation, 20);
+  return simulation;
 }
 
 /* The rate falls without notice: the first refusal teaches it, for good, and no later leader has to
@@ -58,60 +58,60 @@
 static void
 test_rate_for_good (void)
 {
-  Sim *sim = sim_after_rate_fell (1);
-  guint first_leader = sim->world->writes_refused;
+  Simulation *simulation = sim_after_rate_fell (1);
+  guint first_leader = simulation->store->throttled_writes;
   g_assert_cmpuint (first_leader, <=, 6); /* those that were under way together */
-  g_assert_true (sim_logged (sim, "takes fewer changes"));
-  g_assert_nonnull (g_tree_lookup (sim->world->keys, "limits"));
+  g_assert_true (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_nonnull (g_tree_lookup (simulation->store->keys, "limits"));
 
-  for (guint i = 0; i < SIM_NODES; i++)
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      guint leader = sim_leader (sim)->index;
-      sim_stop_node (sim, leader);
-      submit_many (sim, 100 * (i + 1), 10);
-      WAIT (sim, 20, has_leader, NULL);
-      sim_run (sim, 5);
-      sim_start_node (sim, leader);
-      sim_run (sim, 10);
+      guint leader = simulation_leader (simulation)->index;
+      simulation_stop_node (simulation, leader);
+      submit_many (simulation, 100 * (i + 1), 10);
+      WAIT (simulation, 20, has_leader, NULL);
+      simulation_run (simulation, 5);
+      simulation_start_node (simulation, leader);
+      simulation_run (simulation, 10);
     }
-  g_assert_cmpuint (sim->world->writes_refused, ==, first_leader);
-  WAIT (sim, 400, sim_all_settled, NULL);
-  finish (sim);
+  g_assert_cmpuint (simulation->store->throttled_writes, ==, first_leader);
+  WAIT (simulation, 400, simulation_all_settled, NULL);
+  finish (simulation);
 }
 
 /* Without an announcement a refusal is no more than that: the rate stays. */
 static void
 test_rate_not_announced (void)
 {
-  Sim *sim = sim_new (2);
-  WAIT (sim, 20, has_leader, NULL);
-  sim->world->write_rps = 18; /* more than a transaction has */
-  submit_many (sim, 1, 40);
-  WAIT (sim, 30, refused, NULL);
-  WAIT (sim, 300, sim_all_settled, NULL);
-  g_assert_false (sim_logged (sim, "takes fewer changes"));
-  g_assert_null (g_tree_lookup (sim->world->keys, "limits"));
-  finish (sim);
+  Simulation *simulation = simulation_new (2);
+  WAIT (simulation, 20, has_leader, NULL);
+  simulation->store->write_rps = 18; /* more than a transaction has */
+  submit_many (simulation, 1, 40);
+  WAIT (simulation, 30, refused, NULL);
+  WAIT (simulation, 300, simulation_all_settled, NULL);
+  g_assert_false (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_null (g_tree_lookup (simulation->store->keys, "limits"));
+  finish (simulation);
 }
 
 /* Settings of later: the limits that were announced are the present ones, and others come next. */
 static void
 test_rate_of_earlier_settings (void)
 {
-  Sim *sim = sim_after_rate_fell (3);
-  sim->world->write_rps = 0;
-  for (guint i = 0; i < SIM_NODES; i++)
+  Simulation *simulation = sim_after_rate_fell (3);
+  simulation->store->write_rps = 0;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim_stop_node (sim, i);
-      sim->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS / 2;
+      simulation_stop_node (simulation, i);
+      simulation->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS / 2;
     }
-  g_ptr_array_set_size (sim->log, 0);
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_start_node (sim, i);
-  sim_run (sim, 20);
-  g_assert_false (sim_logged (sim, "takes fewer changes"));
-  WAIT (sim, 300, sim_all_settled, NULL);
-  finish (sim);
+  g_ptr_array_set_size (simulation->log_lines, 0);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_start_node (simulation, i);
+  simulation_run (simulation, 20);
+  g_assert_false (simulation_logged (simulation, "takes fewer changes"));
+  WAIT (simulation, 300, simulation_all_settled, NULL);
+  finish (simulation);
 }
 
 /* Values and transactions become smaller, and nobody has said so: what does not fit is refused, but
@@ -119,52 +119,53 @@
 static void
 test_refused_as_malformed (void)
 {
-  Sim *sim = sim_new (4);
-  MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, 150, 0.05);
+  Simulation *simulation = simulation_new (4);
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 150, 0.05);
   spec->mem_gb = 0.1;
   spec->estimate_us = 600 * MH_SECOND_US;
-  SimUser *large = sim_submit (sim, spec, 40);
-  WAIT (sim, 60, all_run, large);
-  SimUser *service = running_service (sim, 2, 2);
-  guint leader = sim_leader (sim)->index;
-  g_ptr_array_set_size (sim->log, 0);
-  sim->settings->value_bytes = 1600;
-  sim->settings->txn_ops = 5;
+  User *large = simulation_submit (simulation, spec, 40);
+  WAIT (simulation, 60, all_run, large);
+  User *service = running_service (simulation, 2, 2);
+  guint leader = simulation_leader (simulation)->index;
+  g_ptr_array_set_size (simulation->log_lines, 0);
+  simulation->settings->value_bytes = 1600;
+  simulation->settings->txn_ops = 5;
 
-  submit_many (sim, 10, 20);
-  WAIT (sim, 120, all_done, large);
-  sim_run (sim, 60);
-  g_assert_cmpuint (sim_leader (sim)->index, ==, leader);
-  g_assert_false (sim_logged (sim, "no longer leading"));
-  g_assert_true (sim_logged (sim, "refused by the state service"));
-  g_assert_cmpuint (sim->world->writes_malformed, <, 30);
-  g_assert_cmpuint (world_running (sim->world, service->job->spec->id), ==, 2);
+  submit_many (simulation, 10, 20);
+  WAIT (simulation, 120, all_done, large);
+  simulation_run (simulation, 60);
+  g_assert_cmpuint (simulation_leader (simulation)->index, ==, leader);
+  g_assert_false (simulation_logged (simulation, "no longer leading"));
+  g_assert_true (simulation_logged (simulation, "refused by the state service"));
+  g_assert_cmpuint (simulation->store->malformed_writes, <, 30);
+  g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
   /* Its end is a small record. */
-  WAIT (sim, 60, told_done, large);
-  WAIT (sim, 60, sim_all_settled, NULL);
-  finish (sim);
+  WAIT (simulation, 60, told_done, large);
+  WAIT (simulation, 60, simulation_all_settled, NULL);
+  finish (simulation);
 }
 
 /* A submission that no value can hold is not accepted, and nothing is left of it. */
 static void
 test_submission_too_large (void)
 {
-  Sim *sim = sim_new (5);
+  Simulation *simulation = simulation_new (5);
   MhUserAnswer answer;
-  WAIT (sim, 20, has_leader, NULL);
-  sim_run (sim, 5);
-  sim->settings->value_bytes = 300;
-  g_autoptr (MhJobSpec) spec = sim_spec (1, MH_SHAPE_ARRAY, 3, 1);
+  WAIT (simulation, 20, has_leader, NULL);
+  simulation_run (simulation, 5);
+  simulation->settings->value_bytes = 300;
+  g_autoptr (MhJobSpec) spec = job_spec_new (1, MH_SHAPE_ARRAY, 3, 1);
   MhValue *copy = mh_wire_write_submission (spec);
-  guint status = sim_ask (sim, sim_leader (sim)->index, MH_USER_SUBMIT, spec->id,
-                          mh_wire_read_submission (copy), &answer);
+  guint status = simulation_ask (simulation, simulation_leader (simulation)->index, MH_USER_SUBMIT,
+                                 spec->id, mh_wire_read_submission (copy), &answer);
   mh_value_unref (copy);
   g_assert_cmpuint (status, ==, 503);
   g_assert_cmpuint (answer.retry_after_s, >=, 10);
-  g_assert_false (sim_logged (sim, "no longer leading"));
-  g_assert_cmpuint (sim_ask (sim, sim_leader (sim)->index, MH_USER_STATUS, spec->id, NULL, &answer),
+  g_assert_false (simulation_logged (simulation, "no longer leading"));
+  g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
+                                    MH_USER_STATUS, spec->id, NULL, &answer),
                     ==, 404);
-  finish (sim);
+  finish (simulation);
 }
 
 int
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -1,6 +1,6 @@
 /* The real program, three times over, against the stand-ins on loopback. Nothing here depends on
    how fast things happen: each step waits for what it needs. */
-#include "world.h"
+#include "stand-in/environment.h"
 
 #include <gio/gio.h>
 #include <glib/gstdio.h>
@@ -16,7 +16,7 @@
 
 typedef struct
 {
-  WorldMachine *machine;
+  Machine *machine;
   SoupServer *server;
   guint node;
   bool flying;
@@ -26,7 +26,7 @@
 
 static struct
 {
-  World *world;
+  Environment *environment;
   MhSettings *settings;
   SoupServer *outside; /* state service and cloud */
   SoupSession *session;
@@ -74,11 +74,11 @@
 static void
 advance (void)
 {
-  g_autoptr (GArray) woken = g_array_new (FALSE, FALSE, sizeof (WorldWoken));
-  world_advance (t.world, g_get_monotonic_time (), woken);
+  g_autoptr (GArray) woken = g_array_new (FALSE, FALSE, sizeof (EndedWatch));
+  environment_advance (t.environment, g_get_monotonic_time (), woken);
   for (guint i = 0; i < woken->len; i++)
     {
-      const WorldWoken *w = &g_array_index (woken, WorldWoken, i);
+      const EndedWatch *w = &g_array_index (woken, EndedWatch, i);
       SoupServerMessage *m = g_hash_table_lookup (t.waiting, w->token);
       if (m)
         {
@@ -95,8 +95,6 @@
 serve_outside (SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
                gpointer data)
 {
-  guint status;
-  MhValue *reply;
   (void)server;
   (void)query;
   (void)data;
@@ -106,10 +104,12 @@
   g_autofree char *whole = q ? g_strconcat (path, "?", q, NULL) : g_strdup (path);
   MhTarget target = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_STATE;
   g_autoptr (MhValue) body = body_of (m);
-  if (world_serve (t.world, target, soup_server_message_get_method (m), whole, body, m, &status,
-                   &reply))
+  ServiceRequest request
+      = { .method = soup_server_message_get_method (m), .path = whole, .body = body, .token = m };
+  ServiceReply reply;
+  if (environment_serve (t.environment, target, &request, &reply))
     {
-      respond (m, status, reply);
+      respond (m, reply.status, reply.body);
       return;
     }
   soup_server_message_pause (m);
@@ -127,7 +127,7 @@
   (void)query;
   advance ();
   g_autoptr (MhValue) body = body_of (m);
-  guint status = w->machine->up ? world_commands (t.world, w->machine, body, &reply) : 503;
+  guint status = w->machine->up ? worker_protocol_commands (w->machine, body, &reply) : 503;
   respond (m, status, reply);
 }
 
@@ -148,7 +148,7 @@
   w->flying = false;
   advance ();
   if (status == 200)
-    world_response (t.world, w->machine, w->sent_us, w->session, body);
+    worker_protocol_response (w->machine, w->sent_us, w->session, body);
   else if (status == 421 && node)
     w->node = (guint)(node[strlen (node) - 1] - '0') % NODES;
   else
@@ -167,7 +167,7 @@
   w->session = w->machine->session;
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", t.front[w->node]);
   g_autoptr (SoupMessage) m = soup_message_new ("POST", url);
-  g_autoptr (MhValue) report = world_report (t.world, w->machine);
+  g_autoptr (MhValue) report = worker_protocol_report (w->machine);
   g_autoptr (GBytes) bytes = mh_value_save (report);
   soup_message_set_request_body_from_bytes (m, "application/cbor", bytes);
   soup_session_send_and_read_async (t.session, m, G_PRIORITY_DEFAULT, NULL, hello_done, w);
@@ -178,11 +178,11 @@
 {
   (void)data;
   advance ();
-  for (guint i = t.workers->len; i < t.world->machines->len; i++)
+  for (guint i = t.workers->len; i < t.environment->cloud->machines->len; i++)
     {
       Worker *w = g_new0 (Worker, 1);
       g_autoptr (GError) error = NULL;
-      w->machine = g_ptr_array_index (t.world->machines, i);
+      w->machine = g_ptr_array_index (t.environment->cloud->machines, i);
       w->server = soup_server_new (NULL, NULL);
       soup_server_add_handler (w->server, NULL, serve_worker, w, NULL);
       soup_server_listen_local (w->server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
@@ -264,7 +264,7 @@
 wait_running (const char *job, guint n)
 {
   gint64 end = g_get_monotonic_time () + PATIENCE_US;
-  while (world_running (t.world, job) != n)
+  while (environment_running_tasks (t.environment, job) != n)
     {
       g_assert_cmpint (g_get_monotonic_time (), <, end);
       g_main_context_iteration (NULL, TRUE);
@@ -288,7 +288,7 @@
   s->estimate_us = run_us;
   s->deadline_us = -1;
   g_autoptr (MhValue) v = mh_wire_write_submission (s);
-  world_job (t.world, s, run_us);
+  workload_add (t.environment->workload, s, run_us);
   return mh_value_save (v);
 }
 
@@ -353,8 +353,8 @@
     }
   t.settings = mh_settings_load (t.config[0], NULL, &error);
   g_assert_no_error (error);
-  t.world = world_new (t.settings);
-  t.world->boot_us = MH_SECOND_US;
+  t.environment = environment_new (t.settings, 0);
+  t.environment->cloud->boot_us = MH_SECOND_US;
   t.workers = g_ptr_array_new ();
   t.waiting = g_hash_table_new_full (g_direct_hash, g_direct_equal, g_object_unref, NULL);
   t.session = soup_session_new_with_options ("proxy-resolver", NULL, NULL);
@@ -488,7 +488,7 @@
   g_autoptr (GBytes) body = submission ("j-000003", "red", MH_SHAPE_SERVICE, 2, 0);
   ask_until (0, "POST", "/submissions", body, 201, NULL);
   wait_running ("j-000003", 2);
-  guint starts = t.world->starts;
+  guint starts = t.environment->rules->task_starts;
   for (guint i = 0; i < NODES; i++)
     {
       stop (i);
@@ -496,13 +496,13 @@
       start (i);
       ask_until (i, "GET", "/ready", NULL, 200, NULL);
     }
-  g_assert_cmpuint (t.world->starts, ==, starts);
+  g_assert_cmpuint (t.environment->rules->task_starts, ==, starts);
   ask_until (2, "POST", "/submissions/j-000003/withdraw", NULL, 200, "aborted");
   wait_running ("j-000003", 0);
   ask_until (1, "GET", "/submissions/j-000003", NULL, 200, "aborted");
-  for (guint i = 0; i < t.world->broken->len; i++)
-    g_printerr ("rule: %s\n", (char *)g_ptr_array_index (t.world->broken, i));
-  g_assert_cmpuint (t.world->broken->len, ==, 0);
+  for (guint i = 0; i < t.environment->rules->violations->len; i++)
+    g_printerr ("rule: %s\n", (char *)g_ptr_array_index (t.environment->rules->violations, i));
+  g_assert_cmpuint (t.environment->rules->violations->len, ==, 0);
 }
 
 static void
