--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -8,77 +8,78 @@
 static void
 test_hung_machine (void)
 {
-  Sim *sim = sim_new (5);
-  SimUser *u = running_service (sim, 1, 1);
-  WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
-  m->hung_until_us = sim->now_us + 300 * MH_SECOND_US;
-  sim->world->cloud_outage_until_us = sim->now_us + 30 * MH_SECOND_US;
-  sim_run (sim, 25);
-  g_assert_cmpuint (sim->world->starts, ==, 1); /* no proof, no start */
-  WAIT (sim, 60, is_gone, m);
-  WAIT (sim, 60, all_run, u);
-  g_assert_cmpuint (sim->world->starts, ==, 2);
-  finish (sim);
+  Simulation *simulation = simulation_new (5);
+  User *u = running_service (simulation, 1, 1);
+  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  m->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  simulation->cloud->outage_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
+  simulation_run (simulation, 25);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 1); /* no proof, no start */
+  WAIT (simulation, 60, is_gone, m);
+  WAIT (simulation, 60, all_run, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
+  finish (simulation);
 }
 
 /* A new leader knows nothing of a machine that hangs but its name in a record. */
 static void
 test_hung_machine_new_leader (void)
 {
-  Sim *sim = sim_new (6);
-  SimUser *u = running_service (sim, 1, 1);
-  WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
-  m->hung_until_us = sim->now_us + 300 * MH_SECOND_US;
-  sim_stop_node (sim, sim_leader (sim)->index);
-  sim_run (sim, 10);
-  g_assert_cmpuint (sim->world->starts, ==, 1);
-  WAIT (sim, 90, is_gone, m);
-  WAIT (sim, 60, all_run, u);
-  finish (sim);
+  Simulation *simulation = simulation_new (6);
+  User *u = running_service (simulation, 1, 1);
+  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  m->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  simulation_run (simulation, 10);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
+  WAIT (simulation, 90, is_gone, m);
+  WAIT (simulation, 60, all_run, u);
+  finish (simulation);
 }
 
 /* An unanswered command is carried out late: the attempt must not have been cleared or moved. */
 static void
 test_late_command (void)
 {
-  Sim *sim = sim_new (7);
-  running_service (sim, 1, 1); /* a machine that is up, with the image */
-  SimWorker *w = worker_of (sim, "j-000001/0");
-  sim->hold_commands = true;
-  SimUser *u = sim_submit (sim, sim_spec (4, MH_SHAPE_ARRAY, 1, 1), 0.2);
-  w->next_us = sim->now_us + MH_SECOND_US / 2;
+  Simulation *simulation = simulation_new (7);
+  running_service (simulation, 1, 1); /* a machine that is up, with the image */
+  Worker *w = worker_of (simulation, "j-000001/0");
+  simulation->network->hold_commands = true;
+  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 1, 1), 0.2);
+  w->next_report_us = simulation->clock->now_us + MH_SECOND_US / 2;
   /* The start comes with a report's response, the task ends, and the direct start is still on its
      way. Until a new epoch fences it the ended attempt stays on the machine. */
-  WAIT (sim, 30, all_done, u);
+  WAIT (simulation, 30, all_done, u);
   /* Reports enough for a clear that should not be sent. */
   for (guint i = 0; i < 4; i++)
     {
-      w->next_us = sim->now_us;
-      sim_run (sim, 0.1);
+      w->next_report_us = simulation->clock->now_us;
+      simulation_run (simulation, 0.1);
     }
-  g_assert_false (sim_logged (sim, "token raised"));
-  guint starts = sim->world->starts;
-  sim_release_commands (sim);
-  sim_run (sim, 20);
-  g_assert_cmpuint (sim->world->starts, ==, starts);
-  finish (sim);
+  g_assert_false (simulation_logged (simulation, "token raised"));
+  guint starts = simulation->rules->task_starts;
+  outgoing_calls_release_commands (simulation);
+  simulation_run (simulation, 20);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+  finish (simulation);
 }
 
 static void
 test_late_command_is_fenced (void)
 {
-  Sim *sim = sim_new (8);
-  running_service (sim, 1, 1);
-  sim->hold_commands = true;
-  SimUser *u = sim_submit (sim, sim_spec (3, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (sim, 30, told_done, u);
-  sim_run (sim, 40);
-  g_assert_true (sim_logged (sim, "token raised"));
-  guint starts = sim->world->starts;
-  sim_release_commands (sim); /* now the attempt is cleared, and the command too old */
-  sim_run (sim, 10);
-  g_assert_cmpuint (sim->world->starts, ==, starts);
-  finish (sim);
+  Simulation *simulation = simulation_new (8);
+  running_service (simulation, 1, 1);
+  simulation->network->hold_commands = true;
+  User *u = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
+  WAIT (simulation, 30, told_done, u);
+  simulation_run (simulation, 40);
+  g_assert_true (simulation_logged (simulation, "token raised"));
+  guint starts = simulation->rules->task_starts;
+  outgoing_calls_release_commands (
+      simulation); /* now the attempt is cleared, and the command too old */
+  simulation_run (simulation, 10);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+  finish (simulation);
 }
 
 /* Copies of commands that were carried out come once more, when the attempts that they started have
@@ -86,22 +87,22 @@
 static void
 test_repeated_requests (void)
 {
-  Sim *sim = sim_new (41);
-  running_service (sim, 1, 1);
-  sim->keep_requests = true;
-  SimUser *u = running_service (sim, 3, 2), *array = NULL;
-  array = sim_submit (sim, sim_spec (4, MH_SHAPE_ARRAY, 3, 1), 2);
-  WAIT (sim, 30, told_done, array);
-  sim_cancel (u);
-  WAIT (sim, 10, told_cancelled, u);
-  sim_run (sim, 45); /* cleared by now */
-  guint starts = sim->world->starts, rented = (guint)sim->world->n_rented;
-  sim_repeat_requests (sim);
-  sim_run (sim, 60);
-  g_assert_cmpuint (sim->world->starts, ==, starts);
-  g_assert_cmpuint (sim->world->n_rented, ==, rented);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 1);
-  finish (sim);
+  Simulation *simulation = simulation_new (41);
+  running_service (simulation, 1, 1);
+  simulation->network->keep_requests = true;
+  User *u = running_service (simulation, 3, 2), *array = NULL;
+  array = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 3, 1), 2);
+  WAIT (simulation, 30, told_done, array);
+  user_cancel (u);
+  WAIT (simulation, 10, told_cancelled, u);
+  simulation_run (simulation, 45); /* cleared by now */
+  guint starts = simulation->rules->task_starts, rented = (guint)simulation->cloud->machines_rented;
+  outgoing_calls_repeat_kept (simulation);
+  simulation_run (simulation, 60);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
+  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
+  finish (simulation);
 }
 
 /* A release is on its way, and may come late, when another leader takes over: it gives the machine
@@ -109,26 +110,26 @@
 static void
 test_release_outlives_its_leader (void)
 {
-  Sim *sim = sim_new (45);
-  SimUser *u = running_service (sim, 1, 1);
-  WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
-  sim_run (sim, 60); /* paid for anyway until then */
-  sim_cancel (u);
-  WAIT (sim, 10, told_cancelled, u);
-  sim->world->cloud_outage_until_us = sim->now_us + 20 * MH_SECOND_US;
-  for (guint i = 0; i < 150 && !sim_logged (sim, "given back: idle"); i++)
-    sim_run (sim, 0.1);
-  sim_run (sim, 0.5);
-  g_assert_true (sim_logged (sim, "given back: idle"));
-  sim_stop_node (sim, sim_leader (sim)->index);
-  SimUser *next = sim_submit (sim, sim_spec (3, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (sim, 60, all_run, next);
-  g_assert_true (worker_of (sim, "j-000003/0")->machine != m);
-  sim_run (sim, 5);
+  Simulation *simulation = simulation_new (45);
+  User *u = running_service (simulation, 1, 1);
+  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  simulation_run (simulation, 60); /* paid for anyway until then */
+  user_cancel (u);
+  WAIT (simulation, 10, told_cancelled, u);
+  simulation->cloud->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
+  for (guint i = 0; i < 150 && !simulation_logged (simulation, "given back: idle"); i++)
+    simulation_run (simulation, 0.1);
+  simulation_run (simulation, 0.5);
+  g_assert_true (simulation_logged (simulation, "given back: idle"));
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 60, all_run, next);
+  g_assert_true (worker_of (simulation, "j-000003/0")->machine != m);
+  simulation_run (simulation, 5);
   g_assert_true (m->gone);
-  sim_run (sim, 30);
-  g_assert_cmpuint (world_running (sim->world, "j-000003"), ==, 1);
-  finish (sim);
+  simulation_run (simulation, 30);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 1);
+  finish (simulation);
 }
 
 /* A machine that does not report is asked; one that answers is kept, one that does not is given
@@ -136,36 +137,36 @@
 static void
 test_suspected_machine_is_probed (void)
 {
-  Sim *sim = sim_new (23);
-  running_service (sim, 1, 1);
-  SimWorker *w = worker_of (sim, "j-000001/0");
-  w->reports_lost_us = sim->now_us + 12 * MH_SECOND_US;
-  sim_run (sim, 14);
+  Simulation *simulation = simulation_new (23);
+  running_service (simulation, 1, 1);
+  Worker *w = worker_of (simulation, "j-000001/0");
+  w->reports_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
+  simulation_run (simulation, 14);
   g_assert_false (w->machine->gone);
-  g_assert_cmpuint (sim->world->starts, ==, 1);
-  w->machine->hung_until_us = sim->now_us + 100 * MH_SECOND_US;
-  gint64 hung = sim->now_us;
-  WAIT (sim, 60, is_gone, w->machine);
-  g_assert_cmpint (sim->now_us - hung, <, sim->settings->worker_lease_us / 2);
-  finish (sim);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
+  w->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+  gint64 hung = simulation->clock->now_us;
+  WAIT (simulation, 60, is_gone, w->machine);
+  g_assert_cmpint (simulation->clock->now_us - hung, <, simulation->settings->worker_lease_us / 2);
+  finish (simulation);
 }
 
 /* What was proven gone is on record: a new leader does not look for it again. */
 static void
 test_proof_is_kept (void)
 {
-  Sim *sim = sim_new (24);
-  running_service (sim, 1, 1);
-  SimWorker *w = worker_of (sim, "j-000001/0");
-  sim->world->capacity = 0; /* the task has nowhere else to go */
-  w->machine->hung_until_us = sim->now_us + 300 * MH_SECOND_US;
-  WAIT (sim, 60, is_gone, w->machine);
-  sim_run (sim, 2);
-  sim_stop_node (sim, sim_leader (sim)->index);
-  sim_run (sim, 40);
-  g_assert_nonnull (sim_leader (sim));
-  g_assert_false (sim_logged (sim, "silent since the change"));
-  finish (sim);
+  Simulation *simulation = simulation_new (24);
+  running_service (simulation, 1, 1);
+  Worker *w = worker_of (simulation, "j-000001/0");
+  simulation->cloud->capacity = 0; /* the task has nowhere else to go */
+  w->machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  WAIT (simulation, 60, is_gone, w->machine);
+  simulation_run (simulation, 2);
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  simulation_run (simulation, 40);
+  g_assert_nonnull (simulation_leader (simulation));
+  g_assert_false (simulation_logged (simulation, "silent since the change"));
+  finish (simulation);
 }
 
 /* A report that was sent before a start was carried out reaches a new leader late. That it does not
@@ -173,57 +174,57 @@
 static void
 test_late_report_proves_nothing (void)
 {
-  Sim *sim = sim_new (28);
+  Simulation *simulation = simulation_new (28);
   for (guint i = 0; i < 2; i++)
-    world_add_machine (sim->world, "large", "a", false);
-  sim_run (sim, 10);
-  WorldMachine *first = g_ptr_array_index (sim->world->machines, 0);
-  WorldMachine *second = g_ptr_array_index (sim->world->machines, 1);
-  g_autoptr (MhValue) of_first = world_report (sim->world, first);
-  g_autoptr (MhValue) of_second = world_report (sim->world, second);
-  SimUser *u = sim_submit (sim, sim_spec (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (sim, 30, all_run, u);
-  for (guint i = 0; i < sim->workers->len; i++)
-    ((SimWorker *)g_ptr_array_index (sim->workers, i))->reports_lost_us
-        = sim->now_us + 8 * MH_SECOND_US;
-  sim_stop_node (sim, sim_leader (sim)->index);
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 0.3);
-  sim_late_report (sim, sim_leader (sim), of_first);
-  sim_late_report (sim, sim_leader (sim), of_second);
-  sim_run (sim, 30); /* the world checks that nothing runs twice */
-  g_assert_cmpuint (sim->world->starts, ==, 1);
-  finish (sim);
+    cloud_add_machine (simulation->cloud, "large", "a", false);
+  simulation_run (simulation, 10);
+  Machine *first = g_ptr_array_index (simulation->cloud->machines, 0);
+  Machine *second = g_ptr_array_index (simulation->cloud->machines, 1);
+  g_autoptr (MhValue) of_first = worker_protocol_report (first);
+  g_autoptr (MhValue) of_second = worker_protocol_report (second);
+  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 30, all_run, u);
+  for (guint i = 0; i < simulation->workers->len; i++)
+    ((Worker *)g_ptr_array_index (simulation->workers, i))->reports_lost_until_us
+        = simulation->clock->now_us + 8 * MH_SECOND_US;
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 0.3);
+  workers_deliver_late_report (simulation, simulation_leader (simulation), of_first);
+  workers_deliver_late_report (simulation, simulation_leader (simulation), of_second);
+  simulation_run (simulation, 30); /* the world checks that nothing runs twice */
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
+  finish (simulation);
 }
 
 /* A worker whose lease ran out has a new session: proof by itself. */
 static void
 test_new_session (void)
 {
-  Sim *sim = sim_new (11);
-  SimUser *u = running_service (sim, 1, 1);
-  WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
+  Simulation *simulation = simulation_new (11);
+  User *u = running_service (simulation, 1, 1);
+  Machine *m = worker_of (simulation, "j-000001/0")->machine;
   g_array_set_size (m->tasks, 0);
   m->session++;
   m->sequence = 0;
-  WAIT (sim, 20, all_run, u);
-  g_assert_cmpuint (sim->world->starts, ==, 2);
-  finish (sim);
+  WAIT (simulation, 20, all_run, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
+  finish (simulation);
 }
 
 static void
 test_sick_machine (void)
 {
-  Sim *sim = sim_new (18);
-  running_service (sim, 1, 1);
-  WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
-  m->sick = true;
-  SimUser *a = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 2, 1), 3);
-  SimUser *b = sim_submit (sim, sim_spec (4, MH_SHAPE_ARRAY, 2, 1), 3);
-  WAIT (sim, 120, told_done, a);
-  WAIT (sim, 120, told_done, b);
+  Simulation *simulation = simulation_new (18);
+  running_service (simulation, 1, 1);
+  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  m->faulty = true;
+  User *a = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 3);
+  User *b = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
+  WAIT (simulation, 120, told_done, a);
+  WAIT (simulation, 120, told_done, b);
   g_assert_true (m->gone);
-  finish (sim);
+  finish (simulation);
 }
 
 /* The reports of a machine arrive, but nothing reaches it. It looks alive, and even reports on
@@ -231,22 +232,22 @@
 static void
 test_answers_ignored (void)
 {
-  Sim *sim = sim_new (30);
+  Simulation *simulation = simulation_new (30);
   /* So long that the worker's next try, after it has given up on an answer, is not even late. */
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim->nodes[i].settings->report_us = 5 * MH_SECOND_US;
-  SimUser *u = running_service (sim, 1, 1);
-  SimWorker *w = worker_of (sim, "j-000001/0");
-  w->node_only = (gint)sim_leader (sim)->index;
-  w->answers_lost_us = sim->now_us + 300 * MH_SECOND_US;
-  gint64 from = sim->now_us;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation->nodes[i].settings->report_us = 5 * MH_SECOND_US;
+  User *u = running_service (simulation, 1, 1);
+  Worker *w = worker_of (simulation, "j-000001/0");
+  w->only_node = (gint)simulation_leader (simulation)->index;
+  w->answers_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  gint64 from = simulation->clock->now_us;
   /* One more task for it, which it never shows. */
-  SimUser *array = sim_submit (sim, sim_spec (3, MH_SHAPE_ARRAY, 2, 1), 2);
-  WAIT (sim, 40, is_gone, w->machine);
-  g_assert_cmpint (sim->now_us - from, <, sim->settings->worker_lease_us);
-  WAIT (sim, 30, all_run, u);
-  WAIT (sim, 30, told_done, array);
-  finish (sim);
+  User *array = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 2, 1), 2);
+  WAIT (simulation, 40, is_gone, w->machine);
+  g_assert_cmpint (simulation->clock->now_us - from, <, simulation->settings->worker_lease_us);
+  WAIT (simulation, 30, all_run, u);
+  WAIT (simulation, 30, told_done, array);
+  finish (simulation);
 }
 
 /* A copy of a report comes late to a leader that has heard nothing newer, of a machine that was
@@ -254,27 +255,27 @@
 static void
 test_late_copy_of_returned_machine (void)
 {
-  Sim *sim = sim_new (31);
-  SimUser *u = sim_submit (sim, sim_spec (1, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (sim, 60, told_done, u);
-  WorldMachine *m = g_ptr_array_index (sim->world->machines, 0);
-  g_autoptr (MhValue) copy = world_report (sim->world, m);
-  WAIT (sim, 200, is_gone, m);
-  guint lease_lengths = sim->world->machines->len;
-  sim_stop_node (sim, sim_leader (sim)->index);
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 1);
-  sim_late_report (sim, sim_leader (sim), copy);
-  sim_late_report (sim, sim_leader (sim), copy);
-  SimUser *next = sim_submit (sim, sim_spec (3, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (sim, 25, told_done, next);
-  g_assert_cmpuint (sim->world->machines->len, >, lease_lengths);
+  Simulation *simulation = simulation_new (31);
+  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 1);
+  WAIT (simulation, 60, told_done, u);
+  Machine *m = g_ptr_array_index (simulation->cloud->machines, 0);
+  g_autoptr (MhValue) copy = worker_protocol_report (m);
+  WAIT (simulation, 200, is_gone, m);
+  guint lease_lengths = simulation->cloud->machines->len;
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 1);
+  workers_deliver_late_report (simulation, simulation_leader (simulation), copy);
+  workers_deliver_late_report (simulation, simulation_leader (simulation), copy);
+  User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
+  WAIT (simulation, 25, told_done, next);
+  g_assert_cmpuint (simulation->cloud->machines->len, >, lease_lengths);
   g_autofree char *line = g_strdup_printf ("machine %s: reports", m->name);
   guint reported = 0;
-  for (guint i = 0; i < sim->log->len; i++)
-    reported += strstr (g_ptr_array_index (sim->log, i), line) != NULL;
+  for (guint i = 0; i < simulation->log_lines->len; i++)
+    reported += strstr (g_ptr_array_index (simulation->log_lines, i), line) != NULL;
   g_assert_cmpuint (reported, ==, 1); /* to the first leader */
-  finish (sim);
+  finish (simulation);
 }
 
 /* A zone is cut off as a whole, for less than the workers' lease. Its machines are not given back
@@ -282,36 +283,36 @@
 static void
 test_partitioned_zone (void)
 {
-  Sim *sim = sim_new (41);
+  Simulation *simulation = simulation_new (41);
   for (guint i = 0; i < 8; i++)
-    world_add_machine (sim->world, "small", i % 2 ? "a" : "b", false);
-  sim_run (sim, 8);
-  running_service (sim, 1, 4);
-  running_service (sim, 2, 4);
-  for (guint i = 0; i < sim->workers->len; i++)
+    cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
+  simulation_run (simulation, 8);
+  running_service (simulation, 1, 4);
+  running_service (simulation, 2, 4);
+  for (guint i = 0; i < simulation->workers->len; i++)
     {
-      SimWorker *w = g_ptr_array_index (sim->workers, i);
+      Worker *w = g_ptr_array_index (simulation->workers, i);
       if (strcmp (w->machine->zone, "b") == 0)
-        w->cut_us = sim->now_us + 13 * MH_SECOND_US;
+        w->cut_until_us = simulation->clock->now_us + 13 * MH_SECOND_US;
     }
-  sim_run (sim, 4);
-  guint before = sim->world->machines->len;
-  MhJobSpec *s = sim_spec (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
+  simulation_run (simulation, 4);
+  guint before = simulation->cloud->machines->len;
+  MhJobSpec *s = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
   s->estimate_us = 60 * MH_SECOND_US;
-  sim_submit (sim, s, 60);
-  sim_run (sim, 8);
-  g_assert_true (sim_logged (sim, "nothing comes from any of them"));
-  for (guint i = 0; i < sim->world->machines->len; i++)
+  simulation_submit (simulation, s, 60);
+  simulation_run (simulation, 8);
+  g_assert_true (simulation_logged (simulation, "nothing comes from any of them"));
+  for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      const WorldMachine *m = g_ptr_array_index (sim->world->machines, i);
+      const Machine *m = g_ptr_array_index (simulation->cloud->machines, i);
       g_assert_false (m->gone);
       g_assert_true (i < before || strcmp (m->zone, "a") == 0);
     }
-  sim_run (sim, 10);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 4);
-  g_assert_cmpuint (world_running (sim->world, "j-000002"), ==, 4);
-  g_assert_cmpuint (sim->world->starts, <=, 16); /* nothing twice */
-  finish (sim);
+  simulation_run (simulation, 10);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 4);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 4);
+  g_assert_cmpuint (simulation->rules->task_starts, <=, 16); /* nothing twice */
+  finish (simulation);
 }
 
 /* A machine is back within a moment, and its worker counts from the beginning: it has forgotten
@@ -319,18 +320,18 @@
 static void
 test_worker_begins_anew (void)
 {
-  Sim *sim = sim_new (47);
-  SimUser *u = running_service (sim, 1, 1);
-  WorldMachine *m = worker_of (sim, "j-000001/0")->machine;
-  sim_run (sim, 20);
+  Simulation *simulation = simulation_new (47);
+  User *u = running_service (simulation, 1, 1);
+  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  simulation_run (simulation, 20);
   g_array_set_size (m->tasks, 0);
   m->session = 1;
   m->sequence = m->token = 0;
-  m->lease_from_us = sim->now_us;
-  WAIT (sim, 7, is_gone, m);
-  g_assert_true (sim_logged (sim, "begun anew"));
-  WAIT (sim, 15, all_run, u);
-  finish (sim);
+  m->lease_from_us = simulation->clock->now_us;
+  WAIT (simulation, 7, is_gone, m);
+  g_assert_true (simulation_logged (simulation, "begun anew"));
+  WAIT (simulation, 15, all_run, u);
+  finish (simulation);
 }
 
 /* All machines hang: the questions to them do not take all connections, and those that had to wait
@@ -338,28 +339,28 @@
 static void
 test_calls_at_once (void)
 {
-  Sim *sim = sim_new (48);
-  for (guint i = 0; i < SIM_NODES; i++)
+  Simulation *simulation = simulation_new (48);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim->nodes[i].settings->core_share = 1;
-      sim->nodes[i].settings->max_connections = 240;
+      simulation->nodes[i].settings->core_share = 1;
+      simulation->nodes[i].settings->max_connections = 240;
     }
   for (guint i = 0; i < 60; i++)
-    world_add_machine (sim->world, "small", "a", false);
-  sim_run (sim, 8);
-  SimUser *user = running_service (sim, 1, 4);
-  SimNode *leader = sim_leader (sim);
-  leader->most_worker_calls = 0;
-  for (guint i = 0; i < sim->world->machines->len; i++)
+    cloud_add_machine (simulation->cloud, "small", "a", false);
+  simulation_run (simulation, 8);
+  User *user = running_service (simulation, 1, 4);
+  ControllerNode *leader = simulation_leader (simulation);
+  leader->peak_worker_calls = 0;
+  for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      WorldMachine *machine = g_ptr_array_index (sim->world->machines, i);
-      machine->hung_until_us = sim->now_us + 8 * MH_SECOND_US;
+      Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
+      machine->hung_until_us = simulation->clock->now_us + 8 * MH_SECOND_US;
     }
-  sim_run (sim, 30);
-  g_assert_cmpuint (leader->most_worker_calls, <=, 20);
-  g_assert_cmpuint (leader->most_worker_calls, >=, 16);
-  WAIT (sim, 60, all_run, user);
-  finish (sim);
+  simulation_run (simulation, 30);
+  g_assert_cmpuint (leader->peak_worker_calls, <=, 20);
+  g_assert_cmpuint (leader->peak_worker_calls, >=, 16);
+  WAIT (simulation, 60, all_run, user);
+  finish (simulation);
 }
 
 int
--- a/tests/test-outages.c
+++ b/tests/test-outages.c
@@ -12,25 +12,27 @@
 static void
 extend_across_leaders (guint seed, bool refused, bool isolated, double outage_s)
 {
-  Sim *sim = sim_new (seed);
-  SimUser *u = running_service (sim, 1, 2);
-  sim_run (sim, 10);
-  SimNode *old = sim_leader (sim);
-  for (guint i = 0; i < sim->workers->len; i++)
-    sim_worker (sim, i)->node = old->index;
-  *(refused ? &old->state_refused_us : &old->state_cut_us) = sim->now_us + 300 * MH_SECOND_US;
+  Simulation *simulation = simulation_new (seed);
+  User *u = running_service (simulation, 1, 2);
+  simulation_run (simulation, 10);
+  ControllerNode *old = simulation_leader (simulation);
+  for (guint i = 0; i < simulation->workers->len; i++)
+    simulation_worker (simulation, i)->node = old->index;
+  *(refused ? &old->store_refuses_until_us : &old->store_cut_until_us)
+      = simulation->clock->now_us + 300 * MH_SECOND_US;
   if (isolated)
-    old->peers_cut_us = sim->now_us + 300 * MH_SECOND_US;
-  sim->hold_commands = true;
-  sim->world->cloud_outage_until_us = sim->now_us + 300 * MH_SECOND_US; /* no machine is released */
-  sim_cancel (u);
-  WAIT (sim, 20, told_cancelled, u);
-  g_assert_true (sim_leader (sim) != old);
-  sim_run (sim, outage_s);
-  sim->world->outage_until_us = sim->now_us + 70 * MH_SECOND_US;
-  sim_run (sim, 120); /* the world checks cancel_s */
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  finish (sim);
+    old->peers_cut_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  simulation->network->hold_commands = true;
+  simulation->cloud->outage_until_us
+      = simulation->clock->now_us + 300 * MH_SECOND_US; /* no machine is released */
+  user_cancel (u);
+  WAIT (simulation, 20, told_cancelled, u);
+  g_assert_true (simulation_leader (simulation) != old);
+  simulation_run (simulation, outage_s);
+  simulation->store->outage_until_us = simulation->clock->now_us + 70 * MH_SECOND_US;
+  simulation_run (simulation, 120); /* the world checks cancel_s */
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  finish (simulation);
 }
 
 static void
@@ -50,22 +52,23 @@
 static void
 test_cancel_before_a_slow_load (void)
 {
-  Sim *sim = sim_new (50);
-  SimUser *u = running_service (sim, 1, 2);
-  sim_run (sim, 10);
-  guint old = sim_leader (sim)->index;
-  sim->hold_commands = true;
-  sim->world->cloud_outage_until_us = sim->now_us + 300 * MH_SECOND_US;
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim->nodes[i].lists_lost_us = sim->now_us + 60 * MH_SECOND_US;
-  for (guint i = 0; i < sim->workers->len; i++)
-    sim_worker (sim, i)->reports_lost_us = sim->now_us + 3 * MH_SECOND_US;
-  sim_cancel (u);
-  WAIT (sim, 3, told_cancelled, u);
-  sim_stop_node (sim, old);
-  sim_run (sim, 80);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  finish (sim);
+  Simulation *simulation = simulation_new (50);
+  User *u = running_service (simulation, 1, 2);
+  simulation_run (simulation, 10);
+  guint old = simulation_leader (simulation)->index;
+  simulation->network->hold_commands = true;
+  simulation->cloud->outage_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation->nodes[i].key_lists_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  for (guint i = 0; i < simulation->workers->len; i++)
+    simulation_worker (simulation, i)->reports_lost_until_us
+        = simulation->clock->now_us + 3 * MH_SECOND_US;
+  user_cancel (u);
+  WAIT (simulation, 3, told_cancelled, u);
+  simulation_stop_node (simulation, old);
+  simulation_run (simulation, 80);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  finish (simulation);
 }
 
 /* Settings that leave no room beside the workers' lease: nothing is kept alive without the state
@@ -73,32 +76,33 @@
 static void
 test_no_room_for_lease_extension (void)
 {
-  Sim *sim = sim_new (54);
-  sim->settings->cancel_us = 18 * MH_SECOND_US;
-  for (guint i = 0; i < SIM_NODES; i++)
+  Simulation *simulation = simulation_new (54);
+  simulation->settings->cancel_us = 18 * MH_SECOND_US;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim_stop_node (sim, i);
-      sim->nodes[i].settings->cancel_us = 18 * MH_SECOND_US;
-      sim_start_node (sim, i);
+      simulation_stop_node (simulation, i);
+      simulation->nodes[i].settings->cancel_us = 18 * MH_SECOND_US;
+      simulation_start_node (simulation, i);
     }
-  SimUser *u = running_service (sim, 1, 2), *other = running_service (sim, 3, 1);
-  g_assert_true (sim_logged (sim, "leaves no room"));
-  sim_run (sim, 10);
-  WorldMachine *m = worker_of (sim, "j-000003/0")->machine;
-  m->hung_until_us = sim->now_us + 100 * MH_SECOND_US;
-  WAIT (sim, 20, is_gone, m);
-  WAIT (sim, 20, all_run, other);
-  WAIT (sim, 20, all_run, u);
-  SimNode *old = sim_leader (sim);
-  old->state_cut_us = old->peers_cut_us = sim->now_us + 100 * MH_SECOND_US;
-  sim->hold_commands = true;
-  sim->world->cloud_outage_until_us = sim->now_us + 100 * MH_SECOND_US;
-  sim_cancel (u);
-  WAIT (sim, 20, told_cancelled, u);
-  sim->world->outage_until_us = sim->now_us + 40 * MH_SECOND_US;
-  sim_run (sim, 40);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  finish (sim);
+  User *u = running_service (simulation, 1, 2), *other = running_service (simulation, 3, 1);
+  g_assert_true (simulation_logged (simulation, "leaves no room"));
+  simulation_run (simulation, 10);
+  Machine *m = worker_of (simulation, "j-000003/0")->machine;
+  m->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+  WAIT (simulation, 20, is_gone, m);
+  WAIT (simulation, 20, all_run, other);
+  WAIT (simulation, 20, all_run, u);
+  ControllerNode *old = simulation_leader (simulation);
+  old->store_cut_until_us = old->peers_cut_until_us
+      = simulation->clock->now_us + 100 * MH_SECOND_US;
+  simulation->network->hold_commands = true;
+  simulation->cloud->outage_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+  user_cancel (u);
+  WAIT (simulation, 20, told_cancelled, u);
+  simulation->store->outage_until_us = simulation->clock->now_us + 40 * MH_SECOND_US;
+  simulation_run (simulation, 40);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  finish (simulation);
 }
 
 /* The state service is away for longer than the old leader may keep anything alive: the tasks end
@@ -107,16 +111,16 @@
 static void
 test_long_outage (void)
 {
-  Sim *sim = sim_new (51);
-  SimUser *u = running_service (sim, 1, 4);
-  sim->world->outage_until_us = sim->now_us + 60 * MH_SECOND_US;
-  sim_run (sim, 59);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  WAIT (sim, 8, all_run, u);
-  g_assert_cmpuint (sim->world->starts, ==, 8);
-  for (guint i = 0; i < sim->world->machines->len; i++)
-    g_assert_false (((WorldMachine *)g_ptr_array_index (sim->world->machines, i))->gone);
-  finish (sim);
+  Simulation *simulation = simulation_new (51);
+  User *u = running_service (simulation, 1, 4);
+  simulation->store->outage_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  simulation_run (simulation, 59);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  WAIT (simulation, 8, all_run, u);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 8);
+  for (guint i = 0; i < simulation->cloud->machines->len; i++)
+    g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone);
+  finish (simulation);
 }
 
 /* A leader keeps its workers and users alone, and jobs are cancelled through the new one: nobody is
@@ -124,52 +128,52 @@
 static void
 test_cancel_beside_a_cut_leader (void)
 {
-  Sim *sim = sim_new (61);
+  Simulation *simulation = simulation_new (61);
   MhUserAnswer a;
-  SimUser *u = running_service (sim, 1, 2), *other = running_service (sim, 2, 2);
-  sim_run (sim, 10);
-  SimNode *old = sim_leader (sim);
-  for (guint i = 0; i < sim->workers->len; i++)
-    sim_worker (sim, i)->node = old->index;
-  old->state_cut_us = old->peers_cut_us = sim->now_us + 60 * MH_SECOND_US;
-  sim->hold_commands = true; /* no worker tells the old one of the new */
-  sim_run (sim, 3);
-  sim_cancel (u);
-  WAIT (sim, 20, told_cancelled, u);
-  sim_ask (sim, old->index, MH_USER_STATUS, "j-000001", NULL, &a);
+  User *u = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
+  simulation_run (simulation, 10);
+  ControllerNode *old = simulation_leader (simulation);
+  for (guint i = 0; i < simulation->workers->len; i++)
+    simulation_worker (simulation, i)->node = old->index;
+  old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  simulation->network->hold_commands = true; /* no worker tells the old one of the new */
+  simulation_run (simulation, 3);
+  user_cancel (u);
+  WAIT (simulation, 20, told_cancelled, u);
+  simulation_ask (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &a);
   g_assert_true (a.status == 503 || a.state == MH_JOB_CANCELLED);
-  sim_release_commands (sim);
-  sim_run (sim, 80);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  WAIT (sim, 60, all_run, other);
-  finish (sim);
+  outgoing_calls_release_commands (simulation);
+  simulation_run (simulation, 80);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  WAIT (simulation, 60, all_run, other);
+  finish (simulation);
 }
 
 /* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel. */
 static void
 test_ten_leaders (void)
 {
-  Sim *sim = sim_new (63);
-  SimUser *u = running_service (sim, 1, 3);
+  Simulation *simulation = simulation_new (63);
+  User *u = running_service (simulation, 1, 3);
   for (guint i = 0; i < 10; i++)
     {
-      SimUser *next = sim_submit (sim, sim_spec (10 + i, MH_SHAPE_ARRAY, 3, 1), 4);
-      SimNode *leader = sim_leader (sim);
-      guint stopped = leader ? leader->index : i % SIM_NODES;
+      User *next = simulation_submit (simulation, job_spec_new (10 + i, MH_SHAPE_ARRAY, 3, 1), 4);
+      ControllerNode *leader = simulation_leader (simulation);
+      guint stopped = leader ? leader->index : i % SIMULATION_NODES;
       if (i == 4)
-        sim->world->outage_until_us = sim->now_us + 20 * MH_SECOND_US;
+        simulation->store->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
       if (i == 6)
-        sim_cancel (u);
-      sim_stop_node (sim, stopped);
-      sim_run (sim, 3);
-      sim_start_node (sim, stopped);
-      sim_run (sim, 9);
+        user_cancel (u);
+      simulation_stop_node (simulation, stopped);
+      simulation_run (simulation, 3);
+      simulation_start_node (simulation, stopped);
+      simulation_run (simulation, 9);
       if (i % 3 == 0)
-        sim_cancel (next);
+        user_cancel (next);
     }
-  wait_all (sim, 200);
+  wait_all (simulation, 200);
   g_assert_true (u->told_cancelled);
-  finish (sim);
+  finish (simulation);
 }
 
 /* A team is at its limit when the leader changes; a machine that runs its tasks can't be asked, and
@@ -177,63 +181,63 @@
 static void
 test_limit_across_leaders (void)
 {
-  Sim *sim = sim_new (64);
-  SimUser *u = running_array (sim, 2, 16, 200); /* 16 cpus are blue's limit */
-  MhJobSpec *s = sim_spec (4, MH_SHAPE_ARRAY, 16, 1);
+  Simulation *simulation = simulation_new (64);
+  User *u = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
+  MhJobSpec *s = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
   s->estimate_us = 300 * MH_SECOND_US;
-  SimUser *more = sim_submit (sim, s, 5);
-  WAIT (sim, 20, accepted, more);
-  sim_run (sim, 5);
-  SimWorker *lost = worker_of (sim, "j-000002/0");
-  lost->cut_us = sim->now_us + 30 * MH_SECOND_US;
-  sim_stop_node (sim, sim_leader (sim)->index);
-  sim_cancel (u);
-  WAIT (sim, 20, told_cancelled, u);
-  WAIT (sim, 200, told_done, more); /* the world checks the limit at each start */
-  finish (sim);
+  User *more = simulation_submit (simulation, s, 5);
+  WAIT (simulation, 20, accepted, more);
+  simulation_run (simulation, 5);
+  Worker *lost = worker_of (simulation, "j-000002/0");
+  lost->cut_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  user_cancel (u);
+  WAIT (simulation, 20, told_cancelled, u);
+  WAIT (simulation, 200, told_done, more); /* the world checks the limit at each start */
+  finish (simulation);
 }
 
 /* No controller for longer than the workers' lease: whatever ran is gone, and runs again. */
 static void
 test_all_away_for_a_lease (void)
 {
-  Sim *sim = sim_new (76);
-  SimUser *u = running_service (sim, 1, 3);
-  SimUser *array = running_array (sim, 2, 6, 20);
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_stop_node (sim, i);
-  sim_run (sim, 30);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, 0);
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_start_node (sim, i);
-  WAIT (sim, 15, all_run, u);
-  WAIT (sim, 60, told_done, array);
-  finish (sim);
+  Simulation *simulation = simulation_new (76);
+  User *u = running_service (simulation, 1, 3);
+  User *array = running_array (simulation, 2, 6, 20);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_stop_node (simulation, i);
+  simulation_run (simulation, 30);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_start_node (simulation, i);
+  WAIT (simulation, 15, all_run, u);
+  WAIT (simulation, 60, told_done, array);
+  finish (simulation);
 }
 
 /* Controllers hand over and back; then all end, and one is back within a moment, alone. */
 static void
 test_back_and_forth (void)
 {
-  Sim *sim = sim_new (82);
-  SimUser *u = running_service (sim, 1, 3);
-  running_service (sim, 3, 1);
-  sim_run (sim, 10);
+  Simulation *simulation = simulation_new (82);
+  User *u = running_service (simulation, 1, 3);
+  running_service (simulation, 3, 1);
+  simulation_run (simulation, 10);
   for (guint i = 0; i < 4; i++)
     {
-      SimNode *leader = sim_leader (sim);
+      ControllerNode *leader = simulation_leader (simulation);
       if (leader)
-        leader->reports_lost_us = sim->now_us + 10 * MH_SECOND_US;
-      sim_run (sim, 14);
+        leader->reports_lost_until_us = simulation->clock->now_us + 10 * MH_SECOND_US;
+      simulation_run (simulation, 14);
     }
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_stop_node (sim, i);
-  sim_run (sim, 0.2);
-  sim_start_node (sim, 1);
-  sim_run (sim, 10);
-  g_assert_true (sim_leader (sim) == &sim->nodes[1]);
-  WAIT (sim, 60, all_run, u);
-  finish (sim);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_stop_node (simulation, i);
+  simulation_run (simulation, 0.2);
+  simulation_start_node (simulation, 1);
+  simulation_run (simulation, 10);
+  g_assert_true (simulation_leader (simulation) == &simulation->nodes[1]);
+  WAIT (simulation, 60, all_run, u);
+  finish (simulation);
 }
 
 int
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -9,43 +9,45 @@
 static void
 test_reports_lost (void)
 {
-  Sim *sim = sim_new (52);
-  SimUser *u = running_service (sim, 1, 4);
-  SimWorker *silent = worker_of (sim, "j-000001/0");
-  silent->reports_lost_us = sim->now_us + 200 * MH_SECOND_US;
-  sim_run (sim, 9); /* its report is overdue: it gets nothing new, whatever room it has */
+  Simulation *simulation = simulation_new (52);
+  User *u = running_service (simulation, 1, 4);
+  Worker *silent = worker_of (simulation, "j-000001/0");
+  silent->reports_lost_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
+  simulation_run (simulation,
+                  9); /* its report is overdue: it gets nothing new, whatever room it has */
   guint before = silent->machine->tasks->len;
-  SimUser *next = sim_submit (sim, sim_spec (5, MH_SHAPE_SERVICE, 2, 0.5), 0);
-  WAIT (sim, 20, all_run, next);
+  User *next = simulation_submit (simulation, job_spec_new (5, MH_SHAPE_SERVICE, 2, 0.5), 0);
+  WAIT (simulation, 20, all_run, next);
   g_assert_cmpuint (silent->machine->tasks->len, <=, before);
-  WAIT (sim, 40, is_gone, silent->machine);
-  WAIT (sim, 10, all_run, u);
-  SimUser *array = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 8, 1), 5);
-  WAIT (sim, 60, told_done, array);
+  WAIT (simulation, 40, is_gone, silent->machine);
+  WAIT (simulation, 10, all_run, u);
+  User *array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
+  WAIT (simulation, 60, told_done, array);
   /* And one that is cancelled meanwhile is gone in time. */
-  SimUser *third = running_service (sim, 3, 2);
-  worker_of (sim, "j-000003/0")->reports_lost_us = sim->now_us + 200 * MH_SECOND_US;
-  sim_run (sim, 2);
-  sim_cancel (third);
-  sim_run (sim, 60);
-  g_assert_cmpuint (world_running (sim->world, "j-000003"), ==, 0);
-  finish (sim);
+  User *third = running_service (simulation, 3, 2);
+  worker_of (simulation, "j-000003/0")->reports_lost_until_us
+      = simulation->clock->now_us + 200 * MH_SECOND_US;
+  simulation_run (simulation, 2);
+  user_cancel (third);
+  simulation_run (simulation, 60);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
+  finish (simulation);
 }
 
 /* No report comes to this leader alone, though the workers answer its questions: another leads. */
 static void
 test_reports_to_the_leader_lost (void)
 {
-  Sim *sim = sim_new (53);
-  SimUser *u = running_service (sim, 1, 4);
-  running_service (sim, 2, 4);
-  sim_run (sim, 10);
-  SimNode *old = sim_leader (sim);
-  old->reports_lost_us = sim->now_us + 60 * MH_SECOND_US;
-  sim_run (sim, 20);
-  g_assert_true (sim_leader (sim) != old);
-  WAIT (sim, 30, all_run, u);
-  finish (sim);
+  Simulation *simulation = simulation_new (53);
+  User *u = running_service (simulation, 1, 4);
+  running_service (simulation, 2, 4);
+  simulation_run (simulation, 10);
+  ControllerNode *old = simulation_leader (simulation);
+  old->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  simulation_run (simulation, 20);
+  g_assert_true (simulation_leader (simulation) != old);
+  WAIT (simulation, 30, all_run, u);
+  finish (simulation);
 }
 
 /* More work than room, urgent and not, over links on which a part of everything comes late: all of
@@ -53,19 +55,19 @@
 static void
 test_more_work_than_room (void)
 {
-  Sim *sim = sim_new (60);
-  sim->world->capacity = 4;
-  sim->late = 0.1;
-  sim->lose = 0.02;
+  Simulation *simulation = simulation_new (60);
+  simulation->cloud->capacity = 4;
+  simulation->network->delay_probability = 0.1;
+  simulation->network->loss_probability = 0.02;
   for (guint i = 1; i <= 12; i++)
-    sim_submit (sim, sim_spec (i, MH_SHAPE_ARRAY, 8, 1), 6);
-  sim_run (sim, 30);
-  SimUser *urgent = sim_submit (sim, sim_spec (20, MH_SHAPE_SERVICE, 2, 1), 0);
-  WAIT (sim, 60, all_run, urgent);
-  sim_run (sim, 30);
-  sim->late = sim->lose = 0;
-  wait_all (sim, 400);
-  finish (sim);
+    simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 8, 1), 6);
+  simulation_run (simulation, 30);
+  User *urgent = simulation_submit (simulation, job_spec_new (20, MH_SHAPE_SERVICE, 2, 1), 0);
+  WAIT (simulation, 60, all_run, urgent);
+  simulation_run (simulation, 30);
+  simulation->network->delay_probability = simulation->network->loss_probability = 0;
+  wait_all (simulation, 400);
+  finish (simulation);
 }
 
 /* The workers of a zone can reach only the leader, which is cut off with them for longer than their
@@ -73,49 +75,50 @@
 static void
 test_zone_cut_with_its_leader (void)
 {
-  Sim *sim = sim_new (62);
-  SimUser *u = running_service (sim, 1, 4);
-  SimUser *array = running_array (sim, 2, 8, 20);
-  sim_run (sim, 10);
-  SimNode *old = sim_leader (sim);
-  gint64 until = sim->now_us + 40 * MH_SECOND_US;
-  old->state_cut_us = old->peers_cut_us = until;
-  for (guint i = 0; i < sim->workers->len; i++)
+  Simulation *simulation = simulation_new (62);
+  User *u = running_service (simulation, 1, 4);
+  User *array = running_array (simulation, 2, 8, 20);
+  simulation_run (simulation, 10);
+  ControllerNode *old = simulation_leader (simulation);
+  gint64 until = simulation->clock->now_us + 40 * MH_SECOND_US;
+  old->store_cut_until_us = old->peers_cut_until_us = until;
+  for (guint i = 0; i < simulation->workers->len; i++)
     {
-      SimWorker *w = sim_worker (sim, i);
+      Worker *w = simulation_worker (simulation, i);
       bool inside = strcmp (w->machine->zone, "a") == 0;
-      w->node = inside ? old->index : (old->index + 1) % SIM_NODES;
-      w->node_only = inside ? (gint)old->index : -1;
+      w->node = inside ? old->index : (old->index + 1) % SIMULATION_NODES;
+      w->only_node = inside ? (gint)old->index : -1;
       w->only_until_us = inside ? until : 0;
     }
-  WAIT (sim, 200, told_done, array);
-  WAIT (sim, 60, all_run, u);
-  finish (sim);
+  WAIT (simulation, 200, told_done, array);
+  WAIT (simulation, 60, all_run, u);
+  finish (simulation);
 }
 
 /* Jobs of two or three tasks that end far apart, each with a change of leader between. */
 static void
 test_ends_far_apart (void)
 {
-  Sim *sim = sim_new (78);
-  SimUser *users[6];
+  Simulation *simulation = simulation_new (78);
+  User *users[6];
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
     {
-      users[i] = sim_submit (sim, sim_spec (1 + i, MH_SHAPE_ARRAY, 2 + i % 2, 1), 3);
-      users[i]->job->apart_us = 12 * MH_SECOND_US;
+      users[i]
+          = simulation_submit (simulation, job_spec_new (1 + i, MH_SHAPE_ARRAY, 2 + i % 2, 1), 3);
+      users[i]->job->stagger_us = 12 * MH_SECOND_US;
     }
   for (guint i = 0; i < 4; i++)
     {
-      sim_run (sim, 9);
-      SimNode *leader = sim_leader (sim);
+      simulation_run (simulation, 9);
+      ControllerNode *leader = simulation_leader (simulation);
       guint stopped = leader ? leader->index : 0;
-      sim_stop_node (sim, stopped);
-      sim_run (sim, i % 2 ? 0.2 : 3);
-      sim_start_node (sim, stopped);
+      simulation_stop_node (simulation, stopped);
+      simulation_run (simulation, i % 2 ? 0.2 : 3);
+      simulation_start_node (simulation, stopped);
     }
-  wait_all (sim, 120);
-  g_assert_cmpuint (sim->world->starts, ==, 15); /* none ran again */
-  finish (sim);
+  wait_all (simulation, 120);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 15); /* none ran again */
+  finish (simulation);
 }
 
 /* An array bound to one zone by its first tasks loses machines there. What runs on keeps it in that
@@ -123,30 +126,31 @@
 static void
 test_one_zone_loses_machines (void)
 {
-  Sim *sim = sim_new (80);
-  MhJobSpec *s = sim_spec (2, MH_SHAPE_ARRAY, 12, 1);
+  Simulation *simulation = simulation_new (80);
+  MhJobSpec *s = job_spec_new (2, MH_SHAPE_ARRAY, 12, 1);
   s->one_zone = true;
   s->estimate_us = 300 * MH_SECOND_US;
-  SimUser *u = sim_submit (sim, s, 300);
-  WAIT (sim, 60, all_run, u);
-  SimWorker *kept = worker_of (sim, "j-000002/0");
+  User *u = simulation_submit (simulation, s, 300);
+  WAIT (simulation, 60, all_run, u);
+  Worker *kept = worker_of (simulation, "j-000002/0");
   guint failed = 0;
-  for (guint i = 0; i < sim->workers->len; i++)
+  for (guint i = 0; i < simulation->workers->len; i++)
     {
-      WorldMachine *m = sim_worker (sim, i)->machine;
+      Machine *m = simulation_worker (simulation, i)->machine;
       if (m == kept->machine || m->tasks->len == 0)
         continue;
-      world_fail (m);
+      machine_fail (m);
       failed++;
     }
   g_assert_cmpuint (failed, >, 0);
-  guint known = sim->world->machines->len;
-  WAIT (sim, 60, all_run, u);
-  for (guint i = known; i < sim->world->machines->len; i++)
-    g_assert_cmpstr (((WorldMachine *)g_ptr_array_index (sim->world->machines, i))->zone, ==,
+  guint known = simulation->cloud->machines->len;
+  WAIT (simulation, 60, all_run, u);
+  for (guint i = known; i < simulation->cloud->machines->len; i++)
+    g_assert_cmpstr (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->zone, ==,
                      kept->machine->zone);
-  g_assert_true (strcmp (kept->machine->zone, worker_of (sim, "j-000002/11")->machine->zone) == 0);
-  finish (sim);
+  g_assert_true (strcmp (kept->machine->zone, worker_of (simulation, "j-000002/11")->machine->zone)
+                 == 0);
+  finish (simulation);
 }
 
 /* A leader ends while machines with long tasks don't hear its successor, or can't be reached: they
@@ -155,15 +159,16 @@
 static void
 test_answers_of_a_new_leader_lost (void)
 {
-  Sim *sim = sim_new (83);
-  running_array (sim, 2, 12, 90);
-  sim_run (sim, 10);
-  worker_of (sim, "j-000002/0")->answers_lost_us = sim->now_us + 200 * MH_SECOND_US;
-  SimWorker *cut = worker_of (sim, "j-000002/11");
-  cut->cut_us = sim->now_us + 100 * MH_SECOND_US;
-  sim_stop_node (sim, sim_leader (sim)->index);
-  wait_all (sim, 300);
-  finish (sim);
+  Simulation *simulation = simulation_new (83);
+  running_array (simulation, 2, 12, 90);
+  simulation_run (simulation, 10);
+  worker_of (simulation, "j-000002/0")->answers_lost_until_us
+      = simulation->clock->now_us + 200 * MH_SECOND_US;
+  Worker *cut = worker_of (simulation, "j-000002/11");
+  cut->cut_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
+  wait_all (simulation, 300);
+  finish (simulation);
 }
 
 int
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -11,22 +11,23 @@
 static void
 test_questions_share_reads (void)
 {
-  Sim *sim = sim_new (51);
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 3);
-  guint leader = sim_leader (sim)->index, before = sim->world->finals_read;
+  Simulation *simulation = simulation_new (51);
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 3);
+  guint leader = simulation_leader (simulation)->index,
+        before = simulation->store->final_record_reads;
   MhUserAnswer answers[60] = {};
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
-      sim_ask_later (sim, leader, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answers[i]);
+      simulation_ask_later (simulation, leader, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answers[i]);
       if (i == 40)
-        sim_run (sim, 0.001);
+        simulation_run (simulation, 0.001);
     }
-  sim_run (sim, 2);
+  simulation_run (simulation, 2);
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     g_assert_cmpuint (answers[i].status, ==, 404);
-  g_assert_cmpuint (sim->world->finals_read - before, <=, 2);
-  finish (sim);
+  g_assert_cmpuint (simulation->store->final_record_reads - before, <=, 2);
+  finish (simulation);
 }
 
 /* An answer that was read before a question came may be older than what its user has been told: the
@@ -34,19 +35,19 @@
 static void
 test_shared_read_is_not_older (void)
 {
-  Sim *sim = sim_new (52);
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, 3);
-  SimNode *leader = sim_leader (sim);
+  Simulation *simulation = simulation_new (52);
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, 3);
+  ControllerNode *leader = simulation_leader (simulation);
   MhUserAnswer before = {}, after = {};
-  guint reads = sim->world->finals_read;
-  sim_ask_later (sim, leader->index, MH_USER_STATUS, UNKNOWN_JOB, NULL, &before);
-  sim_ask_later (sim, leader->index, MH_USER_STATUS, UNKNOWN_JOB, NULL, &after);
-  sim_run (sim, 2);
+  guint reads = simulation->store->final_record_reads;
+  simulation_ask_later (simulation, leader->index, MH_USER_STATUS, UNKNOWN_JOB, NULL, &before);
+  simulation_ask_later (simulation, leader->index, MH_USER_STATUS, UNKNOWN_JOB, NULL, &after);
+  simulation_run (simulation, 2);
   g_assert_cmpuint (before.status, ==, 404);
   g_assert_cmpuint (after.status, ==, 404);
-  g_assert_cmpuint (sim->world->finals_read - reads, ==, 2);
-  finish (sim);
+  g_assert_cmpuint (simulation->store->final_record_reads - reads, ==, 2);
+  finish (simulation);
 }
 
 /* A follower that has passed on a final answer gives it without the leader and the state service.
@@ -54,22 +55,25 @@
 static void
 test_follower_remembers_final (void)
 {
-  Sim *sim = sim_new (53);
-  SimUser *user = sim_submit (sim, sim_spec (1, MH_SHAPE_ARRAY, 2, 1), 2);
-  WAIT (sim, 60, told_done, user);
-  guint leader = sim_leader (sim)->index, follower = (leader + 1) % SIM_NODES;
+  Simulation *simulation = simulation_new (53);
+  User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 2);
+  WAIT (simulation, 60, told_done, user);
+  guint leader = simulation_leader (simulation)->index, follower = (leader + 1) % SIMULATION_NODES;
   MhUserAnswer answer;
-  g_assert_cmpuint (sim_ask (sim, follower, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 200);
-  sim_stop_node (sim, leader);
-  sim->world->outage_until_us = sim->now_us + 20 * MH_SECOND_US;
-  sim_run (sim, 5);
-  g_assert_cmpuint (sim_ask (sim, follower, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 200);
+  g_assert_cmpuint (
+      simulation_ask (simulation, follower, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 200);
+  simulation_stop_node (simulation, leader);
+  simulation->store->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
+  simulation_run (simulation, 5);
+  g_assert_cmpuint (
+      simulation_ask (simulation, follower, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 200);
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   /* What is not final is not remembered. */
-  g_assert_cmpuint (sim_ask (sim, follower, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answer), ==, 503);
-  sim_start_node (sim, leader);
-  sim_run (sim, 30);
-  finish (sim);
+  g_assert_cmpuint (
+      simulation_ask (simulation, follower, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answer), ==, 503);
+  simulation_start_node (simulation, leader);
+  simulation_run (simulation, 30);
+  finish (simulation);
 }
 
 /* More questions than the state service can answer: the rest is told at once to come again, and a
@@ -77,28 +81,28 @@
 static void
 test_questions_beyond_their_share (void)
 {
-  Sim *sim = sim_new (54);
-  SimUser *first = sim_submit (sim, sim_spec (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (sim, 60, told_done, first);
-  guint leader = sim_leader (sim)->index;
+  Simulation *simulation = simulation_new (54);
+  User *first = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 60, told_done, first);
+  guint leader = simulation_leader (simulation)->index;
   static MhUserAnswer answers[900];
   memset (answers, 0, sizeof answers);
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
       g_autofree char *job = g_strdup_printf ("j-%06u", 500000 + i);
-      sim_ask_later (sim, leader, MH_USER_STATUS, job, NULL, &answers[i]);
+      simulation_ask_later (simulation, leader, MH_USER_STATUS, job, NULL, &answers[i]);
     }
   guint refused = 0;
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     refused += answers[i].status == 503 && answers[i].retry_after_s > 0;
   g_assert_cmpuint (refused, >=, 600);
-  SimUser *user = sim_submit (sim, sim_spec (2, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (sim, 0.5, accepted, user);
-  sim_run (sim, 2);
+  User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 0.5, accepted, user);
+  simulation_run (simulation, 2);
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     g_assert_true (answers[i].status == 404 || answers[i].status == 503);
-  WAIT (sim, 60, told_done, user);
-  finish (sim);
+  WAIT (simulation, 60, told_done, user);
+  finish (simulation);
 }
 
 int
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -29,30 +29,30 @@
     ((MhTeam *)g_ptr_array_index (settings->teams, i))->cpus_max = 1e6;
 }
 
-static Sim *
+static Simulation *
 large_fleet (guint32 seed, guint machines)
 {
-  Sim *sim = sim_new (seed);
-  sim->world->zones = ZONES;
-  allow_large_fleet (sim->settings, machines);
-  for (guint i = 0; i < SIM_NODES; i++)
-    allow_large_fleet (sim->nodes[i].settings, machines);
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_restart_node (sim, i, CONTROLLER_CURRENT, 0.1);
+  Simulation *simulation = simulation_new (seed);
+  simulation->cloud->zones = ZONES;
+  allow_large_fleet (simulation->settings, machines);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    allow_large_fleet (simulation->nodes[i].settings, machines);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_restart_node (simulation, i, CONTROLLER_CURRENT, 0.1);
   for (guint i = 0; i < machines; i++)
-    world_add_machine (sim->world, "small", zones[i % ZONES], false);
-  return sim;
+    cloud_add_machine (simulation->cloud, "small", zones[i % ZONES], false);
+  return simulation;
 }
 
 /* No worker's lease has run out, and no machine was given back, but for the few that were already
    being probed as their zone fell silent. */
 static void
-assert_fleet_whole (const Sim *sim, guint machines)
+assert_fleet_whole (const Simulation *simulation, guint machines)
 {
   guint gone = 0;
   for (guint i = 0; i < machines; i++)
     {
-      const WorldMachine *machine = g_ptr_array_index (sim->world->machines, i);
+      const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       gone += machine->gone;
       g_assert_true (machine->gone || machine->session == 1);
     }
@@ -61,13 +61,13 @@
 
 /* By the leadership that their tokens belong to. */
 static guint
-machines_that_know_leader (Sim *sim)
+machines_that_know_leader (Simulation *simulation)
 {
   guint known = 0;
   guint64 latest = 0;
-  for (guint i = 0; i < sim->world->machines->len; i++)
+  for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      const WorldMachine *machine = g_ptr_array_index (sim->world->machines, i);
+      const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       guint64 leadership = (machine->token + MH_EPOCHS_EACH - 1) / MH_EPOCHS_EACH;
       if (machine->gone)
         continue;
@@ -82,13 +82,13 @@
 }
 
 static void
-swarm (Sim *sim, SimUser **users)
+swarm (Simulation *simulation, User **users)
 {
   for (guint i = 0; i < SWARM_JOBS; i++)
     {
-      MhJobSpec *spec = sim_spec (100 + i, MH_SHAPE_ARRAY, 1, 0.25);
+      MhJobSpec *spec = job_spec_new (100 + i, MH_SHAPE_ARRAY, 1, 0.25);
       spec->estimate_us = 300 * MH_SECOND_US;
-      users[i] = sim_submit (sim, spec, 8);
+      users[i] = simulation_submit (simulation, spec, 8);
     }
 }
 
@@ -96,49 +96,49 @@
 test_large_fleet (gconstpointer data)
 {
   guint machines = GPOINTER_TO_UINT (data);
-  Sim *sim = large_fleet (71, machines);
-  sim_run (sim, 14);
-  g_assert_cmpuint (machines_that_know_leader (sim), ==, machines);
+  Simulation *simulation = large_fleet (71, machines);
+  simulation_run (simulation, 14);
+  g_assert_cmpuint (machines_that_know_leader (simulation), ==, machines);
 
   /* One task for each machine. */
-  MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, machines, 1);
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, machines, 1);
   spec->estimate_us = 600 * MH_SECOND_US;
-  sim_submit (sim, spec, 600);
-  SimUser *users[SWARM_JOBS];
-  swarm (sim, users);
-  sim_run (sim, 30);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, machines);
+  simulation_submit (simulation, spec, 600);
+  User *users[SWARM_JOBS];
+  swarm (simulation, users);
+  simulation_run (simulation, 30);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, machines);
   for (guint i = 0; i < SWARM_JOBS; i++)
     g_assert_true (users[i]->told_done);
 
   /* Lists leave three quarters of the calls to the cloud, about ten calls in ten seconds here. */
-  guint lists = sim->world->lists;
-  sim_run (sim, 10);
-  g_assert_cmpuint (sim->world->lists - lists, <=, 20);
+  guint lists = simulation->cloud->list_requests;
+  simulation_run (simulation, 10);
+  g_assert_cmpuint (simulation->cloud->list_requests - lists, <=, 20);
 
   /* A zone falls silent for half a lease: it is kept. */
-  for (guint i = 0; i < sim->workers->len; i++)
+  for (guint i = 0; i < simulation->workers->len; i++)
     {
-      SimWorker *worker = g_ptr_array_index (sim->workers, i);
+      Worker *worker = g_ptr_array_index (simulation->workers, i);
       if (strcmp (worker->machine->zone, "b") == 0)
-        worker->cut_us = sim->now_us + 12 * MH_SECOND_US;
+        worker->cut_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
     }
-  sim_run (sim, 24);
-  assert_fleet_whole (sim, machines);
+  simulation_run (simulation, 24);
+  assert_fleet_whole (simulation, machines);
 
   /* Each controller in turn is restarted, and every worker finds the next leader in time. */
-  for (guint i = 0; i < SIM_NODES; i++)
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim_restart_node (sim, i, CONTROLLER_CURRENT, 3);
-      sim_run (sim, 16);
-      g_assert_cmpuint (machines_that_know_leader (sim), >=,
+      simulation_restart_node (simulation, i, CONTROLLER_CURRENT, 3);
+      simulation_run (simulation, 16);
+      g_assert_cmpuint (machines_that_know_leader (simulation), >=,
                         machines - machines / MACHINES_PER_LOSS);
     }
-  assert_fleet_whole (sim, machines);
-  g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, machines);
-  g_assert_cmpuint (sim->world->starts, <=,
+  assert_fleet_whole (simulation, machines);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, machines);
+  g_assert_cmpuint (simulation->rules->task_starts, <=,
                     machines + SWARM_JOBS + TASKS_OF_ONE_MACHINE * (machines / MACHINES_PER_LOSS));
-  finish (sim);
+  finish (simulation);
 }
 
 int
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -330,37 +330,39 @@
 {
   for (guint seed = 1; seed <= 6; seed++)
     {
-      Sim *sim = sim_new (seed);
-      sim->world->capacity = 6;
-      MhJobSpec *s = sim_spec (1, MH_SHAPE_ARRAY, 300, 0.04);
+      Simulation *simulation = simulation_new (seed);
+      simulation->cloud->capacity = 6;
+      MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 300, 0.04);
       s->mem_gb = 0.1;
       s->estimate_us = 600 * MH_SECOND_US;
-      SimUser *u = sim_submit (sim, s, 70), *service = running_service (sim, 3, 2);
-      WAIT (sim, 60, all_run, u);
+      User *u = simulation_submit (simulation, s, 70),
+           *service = running_service (simulation, 3, 2);
+      WAIT (simulation, 60, all_run, u);
       for (guint turn = 0; turn < 6; turn++)
         {
-          guint index = (turn + seed) % SIM_NODES;
+          guint index = (turn + seed) % SIMULATION_NODES;
           bool small = turn % 2 == 0 || turn > 3;
-          sim_stop_node (sim, index);
-          sim->nodes[index].settings->value_bytes = small ? 2048 : 8192;
-          sim->nodes[index].settings->txn_ops = sim->nodes[index].settings->batch = small ? 5 : 16;
-          sim_run (sim, 0.3 * turn);
-          sim_start_node (sim, index);
-          SimNode *leader = sim_leader (sim);
+          simulation_stop_node (simulation, index);
+          simulation->nodes[index].settings->value_bytes = small ? 2048 : 8192;
+          simulation->nodes[index].settings->txn_ops = simulation->nodes[index].settings->batch
+              = small ? 5 : 16;
+          simulation_run (simulation, 0.3 * turn);
+          simulation_start_node (simulation, index);
+          ControllerNode *leader = simulation_leader (simulation);
           if (leader && leader->index != index)
             {
-              sim_stop_node (sim, leader->index);
-              sim_run (sim, 1.5);
-              sim_start_node (sim, leader->index);
+              simulation_stop_node (simulation, leader->index);
+              simulation_run (simulation, 1.5);
+              simulation_start_node (simulation, leader->index);
             }
-          sim_run (sim, 4);
+          simulation_run (simulation, 4);
         }
-      sim_limit (sim, 2048, 5);
-      WAIT (sim, 200, told_done, u);
-      g_assert_cmpuint (world_running (sim->world, service->job->spec->id), ==, 2);
-      g_assert_cmpuint (sim->world->starts, ==, 302);
-      sim_assert_rules (sim);
-      sim_free (sim);
+      simulation_limit (simulation, 2048, 5);
+      WAIT (simulation, 200, told_done, u);
+      g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
+      g_assert_cmpuint (simulation->rules->task_starts, ==, 302);
+      simulation_assert_rules (simulation);
+      simulation_free (simulation);
     }
 }
 
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -15,30 +15,30 @@
                                   { CONTROLLER_CURRENT, CONTROLLER_PRODUCTION } };
 
 /* The leader has the first version, the two others, one of which will succeed it, the second. */
-static Sim *
+static Simulation *
 mixed_sim (guint32 seed, const Change *change)
 {
-  Sim *sim = sim_new (seed);
-  for (guint i = 0; i < SIM_NODES; i++)
-    sim_stop_node (sim, i);
-  sim_restart_node (sim, 0, change->from, 0);
-  WAIT (sim, 10, has_leader, NULL);
-  for (guint i = 1; i < SIM_NODES; i++)
-    sim_restart_node (sim, i, change->to, 0.1);
-  sim_run (sim, 2);
-  g_assert_cmpuint (sim_leader (sim)->index, ==, 0);
-  return sim;
+  Simulation *simulation = simulation_new (seed);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_stop_node (simulation, i);
+  simulation_restart_node (simulation, 0, change->from, 0);
+  WAIT (simulation, 10, has_leader, NULL);
+  for (guint i = 1; i < SIMULATION_NODES; i++)
+    simulation_restart_node (simulation, i, change->to, 0.1);
+  simulation_run (simulation, 2);
+  g_assert_cmpuint (simulation_leader (simulation)->index, ==, 0);
+  return simulation;
 }
 
 /* The leader ends, and comes back later with the other version. */
 static void
-change_leader (Sim *sim, const Change *change, double away_s)
+change_leader (Simulation *simulation, const Change *change, double away_s)
 {
-  sim_stop_node (sim, 0);
-  WAIT (sim, 10, has_leader, NULL);
-  sim_run (sim, away_s);
-  sim->nodes[0].version = change->to;
-  sim_start_node (sim, 0);
+  simulation_stop_node (simulation, 0);
+  WAIT (simulation, 10, has_leader, NULL);
+  simulation_run (simulation, away_s);
+  simulation->nodes[0].version = change->to;
+  simulation_start_node (simulation, 0);
 }
 
 /* ---- a gang ---- */
@@ -61,14 +61,14 @@
 
 typedef struct
 {
-  Sim *sim;
-  SimUser *gang, *urgent;
+  Simulation *simulation;
+  User *gang, *urgent;
 } Scene;
 
 static MhJobSpec *
 gang_spec (void)
 {
-  MhJobSpec *spec = sim_spec (1, MH_SHAPE_GANG, GANG_TASKS, 4);
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_GANG, GANG_TASKS, 4);
   spec->spot = false;
   spec->one_zone = true;
   spec->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
@@ -80,80 +80,80 @@
 
 /* Twice as many as it needs: there is room for a second attempt beside the first. */
 static void
-add_machines (Sim *sim)
+add_machines (Simulation *simulation)
 {
-  sim->world->capacity = 0;
-  add_small_machines (sim, 2 * GANG_TASKS);
+  simulation->cloud->capacity = 0;
+  add_small_machines (simulation, 2 * GANG_TASKS);
 }
 
 static bool
-in_phase (const Sim *sim, MhTaskPhase phase)
+in_phase (const Simulation *simulation, MhTaskPhase phase)
 {
-  for (guint i = 0; i < sim->world->machines->len; i++)
+  for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      const WorldMachine *machine = g_ptr_array_index (sim->world->machines, i);
+      const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       for (guint k = 0; k < machine->tasks->len; k++)
-        if (g_array_index (machine->tasks, WorldTask, k).phase == phase)
+        if (g_array_index (machine->tasks, MachineTask, k).phase == phase)
           return true;
     }
   return false;
 }
 
 static bool
-gathers (Sim *sim, gpointer unused)
+gathers (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return in_phase (sim, MH_TASK_GATHERING);
+  return in_phase (simulation, MH_TASK_GATHERING);
 }
 
 static bool
-saves (Sim *sim, gpointer unused)
+saves (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return in_phase (sim, MH_TASK_SAVING);
+  return in_phase (simulation, MH_TASK_SAVING);
 }
 
 static bool
-runs (Sim *sim, gpointer data)
+runs (Simulation *simulation, gpointer data)
 {
-  (void)sim;
-  return ((SimUser *)data)->job->running_attempt != 0;
+  (void)simulation;
+  return ((User *)data)->job->running_attempt != 0;
 }
 
 static bool
-write_held (Sim *sim, gpointer unused)
+write_held (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return sim->held_writes->len > 0;
+  return simulation->network->held_writes->len > 0;
 }
 
 static bool
-command_held (Sim *sim, gpointer unused)
+command_held (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return sim->held->len > 0;
+  return simulation->network->held_commands->len > 0;
 }
 
 /* Its machines come up while the leader's writes are held. */
 static void
 until_placed (Scene *scene)
 {
-  scene->sim->nodes[0].hold_writes = true;
-  add_machines (scene->sim);
-  WAIT (scene->sim, 20, write_held, NULL);
+  scene->simulation->nodes[0].hold_writes = true;
+  add_machines (scene->simulation);
+  WAIT (scene->simulation, 20, write_held, NULL);
 }
 
 static void
 until_running (Scene *scene)
 {
-  add_machines (scene->sim);
-  WAIT (scene->sim, 60, runs, scene->gang);
+  add_machines (scene->simulation);
+  WAIT (scene->simulation, 60, runs, scene->gang);
 }
 
 static bool
-fetches (Sim *sim, gpointer leg)
+fetches (Simulation *simulation, gpointer leg)
 {
-  return worker_of (sim, leg) != NULL;
+  return worker_of (simulation, leg) != NULL;
 }
 
 /* The image of one task comes later than the others'. */
@@ -161,44 +161,45 @@
 until_gathering (Scene *scene)
 {
   char leg[] = "j-000001/3";
-  add_machines (scene->sim);
-  WAIT (scene->sim, 20, fetches, leg);
-  WorldMachine *machine = worker_of (scene->sim, leg)->machine;
-  g_array_index (machine->tasks, WorldTask, 0).ready_us += 4 * MH_SECOND_US;
-  WAIT (scene->sim, 20, gathers, NULL);
+  add_machines (scene->simulation);
+  WAIT (scene->simulation, 20, fetches, leg);
+  Machine *machine = worker_of (scene->simulation, leg)->machine;
+  g_array_index (machine->tasks, MachineTask, 0).ready_us += 4 * MH_SECOND_US;
+  WAIT (scene->simulation, 20, gathers, NULL);
 }
 
 static void
 until_stopping (Scene *scene)
 {
   until_running (scene);
-  for (guint i = 0; i < scene->sim->world->machines->len; i++)
+  for (guint i = 0; i < scene->simulation->cloud->machines->len; i++)
     {
-      WorldMachine *machine = g_ptr_array_index (scene->sim->world->machines, i);
+      Machine *machine = g_ptr_array_index (scene->simulation->cloud->machines, i);
       if (machine->tasks->len == 0)
-        world_fail (machine);
+        machine_fail (machine);
     }
-  sim_run (scene->sim, 6);
-  scene->urgent = sim_submit (scene->sim, sim_spec (2, MH_SHAPE_SERVICE, 1, 4), 0);
-  WAIT (scene->sim, 20, saves, NULL);
+  simulation_run (scene->simulation, 6);
+  scene->urgent
+      = simulation_submit (scene->simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
+  WAIT (scene->simulation, 20, saves, NULL);
 }
 
 static void
 until_one_done (Scene *scene)
 {
   until_running (scene);
-  for (guint i = 1; i < scene->sim->workers->len; i++)
-    ((SimWorker *)g_ptr_array_index (scene->sim->workers, i))->reports_lost_us
-        = scene->sim->now_us + 20 * MH_SECOND_US;
-  scene->sim->nodes[0].hold_writes = true;
-  WAIT (scene->sim, 30, write_held, NULL);
-  g_assert_cmpuint (scene->gang->job->n_done, ==, GANG_TASKS);
+  for (guint i = 1; i < scene->simulation->workers->len; i++)
+    ((Worker *)g_ptr_array_index (scene->simulation->workers, i))->reports_lost_until_us
+        = scene->simulation->clock->now_us + 20 * MH_SECOND_US;
+  scene->simulation->nodes[0].hold_writes = true;
+  WAIT (scene->simulation, 30, write_held, NULL);
+  g_assert_cmpuint (scene->gang->job->done_count, ==, GANG_TASKS);
 }
 
 static void
 bring_about (Scene *scene, Moment moment)
 {
-  Sim *sim = scene->sim;
+  Simulation *simulation = scene->simulation;
   switch (moment)
     {
     case PLACED:
@@ -206,14 +207,15 @@
       break;
     case ON_RECORD:
       until_placed (scene);
-      sim->nodes[0].write_answers_lost_us = sim->now_us + 20 * MH_SECOND_US;
-      sim_release_write (sim, true);
-      sim_run (sim, 0.1);
+      simulation->nodes[0].write_answers_lost_until_us
+          = simulation->clock->now_us + 20 * MH_SECOND_US;
+      outgoing_calls_release_write (simulation, true);
+      simulation_run (simulation, 0.1);
       break;
     case START_SENT:
-      sim->hold_commands = true;
-      add_machines (sim);
-      WAIT (sim, 20, command_held, NULL);
+      simulation->network->hold_commands = true;
+      add_machines (simulation);
+      WAIT (simulation, 20, command_held, NULL);
       break;
     case GATHERING:
       until_gathering (scene);
@@ -229,14 +231,14 @@
       break;
     case CANCELLING:
       until_running (scene);
-      sim->nodes[0].hold_writes = true;
-      sim_cancel (scene->gang);
-      WAIT (sim, 10, write_held, NULL);
+      simulation->nodes[0].hold_writes = true;
+      user_cancel (scene->gang);
+      WAIT (simulation, 10, write_held, NULL);
       break;
     case CANCELLED:
       until_running (scene);
-      sim_cancel (scene->gang);
-      WAIT (sim, 10, told_cancelled, scene->gang);
+      user_cancel (scene->gang);
+      WAIT (simulation, 10, told_cancelled, scene->gang);
       break;
     default:
       g_assert_not_reached ();
@@ -245,14 +247,14 @@
 
 /* What the earlier leader had sent arrives after its successor has begun. */
 static void
-deliver_late (Sim *sim)
+deliver_late (Simulation *simulation)
 {
-  sim->nodes[0].hold_writes = false;
-  while (sim->held_writes->len)
-    sim_release_write (sim, true);
-  sim->nodes[0].hold_writes = false;
-  if (sim->hold_commands)
-    sim_release_commands (sim);
+  simulation->nodes[0].hold_writes = false;
+  while (simulation->network->held_writes->len)
+    outgoing_calls_release_write (simulation, true);
+  simulation->nodes[0].hold_writes = false;
+  if (simulation->network->hold_commands)
+    outgoing_calls_release_commands (simulation);
 }
 
 static void
@@ -262,36 +264,37 @@
   const Change *change = &changes[GPOINTER_TO_UINT (data) % G_N_ELEMENTS (changes)];
   for (guint late = 0; late < 2; late++)
     {
-      Scene scene = { .sim = mixed_sim (100 + 10 * moment + late, change) };
-      Sim *sim = scene.sim;
-      sim->world->capacity = 0;
-      scene.gang = sim_submit (sim, gang_spec (), 12);
-      WAIT (sim, 10, accepted, scene.gang);
+      Scene scene = { .simulation = mixed_sim (100 + 10 * moment + late, change) };
+      Simulation *simulation = scene.simulation;
+      simulation->cloud->capacity = 0;
+      scene.gang = simulation_submit (simulation, gang_spec (), 12);
+      WAIT (simulation, 10, accepted, scene.gang);
       bring_about (&scene, moment);
       if (late)
         {
-          change_leader (sim, change, 2);
-          deliver_late (sim);
+          change_leader (simulation, change, 2);
+          deliver_late (simulation);
         }
       else
         {
-          deliver_late (sim);
-          change_leader (sim, change, 2);
+          deliver_late (simulation);
+          change_leader (simulation, change, 2);
         }
       if (scene.urgent)
         {
-          WAIT (sim, 60, all_run, scene.urgent);
-          sim_cancel (scene.urgent);
+          WAIT (simulation, 60, all_run, scene.urgent);
+          user_cancel (scene.urgent);
         }
       if (moment == CANCELLING || moment == CANCELLED)
         {
-          WAIT (sim, 30, told_cancelled, scene.gang);
-          sim_run (sim, 45);
-          g_assert_cmpuint (world_running (sim->world, scene.gang->job->spec->id), ==, 0);
+          WAIT (simulation, 30, told_cancelled, scene.gang);
+          simulation_run (simulation, 45);
+          g_assert_cmpuint (simulation_running_tasks (simulation, scene.gang->job->spec->id), ==,
+                            0);
         }
       else
-        WAIT (sim, 200, told_done, scene.gang);
-      finish (sim);
+        WAIT (simulation, 200, told_done, scene.gang);
+      finish (simulation);
     }
 }
 
@@ -311,18 +314,19 @@
 }
 
 static guint
-count_records (const Sim *sim)
+count_records (const Simulation *simulation)
 {
   guint count = 0;
-  g_tree_foreach (sim->world->keys, count_record, &count);
+  g_tree_foreach (simulation->store->keys, count_record, &count);
   return count;
 }
 
 static bool
-rechunked (Sim *sim, gpointer unused)
+rechunked (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return sim_logged (sim, "re-chunked into") || sim_logged (sim, "laid out anew");
+  return simulation_logged (simulation, "re-chunked into")
+         || simulation_logged (simulation, "laid out anew");
 }
 
 /* A job of more records than a transaction takes changes, or of fewer. The leaders of both versions
@@ -331,47 +335,47 @@
 static bool
 rechunk_across (const Change *change, guint value_bytes, bool many, guint writes)
 {
-  Sim *sim = sim_new (7);
-  sim_limit (sim, value_bytes, TXN_OPS);
-  sim->world->capacity = 6;
-  MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, CHUNKED_TASKS, 0.04);
+  Simulation *simulation = simulation_new (7);
+  simulation_limit (simulation, value_bytes, TXN_OPS);
+  simulation->cloud->capacity = 6;
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, CHUNKED_TASKS, 0.04);
   spec->mem_gb = 0.1;
   spec->estimate_us = 600 * MH_SECOND_US;
-  SimUser *job = sim_submit (sim, spec, 45);
-  WAIT (sim, 60, all_run, job);
+  User *job = simulation_submit (simulation, spec, 45);
+  WAIT (simulation, 60, all_run, job);
   if (many)
-    g_assert_cmpuint (count_records (sim), >, TXN_OPS);
+    g_assert_cmpuint (count_records (simulation), >, TXN_OPS);
   else
-    g_assert_cmpuint (count_records (sim), <=, TXN_OPS);
+    g_assert_cmpuint (count_records (simulation), <=, TXN_OPS);
 
-  guint records = count_records (sim);
-  for (guint i = 0; i < SIM_NODES; i++)
+  guint records = count_records (simulation);
+  for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      sim_stop_node (sim, i);
-      sim->nodes[i].settings->value_bytes = SMALL_VALUE_BYTES;
-      sim->nodes[i].version = i == 0 ? change->from : change->to;
+      simulation_stop_node (simulation, i);
+      simulation->nodes[i].settings->value_bytes = SMALL_VALUE_BYTES;
+      simulation->nodes[i].version = i == 0 ? change->from : change->to;
     }
-  sim->nodes[0].hold_writes = true;
-  sim_start_node (sim, 0);
+  simulation->nodes[0].hold_writes = true;
+  simulation_start_node (simulation, 0);
   /* The first one makes it the leader. */
-  WAIT (sim, 10, write_held, NULL);
-  sim_release_write (sim, true);
-  for (guint i = 0; i < writes && sim_until (sim, 2, write_held, NULL); i++)
-    sim_release_write (sim, true);
-  sim_run (sim, 0.05);
-  sim_stop_node (sim, 0);
-  sim->nodes[0].hold_writes = false;
-  g_ptr_array_set_size (sim->held_writes, 0);
-  bool midway = count_records (sim) > records && !rechunked (sim, NULL);
-  for (guint i = 1; i < SIM_NODES; i++)
-    sim_start_node (sim, i);
-  WAIT (sim, 30, rechunked, NULL);
-  sim->nodes[0].version = change->to;
-  sim_start_node (sim, 0);
-
-  WAIT (sim, 120, told_done, job);
-  g_assert_cmpuint (sim->world->starts, ==, CHUNKED_TASKS);
-  finish (sim);
+  WAIT (simulation, 10, write_held, NULL);
+  outgoing_calls_release_write (simulation, true);
+  for (guint i = 0; i < writes && simulation_until (simulation, 2, write_held, NULL); i++)
+    outgoing_calls_release_write (simulation, true);
+  simulation_run (simulation, 0.05);
+  simulation_stop_node (simulation, 0);
+  simulation->nodes[0].hold_writes = false;
+  g_ptr_array_set_size (simulation->network->held_writes, 0);
+  bool midway = count_records (simulation) > records && !rechunked (simulation, NULL);
+  for (guint i = 1; i < SIMULATION_NODES; i++)
+    simulation_start_node (simulation, i);
+  WAIT (simulation, 30, rechunked, NULL);
+  simulation->nodes[0].version = change->to;
+  simulation_start_node (simulation, 0);
+
+  WAIT (simulation, 120, told_done, job);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, CHUNKED_TASKS);
+  finish (simulation);
   return midway;
 }
 
