--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -39,9 +39,11 @@
 static bool
 may_rent (const MhCore *core)
 {
-  return core->leader.rebuilt && core->types && core->scale.listed && !core->scale.renting
-         && (core->leader.own_epoch == 1
-             || core->now.mono_us - core->leader.since_us > core->settings->list_lag_us);
+  return mh_recovery_is_complete (core->recovery) && core->types && core->scale.listed
+         && !core->scale.renting
+         && (mh_election_epoch (core->election) == 1
+             || core->now.mono_us - mh_election_elected_us (core->election)
+                    > core->settings->list_lag_us);
 }
 
 static void
@@ -58,7 +60,7 @@
     return "its next try: it fails wherever it starts";
   if (core->now.mono_us < job->retry_us)
     return "its next try";
-  if (job->n_unheard && !core->leader.rebuilt)
+  if (job->n_unheard && !mh_recovery_is_complete (core->recovery))
     return "reports of the machines that it may be on";
   if (!mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
     return "its team's limit";
@@ -138,6 +140,6 @@
     core->scale.lost_cpus = 0;
   if (may_rent (core))
     plan_and_rent (core);
-  if (core->leader.rebuilt)
+  if (mh_recovery_is_complete (core->recovery))
     mh_consolidate (core, waiting);
 }
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -127,12 +127,12 @@
   Parcel *p = data;
   g_auto (GStrv) failed = status == 409 ? mh_wire_read_failed (body) : NULL;
   if (failed && g_strv_contains ((const char *const *)failed, "leader"))
-    mh_leader_lost (core, "another controller leads");
+    mh_election_step_down (core->election, MH_LOSS_ANOTHER_LEADER);
   /* Refused because it is there: a copy that was not answered has been carried out. */
   else if (status == 200 || status == 409)
     call (core, p);
   else if (status == 400)
-    mh_leader_lost (core, "the state service calls a record malformed");
+    mh_election_step_down (core->election, MH_LOSS_RECORD_REFUSED);
   else
     {
       mh_core_state_call_failed (core, status);
@@ -143,7 +143,8 @@
 static void
 write_down (MhCore *core, Parcel *p)
 {
-  MhCondition conditions[] = { { "leader", core->leader.own_version }, { p->key, 0 } };
+  MhCondition conditions[]
+      = { { "leader", mh_election_key_version (core->election) }, { p->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (p->names);
   g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
   MhChange put = { .key = p->key, .value = value };
@@ -234,7 +235,7 @@
   Parcel *p = g_rc_box_new0 (Parcel);
   /* The epoch is this leadership's alone. */
   p->key = g_strdup_printf ("%s%" G_GUINT64_FORMAT "/%u", MH_RECORD_RELEASES,
-                            core->leader.own_epoch, ++core->release.parcels);
+                            mh_election_epoch (core->election), ++core->release.parcels);
   p->names = g_strv_builder_end (names);
   p->old_keys = g_strv_builder_end (old_keys);
   write_down (core, p);
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -129,8 +129,8 @@
     return;
   Rental *r = g_new0 (Rental, 1);
   /* The epoch is this leadership's alone, so the name was never used before. */
-  r->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, core->leader.own_epoch,
-                             ++core->scale.rentals);
+  r->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+                             mh_election_epoch (core->election), ++core->scale.rentals);
   r->type = g_strdup (first->type->name);
   r->zone = g_strdup (first->zone);
   r->spot = first->spot;
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -77,7 +77,7 @@
   gint64 now = core->now.mono_us, age_us = now - machine->rented_us;
   if (machine->late_age_us == 0 && age_us > late_us (core, machine->type))
     note_late (core, machine, age_us);
-  gint64 leading_us = now - core->leader.since_us;
+  gint64 leading_us = now - mh_election_elected_us (core->election);
   /* It may report to this leader for the first time only now. */
   if (machine->late_age_us && age_us > GIVEN_UP * machine->late_age_us
       && leading_us > core->settings->report_us * 2 + 6 * MH_SECOND_US)
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -78,7 +78,7 @@
   if (is_report)
     {
       z->last_report_us = core->now.mono_us;
-      core->leader.vain_hand_overs = 0;
+      core->fruitless_transfers = 0;
     }
   z->partitioned_until_us = 0;
 }
@@ -139,7 +139,7 @@
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (r->token < core->leader.own_epoch && mh_leader_valid (core))
+      if (r->token < mh_election_epoch (core->election) && mh_election_is_leader (core->election))
         mh_command_send (core, m, true);
     }
   /* The answer to a question is newer than all that was known when it was put. One that counts from
@@ -231,7 +231,8 @@
 check_unseen (MhCore *core, MhMachine *m)
 {
   const MhPatience *patience = &core->patience;
-  gint64 unseen = mh_fleet_silence_us (core, MAX (core->leader.since_us, m->known_us));
+  gint64 unseen
+      = mh_fleet_silence_us (core, MAX (mh_election_elected_us (core->election), m->known_us));
   if (core->now.mono_us - m->unverified_us > SECOND_REPORT_US)
     ask (core, m);
   if (unseen > patience->unseen_us
@@ -315,7 +316,7 @@
                       MAX (UNHEARD_LEADER_US, report * 3 / 2));
   else
     patience = (gint64)core->settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return patience << MIN (core->leader.vain_hand_overs, LONGEST_HAND_OVERS);
+  return patience << MIN (core->fruitless_transfers, LONGEST_HAND_OVERS);
 }
 
 /* A leader that gets the reports of none of several workers, though the state service serves it, is
@@ -334,9 +335,10 @@
     }
   if (machines < LEAST_OF_ZONE || core->settings->members->len == 0)
     return;
-  gint64 unheard = mh_fleet_silence_us (core, MAX (heard_us, core->leader.since_us));
+  gint64 unheard
+      = mh_fleet_silence_us (core, MAX (heard_us, mh_election_elected_us (core->election)));
   if (unheard <= unheard_patience_us (core, machines, heard_us > 0))
     return;
-  core->leader.vain_hand_overs++;
-  mh_leader_hand_over (core, "no worker is heard any more");
+  core->fruitless_transfers++;
+  mh_election_transfer_leadership (core->election, MH_LOSS_NO_HEARTBEATS);
 }
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -500,7 +500,7 @@
 {
   const MhMachine *m = a->machine;
   if (a->loaded)
-    return m->token >= core->leader.own_epoch;
+    return m->token >= mh_election_epoch (core->election);
   if (!a->start_sent)
     return false;
   if (a->start_session < m->session)
@@ -569,7 +569,7 @@
   if (task && t->attempt > task->attempt)
     {
       /* Each attempt is written before it is sent: memory must be behind the records. */
-      mh_leader_lost (core, "a worker runs an attempt that is not on record here");
+      mh_election_step_down (core->election, MH_LOSS_UNKNOWN_ATTEMPT);
       return;
     }
   if (a && a->machine == m && a->attempt == t->attempt)
@@ -665,7 +665,7 @@
     return false;
   if (r->token > mh_command_token (core, m))
     {
-      mh_leader_lost (core, "a worker has seen a higher token");
+      mh_election_step_down (core->election, MH_LOSS_HIGHER_TOKEN);
       return false;
     }
   observe (core, m, r, false);
@@ -690,8 +690,9 @@
 static bool
 may_keep_alive (const MhCore *core)
 {
-  return core->leader.phase == MH_PHASE_LEAD && !core->leader.lost
-         && core->now.mono_us < core->leader.confirmed_us + mh_fleet_keep_alive_us (core);
+  return mh_election_state (core->election) == MH_LEADERSHIP_LEADING
+         && core->now.mono_us
+                < mh_election_last_renewal_us (core->election) + mh_fleet_keep_alive_us (core);
 }
 
 static void
@@ -702,8 +703,8 @@
   a->body = body;
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
-  if (status == 200 && mh_leader_valid (core))
-    a->until_us = core->leader.valid_until_us;
+  if (status == 200 && mh_election_is_leader (core->election))
+    a->until_us = mh_election_lease_until_us (core->election);
 }
 
 /* A report of unknown age: at most it tells where to ask. */
@@ -755,24 +756,24 @@
 {
   MhMachine *m = mh_fleet_machine (core, r->machine);
   /* One that this leadership knew is known no more when it has been given back. */
-  bool was_ours = m == NULL && r->token > core->leader.own_epoch
-                  && r->token < core->leader.own_epoch + MH_EPOCHS_EACH;
-  if (core->leader.phase == MH_PHASE_LEAD && (was_ours || mh_fleet_returned (core, r->machine)))
+  bool was_ours = m == NULL && r->token > mh_election_epoch (core->election)
+                  && r->token < mh_election_epoch (core->election) + MH_EPOCHS_PER_LEADERSHIP;
+  if (mh_election_has_loaded (core->election) && (was_ours || mh_fleet_returned (core, r->machine)))
     {
       answer_report (core, id, 503, NULL);
       return;
     }
   if (r->token > mh_command_token (core, m))
     {
-      mh_leader_lost (core, "a worker has seen a higher token");
+      mh_election_step_down (core->election, MH_LOSS_HIGHER_TOKEN);
       answer_report (core, id, 421, mh_wire_write_redirect (NULL));
       return;
     }
   /* One that has not read the records yet does not know what is cancelled: each of its answers
      would keep such tasks alive, and slow reads, or one short leadership after the other, for ever.
    */
-  bool valid = mh_leader_valid (core);
-  if (core->leader.phase != MH_PHASE_LEAD || (!valid && !may_keep_alive (core)))
+  bool valid = mh_election_is_leader (core->election);
+  if (!mh_election_has_loaded (core->election) || (!valid && !may_keep_alive (core)))
     {
       answer_report (core, id, 503, NULL);
       return;
@@ -782,7 +783,7 @@
   /* Copies of reports come late, also of machines that are long gone and to a leader that has
      heard nothing newer. Only one with an epoch of this leadership was surely sent in it; by
      any other the worker is merely answered, and it reports again when it has seen the epoch. */
-  if (r->token < core->leader.own_epoch)
+  if (r->token < mh_election_epoch (core->election))
     note_unverified_report (core, m, r);
   else
     {
@@ -795,7 +796,7 @@
         {
           check_answer_received (core, m, r);
           observe (core, m, r, true);
-          if (valid && !core->leader.lost)
+          if (valid && !mh_election_is_stepping_down (core->election))
             {
               mh_command_collect (core, m, commands);
               told = m->told = true;
--- /dev/null
+++ b/src/cluster/recovery.c
@@ -0,0 +1,50 @@
+#include "cluster/recovery.h"
+
+#include "protocol/types.h"
+
+/* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
+#define REPORTS_AWAITED 2
+#define RECONNECT_US (2 * MH_SECOND_US)
+
+struct MhRecovery
+{
+  bool complete;
+  gint64 deadline_us; /* steady time after which no machine is waited for */
+};
+
+MhRecovery *
+mh_recovery_new (void)
+{
+  return g_new0 (MhRecovery, 1);
+}
+
+void
+mh_recovery_free (MhRecovery *recovery)
+{
+  g_free (recovery);
+}
+
+void
+mh_recovery_begin (MhRecovery *recovery, gint64 now_us, gint64 report_us)
+{
+  g_return_if_fail (recovery);
+  recovery->complete = false;
+  recovery->deadline_us = now_us + REPORTS_AWAITED * report_us + RECONNECT_US;
+}
+
+bool
+mh_recovery_update (MhRecovery *recovery, gint64 now_us, bool all_reported)
+{
+  g_return_val_if_fail (recovery, false);
+  if (recovery->complete || (!all_reported && now_us < recovery->deadline_us))
+    return false;
+  recovery->complete = true;
+  return true;
+}
+
+bool
+mh_recovery_is_complete (const MhRecovery *recovery)
+{
+  g_return_val_if_fail (recovery, false);
+  return recovery->complete;
+}
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -37,7 +37,7 @@
 guint64
 mh_command_token (const MhCore *core, const MhMachine *m)
 {
-  return core->leader.own_epoch + (m ? m->fence : 0);
+  return mh_election_epoch (core->election) + (m ? m->fence : 0);
 }
 
 /* A direct start may have been lost, or a clear waits until no late copy of it can run it again:
@@ -58,9 +58,9 @@
     }
   if (!wanted || !helps)
     return;
-  if (m->fence + 2 >= MH_EPOCHS_EACH)
+  if (m->fence + 2 >= MH_EPOCHS_PER_LEADERSHIP)
     {
-      mh_leader_lost (core, "the epochs of this leadership are used up");
+      mh_election_step_down (core->election, MH_LOSS_TOKENS_EXHAUSTED);
       return;
     }
   m->fence++;
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -11,6 +11,7 @@
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/recovery.h"
 #include "placement/gang-scheduling.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
@@ -75,31 +76,9 @@
   MhBucket state_bucket, write_bucket, cloud_bucket;
   gint64 state_pause_us, cloud_pause_us;
 
-  struct
-  {
-    MhPhase phase;
-    char *node;    /* who leads, as far as known */
-    guint64 epoch; /* that node's */
-    guint64 key_version;
-    guint64 own_epoch; /* while leading: the first of MH_EPOCHS_EACH */
-    guint64 own_version;
-    guint64 lease_id;
-    gint64 valid_until_us; /* of the lease, by the steady clock */
-    gint64 confirmed_us;   /* a renewal that was answered was sent then */
-    gint64 renew_us;
-    bool renewing, busy;
-    gint64 retry_us;
-    gint64 since_us;               /* leading since */
-    gint64 usable_us;              /* when a usable leader was last known */
-    gint64 unreached_us, tried_us; /* users' requests have not reached it since; the last one */
-    const char *lost;              /* why, until the next step */
-    bool hands_over;               /* ... and another one shall lead */
-    gint64 shy_until_us;
-    guint vain_hand_overs; /* because no worker was heard, and none has been since */
-    bool rebuilt;          /* every machine that should has reported, or has had the time */
-    gint64 rebuild_until_us;
-    gint64 announced_us;
-  } leader;
+  MhElection *election;
+  MhRecovery *recovery;
+  guint fruitless_transfers; /* of leadership, because no worker was heard; none has been since */
 
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -7,12 +7,6 @@
 #define FINALS_MEMORY_PART 32
 #define FINAL_BYTES 200
 #define LEAST_FINALS_KEPT 2000u
-/* A node that has had no usable leader for so long is rather cut off by itself. */
-#define READY_US (30 * MH_SECOND_US)
-/* One that cannot reach a leader which the state service says is there sends its users elsewhere
-   after the first, and tries again after the second. */
-#define UNREACHED_US (MH_SECOND_US * 3 / 2)
-#define TRY_AGAIN_US (4 * MH_SECOND_US)
 /* A user waits two seconds for an answer. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
 /* Of the rate of changes, and the burst; the others write a little too. */
@@ -54,8 +48,8 @@
   MhAction *a = g_new0 (MhAction, 1);
   a->kind = kind;
   a->id = id;
-  if (kind == MH_ACTION_ANSWER_USER && mh_leader_valid (core))
-    a->until_us = core->leader.valid_until_us;
+  if (kind == MH_ACTION_ANSWER_USER && mh_election_is_leader (core->election))
+    a->until_us = mh_election_lease_until_us (core->election);
   g_queue_push_tail (&core->actions, a);
   return a;
 }
@@ -158,7 +152,7 @@
   a->timeout_us = q->timeout_us;
   /* Commands, rentals, releases. What is written has its own conditions. */
   if (a->request->target != MH_TARGET_STATE && a->request->body)
-    a->until_us = core->leader.valid_until_us;
+    a->until_us = mh_election_lease_until_us (core->election);
   queued_free (q);
 }
 
@@ -253,7 +247,7 @@
 flush_cloud (MhCore *core)
 {
   gint64 now = core->now.mono_us;
-  if (!mh_leader_valid (core))
+  if (!mh_election_is_leader (core->election))
     return;
   for (guint rank = 0; rank < MH_RANKS; rank++)
     for (MhQueued *q; (q = g_queue_peek_head (&core->cloud_queue[rank]));)
@@ -275,7 +269,8 @@
 flush_workers (MhCore *core)
 {
   guint most = MAX (LEAST_WORKER_CALLS, core->settings->max_connections / WORKER_CALLS_PART);
-  while (core->worker_queue.length && core->worker_calls < most && mh_leader_valid (core))
+  while (core->worker_queue.length && core->worker_calls < most
+         && mh_election_is_leader (core->election))
     {
       MhQueued *q = g_queue_pop_head (&core->worker_queue);
       MhCall *call = g_hash_table_lookup (core->calls, &q->id);
@@ -459,7 +454,7 @@
 forward (MhCore *core, guint64 id, const char *job_id)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_FORWARD, id);
-  a->text = g_strdup (core->leader.node);
+  a->text = g_strdup (mh_election_leader_name (core->election));
   a->timeout_us = FORWARD_TIMEOUT_US;
   g_hash_table_insert (core->forwards, g_memdup2 (&id, sizeof id), g_strdup (job_id));
 }
@@ -472,13 +467,11 @@
                     const MhJobSpec *spec, bool forwarded)
 {
   const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
-  bool other = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
-               && strcmp (core->leader.node, core->settings->node) != 0;
   if (final)
     mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *final;
-  else if (!forwarded && other)
+  else if (!forwarded && mh_election_other_leader (core->election))
     forward (core, id, job_id);
-  else if (!forwarded && core->leader.phase < MH_PHASE_LOAD
+  else if (!forwarded && !mh_election_is_elected (core->election)
            && (verb == MH_USER_STATUS || (spec && judge (core, spec) == 422)))
     mh_lookup_job (core, id, job_id, verb, false);
   else
@@ -491,7 +484,7 @@
 {
   enter (core, now);
   const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
-  if (core->leader.phase != MH_PHASE_LEAD || !mh_leader_valid (core))
+  if (!mh_election_is_serving (core->election))
     {
       user_not_in_charge (core, id, verb, job_id, spec, forwarded);
       mh_job_spec_free (spec);
@@ -543,18 +536,16 @@
   job = value;
   if (answer)
     {
-      core->leader.usable_us = now->mono_us;
-      core->leader.unreached_us = 0;
+      mh_election_note_forward_answered (core->election);
       mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *answer;
       remember_final (core, job, answer);
     }
   else
     {
-      core->leader.tried_us = now->mono_us;
+      const char *leader = mh_election_leader_name (core->election);
       mh_info_limited (core, MH_LOG_PEER, "leader %s: a request that was passed on has no answer",
-                       core->leader.node ? core->leader.node : "unknown");
-      if (core->leader.unreached_us == 0)
-        core->leader.unreached_us = now->mono_us;
+                       leader ? leader : "unknown");
+      mh_election_note_forward_failed (core->election);
       mh_core_answer (core, id, 503, 1);
     }
   mh_core_step (core);
@@ -566,13 +557,13 @@
 mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report)
 {
   enter (core, now);
-  if (core->leader.phase >= MH_PHASE_LOAD)
+  if (mh_election_is_elected (core->election))
     mh_fleet_report (core, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
       a->status = 421;
-      a->body = mh_wire_write_redirect (core->leader.node);
+      a->body = mh_wire_write_redirect (mh_election_leader_name (core->election));
     }
   mh_core_step (core);
 }
@@ -581,7 +572,7 @@
 mh_core_leader_announced (MhCore *core, const MhNow *now, const char *node, guint64 epoch)
 {
   enter (core, now);
-  mh_leader_announced (core, node, epoch);
+  mh_election_leader_announced (core->election, node, epoch);
   mh_core_step (core);
 }
 
@@ -590,29 +581,54 @@
 bool
 mh_core_ready (const MhCore *core)
 {
-  /* Neither an ordinary change of leader nor an outage of the state service must make the load
-     balancer drop the node: every other would be dropped with it, and be taken back late. */
-  gint64 now = core->now.mono_us;
-  bool unreached = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
-                   && core->leader.unreached_us > 0
-                   && now - core->leader.unreached_us > UNREACHED_US
-                   && now - core->leader.tried_us < TRY_AGAIN_US;
-  return core->leader.usable_us > 0 && now - core->leader.usable_us < READY_US && !unreached;
+  return mh_election_is_ready (core->election);
 }
 
 bool
 mh_core_leads (const MhCore *core)
 {
-  return mh_leader_valid (core);
+  return mh_election_is_leader (core->election);
+}
+
+/* Recovery is complete when every machine that a record or the list knows as running has reported.
+   One that gives no answer either will not report. */
+static bool
+all_machines_reported (const MhCore *core)
+{
+  if (core->types == NULL || !core->scale.listed)
+    return false;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, core->machines);
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    {
+      const MhMachine *machine = value;
+      if (!machine->releasing && !machine->reported && !mh_failure_unreachable (machine)
+          && (machine->running || machine->attempts->len))
+        return false;
+    }
+  return true;
+}
+
+static void
+update_recovery (MhCore *core)
+{
+  if (mh_recovery_is_complete (core->recovery)
+      || !mh_recovery_update (core->recovery, core->now.mono_us, all_machines_reported (core)))
+    return;
+  core->place_wanted = true;
+  mh_info (core, "counts rebuilt %.1f s after the election",
+           (double)(core->now.mono_us - mh_election_elected_us (core->election)) / MH_SECOND_US);
 }
 
 void
 mh_core_step (MhCore *core)
 {
   core->wake_us = core->now.mono_us + MH_SECOND_US / 2;
-  mh_leader_step (core);
-  if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
+  mh_election_step (core->election);
+  if (mh_election_is_serving (core->election))
     {
+      update_recovery (core);
       mh_fleet_step (core);
       mh_place_step (core);
       mh_scale_step (core);
@@ -636,6 +652,8 @@
   gint64 t = now->mono_us;
   core->settings = settings;
   core->now = *now;
+  core->election = mh_election_new (core);
+  core->recovery = mh_recovery_new ();
   core->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, call_free);
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
@@ -659,7 +677,6 @@
   mh_command_init (core);
   mh_failure_init (core);
   mh_bucket_init (&core->cloud_bucket, settings->cloud_rps * 0.9, settings->cloud_rps * 1.5, t);
-  mh_leader_start (core);
   if (mh_fleet_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
@@ -696,6 +713,7 @@
   g_hash_table_unref (core->class_stats);
   g_hash_table_unref (core->boot_stats);
   g_hash_table_unref (core->scale.refused);
-  g_free (core->leader.node);
+  mh_recovery_free (core->recovery);
+  mh_election_free (core->election);
   g_free (core);
 }
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -14,13 +14,57 @@
 #define ANNOUNCE_US (MH_SECOND_US)
 /* A leader that has handed over lets the others try first for so long. */
 #define SHY_US (4 * MH_SECOND_US)
+/* A node that has had no usable leader for so long is rather cut off by itself. */
+#define READY_US (30 * MH_SECOND_US)
+/* One that cannot reach a leader which the state service says is there sends its users elsewhere
+   after the first, and tries again after the second. */
+#define UNREACHED_US (MH_SECOND_US * 3 / 2)
+#define TRY_AGAIN_US (4 * MH_SECOND_US)
 #define WATCH_US (5 * MH_SECOND_US)
 
+struct MhElection
+{
+  MhCore *core;
+  MhLeadership state;
+  char *node;    /* who leads, as far as known */
+  guint64 epoch; /* that node's */
+  guint64 key_version;
+  guint64 own_epoch; /* while leading: the first of MH_EPOCHS_PER_LEADERSHIP */
+  guint64 own_version;
+  guint64 lease_id;
+  gint64 valid_until_us; /* of the lease, by the steady clock */
+  gint64 confirmed_us;   /* a renewal that was answered was sent then */
+  gint64 renew_us;
+  bool renewing, busy;
+  gint64 retry_us;
+  gint64 since_us;               /* leading since */
+  gint64 usable_us;              /* when a usable leader was last known */
+  gint64 unreached_us, tried_us; /* users' requests have not reached it since; the last one */
+  MhLossReason lost;             /* why it steps down */
+  bool hands_over;               /* ... and another one shall lead */
+  gint64 shy_until_us;
+  gint64 announced_us;
+};
+
+static const char *const loss_texts[]
+    = { [MH_LOSS_NONE] = "none",
+        [MH_LOSS_LEASE_EXPIRED] = "the lease has ended",
+        [MH_LOSS_ANOTHER_LEADER] = "another controller leads",
+        [MH_LOSS_ANOTHER_ANNOUNCED] = "another controller says that it leads",
+        [MH_LOSS_RECORD_REFUSED] = "the state service calls a record malformed",
+        [MH_LOSS_RECORD_DIFFERS] = "a record is not what it was written as",
+        [MH_LOSS_RECORD_CHANGED] = "a record was changed by somebody else",
+        [MH_LOSS_WRITE_OUTCOME_UNKNOWN] = "an unanswered write cannot be accounted for",
+        [MH_LOSS_UNKNOWN_ATTEMPT] = "a worker runs an attempt that is not on record here",
+        [MH_LOSS_HIGHER_TOKEN] = "a worker has seen a higher token",
+        [MH_LOSS_TOKENS_EXHAUSTED] = "the epochs of this leadership are used up",
+        [MH_LOSS_NO_HEARTBEATS] = "no worker is heard any more" };
+
 bool
-mh_leader_valid (const MhCore *core)
+mh_election_is_leader (const MhElection *election)
 {
-  return core->leader.phase >= MH_PHASE_LOAD && !core->leader.lost
-         && core->now.mono_us < core->leader.valid_until_us;
+  return (election->state == MH_LEADERSHIP_LOADING || election->state == MH_LEADERSHIP_LEADING)
+         && election->core->now.mono_us < election->valid_until_us;
 }
 
 static gint64
@@ -32,7 +76,7 @@
 static bool
 self (const MhCore *core)
 {
-  return core->leader.node && strcmp (core->leader.node, core->settings->node) == 0;
+  return core->election->node && strcmp (core->election->node, core->settings->node) == 0;
 }
 
 /* ---- following ---- */
@@ -47,8 +91,8 @@
 static void
 retry (MhCore *core, gint64 after_us)
 {
-  core->leader.busy = false;
-  core->leader.retry_us
+  core->election->busy = false;
+  core->election->retry_us
       = core->now.mono_us + after_us + (gint64)(core->now.jitter * (double)after_us);
 }
 
@@ -59,19 +103,19 @@
   guint64 epoch = 0, lease_id;
   if (e->value == NULL || !mh_record_read_leader (e->value, &node, &epoch, &lease_id))
     {
-      g_clear_pointer (&core->leader.node, g_free);
+      g_clear_pointer (&core->election->node, g_free);
       return;
     }
-  if (g_strcmp0 (node, core->leader.node) != 0)
+  if (g_strcmp0 (node, core->election->node) != 0)
     {
       mh_info (core, "leader: %s, epoch %" G_GUINT64_FORMAT, node, epoch);
-      core->leader.unreached_us = 0;
+      core->election->unreached_us = 0;
     }
-  g_free (core->leader.node);
-  core->leader.node = node;
-  core->leader.epoch = epoch;
-  core->leader.key_version = e->version;
-  core->leader.usable_us = core->now.mono_us;
+  g_free (core->election->node);
+  core->election->node = node;
+  core->election->epoch = epoch;
+  core->election->key_version = e->version;
+  core->election->usable_us = core->now.mono_us;
 }
 
 static void
@@ -80,8 +124,8 @@
   (void)data;
   if (status == 404)
     {
-      g_clear_pointer (&core->leader.node, g_free);
-      core->leader.key_version = 0;
+      g_clear_pointer (&core->election->node, g_free);
+      core->election->key_version = 0;
       campaign (core);
       return;
     }
@@ -105,7 +149,7 @@
 static void
 look (MhCore *core)
 {
-  core->leader.busy = true;
+  core->election->busy = true;
   mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, look_reply, NULL,
                 NULL);
 }
@@ -130,15 +174,15 @@
     }
   if (last == NULL)
     {
-      core->leader.usable_us = core->now.mono_us;
+      core->election->usable_us = core->now.mono_us;
       watch (core, revision);
     }
   else if (last->value == NULL)
     {
       mh_info (core, "leader %s: its lease has ended",
-               core->leader.node ? core->leader.node : "unknown");
-      g_clear_pointer (&core->leader.node, g_free);
-      core->leader.key_version = 0;
+               core->election->node ? core->election->node : "unknown");
+      g_clear_pointer (&core->election->node, g_free);
+      core->election->key_version = 0;
       campaign (core);
     }
   else
@@ -154,8 +198,8 @@
 static void
 watch (MhCore *core, guint64 since)
 {
-  core->leader.phase = MH_PHASE_FOLLOW;
-  core->leader.busy = true;
+  core->election->state = MH_LEADERSHIP_FOLLOWING;
+  core->election->busy = true;
   mh_core_call (core, MH_RANK_LEASE, mh_wire_watch ("leader", since, WATCH_US), 0,
                 WATCH_US + CALL_TIMEOUT_US, watch_reply, NULL, NULL);
 }
@@ -175,28 +219,28 @@
 static void
 give_up_campaign (MhCore *core, gint64 again_us)
 {
-  core->leader.phase = MH_PHASE_FOLLOW;
-  if (core->leader.lease_id)
-    mh_core_call (core, MH_RANK_STRANGER, mh_wire_lease_revoke (core->leader.lease_id), 0,
+  core->election->state = MH_LEADERSHIP_FOLLOWING;
+  if (core->election->lease_id)
+    mh_core_call (core, MH_RANK_STRANGER, mh_wire_lease_revoke (core->election->lease_id), 0,
                   CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
-  core->leader.lease_id = 0;
+  core->election->lease_id = 0;
   retry (core, again_us);
 }
 
 static void
 won (MhCore *core, guint64 version)
 {
-  core->leader.own_version = core->leader.key_version = version;
-  g_free (core->leader.node);
-  core->leader.node = g_strdup (core->settings->node);
-  core->leader.epoch = core->leader.own_epoch;
-  core->leader.since_us = core->now.mono_us;
-  core->leader.busy = false;
-  core->leader.phase = MH_PHASE_LOAD;
-  core->leader.renew_us = core->now.mono_us;
+  core->election->own_version = core->election->key_version = version;
+  g_free (core->election->node);
+  core->election->node = g_strdup (core->settings->node);
+  core->election->epoch = core->election->own_epoch;
+  core->election->since_us = core->now.mono_us;
+  core->election->busy = false;
+  core->election->state = MH_LEADERSHIP_LOADING;
+  core->election->renew_us = core->now.mono_us;
   core->scale.rentals = 0;
   mh_info (core, "leading with epoch %" G_GUINT64_FORMAT "; loading records",
-           core->leader.own_epoch);
+           core->election->own_epoch);
   mh_load_records (core);
 }
 
@@ -210,11 +254,11 @@
   /* An earlier life of this node, ended in the middle of its election, may have put its name there
      with the very same epoch, late, and attached to a lease that nobody renews any more. */
   bool mine = e && mh_record_read_leader (e->value, &node, &epoch, &lease_id)
-              && strcmp (node, core->settings->node) == 0 && epoch == core->leader.own_epoch
-              && lease_id == core->leader.lease_id;
+              && strcmp (node, core->settings->node) == 0 && epoch == core->election->own_epoch
+              && lease_id == core->election->lease_id;
   guint64 version = e ? e->version : 0;
   mh_entry_free (e);
-  if (mine && core->now.mono_us < core->leader.valid_until_us)
+  if (mine && core->now.mono_us < core->election->valid_until_us)
     won (core, version);
   else
     give_up_campaign (core, 100000);
@@ -227,7 +271,7 @@
   (void)data;
   if (status == 200 && mh_wire_read_revision (body, &version))
     {
-      if (core->now.mono_us < core->leader.valid_until_us)
+      if (core->now.mono_us < core->election->valid_until_us)
         won (core, version);
       else
         give_up_campaign (core, 100000);
@@ -243,11 +287,13 @@
 static void
 take (MhCore *core, guint64 epoch_version)
 {
-  MhCondition conditions[] = { { "leader", core->leader.key_version }, { "epoch", epoch_version } };
-  g_autoptr (MhValue) leader = mh_record_write_leader (core->settings->node, core->leader.own_epoch,
-                                                       core->leader.lease_id);
-  g_autoptr (MhValue) last = mh_record_write_epoch (core->leader.own_epoch + MH_EPOCHS_EACH - 1);
-  MhChange changes[] = { { "leader", leader, core->leader.lease_id }, { "epoch", last, 0 } };
+  MhCondition conditions[]
+      = { { "leader", core->election->key_version }, { "epoch", epoch_version } };
+  g_autoptr (MhValue) leader = mh_record_write_leader (
+      core->settings->node, core->election->own_epoch, core->election->lease_id);
+  g_autoptr (MhValue) last
+      = mh_record_write_epoch (core->election->own_epoch + MH_EPOCHS_PER_LEADERSHIP - 1);
+  MhChange changes[] = { { "leader", leader, core->election->lease_id }, { "epoch", last, 0 } };
   mh_core_call (
       core, MH_RANK_LEASE,
       mh_wire_txn (conditions, G_N_ELEMENTS (conditions), changes, G_N_ELEMENTS (changes)), 2,
@@ -273,7 +319,7 @@
       give_up_campaign (core, 200000);
       return;
     }
-  core->leader.own_epoch = epoch + 1;
+  core->election->own_epoch = epoch + 1;
   take (core, version);
 }
 
@@ -293,13 +339,13 @@
 static void
 lease_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
-  if (status != 200 || !mh_wire_read_lease (body, &core->leader.lease_id))
+  if (status != 200 || !mh_wire_read_lease (body, &core->election->lease_id))
     {
       give_up_campaign (core, 200000);
       return;
     }
-  core->leader.valid_until_us = lease_end (core, ((Sent *)data)->sent_us);
-  core->leader.confirmed_us = ((Sent *)data)->sent_us;
+  core->election->valid_until_us = lease_end (core, ((Sent *)data)->sent_us);
+  core->election->confirmed_us = ((Sent *)data)->sent_us;
   mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply, NULL,
                 NULL);
 }
@@ -307,17 +353,17 @@
 static void
 campaign (MhCore *core)
 {
-  if (core->now.mono_us < core->leader.shy_until_us)
+  if (core->now.mono_us < core->election->shy_until_us)
     {
       /* Once more after a while, if nobody else has taken it. */
-      core->leader.phase = MH_PHASE_FOLLOW;
+      core->election->state = MH_LEADERSHIP_FOLLOWING;
       retry (core, MH_SECOND_US);
-      core->leader.shy_until_us -= SHY_US / 2;
+      core->election->shy_until_us -= SHY_US / 2;
       return;
     }
-  core->leader.phase = MH_PHASE_CAMPAIGN;
-  core->leader.busy = true;
-  core->leader.lease_id = 0;
+  core->election->state = MH_LEADERSHIP_CAMPAIGNING;
+  core->election->busy = true;
+  core->election->lease_id = 0;
   mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_grant (core->settings->lease_us), 0,
                 CALL_TIMEOUT_US, lease_reply, sent_now (core), g_free);
 }
@@ -329,42 +375,45 @@
 {
   gint64 sent = ((Sent *)data)->sent_us;
   (void)body;
-  core->leader.renewing = false;
-  core->leader.renew_us = core->now.mono_us + core->settings->lease_us / 10;
+  core->election->renewing = false;
+  core->election->renew_us = core->now.mono_us + core->settings->lease_us / 10;
   if (status == 200)
     {
-      bool paused = core->now.mono_us >= core->leader.valid_until_us;
+      bool paused = core->now.mono_us >= core->election->valid_until_us;
       if (paused)
         mh_info (core, "lease renewed after a pause: nobody else can have led meanwhile");
       /* Their reports were refused for a while: that nothing was heard meanwhile says nothing of
          the workers. After an outage of a minute a whole fleet was once given back as silent. */
-      if (paused && core->now.mono_us >= core->leader.confirmed_us + mh_fleet_keep_alive_us (core))
+      if (paused
+          && core->now.mono_us >= core->election->confirmed_us + mh_fleet_keep_alive_us (core))
         core->awake_us = core->now.mono_us;
-      core->leader.valid_until_us = lease_end (core, sent);
-      core->leader.confirmed_us = sent;
-      core->leader.usable_us = core->now.mono_us;
-      core->leader.renew_us = sent + core->settings->lease_us / 4;
+      core->election->valid_until_us = lease_end (core, sent);
+      core->election->confirmed_us = sent;
+      core->election->usable_us = core->now.mono_us;
+      core->election->renew_us = sent + core->settings->lease_us / 4;
     }
   else if (status == 404)
-    mh_leader_lost (core, "the lease has ended");
+    mh_election_step_down (core->election, MH_LOSS_LEASE_EXPIRED);
   else
     mh_core_log_state_failure (core, status);
 }
 
 void
-mh_leader_lost (MhCore *core, const char *why)
+mh_election_step_down (MhElection *election, MhLossReason reason)
 {
   /* Carried out at the start of the next step: the caller may still hold what would be freed. */
-  if (core->leader.lost == NULL)
-    core->leader.lost = why;
+  if (!mh_election_is_elected (election) || election->state == MH_LEADERSHIP_STEPPING_DOWN)
+    return;
+  election->state = MH_LEADERSHIP_STEPPING_DOWN;
+  election->lost = reason;
 }
 
 void
-mh_leader_hand_over (MhCore *core, const char *why)
+mh_election_transfer_leadership (MhElection *election, MhLossReason reason)
 {
-  if (core->leader.lost == NULL)
-    core->leader.hands_over = true;
-  mh_leader_lost (core, why);
+  if (election->state != MH_LEADERSHIP_STEPPING_DOWN)
+    election->hands_over = true;
+  mh_election_step_down (election, reason);
 }
 
 static void
@@ -385,8 +434,7 @@
 static void
 step_down (MhCore *core)
 {
-  mh_info (core, "no longer leading: %s", core->leader.lost);
-  core->leader.lost = NULL;
+  mh_info (core, "no longer leading: %s", loss_texts[core->election->lost]);
   refuse_waiters (core);
   mh_core_drop_calls (core);
   mh_store_clear (core);
@@ -395,138 +443,219 @@
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
   g_hash_table_remove_all (core->unreadable);
-  core->leader.phase = MH_PHASE_FOLLOW;
-  core->leader.renewing = false;
-  core->leader.valid_until_us = 0;
-  core->leader.own_epoch = 0;
-  if (core->leader.hands_over)
+  core->election->state = MH_LEADERSHIP_FOLLOWING;
+  core->election->renewing = false;
+  core->election->valid_until_us = 0;
+  core->election->own_epoch = 0;
+  if (core->election->hands_over)
     {
       /* The lease is ended, so that the others need not wait for its end. */
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_revoke (core->leader.lease_id), 0,
+      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_revoke (core->election->lease_id), 0,
                     CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
-      core->leader.shy_until_us = core->now.mono_us + SHY_US;
+      core->election->shy_until_us = core->now.mono_us + SHY_US;
     }
-  core->leader.hands_over = false;
-  core->leader.lease_id = 0;
+  core->election->hands_over = false;
+  core->election->lease_id = 0;
   if (self (core))
-    g_clear_pointer (&core->leader.node, g_free);
+    g_clear_pointer (&core->election->node, g_free);
   retry (core, 50000);
 }
 
 void
-mh_leader_loaded (MhCore *core)
+mh_election_records_loaded (MhElection *election)
 {
-  core->leader.phase = MH_PHASE_LEAD;
-  core->leader.rebuilt = false;
+  MhCore *core = election->core;
+  election->state = MH_LEADERSHIP_LEADING;
+  mh_recovery_begin (core->recovery, core->now.mono_us, core->settings->report_us);
   core->place_wanted = true;
-  /* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
-  core->leader.rebuild_until_us
-      = core->now.mono_us + 2 * core->settings->report_us + 2 * MH_SECOND_US;
-  core->leader.usable_us = core->now.mono_us;
+  election->usable_us = core->now.mono_us;
   mh_fleet_loaded (core);
   mh_info (core, "%u unfinished jobs loaded; waiting for the workers' reports",
            g_hash_table_size (core->jobs));
   mh_scale_start (core);
 }
 
-/* Counts are rebuilt when every machine that a record or the list knows as running has reported. */
-static bool
-rebuilt (const MhCore *core)
-{
-  GHashTableIter it;
-  gpointer value;
-  if (core->now.mono_us >= core->leader.rebuild_until_us)
-    return true;
-  if (core->types == NULL || !core->scale.listed)
-    return false;
-  g_hash_table_iter_init (&it, core->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value))
-    {
-      const MhMachine *m = value;
-      /* One that gives no answer either will not report. */
-      if (!m->releasing && !m->reported && !mh_failure_unreachable (m)
-          && (m->running || m->attempts->len))
-        return false;
-    }
-  return true;
-}
-
 /* A node that is cut off from the state service learns here who leads: it passes users and workers
    on, and a former leader stops keeping the workers to itself. */
 void
-mh_leader_announced (MhCore *core, const char *node, guint64 epoch)
+mh_election_leader_announced (MhElection *election, const char *node, guint64 epoch)
 {
+  MhCore *core = election->core;
   /* The end of a leadership is told by the state service; a late announcement of it must not undo
    * that. */
-  if (epoch < core->leader.epoch || (epoch == core->leader.epoch && core->leader.node == NULL)
+  if (epoch < core->election->epoch
+      || (epoch == core->election->epoch && core->election->node == NULL)
       || strcmp (node, core->settings->node) == 0)
     return;
-  if (core->leader.phase >= MH_PHASE_LOAD)
+  if (mh_election_is_elected (core->election))
     {
-      if (epoch <= core->leader.own_epoch)
+      if (epoch <= core->election->own_epoch)
         return;
-      mh_leader_lost (core, "another controller says that it leads");
+      mh_election_step_down (core->election, MH_LOSS_ANOTHER_ANNOUNCED);
     }
-  if (g_strcmp0 (core->leader.node, node) != 0)
+  if (g_strcmp0 (core->election->node, node) != 0)
     {
-      g_free (core->leader.node);
-      core->leader.node = g_strdup (node);
-      core->leader.unreached_us = 0;
+      g_free (core->election->node);
+      core->election->node = g_strdup (node);
+      core->election->unreached_us = 0;
       mh_info (core, "leader: %s, epoch %" G_GUINT64_FORMAT ", by its own word", node, epoch);
     }
-  core->leader.epoch = epoch;
-  core->leader.usable_us = core->now.mono_us;
+  core->election->epoch = epoch;
+  core->election->usable_us = core->now.mono_us;
 }
 
 void
-mh_leader_step (MhCore *core)
+mh_election_step (MhElection *election)
 {
+  MhCore *core = election->core;
   gint64 now = core->now.mono_us;
-  if (core->leader.lost)
+  if (core->election->state == MH_LEADERSHIP_STEPPING_DOWN)
     step_down (core);
-  if (core->leader.phase < MH_PHASE_LOAD)
+  if (!mh_election_is_elected (core->election))
     {
-      if (!core->leader.busy && now >= core->leader.retry_us)
+      if (!core->election->busy && now >= core->election->retry_us)
         look (core);
-      if (!core->leader.busy)
-        mh_core_wake_at (core, core->leader.retry_us);
+      if (!core->election->busy)
+        mh_core_wake_at (core, core->election->retry_us);
       return;
     }
-  if (!core->leader.renewing && now >= core->leader.renew_us)
+  if (!core->election->renewing && now >= core->election->renew_us)
     {
-      core->leader.renewing = true;
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_renew (core->leader.lease_id), 0,
+      core->election->renewing = true;
+      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_renew (core->election->lease_id), 0,
                     MIN (CALL_TIMEOUT_US, core->settings->lease_us / 3), renew_reply,
                     sent_now (core), g_free);
     }
-  if (!core->leader.renewing)
-    mh_core_wake_at (core, core->leader.renew_us);
-  if (!mh_leader_valid (core))
+  if (!core->election->renewing)
+    mh_core_wake_at (core, core->election->renew_us);
+  if (!mh_election_is_leader (core->election))
     {
       /* What cannot be written now is answered now; the user comes again. */
       refuse_waiters (core);
       return;
     }
-  if (now >= core->leader.announced_us + ANNOUNCE_US)
+  if (now >= core->election->announced_us + ANNOUNCE_US)
     {
-      core->leader.announced_us = now;
+      core->election->announced_us = now;
       for (guint i = 0; i < core->settings->members->len; i++)
         {
-          MhAction *a = mh_core_act (core, MH_ACTION_ANNOUNCE_LEADER, core->leader.own_epoch);
+          MhAction *a = mh_core_act (core, MH_ACTION_ANNOUNCE_LEADER, core->election->own_epoch);
           a->text = g_strdup (((MhMember *)g_ptr_array_index (core->settings->members, i))->name);
         }
     }
-  if (core->leader.phase == MH_PHASE_LEAD && !core->leader.rebuilt && rebuilt (core))
-    {
-      core->leader.rebuilt = true;
-      core->place_wanted = true;
-      mh_info (core, "counts rebuilt %.1f s after the election",
-               (double)(now - core->leader.since_us) / MH_SECOND_US);
-    }
+}
+
+MhElection *
+mh_election_new (MhCore *core)
+{
+  MhElection *election = g_new0 (MhElection, 1);
+  election->core = core;
+  return election;
 }
 
 void
-mh_leader_start (MhCore *core)
+mh_election_free (MhElection *election)
+{
+  g_free (election->node);
+  g_free (election);
+}
+
+MhLeadership
+mh_election_state (const MhElection *election)
+{
+  return election->state;
+}
+
+bool
+mh_election_is_serving (const MhElection *election)
+{
+  return election->state == MH_LEADERSHIP_LEADING && mh_election_is_leader (election);
+}
+
+bool
+mh_election_is_elected (const MhElection *election)
+{
+  return election->state >= MH_LEADERSHIP_LOADING;
+}
+
+bool
+mh_election_has_loaded (const MhElection *election)
+{
+  return election->state >= MH_LEADERSHIP_LEADING;
+}
+
+bool
+mh_election_is_stepping_down (const MhElection *election)
+{
+  return election->state == MH_LEADERSHIP_STEPPING_DOWN;
+}
+
+const char *
+mh_election_leader_name (const MhElection *election)
+{
+  return election->node;
+}
+
+const char *
+mh_election_other_leader (const MhElection *election)
+{
+  return election->state == MH_LEADERSHIP_FOLLOWING && !self (election->core) ? election->node
+                                                                              : NULL;
+}
+
+guint64
+mh_election_epoch (const MhElection *election)
+{
+  return election->own_epoch;
+}
+
+guint64
+mh_election_key_version (const MhElection *election)
+{
+  return election->own_version;
+}
+
+gint64
+mh_election_elected_us (const MhElection *election)
+{
+  return election->since_us;
+}
+
+gint64
+mh_election_lease_until_us (const MhElection *election)
+{
+  return election->valid_until_us;
+}
+
+gint64
+mh_election_last_renewal_us (const MhElection *election)
+{
+  return election->confirmed_us;
+}
+
+void
+mh_election_note_forward_answered (MhElection *election)
+{
+  election->usable_us = election->core->now.mono_us;
+  election->unreached_us = 0;
+}
+
+void
+mh_election_note_forward_failed (MhElection *election)
+{
+  election->tried_us = election->core->now.mono_us;
+  if (election->unreached_us == 0)
+    election->unreached_us = election->core->now.mono_us;
+}
+
+bool
+mh_election_is_ready (const MhElection *election)
 {
-  core->leader.phase = MH_PHASE_FOLLOW;
+  /* Neither an ordinary change of leader nor an outage of the state service must make the load
+     balancer drop the node: every other would be dropped with it, and be taken back late. */
+  gint64 now = election->core->now.mono_us;
+  bool unreached = election->state == MH_LEADERSHIP_FOLLOWING && election->node
+                   && election->unreached_us > 0 && now - election->unreached_us > UNREACHED_US
+                   && now - election->tried_us < TRY_AGAIN_US;
+  return election->usable_us > 0 && now - election->usable_us < READY_US && !unreached;
 }
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -653,7 +653,7 @@
   const MhJobSpec *s = job->spec;
   if (job->n_unheard == 0)
     return true;
-  if (!core->leader.rebuilt)
+  if (!mh_recovery_is_complete (core->recovery))
     return false;
   if (s->shape != MH_SHAPE_SERVICE && !s->scatter && !s->one_zone)
     return true;
@@ -722,7 +722,7 @@
         }
       /* A service that would come too late by its image rather takes the room of lesser work where
          the image is. */
-      if (p->spread && c->wait_us > p->patience && core->leader.rebuilt
+      if (p->spread && c->wait_us > p->patience && mh_recovery_is_complete (core->recovery)
           && preempt_one (p, MAX (p->patience, 0)))
         {
           p->passed_over = true;
@@ -757,7 +757,8 @@
 static bool
 may_make_room (MhCore *core, const MhJob *job, gint64 patience)
 {
-  if (!core->leader.rebuilt || (mh_queue_tier (job) == 3 && job->spec->priority <= MH_PRIORITY_LOW))
+  if (!mh_recovery_is_complete (core->recovery)
+      || (mh_queue_tier (job) == 3 && job->spec->priority <= MH_PRIORITY_LOW))
     return false;
   if (waits_for_endings (job->spec) && core->now.mono_us - job->wanted_us < patience / 3)
     {
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -174,7 +174,7 @@
       while (g_hash_table_iter_next (&it, NULL, &job))
         if (((MhJob *)job)->unchunked_records)
           mh_rechunk_begin (core, job);
-      mh_leader_loaded (core);
+      mh_election_records_loaded (core->election);
     }
 }
 
--- a/src/storage/load.h
+++ b/src/storage/load.h
@@ -3,6 +3,6 @@
 
 #include "controller/core-types.h"
 
-/* Ends in mh_leader_loaded. */
+/* Ends in mh_election_records_loaded. */
 void
 mh_load_records (MhCore *core);
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -130,7 +130,8 @@
   if (status == 200)
     mh_core_final (core, l->job, &l->found);
   bool known
-      = status == 200 || (mh_leader_valid (core) && !g_hash_table_contains (core->jobs, l->job));
+      = status == 200
+        || (mh_election_is_leader (core->election) && !g_hash_table_contains (core->jobs, l->job));
   lookup_answer (l, known ? &l->found : &come_again);
 }
 
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -298,7 +298,7 @@
   else
     {
       g_hash_table_remove (core->jobs, id);
-      mh_leader_lost (core, "a record is not what it was written as");
+      mh_election_step_down (core->election, MH_LOSS_RECORD_DIFFERS);
     }
 }
 
@@ -313,7 +313,7 @@
     {
       if (strcmp (*key, "leader") == 0)
         {
-          mh_leader_lost (core, "another controller leads");
+          mh_election_step_down (core->election, MH_LOSS_ANOTHER_LEADER);
           return;
         }
       const char *id = strchr (*key, '/');
@@ -332,7 +332,7 @@
         }
     }
   if (!explained)
-    mh_leader_lost (core, "a record was changed by somebody else");
+    mh_election_step_down (core->election, MH_LOSS_RECORD_CHANGED);
   for (guint i = 0; i < t->writes->len; i++)
     {
       MhRecord *r = g_array_index (t->writes, Write, i).record;
@@ -360,7 +360,7 @@
     }
   if (status == 200 || status == 404)
     {
-      mh_leader_lost (core, "an unanswered write cannot be accounted for");
+      mh_election_step_down (core->election, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
       return;
     }
   txn_call (core, t, MH_RANK_RULES, mh_wire_get (t->first_key), 0, recheck_reply);
@@ -586,15 +586,15 @@
   g_autoptr (GPtrArray) values = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
   Txn *t = g_rc_box_new0 (Txn);
   t->writes = g_array_new (FALSE, FALSE, sizeof (Write));
-  t->tag = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT, core->leader.own_epoch,
-                            ++core->rev);
+  t->tag = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
+                            mh_election_epoch (core->election), ++core->rev);
   Batch b = { .txn = t,
               .conditions = conditions,
               .changes = changes,
               .keys = keys,
               .values = values,
               .most = most };
-  add_condition (&b, "leader", core->leader.own_version);
+  add_condition (&b, "leader", mh_election_key_version (core->election));
   add_limits (core, &b);
   bool full = false, alone = false;
   for (guint urgency = 0; urgency < MH_URGENCIES && !full; urgency++)
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -68,7 +68,8 @@
   for (guint i = 0; i < sim->world->machines->len; i++)
     {
       const WorldMachine *machine = g_ptr_array_index (sim->world->machines, i);
-      guint64 leadership = (machine->token + MH_EPOCHS_EACH - 1) / MH_EPOCHS_EACH;
+      guint64 leadership
+          = (machine->token + MH_EPOCHS_PER_LEADERSHIP - 1) / MH_EPOCHS_PER_LEADERSHIP;
       if (machine->gone)
         continue;
       if (leadership > latest)
