--- a/src/election/election.c
+++ b/src/election/election.c
@@ -41,7 +41,8 @@
   gint64 usable_us;              /* when a usable leader was last known */
   gint64 unreached_us, tried_us; /* users' requests have not reached it since; the last one */
   MhLossReason lost;             /* why it steps down */
-  bool hands_over;               /* ... and another one shall lead */
+  bool clearing;                 /* answers to those who wait carry the lease's end, as all do */
+  bool hands_over;               /* another one shall lead */
   gint64 shy_until_us;
   gint64 announced_us;
 };
@@ -63,7 +64,8 @@
 bool
 mh_election_is_leader (const MhElection *election)
 {
-  return (election->state == MH_LEADERSHIP_LOADING || election->state == MH_LEADERSHIP_LEADING)
+  return (election->state == MH_LEADERSHIP_LOADING || election->state == MH_LEADERSHIP_LEADING
+          || election->clearing)
          && election->core->now.mono_us < election->valid_until_us;
 }
 
@@ -435,6 +437,7 @@
 step_down (MhCore *core)
 {
   mh_info (core, "no longer leading: %s", loss_texts[core->election->lost]);
+  core->election->clearing = true;
   refuse_waiters (core);
   mh_core_drop_calls (core);
   mh_store_clear (core);
@@ -443,6 +446,7 @@
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
   g_hash_table_remove_all (core->unreadable);
+  core->election->clearing = false;
   core->election->state = MH_LEADERSHIP_FOLLOWING;
   core->election->renewing = false;
   core->election->valid_until_us = 0;
