--- a/src/election/election.c
+++ b/src/election/election.c
@@ -152,7 +152,7 @@
 look (MhCore *core)
 {
   core->election->busy = true;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, look_reply, NULL,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, look_reply, NULL,
                 NULL);
 }
 
@@ -202,7 +202,7 @@
 {
   core->election->state = MH_LEADERSHIP_FOLLOWING;
   core->election->busy = true;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_watch ("leader", since, WATCH_US), 0,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_watch ("leader", since, WATCH_US), 0,
                 WATCH_US + CALL_TIMEOUT_US, watch_reply, NULL, NULL);
 }
 
@@ -223,7 +223,7 @@
 {
   core->election->state = MH_LEADERSHIP_FOLLOWING;
   if (core->election->lease_id)
-    mh_core_call (core, MH_RANK_STRANGER, mh_wire_lease_revoke (core->election->lease_id), 0,
+    mh_core_call (core, MH_CALL_BACKGROUND, mh_wire_lease_revoke (core->election->lease_id), 0,
                   CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
   core->election->lease_id = 0;
   retry (core, again_us);
@@ -280,7 +280,7 @@
     }
   else if (status == 0 || status == 200)
     /* Unknown: it may have been carried out. */
-    mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, check_won_reply,
+    mh_core_call (core, MH_CALL_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, check_won_reply,
                   NULL, NULL);
   else
     give_up_campaign (core, status == 409 ? 20000 : 200000);
@@ -297,7 +297,7 @@
       = mh_record_write_epoch (core->election->own_epoch + MH_EPOCHS_PER_LEADERSHIP - 1);
   MhChange changes[] = { { "leader", leader, core->election->lease_id }, { "epoch", last, 0 } };
   mh_core_call (
-      core, MH_RANK_LEASE,
+      core, MH_CALL_LEASE,
       mh_wire_txn (conditions, G_N_ELEMENTS (conditions), changes, G_N_ELEMENTS (changes)), 2,
       CALL_TIMEOUT_US, take_reply, NULL, NULL);
 }
@@ -348,7 +348,7 @@
     }
   core->election->valid_until_us = lease_end (core, ((Sent *)data)->sent_us);
   core->election->confirmed_us = ((Sent *)data)->sent_us;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply, NULL,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply, NULL,
                 NULL);
 }
 
@@ -366,7 +366,7 @@
   core->election->state = MH_LEADERSHIP_CAMPAIGNING;
   core->election->busy = true;
   core->election->lease_id = 0;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_grant (core->settings->lease_us), 0,
+  mh_core_call (core, MH_CALL_LEASE, mh_wire_lease_grant (core->settings->lease_us), 0,
                 CALL_TIMEOUT_US, lease_reply, sent_now (core), g_free);
 }
 
@@ -388,7 +388,7 @@
          the workers. After an outage of a minute a whole fleet was once given back as silent. */
       if (paused
           && core->now.mono_us >= core->election->confirmed_us + mh_fleet_keep_alive_us (core))
-        core->awake_us = core->now.mono_us;
+        mh_runtime_mark_resumed (core->runtime);
       core->election->valid_until_us = lease_end (core, sent);
       core->election->confirmed_us = sent;
       core->election->usable_us = core->now.mono_us;
@@ -397,7 +397,7 @@
   else if (status == 404)
     mh_election_step_down (core->election, MH_LOSS_LEASE_EXPIRED);
   else
-    mh_core_log_state_failure (core, status);
+    mh_call_queue_log_store_failure (core->calls, status);
 }
 
 void
@@ -439,7 +439,7 @@
   mh_info (core, "no longer leading: %s", loss_texts[core->election->lost]);
   core->election->clearing = true;
   refuse_waiters (core);
-  mh_core_drop_calls (core);
+  mh_call_queue_forget_all (core->calls);
   mh_store_clear (core);
   mh_fleet_clear (core);
   mh_scale_clear (core);
@@ -454,7 +454,7 @@
   if (core->election->hands_over)
     {
       /* The lease is ended, so that the others need not wait for its end. */
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_revoke (core->election->lease_id), 0,
+      mh_core_call (core, MH_CALL_LEASE, mh_wire_lease_revoke (core->election->lease_id), 0,
                     CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
       core->election->shy_until_us = core->now.mono_us + SHY_US;
     }
@@ -526,7 +526,7 @@
   if (!core->election->renewing && now >= core->election->renew_us)
     {
       core->election->renewing = true;
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_renew (core->election->lease_id), 0,
+      mh_core_call (core, MH_CALL_LEASE, mh_wire_lease_renew (core->election->lease_id), 0,
                     MIN (CALL_TIMEOUT_US, core->settings->lease_us / 3), renew_reply,
                     sent_now (core), g_free);
     }
@@ -544,7 +544,7 @@
       for (guint i = 0; i < core->settings->members->len; i++)
         {
           MhAction *a = mh_core_act (core, MH_ACTION_ANNOUNCE_LEADER, core->election->own_epoch);
-          a->text = g_strdup (((MhMember *)g_ptr_array_index (core->settings->members, i))->name);
+          a->node = g_strdup (((MhMember *)g_ptr_array_index (core->settings->members, i))->name);
         }
     }
 }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -106,18 +106,11 @@
 static void
 node_drain (SimNode *node);
 
-static gint64
-node_mono_us (const SimNode *n)
-{
-  gint64 t = n->sim->now_us;
-  return MH_SECOND_US * (n->index + 1) + (gint64)((double)t * (1 + n->drift));
-}
-
 static MhNow
 node_now (SimNode *n)
 {
   gint64 t = n->sim->now_us;
-  return (MhNow){ .mono_us = node_mono_us (n),
+  return (MhNow){ .mono_us = MH_SECOND_US * (n->index + 1) + (gint64)((double)t * (1 + n->drift)),
                   .wall_us = 1700000000000000 + t + (gint64)1000 * n->index,
                   .jitter = g_rand_double (n->sim->random) };
 }
@@ -471,7 +464,7 @@
 {
   Sim *sim = n->sim;
   Origin *o = g_hash_table_lookup (n->requests, &a->id);
-  SimNode *to = node_named (sim, a->text);
+  SimNode *to = node_named (sim, a->node);
   g_assert_nonnull (o);
   Between *b = g_new0 (Between, 1), *timeout = g_new0 (Between, 1);
   b->from = timeout->from = n->index;
@@ -541,9 +534,9 @@
   g_autofree char *line = g_strdup_printf (
       "%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT " %u %" G_GINT64_FORMAT
       " %u %u %d %u %u %s",
-      n->sim->now_us, n->name, (int)a->kind, a->id, a->timeout_us, a->status, a->until_us,
+      n->sim->now_us, n->name, (int)a->kind, a->id, a->timeout_us, a->status, a->lease_until_us,
       a->answer.status, a->answer.retry_after_s, (int)a->answer.state, a->answer.done,
-      a->answer.running, a->text ? a->text : "");
+      a->answer.running, a->node ? a->node : "");
   digest_text (digest, line);
   digest_value (digest, a->body);
   if (a->request == NULL)
@@ -578,8 +571,7 @@
       at_node (sim, n, n->frozen_us, node_resume, n, NULL);
       return;
     }
-  /* Taking an action draws nothing at random, so that a day does not hang on what is logged. */
-  for (MhAction *a; (a = controller_pop (n->controller, node_mono_us (n)));)
+  for (MhAction *a; (a = controller_pop (n->controller, node_now (n).mono_us));)
     {
       digest_action (n, a);
       if (a->kind == MH_ACTION_CALL)
@@ -602,17 +594,17 @@
         {
           Between *b = g_new0 (Between, 1);
           b->from = n->index;
-          b->to = node_named (sim, a->text)->index;
+          b->to = node_named (sim, a->node)->index;
           b->job = g_strdup (n->name);
           b->id = a->id;
-          at_node (sim, node_named (sim, a->text), sim->now_us + delay (sim), announcement_arrive,
+          at_node (sim, node_named (sim, a->node), sim->now_us + delay (sim), announcement_arrive,
                    b, between_free);
         }
       else if (a->kind == MH_ACTION_FORWARD)
         node_forward (n, a);
       else if (a->kind == MH_ACTION_LOG)
         {
-          char *line = g_strdup_printf ("%9.3f %s %s", (double)sim->now_us / 1e6, n->name, a->text);
+          char *line = g_strdup_printf ("%9.3f %s %s", (double)sim->now_us / 1e6, n->name, a->line);
           if (g_getenv ("SIM_LOG"))
             g_print ("%s\n", line);
           g_ptr_array_add (sim->log, line);
@@ -621,7 +613,8 @@
         node_answer (n, a);
       mh_action_free (a);
     }
-  gint64 in = MAX (controller_next_wake (n->controller) - node_mono_us (n), 1000);
+  MhNow t = node_now (n);
+  gint64 in = MAX (controller_next_wake (n->controller) - t.mono_us, 1000);
   if (n->wake_us == G_MAXINT64 || sim->now_us + in < n->wake_us)
     {
       n->wake_us = sim->now_us + in;
