--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -140,7 +140,7 @@
   if (task && shown->attempt > task->attempt)
     {
       /* Each attempt is written before it is sent: memory must be behind the records. */
-      mh_leader_lost (core, "a worker runs an attempt that is not on record here");
+      mh_election_step_down (core->election, MH_LOSS_UNKNOWN_ATTEMPT);
       return;
     }
   MhAttempt *attempt = task ? task->live : NULL;
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -7,12 +7,6 @@
 #define FINALS_MEMORY_PART 32
 #define FINAL_BYTES 200
 #define LEAST_FINALS_KEPT 2000u
-/* A node that has had no usable leader for so long is rather cut off by itself. */
-#define READY_US (30 * MH_SECOND_US)
-/* One that cannot reach a leader which the state service says is there sends its users elsewhere
-   after the first, and tries again after the second. */
-#define UNREACHED_US (MH_SECOND_US * 3 / 2)
-#define TRY_AGAIN_US (4 * MH_SECOND_US)
 /* A user waits two seconds for an answer. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
 /* Calls of modules that still take the whole core. */
@@ -237,7 +231,7 @@
 forward (MhCore *core, guint64 id, const char *job_id)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_FORWARD, id);
-  a->node = g_strdup (core->leader.node);
+  a->node = g_strdup (mh_election_leader_name (core->election));
   a->timeout_us = FORWARD_TIMEOUT_US;
   g_hash_table_insert (core->forwards, g_memdup2 (&id, sizeof id), g_strdup (job_id));
 }
@@ -250,13 +244,11 @@
                     const MhJobSpec *spec, bool forwarded)
 {
   const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
-  bool other = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
-               && strcmp (core->leader.node, core->settings->node) != 0;
   if (final)
     mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *final;
-  else if (!forwarded && other)
+  else if (!forwarded && mh_election_other_leader (core->election))
     forward (core, id, job_id);
-  else if (!forwarded && core->leader.phase < MH_PHASE_LOAD
+  else if (!forwarded && !mh_election_is_elected (core->election)
            && (verb == MH_USER_STATUS || (spec && judge (core, spec) == 422)))
     mh_lookup_job (core, id, job_id, verb, false);
   else
@@ -269,7 +261,7 @@
 {
   enter (core, now);
   const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
-  if (core->leader.phase != MH_PHASE_LEAD || !mh_leader_valid (core))
+  if (!mh_election_is_serving (core->election))
     {
       user_not_in_charge (core, id, verb, job_id, spec, forwarded);
       mh_job_spec_free (spec);
@@ -321,18 +313,16 @@
   job = value;
   if (answer)
     {
-      core->leader.usable_us = now->mono_us;
-      core->leader.unreached_us = 0;
+      mh_election_note_forward_answered (core->election);
       mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *answer;
       remember_final (core, job, answer);
     }
   else
     {
-      core->leader.tried_us = now->mono_us;
+      const char *leader = mh_election_leader_name (core->election);
       mh_info_limited (core, MH_LOG_PEER, "leader %s: a request that was passed on has no answer",
-                       core->leader.node ? core->leader.node : "unknown");
-      if (core->leader.unreached_us == 0)
-        core->leader.unreached_us = now->mono_us;
+                       leader ? leader : "unknown");
+      mh_election_note_forward_failed (core->election);
       mh_core_answer (core, id, 503, 1);
     }
   mh_core_step (core);
@@ -344,13 +334,13 @@
 mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report)
 {
   enter (core, now);
-  if (core->leader.phase >= MH_PHASE_LOAD)
+  if (mh_election_is_elected (core->election))
     mh_heartbeat_receive (core, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
       a->status = 421;
-      a->body = mh_wire_write_redirect (core->leader.node);
+      a->body = mh_wire_write_redirect (mh_election_leader_name (core->election));
     }
   mh_core_step (core);
 }
@@ -359,7 +349,7 @@
 mh_core_leader_announced (MhCore *core, const MhNow *now, const char *node, guint64 epoch)
 {
   enter (core, now);
-  mh_leader_announced (core, node, epoch);
+  mh_election_leader_announced (core->election, node, epoch);
   mh_core_step (core);
 }
 
@@ -368,29 +358,55 @@
 bool
 mh_core_ready (const MhCore *core)
 {
-  /* Neither an ordinary change of leader nor an outage of the state service must make the load
-     balancer drop the node: every other would be dropped with it, and be taken back late. */
-  gint64 now = core->now.mono_us;
-  bool unreached = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
-                   && core->leader.unreached_us > 0
-                   && now - core->leader.unreached_us > UNREACHED_US
-                   && now - core->leader.tried_us < TRY_AGAIN_US;
-  return core->leader.usable_us > 0 && now - core->leader.usable_us < READY_US && !unreached;
+  return mh_election_is_ready (core->election);
 }
 
 bool
 mh_core_leads (const MhCore *core)
 {
-  return mh_leader_valid (core);
+  return mh_election_is_leader (core->election);
+}
+
+/* Recovery is complete when every machine that a record or the list knows as running has reported.
+   One that gives no answer either will not report. */
+static bool
+all_machines_reported (const MhCore *core)
+{
+  if (mh_cluster_types (core) == NULL || !core->scale.listed)
+    return false;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    {
+      const MhMachine *machine = value;
+      if (!mh_machine_is_releasing (machine) && !machine->heartbeat.reported
+          && !mh_failure_is_unreachable (machine)
+          && (machine->listed_running || machine->attempts->len))
+        return false;
+    }
+  return true;
+}
+
+static void
+update_recovery (MhCore *core)
+{
+  if (mh_recovery_is_complete (core->recovery)
+      || !mh_recovery_update (core->recovery, core->now.mono_us, all_machines_reported (core)))
+    return;
+  core->place_wanted = true;
+  mh_info (core, "counts rebuilt %.1f s after the election",
+           (double)(core->now.mono_us - mh_election_elected_us (core->election)) / MH_SECOND_US);
 }
 
 void
 mh_core_step (MhCore *core)
 {
   mh_runtime_reset_wake_up (core->runtime);
-  mh_leader_step (core);
-  if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
+  mh_election_step (core->election);
+  if (mh_election_is_serving (core->election))
     {
+      update_recovery (core);
       mh_gang_step (core);
       mh_cluster_step (core);
       mh_place_step (core);
@@ -428,7 +444,7 @@
 {
   const MhCore *core = owner;
   (void)now_us;
-  return mh_leader_valid (core) ? core->leader.valid_until_us : 0;
+  return mh_election_is_leader (core->election) ? mh_election_lease_until_us (core->election) : 0;
 }
 
 MhCore *
@@ -440,6 +456,8 @@
   core->runtime = mh_runtime_new (settings, now);
   mh_runtime_set_lease_source (core->runtime, lease_until_us, core);
   core->calls = mh_call_queue_new (core->runtime);
+  core->election = mh_election_new (core);
+  core->recovery = mh_recovery_new ();
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
@@ -449,7 +467,6 @@
   core->gangs = mh_gang_table ();
   core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  mh_leader_start (core);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
@@ -479,7 +496,8 @@
   g_hash_table_unref (core->gangs);
   g_hash_table_unref (core->class_stats);
   g_hash_table_unref (core->scale.refused);
-  g_free (core->leader.node);
+  mh_recovery_free (core->recovery);
+  mh_election_free (core->election);
   mh_call_queue_free (core->calls);
   mh_runtime_free (core->runtime);
   g_free (core);
