--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -30,8 +30,8 @@
   gpointer value;
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (!mh_job_over (value))
-      waiting += mh_place_quota_room (core, value, &none, mh_fault_startable (core, value));
+    if (!mh_job_is_over (value))
+      waiting += mh_quota_allowed_tasks (core, value, &none, mh_fault_startable (core, value));
   return waiting;
 }
 
@@ -56,11 +56,11 @@
 {
   if (mh_fault_backs_off (job))
     return "its next try: it fails wherever it starts";
-  if (core->now.mono_us < job->retry_us)
+  if (core->now.mono_us < job->placement.retry_after_us)
     return "its next try";
-  if (job->n_unheard && !core->leader.rebuilt)
+  if (job->n_unreported && !core->leader.rebuilt)
     return "reports of the machines that it may be on";
-  if (!mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
+  if (!mh_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
     return "its team's limit";
   return "room on a machine that suits it";
 }
@@ -76,15 +76,17 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhJob *job = value;
-      if (mh_job_over (job) || job->wanted_us == 0 || mh_job_pending (job) == 0)
+      if (mh_job_is_over (job) || job->placement.unplaced_since_us == 0
+          || mh_job_pending_tasks (job) == 0)
         continue;
-      if (longest == NULL || job->wanted_us < longest->wanted_us)
+      if (longest == NULL
+          || job->placement.unplaced_since_us < longest->placement.unplaced_since_us)
         longest = job;
     }
   if (longest)
     mh_info (core, "waiting longest: job %s of %s, %u tasks for %.0f s, for %s", longest->spec->id,
-             longest->spec->team, mh_job_pending (longest),
-             (double)(core->now.mono_us - longest->wanted_us) / MH_SECOND_US,
+             longest->spec->team, mh_job_pending_tasks (longest),
+             (double)(core->now.mono_us - longest->placement.unplaced_since_us) / MH_SECOND_US,
              waits_for (core, longest));
 }
 
--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -15,15 +15,15 @@
 mh_room_of_kind (const MhRoom *room, const MhJob *job, const char *zone)
 {
   return (!room->spot || job->spec->spot) && (zone == NULL || zone == room->zone)
-         && mh_place_type_fits (job->spec, room->type);
+         && mh_job_spec_fits_type (job->spec, room->type);
 }
 
 guint
 mh_room_for (const MhRoom *room, const MhJobSpec *spec, guint tasks)
 {
-  tasks = mh_place_times (room->cpus, spec->cpus, tasks);
-  tasks = mh_place_times (room->gpus, spec->gpus, tasks);
-  return mh_place_times (room->mem, spec->mem_gb, tasks);
+  tasks = mh_resource_slots (room->cpus, spec->cpus, tasks);
+  tasks = mh_resource_slots (room->gpus, spec->gpus, tasks);
+  return mh_resource_slots (room->mem, spec->mem_gb, tasks);
 }
 
 void
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -188,9 +188,10 @@
           const MhJobSpec *s = a->job->spec;
           if (s->shape == MH_SHAPE_SERVICE)
             continue;
-          gint64 whole = a->job->run_us;
-          gint64 left = a->running_us ? whole - (now - a->running_us)
-                                      : whole + a->job->fetch_us - (now - a->placed_us);
+          gint64 whole = a->job->placement.expected_run_us;
+          gint64 left = a->running_us
+                            ? whole - (now - a->running_us)
+                            : whole + a->job->placement.expected_fetch_us - (now - a->placed_us);
           /* One that has outrun its estimate goes on for a part of it. */
           Ending e = { .at_us = now + MAX (left, whole / 4), .cpus = s->cpus };
           g_array_append_val (endings, e);
@@ -229,11 +230,13 @@
   for (guint i = 0; i < core->types->len; i++)
     {
       const MhMachineType *t = g_ptr_array_index (core->types, i);
-      if (mh_place_type_fits (s, t))
+      if (mh_job_spec_fits_type (s, t))
         soonest = MIN (soonest, t->boot_us);
     }
   /* Estimates are often wrong by half. */
-  gint64 latest = job->hopeless ? now : job->start_by_us - job->run_us / 2;
+  gint64 latest = job->placement.objectives_missed
+                      ? now
+                      : job->placement.latest_start_us - job->placement.expected_run_us / 2;
   /* What a rented machine cannot bring in time any more does not call for one; only a backlog that
      would outlast its boot does. */
   if (latest < now + soonest)
@@ -241,7 +244,7 @@
   guint waiting = 0;
   while (waiting < n)
     {
-      guint k = mh_place_times (plan->ended_cpus, s->cpus, n - waiting);
+      guint k = mh_resource_slots (plan->ended_cpus, s->cpus, n - waiting);
       if (k)
         {
           plan->ended_cpus -= s->cpus * k;
@@ -256,7 +259,9 @@
       plan->ended_cpus += e.cpus;
       plan->next_ending++;
       /* The task that takes the room leaves it again. */
-      add_ending (plan, e.at_us + job->run_us + job->fetch_us / 2, e.cpus);
+      add_ending (plan,
+                  e.at_us + job->placement.expected_run_us + job->placement.expected_fetch_us / 2,
+                  e.cpus);
     }
   return waiting;
 }
@@ -283,7 +288,9 @@
     assignment->zone = room->zone;
   assignment->left -= n;
   if (s->shape != MH_SHAPE_SERVICE)
-    add_ending (plan, core->now.mono_us + room->type->boot_us + job->run_us + job->fetch_us,
+    add_ending (plan,
+                core->now.mono_us + room->type->boot_us + job->placement.expected_run_us
+                    + job->placement.expected_fetch_us,
                 s->cpus * n);
   return n;
 }
@@ -296,7 +303,7 @@
 {
   if (s->shape == MH_SHAPE_SERVICE)
     return 0;
-  guint again = mh_place_times (MAX (plan->lost_cpus, 0), s->cpus, n);
+  guint again = mh_resource_slots (MAX (plan->lost_cpus, 0), s->cpus, n);
   plan->lost_cpus -= s->cpus * again;
   return again;
 }
@@ -306,16 +313,16 @@
 {
   /* Tasks that stay together go to one zone, which their first room decides: what was rented for
      them elsewhere, while some ran, was of no use to them, and they waited on. */
-  Assignment assignment = { .job = job, .zone = mh_place_only_zone (job), .left = n };
+  Assignment assignment = { .job = job, .zone = mh_filter_required_zone (job), .left = n };
   /* What is held for a gang is there already, and the rest has to come beside it. One that is being
      stopped will find its own room again. */
-  if (mh_gang_is (job))
+  if (mh_job_is_gang (job))
     {
       if (job->n_live || n < job->spec->tasks)
         return;
-      assignment.left -= MIN (n, job->held);
-      if (job->held_zone)
-        assignment.zone = job->held_zone;
+      assignment.left -= MIN (n, job->gang.held_tasks);
+      if (job->gang.held_zone)
+        assignment.zone = job->gang.held_zone;
     }
   for (guint i = 0; i < plan->rooms->len && assignment.left; i++)
     {
@@ -342,8 +349,8 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
-      job->run_us = mh_queue_run_us (core, job->spec);
-      job->fetch_us = mh_queue_fetch_us (core, job->spec);
+      job->placement.expected_run_us = mh_runtime_estimate_us (core, job->spec);
+      job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, core->types);
     }
 }
 
@@ -355,8 +362,8 @@
   /* A hundred jobs that come at once are on record only seconds later, and machines take long to
      come. But what is not on record has not been placed either: once there are machines, those jobs
      may find room on them, and machines were rented for each beside free ones. */
-  MhQueueScope scope = core->zones->len ? MH_QUEUE_ACCEPTED : MH_QUEUE_ALL;
-  g_autoptr (GPtrArray) queue = mh_queue_jobs (core, scope);
+  MhJobQueueScope scope = core->zones->len ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  g_autoptr (GPtrArray) queue = mh_job_queue_pending (core, scope);
   if (queue->len == 0)
     return;
   g_autoptr (GHashTable) asked = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
@@ -375,7 +382,7 @@
           g_hash_table_insert (asked, s->team, use);
         }
       /* Machines once were rented for all tasks of jobs that fail everywhere, and stood idle. */
-      guint n = mh_place_quota_room (core, job, use, mh_fault_rentable (core, job));
+      guint n = mh_quota_allowed_tasks (core, job, use, mh_fault_rentable (core, job));
       use->cpus += s->cpus * n;
       use->gpus += s->gpus * n;
       if (n > 0)
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -158,13 +158,13 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
-      if (mh_gang_is (job))
-        mh_gang_loaded (core, job);
-      if (job->cancelled)
+      if (mh_job_is_gang (job))
+        mh_gang_restore (core, job);
+      if (mh_job_is_cancelled (job))
         mh_fleet_stop_job (core, job);
       else if (job->n_done == job->spec->tasks)
         {
-          job->finished = true;
+          job->completion = MH_COMPLETION_UNWRITTEN;
           mh_store_touch (core, &job->records[0], MH_URGENCY_START);
         }
     }
@@ -304,7 +304,7 @@
       core->replicas += sign > 0 ? 1 : -1;
     }
   if (!a->machine->reported)
-    a->job->n_unheard += sign > 0 ? 1 : -1;
+    a->job->n_unreported += sign > 0 ? 1 : -1;
 }
 
 MhAttempt *
@@ -329,12 +329,12 @@
 static void
 job_check_over (MhCore *core, MhJob *job)
 {
-  bool over = job->cancelled ? job->n_live == 0 : job->n_done == job->spec->tasks;
-  if (over && !job->finished)
+  bool over = mh_job_is_cancelled (job) ? job->n_live == 0 : job->n_done == job->spec->tasks;
+  if (over && !mh_job_is_finished (job))
     {
-      job->finished = true;
+      job->completion = MH_COMPLETION_UNWRITTEN;
       mh_store_touch (core, &job->records[0],
-                      job->cancelled ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
+                      mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
     }
 }
 
@@ -390,13 +390,13 @@
   if (done)
     job->n_done++;
   else
-    job->cursor = MIN (job->cursor, a->index);
+    job->placement.first_pending = MIN (job->placement.first_pending, a->index);
   /* An attempt that is over without a result is written too: else a new leader would look for proof
      of it once more, on a machine that may have been given back long ago. */
-  if (!job->cancelled)
+  if (!mh_job_is_cancelled (job))
     mh_store_touch (core, mh_job_record (job, a->index), MH_URGENCY_PROGRESS);
-  if (mh_gang_is (job))
-    mh_gang_task_over (core, job, done);
+  if (mh_job_is_gang (job))
+    mh_gang_task_ended (core, job, done);
   /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
   core->place_urgent |= a->stopping || job->spec->shape == MH_SHAPE_SERVICE;
   core->place_wanted = true;
@@ -436,7 +436,7 @@
 void
 mh_fleet_stop (MhCore *core, MhAttempt *a, gint64 grace_us)
 {
-  if (mh_gang_is (a->job) && !mh_job_over (a->job))
+  if (mh_job_is_gang (a->job) && !mh_job_is_over (a->job))
     {
       mh_gang_stop (core, a->job, grace_us);
       return;
@@ -521,7 +521,7 @@
     {
     case MH_CAUSE_DONE:
       if (a->running_us && !a->loaded)
-        mh_queue_learn (core, job->spec, core->now.mono_us - a->running_us);
+        mh_runtime_estimate_observe (core, job->spec, core->now.mono_us - a->running_us);
       mh_fault_task_done (core, m, job);
       break;
     case MH_CAUSE_ERROR:
@@ -544,7 +544,7 @@
       break;
     case MH_CAUSE_UNKNOWN:
       mh_info (core, "task %s/%u: %s does not know the job yet", job->spec->id, a->index, m->name);
-      job->retry_us = core->now.mono_us + 2 * MH_SECOND_US;
+      job->placement.retry_after_us = core->now.mono_us + 2 * MH_SECOND_US;
       break;
     default:
       break;
@@ -577,8 +577,8 @@
       a->seen = a->present = true;
       a->phase = t->phase;
       set_running (core, a, t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING);
-      if (t->phase == MH_TASK_GATHERING && job->gathering_us == 0)
-        job->gathering_us = core->now.mono_us;
+      if (t->phase == MH_TASK_GATHERING && job->gang.gathering_since_us == 0)
+        job->gang.gathering_since_us = core->now.mono_us;
       /* One that was stopped while it waited for its image ends without it. */
       if (t->phase == MH_TASK_GATHERING || t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING
           || t->cause == MH_CAUSE_DONE)
@@ -615,7 +615,7 @@
     {
       mh_boot_joined (core, m);
       for (guint i = 0; i < m->attempts->len; i++)
-        mh_machine_attempt (m, i)->job->n_unheard--;
+        mh_machine_attempt (m, i)->job->n_unreported--;
       m->idle_us = core->now.mono_us;
       core->place_wanted = true;
       mh_info (core, "machine %s: reports (%s in %s%s, %u tasks)", m->name, r->type, r->zone,
@@ -824,7 +824,7 @@
         continue;
       gint64 ran = a->running_us ? core->now.mono_us - a->running_us : 0;
       /* Too late to save together: it may still end in time, and loses nothing more if not. */
-      if (mh_gang_is (a->job) && a->running_us && left < s->save_us + MH_SECOND_US)
+      if (mh_job_is_gang (a->job) && a->running_us && left < s->save_us + MH_SECOND_US)
         continue;
       if (s->checkpoint_us > 0 && a->running_us)
         mh_fleet_stop (core, a, MAX (0, MIN (s->save_us, left)));
@@ -849,7 +849,7 @@
 mh_fleet_step (MhCore *core)
 {
   gint64 now = core->now.mono_us;
-  mh_gang_step (core);
+  mh_gang_reconcile (core);
   for (guint i = 0; i < core->commands_due->len; i++)
     {
       MhMachine *m = g_ptr_array_index (core->commands_due, i);
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -37,18 +37,18 @@
 guint
 mh_fault_startable (const MhCore *core, const MhJob *job)
 {
-  guint pending = mh_job_pending (job);
+  guint pending = mh_job_pending_tasks (job);
   if (!mh_fault_backs_off (job))
     return pending;
-  if (core->now.mono_us < job->retry_us || job->n_live)
+  if (core->now.mono_us < job->placement.retry_after_us || job->n_live)
     return 0;
-  return mh_gang_is (job) ? pending : MIN (pending, 1);
+  return mh_job_is_gang (job) ? pending : MIN (pending, 1);
 }
 
 guint
 mh_fault_rentable (const MhCore *core, const MhJob *job)
 {
-  if (mh_fault_backs_off (job) && core->now.mono_us < job->retry_us + PLACED_BY_US)
+  if (mh_fault_backs_off (job) && core->now.mono_us < job->placement.retry_after_us + PLACED_BY_US)
     return 0;
   return mh_fault_startable (core, job);
 }
@@ -97,14 +97,14 @@
 {
   gint64 wait = FIRST_WAIT_US << (job->faults.level - 1);
   double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * core->now.jitter;
-  job->retry_us = core->now.mono_us + (gint64)((double)wait * factor);
+  job->placement.retry_after_us = core->now.mono_us + (gint64)((double)wait * factor);
 }
 
 /* Tasks that still fetch the image of a job that cannot run keep it from others. */
 static void
 stop_fetching (MhCore *core, MhJob *job)
 {
-  for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_gang_is (job); i++)
+  for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_job_is_gang (job); i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt && attempt->phase == MH_TASK_FETCHING && !attempt->stopping)
@@ -121,7 +121,7 @@
   wait_before_retry (core, job);
   mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
   mh_info (core, "job %s: fails wherever it starts; next start in %.0f s", job->spec->id,
-           (double)(job->retry_us - core->now.mono_us) / MH_SECOND_US);
+           (double)(job->placement.retry_after_us - core->now.mono_us) / MH_SECOND_US);
   if (first)
     stop_fetching (core, job);
 }
@@ -200,7 +200,7 @@
 mh_fault_task_failed (MhCore *core, MhMachine *machine, MhJob *job)
 {
   /* Others that were started with the first: nothing more is learnt from them. */
-  if (mh_fault_backs_off (job) && core->now.mono_us < job->retry_us)
+  if (mh_fault_backs_off (job) && core->now.mono_us < job->placement.retry_after_us)
     return;
   if (!runs_well (core, job))
     {
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -101,8 +101,8 @@
 {
   const MhRecord *r = mh_job_record (a->job, a->index);
   return !a->seen && !a->stopping && !a->loaded && r->durable >= a->need_rev
-         && !mh_job_over (a->job) && !a->machine->releasing
-         && (!mh_gang_is (a->job) || mh_gang_on_record (a));
+         && !mh_job_is_over (a->job) && !a->machine->releasing
+         && (!mh_job_is_gang (a->job) || mh_gang_is_durable (a));
 }
 
 /* Starts and stops for a machine. Directly, only what has not been said before. */
@@ -162,7 +162,7 @@
       if (job && s->index < job->spec->tasks && job->tasks[s->index].state == MH_TASK_DONE)
         {
           const MhRecord *r = mh_job_record (job, s->index);
-          if (job->finished || r->durable < r->rev)
+          if (mh_job_is_finished (job) || r->durable < r->rev)
             continue;
         }
       add_command (commands, MH_COMMAND_CLEAR, s->job, s->index, s->attempt, 0);
@@ -186,7 +186,7 @@
   for (guint i = 0; i < m->attempts->len; i++)
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
-      if (a->job->cancel_durable)
+      if (mh_job_is_cancel_durable (a->job))
         add_command (commands, MH_COMMAND_STOP, a->job->spec->id, a->index, a->attempt, 0);
     }
 }
@@ -274,7 +274,7 @@
       bool waited_for = a->job->spec->shape != MH_SHAPE_ARRAY;
       if (a->stopping ? a->stop_sent_us != 0 : a->start_sent || !may_start (a))
         continue;
-      if (a->stopping ? !mh_job_over (a->job) : waited_for)
+      if (a->stopping ? !mh_job_is_over (a->job) : waited_for)
         return URGENT_COMMANDS;
       found = PATIENT_COMMANDS;
     }
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -328,7 +328,7 @@
 mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_USER, id);
-  mh_job_answer (job, &a->answer);
+  mh_job_fill_answer (job, &a->answer);
   a->answer.status = status;
 }
 
@@ -359,7 +359,7 @@
 {
   /* One that does not fit would be refused by the state service time and again, and end each
      leadership. */
-  if (mh_job_chunk (spec, core->settings->value_bytes) == 0)
+  if (mh_job_tasks_per_record (spec, core->settings->value_bytes) == 0)
     return 400;
   const MhTeam *team = mh_settings_team (core->settings, spec->team);
   if (team == NULL)
@@ -370,8 +370,8 @@
   if (core->types == NULL)
     return 503;
   for (guint i = 0; i < core->types->len; i++)
-    if (mh_place_type_fits (spec, g_ptr_array_index (core->types, i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_possible (core, spec) ? 422 : 0;
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (core->types, i)))
+      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (core, spec) ? 422 : 0;
   return 422;
 }
 
@@ -439,15 +439,15 @@
 static void
 cancel (MhCore *core, guint64 id, MhJob *job)
 {
-  if (job->final || job->cancel_durable)
+  if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
     {
       mh_core_answer_job (core, id, job, 200);
       return;
     }
-  if (!job->cancelled && !job->finished)
+  if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
-      job->cancelled = true;
+      job->cancellation = MH_CANCELLATION_REQUESTED;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
       mh_fleet_stop_job (core, job);
     }
@@ -614,7 +614,7 @@
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
       mh_fleet_step (core);
-      mh_place_step (core);
+      mh_placement_run (core);
       mh_scale_step (core);
       mh_release_step (core);
       mh_store_step (core);
@@ -645,7 +645,7 @@
   core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_fleet_free_machine);
   core->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   core->returned = g_hash_table_new (g_str_hash, g_str_equal);
-  core->gangs = mh_gang_table ();
+  core->gangs = mh_gang_set_new ();
   core->commands_due = g_ptr_array_new ();
   core->zones = g_array_new (FALSE, TRUE, sizeof (MhZone));
   core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -21,11 +21,11 @@
 }
 
 guint
-mh_queue_tier (const MhJob *job)
+mh_job_queue_tier (const MhJob *job)
 {
   if (job->spec->priority >= MH_PRIORITY_HIGH)
-    return job->guaranteed ? 0 : 1;
-  return job->guaranteed ? 2 : 3;
+    return job->placement.guaranteed ? 0 : 1;
+  return job->placement.guaranteed ? 2 : 3;
 }
 
 static bool
@@ -39,30 +39,30 @@
 by_order (gconstpointer a, gconstpointer b)
 {
   const MhJob *x = *(MhJob *const *)a, *y = *(MhJob *const *)b;
-  guint tx = x->starved ? MIN (mh_queue_tier (x), 2) : mh_queue_tier (x);
-  guint ty = y->starved ? MIN (mh_queue_tier (y), 2) : mh_queue_tier (y);
+  guint tx = x->placement.starved ? MIN (mh_job_queue_tier (x), 2) : mh_job_queue_tier (x);
+  guint ty = y->placement.starved ? MIN (mh_job_queue_tier (y), 2) : mh_job_queue_tier (y);
   if (tx != ty)
     return tx < ty ? -1 : 1;
-  if (x->starved != y->starved)
-    return x->starved ? -1 : 1;
-  if (x->starved)
+  if (x->placement.starved != y->placement.starved)
+    return x->placement.starved ? -1 : 1;
+  if (x->placement.starved)
     return by_submission (a, b);
   if (x->spec->priority != y->spec->priority)
     return x->spec->priority > y->spec->priority ? -1 : 1;
-  if (x->start_by_us != y->start_by_us)
-    return x->start_by_us < y->start_by_us ? -1 : 1;
+  if (x->placement.latest_start_us != y->placement.latest_start_us)
+    return x->placement.latest_start_us < y->placement.latest_start_us ? -1 : 1;
   return by_submission (a, b);
 }
 
 double
-mh_queue_bias (MhCore *core, const char *class_name)
+mh_runtime_estimate_ratio (MhCore *core, const char *class_name)
 {
   const MhClassStat *stat = g_hash_table_lookup (core->class_stats, class_name);
   return stat && stat->n >= 3 ? CLAMP (stat->ratio, 0.25, 4) : 1;
 }
 
 void
-mh_queue_learn (MhCore *core, const MhJobSpec *s, gint64 ran_us)
+mh_runtime_estimate_observe (MhCore *core, const MhJobSpec *s, gint64 ran_us)
 {
   if (s->estimate_us < MH_SECOND_US)
     return;
@@ -78,21 +78,9 @@
 }
 
 gint64
-mh_queue_run_us (MhCore *core, const MhJobSpec *s)
+mh_runtime_estimate_us (MhCore *core, const MhJobSpec *s)
 {
-  return (gint64)((double)s->estimate_us * mh_queue_bias (core, s->class_name));
-}
-
-gint64
-mh_queue_fetch_us (const MhCore *core, const MhJobSpec *s)
-{
-  for (guint i = 0; core->types && i < core->types->len; i++)
-    {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
-      if (mh_place_type_fits (s, t) && t->fetch_gb_per_s > 0)
-        return (gint64)(s->image_gb / t->fetch_gb_per_s * MH_SECOND_US);
-    }
-  return 0;
+  return (gint64)((double)s->estimate_us * mh_runtime_estimate_ratio (core, s->class_name));
 }
 
 /* When the job has to be done so that it meets the objective; 0: it says nothing of that. A gang
@@ -108,7 +96,7 @@
   if (objective->kind == MH_OBJECTIVE_FINISHED)
     return by;
   if (objective->kind == MH_OBJECTIVE_WAIT && s->shape == MH_SHAPE_GANG)
-    return by + mh_queue_run_us (core, s);
+    return by + mh_runtime_estimate_us (core, s);
   return 0;
 }
 
@@ -119,7 +107,7 @@
 {
   const MhJobSpec *s = job->spec;
   gint64 now = core->now.mono_us, at = G_MAXINT64, last = 0;
-  gint64 needs = mh_queue_fetch_us (core, s) + mh_queue_run_us (core, s);
+  gint64 needs = mh_job_spec_fetch_us (s, core->types) + mh_runtime_estimate_us (core, s);
   if (s->deadline_us >= 0)
     at = last = job->submitted_us + s->deadline_us;
   else
@@ -134,8 +122,8 @@
       }
   if (last == 0)
     at = job->submitted_us + 600 * MH_SECOND_US;
-  job->hopeless = last && (at == G_MAXINT64 || at - needs < now);
-  if (job->hopeless)
+  job->placement.objectives_missed = last && (at == G_MAXINT64 || at - needs < now);
+  if (job->placement.objectives_missed)
     at = MIN (at, last) + HOPELESS_US;
   return at - needs;
 }
@@ -159,12 +147,13 @@
       double left = job->spec->tasks - job->n_done;
       sum->cpus += left * job->spec->cpus;
       sum->gpus += left * job->spec->gpus;
-      job->guaranteed = team && sum->cpus <= team->cpus + 1e-6 && sum->gpus <= team->gpus + 1e-6;
+      job->placement.guaranteed
+          = team && sum->cpus <= team->cpus + 1e-6 && sum->gpus <= team->gpus + 1e-6;
     }
 }
 
 GPtrArray *
-mh_queue_jobs (MhCore *core, MhQueueScope scope)
+mh_job_queue_pending (MhCore *core, MhJobQueueScope scope)
 {
   GPtrArray *jobs = g_ptr_array_new ();
   GHashTableIter it;
@@ -173,7 +162,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
-      if ((job->accepted || scope == MH_QUEUE_ALL) && !mh_job_over (job))
+      if ((job->accepted || scope == MH_JOB_QUEUE_ALL) && !mh_job_is_over (job))
         g_ptr_array_add (jobs, job);
     }
   g_ptr_array_sort (jobs, by_submission);
@@ -182,15 +171,15 @@
   for (guint i = 0; i < jobs->len; i++)
     {
       MhJob *job = g_ptr_array_index (jobs, i);
-      if (mh_job_pending (job) == 0)
+      if (mh_job_pending_tasks (job) == 0)
         {
-          job->wanted_us = 0;
+          job->placement.unplaced_since_us = 0;
           continue;
         }
-      if (job->wanted_us == 0)
-        job->wanted_us = core->now.mono_us;
-      job->starved = starved (core, job);
-      job->start_by_us = start_by (core, job);
+      if (job->placement.unplaced_since_us == 0)
+        job->placement.unplaced_since_us = core->now.mono_us;
+      job->placement.starved = starved (core, job);
+      job->placement.latest_start_us = start_by (core, job);
       jobs->pdata[kept++] = job;
     }
   g_ptr_array_set_size (jobs, (gint)kept);
@@ -201,7 +190,7 @@
 /* How long a start of the job may still take, by the aims that hold for it. Once it is late there
    is no hurry. A guarantee without an aim means soon. */
 gint64
-mh_queue_patience_us (const MhCore *core, const MhJob *job)
+mh_objective_start_slack_us (const MhCore *core, const MhJob *job)
 {
   gint64 waited = core->now.mono_us - job->submitted_us, least = 60 * MH_SECOND_US;
   bool promised = false;
@@ -210,12 +199,12 @@
       const MhObjective *o = g_ptr_array_index (core->settings->objectives, i);
       bool holds = o->kind == MH_OBJECTIVE_WAIT
                        ? g_strcmp0 (o->class_name, job->spec->class_name) == 0
-                       : o->kind == MH_OBJECTIVE_GUARANTEE && job->guaranteed;
+                       : o->kind == MH_OBJECTIVE_GUARANTEE && job->placement.guaranteed;
       promised |= o->kind == MH_OBJECTIVE_GUARANTEE;
       if (holds && waited < o->within_us)
         least = MIN (least, o->within_us - waited);
     }
-  if (job->guaranteed && !promised)
+  if (job->placement.guaranteed && !promised)
     least = MIN (least, 3 * MH_SECOND_US);
   return least;
 }
--- a/src/jobs/job-queue.h
+++ b/src/jobs/job-queue.h
@@ -5,27 +5,25 @@
 
 typedef enum
 {
-  MH_QUEUE_ACCEPTED, /* what may be started */
-  MH_QUEUE_ALL       /* ... and what is still being written down */
-} MhQueueScope;
+  MH_JOB_QUEUE_ACCEPTED, /* what may be started */
+  MH_JOB_QUEUE_ALL       /* ... and what is still being written down */
+} MhJobQueueScope;
 
 /* Jobs with pending tasks, in order; the container is owned by the caller. */
 GPtrArray *
-mh_queue_jobs (MhCore *core, MhQueueScope scope);
+mh_job_queue_pending (MhCore *core, MhJobQueueScope scope);
 /* The lower, the earlier: urgent work within a guarantee, urgent work, other work within one, the
    rest. */
 guint
-mh_queue_tier (const MhJob *job);
+mh_job_queue_tier (const MhJob *job);
 /* How long a start of the job may still take, by the aims that hold for it. */
 gint64
-mh_queue_patience_us (const MhCore *core, const MhJob *job);
+mh_objective_start_slack_us (const MhCore *core, const MhJob *job);
 /* Owners' estimates are often wrong, and on some days all in one direction: what the tasks of a
    class took, as a multiple of what was said. */
 double
-mh_queue_bias (MhCore *core, const char *class_name);
+mh_runtime_estimate_ratio (MhCore *core, const char *class_name);
 void
-mh_queue_learn (MhCore *core, const MhJobSpec *spec, gint64 ran_us);
+mh_runtime_estimate_observe (MhCore *core, const MhJobSpec *spec, gint64 ran_us);
 gint64
-mh_queue_run_us (MhCore *core, const MhJobSpec *spec); /* as far as can be told */
-gint64
-mh_queue_fetch_us (const MhCore *core, const MhJobSpec *spec); /* of its image, alone */
+mh_runtime_estimate_us (MhCore *core, const MhJobSpec *spec); /* as far as can be told */
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -1,21 +1,38 @@
-#include "controller/core-private.h"
+#include "jobs/job.h"
+
+#include "protocol/wire.h"
 
 /* Of a record, in JSON: a task, with a machine's name of sixteen characters, and what is neither
    job nor task. A record that turns out larger is re-chunked. */
-#define TASK_JSON ((gsize)40)
-#define RECORD_JSON 200u
-#define LEAST_CHUNK 16u
+#define TASK_JSON_BYTES ((gsize)40)
+#define RECORD_JSON_BYTES 200u
+#define MIN_TASKS_PER_RECORD 16u
 /* A larger record would be written whole for ever smaller parts of it. */
-#define LARGEST_CHUNK 512u
+#define MAX_TASKS_PER_RECORD 512u
+/* Sums of fractions of a cpu or a GB are exact to less than this. */
+#define EPSILON 1e-6
 
 guint
-mh_job_chunk (const MhJobSpec *spec, guint value_bytes)
+mh_job_tasks_per_record (const MhJobSpec *spec, guint value_bytes)
 {
-  g_autoptr (MhValue) v = mh_wire_write_submission (spec);
-  gsize used = mh_value_json_size (v) + RECORD_JSON;
-  if (used + LEAST_CHUNK * TASK_JSON > value_bytes)
+  g_autoptr (MhValue) submission = mh_wire_write_submission (spec);
+  gsize used = mh_value_json_size (submission) + RECORD_JSON_BYTES;
+  if (used + MIN_TASKS_PER_RECORD * TASK_JSON_BYTES > value_bytes)
     return 0;
-  return (guint)MIN ((value_bytes - used) / TASK_JSON, LARGEST_CHUNK);
+  return (guint)MIN ((value_bytes - used) / TASK_JSON_BYTES, MAX_TASKS_PER_RECORD);
+}
+
+static void
+create_records (MhJob *job)
+{
+  job->n_records = (job->spec->tasks + job->chunk - 1) / job->chunk;
+  job->records = g_new0 (MhRecord, job->n_records);
+  for (guint i = 0; i < job->n_records; i++)
+    {
+      job->records[i].job = job;
+      job->records[i].chunk = i;
+      job->records[i].again = MH_URGENCY_PROGRESS;
+    }
 }
 
 MhJob *
@@ -29,15 +46,9 @@
   job->submitted_wall_us = submitted_wall_us;
   job->submitted_us = now->mono_us - MAX (0, now->wall_us - submitted_wall_us);
   job->tasks = g_new0 (MhTask, spec->tasks);
-  job->chunk = chunk ? chunk : MAX (mh_job_chunk (spec, value_bytes), LEAST_CHUNK);
-  job->n_records = (spec->tasks + job->chunk - 1) / job->chunk;
-  job->records = g_new0 (MhRecord, job->n_records);
-  for (guint i = 0; i < job->n_records; i++)
-    {
-      job->records[i].job = job;
-      job->records[i].chunk = i;
-      job->records[i].again = MH_URGENCY_PROGRESS;
-    }
+  job->chunk
+      = chunk ? chunk : MAX (mh_job_tasks_per_record (spec, value_bytes), MIN_TASKS_PER_RECORD);
+  create_records (job);
   job->waiters = g_array_new (FALSE, FALSE, sizeof (MhWaiter));
   return job;
 }
@@ -62,37 +73,88 @@
 }
 
 guint
-mh_job_pending (const MhJob *job)
+mh_job_pending_tasks (const MhJob *job)
 {
   return job->spec->tasks - job->n_done - job->n_live;
 }
 
 bool
-mh_job_over (const MhJob *job)
+mh_job_is_gang (const MhJob *job)
+{
+  return job->spec->shape == MH_SHAPE_GANG;
+}
+
+bool
+mh_job_is_cancelled (const MhJob *job)
+{
+  return job->cancellation != MH_CANCELLATION_NONE;
+}
+
+bool
+mh_job_is_cancel_durable (const MhJob *job)
+{
+  return job->cancellation == MH_CANCELLATION_DURABLE;
+}
+
+bool
+mh_job_is_finished (const MhJob *job)
+{
+  return job->completion != MH_COMPLETION_NONE;
+}
+
+bool
+mh_job_is_final (const MhJob *job)
+{
+  return job->completion == MH_COMPLETION_DURABLE;
+}
+
+bool
+mh_job_is_over (const MhJob *job)
 {
-  return job->cancelled || job->finished || job->n_done == job->spec->tasks;
+  return mh_job_is_cancelled (job) || mh_job_is_finished (job) || job->n_done == job->spec->tasks;
 }
 
-/* What a task needs to save when it is stopped; one without checkpoints ends at once. */
 gint64
 mh_job_grace_us (const MhJob *job)
 {
   return job->spec->checkpoint_us > 0 ? job->spec->save_us : 0;
 }
 
-/* Only what is durable may be told: an answer that a successor would take back is never given. */
 void
-mh_job_answer (const MhJob *job, MhUserAnswer *a)
+mh_job_fill_answer (const MhJob *job, MhUserAnswer *answer)
 {
-  a->done = job->n_done;
-  a->running = job->n_running;
-  if (job->final)
+  answer->done = job->n_done;
+  answer->running = job->n_running;
+  if (mh_job_is_final (job))
     {
-      a->state = job->final_state;
-      a->running = 0;
+      answer->state = job->final_state;
+      answer->running = 0;
     }
-  else if (job->cancel_durable)
-    a->state = MH_JOB_CANCELLED;
+  else if (mh_job_is_cancel_durable (job))
+    answer->state = MH_JOB_CANCELLED;
   else
-    a->state = job->n_running ? MH_JOB_RUNNING : MH_JOB_PENDING;
+    answer->state = job->n_running ? MH_JOB_RUNNING : MH_JOB_PENDING;
+}
+
+bool
+mh_job_spec_fits_type (const MhJobSpec *spec, const MhMachineType *type)
+{
+  if (spec->types && !g_strv_contains ((const char *const *)spec->types, type->name))
+    return false;
+  if (spec->zone && type->zones && !g_strv_contains ((const char *const *)type->zones, spec->zone))
+    return false;
+  return spec->cpus <= type->cpus + EPSILON && spec->gpus <= type->gpus + EPSILON
+         && spec->mem_gb <= type->mem_gb + EPSILON;
+}
+
+gint64
+mh_job_spec_fetch_us (const MhJobSpec *spec, const GPtrArray *types)
+{
+  for (guint i = 0; types && i < types->len; i++)
+    {
+      const MhMachineType *type = g_ptr_array_index (types, i);
+      if (mh_job_spec_fits_type (spec, type) && type->fetch_gb_per_s > 0)
+        return (gint64)(spec->image_gb / type->fetch_gb_per_s * MH_SECOND_US);
+    }
+  return 0;
 }
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,12 +1,13 @@
 /* Jobs, their tasks and their records in memory.
 
    A job belongs to the leader's memory from its submission until its final record is durable. What
-   users are told of it (mh_job_answer) rests on durable records alone. */
+   users are told of it (mh_job_fill_answer) rests on durable records alone. */
 #pragma once
 
 #include "controller/core-types.h"
 #include "cluster/task-failure.h"
 
+/** MhTaskState: whether a task has still to be started, and whether it is done. */
 typedef enum
 {
   MH_TASK_PENDING,
@@ -14,14 +15,24 @@
   MH_TASK_DONE
 } MhTaskState;
 
+/** MhTask: one task of a job. */
 typedef struct
 {
-  MhAttempt *live;
-  guint32 attempt; /* the last one given out */
-  guint8 state;
+  MhAttempt *live; /* not owned; NULL unless @state is MH_TASK_LIVE */
+  guint32 attempt; /* number of the last attempt; 0: none yet */
+  guint8 state;    /* MhTaskState, in a byte: a job may have 100,000 tasks */
 } MhTask;
 
-/* A record in the state service: chunk 0 carries the job itself. */
+/** MhUrgency: the order in which records are written, the most urgent first. */
+typedef enum
+{
+  MH_URGENCY_USER,    /* a user or a service waits */
+  MH_URGENCY_START,   /* a start, or the end of a job */
+  MH_URGENCY_PROGRESS /* the rest */
+} MhUrgency;
+#define MH_URGENCIES 3
+
+/** MhRecord: a record in the state service; chunk 0 carries the job itself. */
 struct MhRecord
 {
   MhJob *job;
@@ -37,64 +48,225 @@
   gint64 refused_until_us; /* was refused by itself; not written before */
 };
 
+/** MhWaiter: a user's request that is answered when the job's record is durable. */
 typedef struct
 {
   guint64 id;
   MhUserVerb verb;
 } MhWaiter;
 
+/** MhCancellation: how far the cancellation by the user has come; it is never taken back. */
+typedef enum
+{
+  MH_CANCELLATION_NONE,
+  MH_CANCELLATION_REQUESTED, /* the user asked */
+  MH_CANCELLATION_DURABLE    /* ... and may be told so */
+} MhCancellation;
+
+/** MhCompletion: how far the end of the job has come; it is never taken back. */
+typedef enum
+{
+  MH_COMPLETION_NONE,
+  MH_COMPLETION_UNWRITTEN, /* nothing left to do: the final record is wanted */
+  MH_COMPLETION_DURABLE    /* the final record is durable */
+} MhCompletion;
+
+/** MhJobPlacement: what the job queue and placement work out for a job; not on record. */
+typedef struct
+{
+  bool guaranteed;          /* within its team's quota, together with the team's earlier jobs */
+  bool starved;             /* nothing of it has begun for long */
+  bool objectives_missed;   /* no service-level objective can be met any more */
+  guint first_pending;      /* no pending task has a lower index */
+  gint64 unplaced_since_us; /* has pending tasks since; 0: has none */
+  gint64 latest_start_us;   /* the latest start that is in time */
+  gint64 retry_after_us;    /* no start before; after failures or a worker's refusal */
+  gint64 expected_run_us;   /* of one task; kept by the scale-out plan */
+  gint64 expected_fetch_us; /* of the image, alone on a machine; kept by the scale-out plan */
+} MhJobPlacement;
+
+/** MhJobGang: what is known of a job whose tasks run all at once; see gang-scheduling.h. */
+typedef struct
+{
+  bool ending;               /* a task of the attempt is over, or all are told to stop */
+  gint64 gathering_since_us; /* a task waits for the others since; 0: none was seen to */
+  guint held_tasks;          /* tasks for which capacity is held in this pass ... */
+  const char *held_zone;     /* ... in the only zone that it may go to; interned, NULL: any */
+} MhJobGang;
+
+/** MhJob: a job in the leader's memory. */
 struct MhJob
 {
-  MhJobSpec *spec;
-  GRefString *image, *zone; /* the spec's, interned: compared by address; zone NULL: any */
+  /* as submitted */
+  MhJobSpec *spec;   /* owned */
+  GRefString *image; /* the spec's, interned: compared by address */
+  GRefString *zone;  /* the spec's, interned; NULL: any */
   gint64 submitted_wall_us, submitted_us;
+  GArray *waiters; /* MhWaiter */
+
+  /* tasks */
   MhTask *tasks;
-  MhRecord *records;
-  guint n_records, chunk; /* tasks in one record */
   guint n_done, n_live, n_running;
-  guint n_unheard;     /* live attempts on machines that have not reported to this leader */
-  guint cursor;        /* no pending task below it */
-  bool accepted;       /* its first record is durable */
-  bool cancelled;      /* the user asked */
-  bool cancel_durable; /* and may be told so */
-  bool finished;       /* nothing left to do: the final record is wanted */
-  bool final;          /* ... and durable */
-  MhJobState final_state;
-  GArray *waiters; /* MhWaiter */
-  /* placement */
-  bool guaranteed;
+  guint n_unreported; /* live attempts on machines that have not reported to this leader */
+
+  /* durable state */
+  MhRecord *records;
+  guint n_records;
+  guint chunk;             /* tasks in one record */
+  guint unchunked_records; /* that are being replaced by smaller ones; 0: none are */
+  bool accepted;           /* its first record is durable */
+  MhCancellation cancellation;
+  MhCompletion completion;
+  MhJobState final_state; /* with MH_COMPLETION_DURABLE */
+
+  MhJobPlacement placement;
+  MhJobGang gang;
   MhJobFaults faults;
-  gint64 retry_us;         /* no start before */
-  gint64 wanted_us;        /* pending and unplaced since; 0: not */
-  gint64 start_by_us;      /* the latest start that is in time */
-  gint64 run_us, fetch_us; /* expected, of a task; kept by the plan of rentals */
-  bool hopeless;           /* no aim can be met any more */
-  /* of a gang */
-  bool ending;           /* a task of the attempt is over, or all are told to stop */
-  gint64 gathering_us;   /* a task waits for the others since; 0: none was seen to */
-  guint held;            /* tasks for which room is held, in this pass, */
-  const char *held_zone; /* in the only zone that it may come to; interned, NULL: any */
-  /* re-chunked in smaller records: see store.c */
-  guint unchunked_records; /* that are being replaced; 0: none are */
-  bool starved;            /* nothing of it has begun for long */
 };
 
-/* `chunk` 0: as large as values of `value_bytes` take. */
+/**
+ * mh_job_new:
+ * @spec: (transfer full): the job as submitted
+ * @chunk: tasks in one record; 0: as many as values of @value_bytes take
+ * @value_bytes: the state service's limit for one value
+ * @submitted_wall_us: wall-clock time of the submission
+ * @now: the present, by both clocks
+ *
+ * Returns: (transfer full): a job whose tasks are all pending; free it with mh_job_free()
+ */
 MhJob *
 mh_job_new (MhJobSpec *spec, guint chunk, guint value_bytes, gint64 submitted_wall_us,
             const MhNow *now);
+
+/**
+ * mh_job_free:
+ * @job: (transfer full): a job without live attempts
+ */
 void
 mh_job_free (MhJob *job);
+
+/**
+ * mh_job_record:
+ * @job: a job
+ * @index: a task's index
+ *
+ * Returns: (transfer none): the record that holds the task
+ */
 MhRecord *
-mh_job_record (MhJob *job, guint index); /* that holds task `index` */
+mh_job_record (MhJob *job, guint index);
+
+/**
+ * mh_job_pending_tasks:
+ * @job: a job
+ *
+ * Returns: how many tasks are neither done nor have a live attempt
+ */
 guint
-mh_job_pending (const MhJob *job);
+mh_job_pending_tasks (const MhJob *job);
+
+/**
+ * mh_job_is_gang:
+ * @job: a job
+ *
+ * Returns: whether its tasks run all at the same time, or none does (gang scheduling)
+ */
+bool
+mh_job_is_gang (const MhJob *job);
+
+/**
+ * mh_job_is_cancelled:
+ * @job: a job
+ *
+ * Returns: whether the user asked for its end, durably or not
+ */
 bool
-mh_job_over (const MhJob *job); /* takes no more starts */
+mh_job_is_cancelled (const MhJob *job);
+
+/**
+ * mh_job_is_cancel_durable:
+ * @job: a job
+ *
+ * Returns: whether its cancellation is on record, so that no later leader starts a task of it
+ */
+bool
+mh_job_is_cancel_durable (const MhJob *job);
+
+/**
+ * mh_job_is_finished:
+ * @job: a job
+ *
+ * Returns: whether nothing is left to do but to write its final record, if that is not written yet
+ */
+bool
+mh_job_is_finished (const MhJob *job);
+
+/**
+ * mh_job_is_final:
+ * @job: a job
+ *
+ * Returns: whether its final record is durable
+ */
+bool
+mh_job_is_final (const MhJob *job);
+
+/**
+ * mh_job_is_over:
+ * @job: a job
+ *
+ * Returns: whether it takes no more starts: cancelled, finished, or all tasks done
+ */
+bool
+mh_job_is_over (const MhJob *job);
+
+/**
+ * mh_job_grace_us:
+ * @job: a job
+ *
+ * Returns: the time that a task needs to save its checkpoint when it is stopped; 0 for a job
+ * without checkpoints, whose tasks end at once
+ */
 gint64
 mh_job_grace_us (const MhJob *job);
+
+/**
+ * mh_job_fill_answer:
+ * @job: a job whose first record is durable
+ * @answer: its state and counts of tasks are filled in
+ *
+ * What a user may be told. Only what is durable counts: an answer that a successor would take back
+ * is never given.
+ */
 void
-mh_job_answer (const MhJob *job, MhUserAnswer *answer);
-/* How many tasks' entries fit a value beside the job itself; 0: the job alone is too large. */
+mh_job_fill_answer (const MhJob *job, MhUserAnswer *answer);
+
+/**
+ * mh_job_tasks_per_record:
+ * @spec: a job as submitted
+ * @value_bytes: the state service's limit for one value
+ *
+ * Returns: how many tasks' entries fit a value beside the job itself; 0: the job alone is too large
+ */
 guint
-mh_job_chunk (const MhJobSpec *spec, guint value_bytes);
+mh_job_tasks_per_record (const MhJobSpec *spec, guint value_bytes);
+
+/**
+ * mh_job_spec_fits_type:
+ * @spec: a job as submitted
+ * @type: a machine type
+ *
+ * Returns: whether an empty machine of @type could take one task: the type and zone that the job
+ * asks for, and its resources
+ */
+bool
+mh_job_spec_fits_type (const MhJobSpec *spec, const MhMachineType *type);
+
+/**
+ * mh_job_spec_fetch_us:
+ * @spec: a job as submitted
+ * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
+ *
+ * Returns: how long the fetch of the job's image takes alone, on the first type that fits; 0 if
+ * none does
+ */
+gint64
+mh_job_spec_fetch_us (const MhJobSpec *spec, const GPtrArray *types);
--- a/src/placement/gang-scheduling.c
+++ b/src/placement/gang-scheduling.c
@@ -19,17 +19,11 @@
 #define WAIT_STEP_US (2 * MH_SECOND_US)
 #define LOOK_US MH_SECOND_US
 
-bool
-mh_gang_is (const MhJob *job)
-{
-  return job->spec->shape == MH_SHAPE_GANG;
-}
-
 /* ---- can it ever run ---- */
 
 /* All tasks at once, with the zones that it allows and that its types are offered in. */
 bool
-mh_gang_possible (const MhCore *core, const MhJobSpec *s)
+mh_gang_is_feasible (const MhCore *core, const MhJobSpec *s)
 {
   if (!s->scatter || s->tasks == 1)
     return true;
@@ -39,7 +33,7 @@
   for (guint i = 0; core->types && i < core->types->len; i++)
     {
       const MhMachineType *t = g_ptr_array_index (core->types, i);
-      for (char **zone = t->zones; mh_place_type_fits (s, t) && zone && *zone; zone++)
+      for (char **zone = t->zones; mh_job_spec_fits_type (s, t) && zone && *zone; zone++)
         if (first && strcmp (first, *zone) != 0)
           return true;
         else
@@ -52,10 +46,10 @@
 
 /* Every place of the attempt is on record: a successor must not take a part of it for the whole. */
 bool
-mh_gang_on_record (const MhAttempt *a)
+mh_gang_is_durable (const MhAttempt *a)
 {
   const MhJob *job = a->job;
-  if (job->ending || job->n_live < job->spec->tasks)
+  if (job->gang.ending || job->n_live < job->spec->tasks)
     return false;
   for (guint i = 0; i < job->spec->tasks; i++)
     {
@@ -67,7 +61,7 @@
 }
 
 GHashTable *
-mh_gang_table (void)
+mh_gang_set_new (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
@@ -80,18 +74,18 @@
 
 /* What follows for the others is done in the next step: the caller may be walking over them. */
 void
-mh_gang_task_over (MhCore *core, MhJob *job, bool done)
+mh_gang_task_ended (MhCore *core, MhJob *job, bool done)
 {
-  job->ending |= !done;
+  job->gang.ending |= !done;
   settle_later (core, job);
 }
 
 void
-mh_gang_loaded (MhCore *core, MhJob *job)
+mh_gang_restore (MhCore *core, MhJob *job)
 {
   /* A task that is done, or over, on record: so is the attempt. */
   if (job->n_done || (job->n_live && job->n_live < job->spec->tasks))
-    mh_gang_task_over (core, job, job->n_done > 0);
+    mh_gang_task_ended (core, job, job->n_done > 0);
 }
 
 /* Where a machine cannot be told directly, its next report may come too late for the gang to save
@@ -117,9 +111,9 @@
 mh_gang_stop (MhCore *core, MhJob *job, gint64 grace_us)
 {
   bool saves = grace_us > 0 && job->n_running;
-  if (saves && !job->ending)
+  if (saves && !job->gang.ending)
     log_if_unreachable (core, job);
-  job->ending = true;
+  job->gang.ending = true;
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     {
       MhAttempt *a = job->tasks[i].live;
@@ -133,7 +127,7 @@
 static void
 complete (MhCore *core, MhJob *job)
 {
-  job->ending = false;
+  job->gang.ending = false;
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
       mh_fleet_attempt_over (core, job->tasks[i].live, true);
@@ -157,15 +151,15 @@
     }
   if (job->n_live == 0)
     {
-      job->ending = false;
-      job->gathering_us = 0;
+      job->gang.ending = false;
+      job->gang.gathering_since_us = 0;
     }
 }
 
 static void
 settle (MhCore *core, MhJob *job)
 {
-  if (job->n_done && !job->cancelled)
+  if (job->n_done && !mh_job_is_cancelled (job))
     complete (core, job);
   else
     end (core, job);
@@ -176,11 +170,13 @@
 take_back (MhCore *core, MhJob *job)
 {
   gint64 now = core->now.mono_us;
-  if (job->gathering_us == 0 || job->n_running || job->ending || mh_job_over (job)
-      || now - job->gathering_us < (gint64)((double)core->settings->gang_wait_us * WAIT_SHARE))
+  if (job->gang.gathering_since_us == 0 || job->n_running || job->gang.ending
+      || mh_job_is_over (job)
+      || now - job->gang.gathering_since_us
+             < (gint64)((double)core->settings->gang_wait_us * WAIT_SHARE))
     return;
   mh_info (core, "gang %s: not complete after %.0f s; taken back", job->spec->id,
-           (double)(now - job->gathering_us) / MH_SECOND_US);
+           (double)(now - job->gang.gathering_since_us) / MH_SECOND_US);
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *a = job->tasks[i].live;
@@ -191,23 +187,23 @@
 }
 
 void
-mh_gang_step (MhCore *core)
+mh_gang_reconcile (MhCore *core)
 {
   /* What is done for one may add to the table. */
   g_autoptr (GHashTable) ids = g_steal_pointer (&core->gangs);
-  core->gangs = mh_gang_table ();
+  core->gangs = mh_gang_set_new ();
   GHashTableIter it;
   gpointer id, job;
   g_hash_table_iter_init (&it, ids);
   while (g_hash_table_iter_next (&it, &id, NULL))
-    if ((job = g_hash_table_lookup (core->jobs, id)) && !((MhJob *)job)->finished)
+    if ((job = g_hash_table_lookup (core->jobs, id)) && !mh_job_is_finished (job))
       settle (core, job);
   if (core->now.mono_us < core->gangs_looked_us + LOOK_US)
     return;
   core->gangs_looked_us = core->now.mono_us;
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &job))
-    if (mh_gang_is (job))
+    if (mh_job_is_gang (job))
       take_back (core, job);
 }
 
@@ -240,11 +236,11 @@
 } Search;
 
 static guint
-slots_in (const MhSpace *x, const MhJobSpec *s)
+slots_in (const MhResources *x, const MhJobSpec *s)
 {
-  return mh_place_times (
+  return mh_resource_slots (
       x->cpus, s->cpus,
-      mh_place_times (x->gpus, s->gpus, mh_place_times (x->mem, s->mem_gb, s->tasks)));
+      mh_resource_slots (x->gpus, s->gpus, mh_resource_slots (x->mem, s->mem_gb, s->tasks)));
 }
 
 /* The gang begins with its last image; then the cheapest, the one with the least room, the name. */
@@ -280,9 +276,10 @@
     {
       MhMachine *m = g_ptr_array_index (usable, i);
       if ((m->spot && !s->spot) || (f->job->zone && f->job->zone != m->zone)
-          || !mh_place_type_fits (s, m->type))
+          || !mh_job_spec_fits_type (s, m->type))
         continue;
-      MhSpace now = mh_place_free (m), could, soon = mh_place_space (f->job, m, &could);
+      MhResources now = mh_resources_available (m), could,
+                  soon = mh_preemption_capacity (f->job, m, &could);
       Site site = { .machine = m,
                     .slots = { slots_in (&now, s), slots_in (&soon, s),
                                s->gpus > 0 ? 0 : slots_in (&could, s) } };
@@ -379,7 +376,7 @@
 weigh (Search *f)
 {
   const MhJobSpec *s = f->job->spec;
-  double urgency = mh_place_loss (s, 1);
+  double urgency = mh_preemption_loss (s, 1);
   g_autoptr (GPtrArray) victims = g_ptr_array_new ();
   for (guint i = 0; i < f->sites->len; i++)
     {
@@ -387,8 +384,8 @@
       guint n = MIN (site->slots[ROOM_MADE], s->tasks);
       if (n == 0)
         continue;
-      MhSpace could, soon = mh_place_space (f->job, site->machine, &could);
-      double loss = mh_place_victims (f->core, f->job, site->machine, soon, n, victims);
+      MhResources could, soon = mh_preemption_capacity (f->job, site->machine, &could);
+      double loss = mh_preemption_select_victims (f->core, f->job, site->machine, soon, n, victims);
       site->cost = loss / n + urgency * (double)site->wait_us / MH_SECOND_US;
     }
   g_array_sort (f->sites, by_cost);
@@ -402,13 +399,14 @@
   guint index = 0;
   for (guint i = 0; i < job->spec->tasks; i++)
     attempt = MAX (attempt, job->tasks[i].attempt);
-  job->ending = false;
-  job->gathering_us = 0;
+  job->gang.ending = false;
+  job->gang.gathering_since_us = 0;
   for (guint i = 0; i < f->sites->len; i++)
     {
       const Site *site = &g_array_index (f->sites, Site, i);
       for (guint k = 0; k < site->taken; k++)
-        mh_place_start (f->core, job, index++, attempt + 1, site->machine, MH_URGENCY_USER);
+        mh_placement_start_task (f->core, job, index++, attempt + 1, site->machine,
+                                 MH_URGENCY_USER);
     }
 }
 
@@ -419,15 +417,15 @@
     {
       const Site *site = &g_array_index (f->sites, Site, i);
       if (site->taken)
-        mh_place_promise (site->machine, f->job->spec, site->taken);
+        mh_resources_reserve (site->machine, f->job->spec, site->taken);
     }
 }
 
 static void
 stop_victims (Search *f, const Site *site, GPtrArray *victims)
 {
-  MhSpace could, soon = mh_place_space (f->job, site->machine, &could);
-  mh_place_victims (f->core, f->job, site->machine, soon, site->taken, victims);
+  MhResources could, soon = mh_preemption_capacity (f->job, site->machine, &could);
+  mh_preemption_select_victims (f->core, f->job, site->machine, soon, site->taken, victims);
   for (guint i = 0; i < victims->len; i++)
     {
       MhAttempt *a = g_ptr_array_index (victims, i);
@@ -474,16 +472,16 @@
     }
   if (best == NULL)
     return;
-  f->job->held = take (f, best, ROOM_NOW).tasks;
-  f->job->held_zone = f->job->spec->one_zone ? best : NULL;
+  f->job->gang.held_tasks = take (f, best, ROOM_NOW).tasks;
+  f->job->gang.held_zone = f->job->spec->one_zone ? best : NULL;
   promise_taken (f);
 }
 
 /* Room that is being made, or can be, where the last image comes within `wait_us`. */
 static bool
-wait_for_room (Search *f, bool may_preempt, gint64 wait_us, MhGangPlaced *placed)
+wait_for_room (Search *f, bool may_preempt, gint64 wait_us, MhGangPlacement *placed)
 {
-  *placed = MH_GANG_WAITS;
+  *placed = MH_GANG_PENDING;
   if (take_best (f, ROOM_SOON, wait_us))
     {
       promise_taken (f);
@@ -491,19 +489,19 @@
     }
   if (!may_preempt || !make_room (f, wait_us))
     return false;
-  *placed = MH_GANG_PREEMPTED;
+  *placed = MH_GANG_PREEMPTING;
   return true;
 }
 
-static MhGangPlaced
+static MhGangPlacement
 place (Search *f, bool may_preempt)
 {
   MhJob *job = f->job;
-  MhGangPlaced placed;
+  MhGangPlacement placed;
   /* Like a service, an urgent gang that would come too late by its image rather takes the room of
      lesser work where the image is. */
   gint64 patience = job->spec->priority >= MH_PRIORITY_HIGH
-                        ? MAX (mh_queue_patience_us (f->core, job), 0)
+                        ? MAX (mh_objective_start_slack_us (f->core, job), 0)
                         : G_MAXINT64;
   if (take_best (f, ROOM_NOW, patience))
     {
@@ -519,26 +517,26 @@
     }
   if (wait_for_room (f, may_preempt, G_MAXINT64, &placed))
     return placed;
-  if (job->starved || f->core->now.mono_us - job->wanted_us < HOLD_US)
+  if (job->placement.starved || f->core->now.mono_us - job->placement.unplaced_since_us < HOLD_US)
     hold (f);
-  return MH_GANG_WAITS;
+  return MH_GANG_PENDING;
 }
 
-MhGangPlaced
+MhGangPlacement
 mh_gang_place (MhCore *core, MhJob *job, const GPtrArray *usable, bool may_preempt)
 {
   const MhJobSpec *s = job->spec;
-  job->held = 0;
-  job->held_zone = NULL;
-  if (job->n_live || job->ending
-      || !mh_place_quota_fits (core, job, s->cpus * s->tasks, s->gpus * s->tasks))
-    return MH_GANG_WAITS;
+  job->gang.held_tasks = 0;
+  job->gang.held_zone = NULL;
+  if (job->n_live || job->gang.ending
+      || !mh_quota_fits (core, job, s->cpus * s->tasks, s->gpus * s->tasks))
+    return MH_GANG_PENDING;
   Search f = { .core = core,
                .job = job,
                .sites = g_array_new (FALSE, FALSE, sizeof (Site)),
                .zones = g_ptr_array_new () };
   look (&f, usable);
-  MhGangPlaced placed = place (&f, may_preempt);
+  MhGangPlacement placed = place (&f, may_preempt);
   g_array_unref (f.sites);
   g_ptr_array_unref (f.zones);
   return placed;
--- a/src/placement/gang-scheduling.h
+++ b/src/placement/gang-scheduling.h
@@ -6,28 +6,26 @@
 
 typedef enum
 {
-  MH_GANG_WAITS,
-  MH_GANG_PREEMPTED, /* room is being made */
+  MH_GANG_PENDING,
+  MH_GANG_PREEMPTING, /* room is being made */
   MH_GANG_STARTED
-} MhGangPlaced;
+} MhGangPlacement;
 
 GHashTable *
-mh_gang_table (void);
-bool
-mh_gang_is (const MhJob *job);
+mh_gang_set_new (void);
 /* False: its tasks can never run all at once. */
 bool
-mh_gang_possible (const MhCore *core, const MhJobSpec *spec);
+mh_gang_is_feasible (const MhCore *core, const MhJobSpec *spec);
 bool
-mh_gang_on_record (const MhAttempt *attempt);
+mh_gang_is_durable (const MhAttempt *attempt);
 void
-mh_gang_task_over (MhCore *core, MhJob *job, bool done);
+mh_gang_task_ended (MhCore *core, MhJob *job, bool done);
 void
-mh_gang_loaded (MhCore *core, MhJob *job);
+mh_gang_restore (MhCore *core, MhJob *job);
 /* Whole; `grace_us` is what a task needs to save. */
 void
 mh_gang_stop (MhCore *core, MhJob *job, gint64 grace_us);
 void
-mh_gang_step (MhCore *core);
-MhGangPlaced
+mh_gang_reconcile (MhCore *core);
+MhGangPlacement
 mh_gang_place (MhCore *core, MhJob *job, const GPtrArray *usable, bool may_preempt);
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -25,19 +25,8 @@
 #define GATHERING_LOSS_S 30
 #define LATE_STEP_US (10 * MH_SECOND_US)
 
-bool
-mh_place_type_fits (const MhJobSpec *s, const MhMachineType *t)
-{
-  if (s->types && !g_strv_contains ((const char *const *)s->types, t->name))
-    return false;
-  if (s->zone && t->zones && !g_strv_contains ((const char *const *)t->zones, s->zone))
-    return false;
-  return s->cpus <= t->cpus + EPSILON && s->gpus <= t->gpus + EPSILON
-         && s->mem_gb <= t->mem_gb + EPSILON;
-}
-
 guint
-mh_place_times (double have, double need, guint most)
+mh_resource_slots (double have, double need, guint most)
 {
   if (need <= 0 || have >= need * most)
     return most;
@@ -45,7 +34,7 @@
 }
 
 bool
-mh_place_quota_fits (MhCore *core, const MhJob *job, double more_cpus, double more_gpus)
+mh_quota_fits (MhCore *core, const MhJob *job, double more_cpus, double more_gpus)
 {
   const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
   const MhUse *use = g_hash_table_lookup (core->team_use, job->spec->team);
@@ -57,7 +46,7 @@
 
 /* How many of `n` more tasks the team's limit allows besides what may be running and `also`. */
 guint
-mh_place_quota_room (MhCore *core, const MhJob *job, const MhUse *also, guint n)
+mh_quota_allowed_tasks (MhCore *core, const MhJob *job, const MhUse *also, guint n)
 {
   const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
   const MhUse *use = g_hash_table_lookup (core->team_use, job->spec->team);
@@ -74,7 +63,7 @@
 }
 
 void
-mh_place_spread_rule (const MhCore *core, const MhJobSpec *s, guint *max_skew, bool *soft)
+mh_topology_spread_rule (const MhCore *core, const MhJobSpec *s, guint *max_skew, bool *soft)
 {
   *max_skew = core->settings->max_skew;
   *soft = core->settings->soft;
@@ -166,12 +155,12 @@
          && core->now.mono_us >= m->hold_us && !mh_failure_reports_overdue (core, m);
 }
 
-MhSpace
-mh_place_free (const MhMachine *m)
+MhResources
+mh_resources_available (const MhMachine *m)
 {
-  return (MhSpace){ .cpus = m->type->cpus - m->used_cpus - m->promised_cpus,
-                    .gpus = m->type->gpus - m->used_gpus,
-                    .mem = m->type->mem_gb - m->used_mem - m->promised_mem };
+  return (MhResources){ .cpus = m->type->cpus - m->used_cpus - m->promised_cpus,
+                        .gpus = m->type->gpus - m->used_gpus,
+                        .mem = m->type->mem_gb - m->used_mem - m->promised_mem };
 }
 
 static double
@@ -183,7 +172,7 @@
 static bool
 has_room (const MhMachine *m, const MhJobSpec *s)
 {
-  MhSpace x = mh_place_free (m);
+  MhResources x = mh_resources_available (m);
   return s->cpus <= x.cpus + EPSILON && s->gpus <= x.gpus + EPSILON && s->mem_gb <= x.mem + EPSILON;
 }
 
@@ -250,7 +239,7 @@
 }
 
 const char *
-mh_place_only_zone (const MhJob *job)
+mh_filter_required_zone (const MhJob *job)
 {
   if (job->spec->one_zone)
     for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
@@ -277,11 +266,11 @@
 {
   MhCore *core = p->core;
   const MhJobSpec *s = p->job->spec;
-  const char *only = mh_place_only_zone (p->job);
+  const char *only = mh_filter_required_zone (p->job);
   p->spread = s->shape == MH_SHAPE_SERVICE;
-  mh_place_spread_rule (core, s, &p->max_skew, &p->soft);
+  mh_topology_spread_rule (core, s, &p->max_skew, &p->soft);
   for (guint i = 0; i < core->types->len; i++)
-    p->type_fits[i] = mh_place_type_fits (s, g_ptr_array_index (core->types, i));
+    p->type_fits[i] = mh_job_spec_fits_type (s, g_ptr_array_index (core->types, i));
   for (guint i = 0; i < p->pass->zones->len; i++)
     {
       MhZoneCount z = g_array_index (p->pass->zones, MhZoneCount, i);
@@ -366,7 +355,8 @@
     for (guint i = 0; i < p->zones->len; i++)
       if (i != zone && zones[i].count)
         return false;
-  return !p->spread || p->soft || mh_spread_hard_fits (zones, p->zones->len, zone, p->max_skew);
+  return !p->spread || p->soft
+         || mh_topology_spread_allows_zone (zones, p->zones->len, zone, p->max_skew);
 }
 
 /* Kind and zone allow the task there, whatever room there is. */
@@ -385,7 +375,8 @@
 }
 
 MhAttempt *
-mh_place_start (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *m, guint urgency)
+mh_placement_start_task (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *m,
+                         guint urgency)
 {
   MhAttempt *a = mh_fleet_attempt_new (core, job, index, attempt, m);
   MhRecord *r = mh_job_record (job, index);
@@ -399,9 +390,10 @@
 static void
 start (Placing *p, Candidate *c)
 {
-  MhAttempt *a = mh_place_start (p->core, p->job, p->task, p->job->tasks[p->task].attempt + 1,
+  MhAttempt *a
+      = mh_placement_start_task (p->core, p->job, p->task, p->job->tasks[p->task].attempt + 1,
                                  c->machine, p->spread ? MH_URGENCY_USER : MH_URGENCY_START);
-  a->first = p->job->starved;
+  a->first = p->job->placement.starved;
   c->crowd = crowd_of (p->core, c->machine);
   g_array_index (p->zones, MhZoneCount, c->zone).count++;
 }
@@ -422,8 +414,8 @@
       if (!p->spread)
         return c;
       if (p->soft)
-        c->score = mh_spread_soft_score ((MhZoneCount *)p->zones->data, p->zones->len, c->zone,
-                                         p->max_skew);
+        c->score = mh_topology_spread_score_zone ((MhZoneCount *)p->zones->data, p->zones->len,
+                                                  c->zone, p->max_skew);
       if (best == NULL || by_walk (c, best) < 0)
         best = c;
     }
@@ -438,7 +430,7 @@
 {
   const MhJobSpec *s = p->job->spec;
   gint64 now = p->core->now.mono_us;
-  if (!p->spread || wait_us <= mh_queue_fetch_us (p->core, s))
+  if (!p->spread || wait_us <= mh_job_spec_fetch_us (s, p->core->types))
     return false;
   for (guint i = 0; i < p->pass->coming->len; i++)
     {
@@ -447,7 +439,7 @@
           || !p->type_fits[m->machine->type_index] || m->cpus + EPSILON < s->cpus
           || m->mem + EPSILON < s->mem_gb || (p->job->zone && p->job->zone != m->machine->zone))
         continue;
-      if (m->arrives_us - now + mh_queue_fetch_us (p->core, s) >= wait_us)
+      if (m->arrives_us - now + mh_job_spec_fetch_us (s, p->core->types) >= wait_us)
         continue;
       m->image = p->job->image;
       m->cpus -= s->cpus;
@@ -467,24 +459,24 @@
     return false;
   /* The one task with which a starved job begins gives way to urgent work alone: it once was
      stopped in the very pass that had placed it. */
-  if (a->first && mh_queue_tier (wants) > 1)
+  if (a->first && mh_job_queue_tier (wants) > 1)
     return false;
   /* Only from those that stand further back in the queue: else the two stop each other in turn, as
      urgent work beyond its guarantee and normal work within one once did for a thousand times. */
-  if (mh_queue_tier (wants) > mh_queue_tier (holds)
-      || (mh_queue_tier (wants) == mh_queue_tier (holds)
+  if (mh_job_queue_tier (wants) > mh_job_queue_tier (holds)
+      || (mh_job_queue_tier (wants) == mh_job_queue_tier (holds)
           && wants->spec->priority <= holds->spec->priority))
     return false;
   if (holds->spec->priority < wants->spec->priority)
     return true;
   /* One task costs the whole gang, which is placed again as soon as there is room: for a guarantee
      alone a gang was stopped forty times in a row, and each time for a part of its room. */
-  return wants->guaranteed && !mh_gang_is (holds)
+  return wants->placement.guaranteed && !mh_job_is_gang (holds)
          && strcmp (holds->spec->team, wants->spec->team) != 0;
 }
 
 double
-mh_place_loss (const MhJobSpec *s, double seconds)
+mh_preemption_loss (const MhJobSpec *s, double seconds)
 {
   return s->cpus * seconds * (1 + RANK_LOSS * s->priority);
 }
@@ -498,9 +490,9 @@
   double ran = a->running_us ? (double)(core->now.mono_us - a->running_us) / MH_SECOND_US : 0;
   /* One task of a gang costs the whole of it, which has to gather again, also one that has just
      begun: those once were stopped first, up to four times in a row. */
-  if (mh_gang_is (a->job))
-    return s->tasks * mh_place_loss (s, GATHERING_LOSS_S + ran);
-  return mh_place_loss (s, 1 + ran);
+  if (mh_job_is_gang (a->job))
+    return s->tasks * mh_preemption_loss (s, GATHERING_LOSS_S + ran);
+  return mh_preemption_loss (s, 1 + ran);
 }
 
 static gint
@@ -511,20 +503,20 @@
 }
 
 void
-mh_place_promise (MhMachine *m, const MhJobSpec *s, guint n)
+mh_resources_reserve (MhMachine *m, const MhJobSpec *s, guint n)
 {
   m->promised_cpus += s->cpus * n;
   m->promised_mem += s->mem_gb * n;
 }
 
 static bool
-enough (const MhSpace *x, const MhJobSpec *s, guint n)
+enough (const MhResources *x, const MhJobSpec *s, guint n)
 {
   return s->cpus * n <= x->cpus + EPSILON && s->mem_gb * n <= x->mem + EPSILON;
 }
 
 static void
-add_task (MhSpace *x, const MhJobSpec *s)
+add_task (MhResources *x, const MhJobSpec *s)
 {
   x->cpus += s->cpus;
   x->gpus += s->gpus;
@@ -532,11 +524,11 @@
 }
 
 /* Room that is being freed already counts, so that one need is not met twice. */
-MhSpace
-mh_place_space (const MhJob *wants, const MhMachine *m, MhSpace *could)
+MhResources
+mh_preemption_capacity (const MhJob *wants, const MhMachine *m, MhResources *could)
 {
-  MhSpace x = mh_place_free (m);
-  *could = (MhSpace){ 0 };
+  MhResources x = mh_resources_available (m);
+  *could = (MhResources){ 0 };
   for (guint i = 0; i < m->attempts->len; i++)
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
@@ -552,8 +544,8 @@
 }
 
 double
-mh_place_victims (MhCore *core, const MhJob *wants, const MhMachine *m, MhSpace x, guint n,
-                  GPtrArray *victims)
+mh_preemption_select_victims (MhCore *core, const MhJob *wants, const MhMachine *m, MhResources x,
+                              guint n, GPtrArray *victims)
 {
   g_autoptr (GPtrArray) able = g_ptr_array_new ();
   double loss = 0;
@@ -581,14 +573,14 @@
   for (guint i = 0; i < p->pass->usable->len; i++)
     {
       MhMachine *m = g_ptr_array_index (p->pass->usable, i);
-      MhSpace could;
+      MhResources could;
       if (!admits (p, m))
         continue;
-      MhSpace x = mh_place_space (p->job, m, &could);
+      MhResources x = mh_preemption_capacity (p->job, m, &could);
       if (enough (&x, s, 1)
           && mh_fleet_image_wait (p->core, m, p->job->image, s->image_gb) <= wait_us)
         {
-          mh_place_promise (m, s, 1);
+          mh_resources_reserve (m, s, 1);
           return true;
         }
     }
@@ -607,17 +599,17 @@
   for (guint i = 0; i < p->pass->usable->len; i++)
     {
       MhMachine *m = g_ptr_array_index (p->pass->usable, i);
-      MhSpace could;
+      MhResources could;
       if (!admits (p, m))
         continue;
-      MhSpace x = mh_place_space (p->job, m, &could);
+      MhResources x = mh_preemption_capacity (p->job, m, &could);
       if (!enough (&could, s, 1))
         continue;
       gint64 wait = mh_fleet_image_wait (p->core, m, p->job->image, s->image_gb);
       if (wait > wait_us)
         continue;
-      double loss
-          = (double)wait / MH_SECOND_US + mh_place_victims (p->core, p->job, m, x, 1, victims);
+      double loss = (double)wait / MH_SECOND_US
+                    + mh_preemption_select_victims (p->core, p->job, m, x, 1, victims);
       if (loss >= best_loss)
         continue;
       best = m;
@@ -630,8 +622,8 @@
      would be made: at the start of a day one service had eighty tasks stopped so. */
   if (better_wait (p, best_wait))
     return true;
-  MhSpace could, x = mh_place_space (p->job, best, &could);
-  mh_place_victims (p->core, p->job, best, x, 1, victims);
+  MhResources could, x = mh_preemption_capacity (p->job, best, &could);
+  mh_preemption_select_victims (p->core, p->job, best, x, 1, victims);
   for (guint i = 0; i < victims->len; i++)
     {
       MhAttempt *a = g_ptr_array_index (victims, i);
@@ -639,7 +631,7 @@
                best->name, s->id);
       mh_fleet_stop (p->core, a, mh_job_grace_us (a->job));
     }
-  mh_place_promise (best, s, 1);
+  mh_resources_reserve (best, s, 1);
   return true;
 }
 
@@ -651,7 +643,7 @@
 counts_known (const MhCore *core, const MhJob *job)
 {
   const MhJobSpec *s = job->spec;
-  if (job->n_unheard == 0)
+  if (job->n_unreported == 0)
     return true;
   if (!core->leader.rebuilt)
     return false;
@@ -673,9 +665,10 @@
     {
       const MhJob *other = g_ptr_array_index (pass->stuck, i);
       const MhJobSpec *o = other->spec;
-      if (mh_queue_tier (other) <= mh_queue_tier (job) && o->priority >= s->priority
+      if (mh_job_queue_tier (other) <= mh_job_queue_tier (job) && o->priority >= s->priority
           && o->cpus <= s->cpus && o->mem_gb <= s->mem_gb && (o->spot || !s->spot)
-          && (!job->guaranteed || (other->guaranteed && strcmp (o->team, s->team) == 0)))
+          && (!job->placement.guaranteed
+              || (other->placement.guaranteed && strcmp (o->team, s->team) == 0)))
         return true;
     }
   return false;
@@ -710,8 +703,8 @@
       /* Not past a task that was passed over: it once was forgotten with that, and a replica never
          started. */
       if (!p->passed_over)
-        job->cursor = p->task;
-      if (!mh_place_quota_fits (core, job, s->cpus, s->gpus))
+        job->placement.first_pending = p->task;
+      if (!mh_quota_fits (core, job, s->cpus, s->gpus))
         return;
       Candidate *c = first_fit (p);
       if (c == NULL)
@@ -739,7 +732,7 @@
       start (p, c);
       p->pass->starts++;
       most--;
-      if (job->starved)
+      if (job->placement.starved)
         return;
     }
 }
@@ -757,11 +750,13 @@
 static bool
 may_make_room (MhCore *core, const MhJob *job, gint64 patience)
 {
-  if (!core->leader.rebuilt || (mh_queue_tier (job) == 3 && job->spec->priority <= MH_PRIORITY_LOW))
+  if (!core->leader.rebuilt
+      || (mh_job_queue_tier (job) == 3 && job->spec->priority <= MH_PRIORITY_LOW))
     return false;
-  if (waits_for_endings (job->spec) && core->now.mono_us - job->wanted_us < patience / 3)
+  if (waits_for_endings (job->spec)
+      && core->now.mono_us - job->placement.unplaced_since_us < patience / 3)
     {
-      mh_core_wake_at (core, job->wanted_us + patience / 3);
+      mh_core_wake_at (core, job->placement.unplaced_since_us + patience / 3);
       return false;
     }
   return true;
@@ -777,10 +772,10 @@
   if (!may_make_room (core, job, p->patience))
     return;
   double cpus = 0;
-  for (guint n = mh_job_pending (job); n > p->made; n--)
+  for (guint n = mh_job_pending_tasks (job); n > p->made; n--)
     {
       cpus += s->cpus;
-      if (!mh_place_quota_fits (core, job, cpus, 0) || known_stuck (p->pass, job))
+      if (!mh_quota_fits (core, job, cpus, 0) || known_stuck (p->pass, job))
         return;
       if (preempt_one (p, p->patience) || preempt_one (p, G_MAXINT64))
         continue;
@@ -806,7 +801,7 @@
         best = m;
     }
   if (best)
-    mh_place_promise (best, s, 1);
+    mh_resources_reserve (best, s, 1);
 }
 
 static void
@@ -814,11 +809,11 @@
 {
   MhCore *core = pass->core;
   bool may_preempt = pass->may_preempt && pass->preemptions < PREEMPTIONS_PER_PASS
-                     && may_make_room (core, job, mh_queue_patience_us (core, job));
-  MhGangPlaced placed = mh_gang_place (core, job, pass->usable, may_preempt);
+                     && may_make_room (core, job, mh_objective_start_slack_us (core, job));
+  MhGangPlacement placed = mh_gang_place (core, job, pass->usable, may_preempt);
   if (placed == MH_GANG_STARTED)
     pass->starts += job->spec->tasks;
-  if (placed == MH_GANG_PREEMPTED)
+  if (placed == MH_GANG_PREEMPTING)
     {
       pass->preemptions++;
       core->preempted_us = core->now.mono_us;
@@ -829,17 +824,16 @@
 place_job (Pass *pass, MhJob *job)
 {
   MhCore *core = pass->core;
-  if (core->now.mono_us < job->retry_us)
+  if (core->now.mono_us < job->placement.retry_after_us)
     {
-      mh_core_wake_at (core, job->retry_us);
+      mh_core_wake_at (core, job->placement.retry_after_us);
       return;
     }
   if (mh_fault_startable (core, job) == 0)
     return;
-  if (!counts_known (core, job)
-      || !mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
+  if (!counts_known (core, job) || !mh_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
     return;
-  if (mh_gang_is (job))
+  if (mh_job_is_gang (job))
     {
       place_gang (pass, job);
       return;
@@ -855,15 +849,15 @@
                 .zones = zones,
                 .zone_of = zone_of,
                 .type_fits = type_fits,
-                .task = job->cursor,
-                .patience = mh_queue_patience_us (core, job) };
+                .task = job->placement.first_pending,
+                .patience = mh_objective_start_slack_us (core, job) };
   prepare (&p);
   gather (&p);
   place_tasks (&p);
-  if (job->starved && job->n_live == 0)
+  if (job->placement.starved && job->n_live == 0)
     reserve (&p);
   /* Nothing is stopped for a job that is only tried. */
-  if (mh_job_pending (job) && !p.waits && pass->may_preempt && !mh_fault_backs_off (job))
+  if (mh_job_pending_tasks (job) && !p.waits && pass->may_preempt && !mh_fault_backs_off (job))
     make_room (&p);
 }
 
@@ -911,7 +905,7 @@
 }
 
 void
-mh_place_step (MhCore *core)
+mh_placement_run (MhCore *core)
 {
   gint64 now = core->now.mono_us;
   gint64 next = core->placed_us
@@ -925,7 +919,7 @@
     }
   core->placed_us = now;
   core->place_wanted = core->place_urgent = false;
-  g_autoptr (GPtrArray) queue = mh_queue_jobs (core, MH_QUEUE_ACCEPTED);
+  g_autoptr (GPtrArray) queue = mh_job_queue_pending (core, MH_JOB_QUEUE_ACCEPTED);
   if (queue->len == 0)
     return;
   g_autoptr (GPtrArray) machines = g_ptr_array_new ();
--- a/src/placement/topology-spread.c
+++ b/src/placement/topology-spread.c
@@ -3,7 +3,7 @@
 /* KEP-895, "MaxSkew": matching num - min matching num < maxSkew. An infeasible zone still enters
    the minimum of the hard rule. */
 bool
-mh_spread_hard_fits (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
+mh_topology_spread_allows_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
 {
   guint min = zones[zone].count;
   for (guint i = 0; i < n_zones; i++)
@@ -13,7 +13,7 @@
 
 /* KEP-895, "Priority": the minimum is taken over zones that passed the other filters. */
 gint
-mh_spread_soft_score (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
+mh_topology_spread_score_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
 {
   guint min = zones[zone].count;
   for (guint i = 0; i < n_zones; i++)
--- a/src/placement/topology-spread.h
+++ b/src/placement/topology-spread.h
@@ -11,7 +11,8 @@
 } MhZoneCount;
 
 bool
-mh_spread_hard_fits (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew);
+mh_topology_spread_allows_zone (const MhZoneCount *zones, guint n_zones, guint zone,
+                                guint max_skew);
 /* Lowest ranks first. */
 gint
-mh_spread_soft_score (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew);
+mh_topology_spread_score_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew);
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -98,13 +98,13 @@
           not_understood (core, e->key, e->key + 2);
           return;
         }
-      guint fits = mh_job_chunk (spec, core->settings->value_bytes);
+      guint fits = mh_job_tasks_per_record (spec, core->settings->value_bytes);
       guint old = per_record > fits && fits ? (spec->tasks + per_record - 1) / per_record : 0;
       job = mh_job_new (spec, old ? fits : per_record, core->settings->value_bytes, at, &core->now);
       job->unchunked_records = old;
       job->accepted = true;
       mh_fault_load (core, job, mh_record_read_back_off (e->value));
-      job->cancelled = job->cancel_durable = cancelled;
+      job->cancellation = cancelled ? MH_CANCELLATION_DURABLE : MH_CANCELLATION_NONE;
       g_hash_table_insert (core->jobs, job->spec->id, job);
     }
   else
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -121,7 +121,7 @@
   for (guint i = 0; i < t->writes->len; i++)
     {
       MhJob *job = g_array_index (t->writes, Write, i).record->job;
-      if (job->cancelled && !job->cancel_durable)
+      if (mh_job_is_cancelled (job) && !mh_job_is_cancel_durable (job))
         rank = MH_RANK_RULES;
     }
   txn_call (core, t, rank, mh_request_copy (t->request), t->changes, txn_reply);
@@ -133,7 +133,8 @@
   for (guint i = 0; i < job->waiters->len;)
     {
       MhWaiter w = g_array_index (job->waiters, MhWaiter, i);
-      if (w.verb == MH_USER_SUBMIT ? !job->accepted : !(job->cancel_durable || job->final))
+      if (w.verb == MH_USER_SUBMIT ? !job->accepted
+                                   : !(mh_job_is_cancel_durable (job) || mh_job_is_final (job)))
         {
           i++;
           continue;
@@ -185,14 +186,14 @@
 final_written (MhCore *core, MhJob *job, bool cancelled)
 {
   MhUserAnswer a = { .status = 200 };
-  job->final = true;
+  job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
   for (guint i = drops_with_final (core, job) + 1; i < job->n_records; i++)
     if (job->records[i].version)
       g_queue_push_tail (&core->garbage, mh_record_key (job->spec->id, i));
   answer_waiters (core, job);
   mh_info (core, "job %s: %s", job->spec->id, cancelled ? "cancelled and gone" : "done");
-  mh_job_answer (job, &a);
+  mh_job_fill_answer (job, &a);
   job_remove (core, job, &a);
 }
 
@@ -231,7 +232,8 @@
   if (r->chunk == 0)
     {
       job_accepted (core, job);
-      job->cancel_durable |= w->cancelled;
+      if (w->cancelled)
+        job->cancellation = MH_CANCELLATION_DURABLE;
       answer_waiters (core, job);
     }
   if (r->rev > r->durable)
@@ -459,7 +461,7 @@
 {
   if (r->writing)
     return false;
-  if (!r->job->finished)
+  if (!mh_job_is_finished (r->job))
     return core->now.mono_us >= r->refused_until_us
            && (r->job->unchunked_records == 0 || mh_rechunk_may_write (core, r));
   /* The final record ends all others: it waits until none of them is on its way. */
@@ -510,7 +512,10 @@
   g_ptr_array_add (b->values, value);
   b->bytes += mh_value_json_size (value) + OVERHEAD_BYTES;
   add_condition (b, key, r->version);
-  Write w = { .record = r, .rev = r->rev, .final = job->finished, .cancelled = job->cancelled };
+  Write w = { .record = r,
+              .rev = r->rev,
+              .final = mh_job_is_finished (job),
+              .cancelled = mh_job_is_cancelled (job) };
   g_array_append_val (b->txn->writes, w);
   r->writing = true;
   r->again = MH_URGENCY_PROGRESS;
@@ -531,14 +536,16 @@
 batch_add (MhCore *core, Batch *b, MhRecord *r)
 {
   MhJob *job = r->job;
-  guint drops = job->finished ? drops_with_final (core, job) : 0;
-  bool rechunks = job->unchunked_records && !job->finished && r->chunk == 0;
-  guint need = job->finished ? 2 + drops : rechunks ? mh_rechunk_companions (core, job) : 1;
+  guint drops = mh_job_is_finished (job) ? drops_with_final (core, job) : 0;
+  bool rechunks = job->unchunked_records && !mh_job_is_finished (job) && r->chunk == 0;
+  guint need = mh_job_is_finished (job) ? 2 + drops
+               : rechunks               ? mh_rechunk_companions (core, job)
+                                        : 1;
   bool empty = b->changes->len == 0;
   if (!empty && (r->alone || b->changes->len + need > b->most))
     return false;
-  MhValue *v
-      = job->finished ? mh_record_write_final (job, b->txn->tag) : mh_record_write (r, b->txn->tag);
+  MhValue *v = mh_job_is_finished (job) ? mh_record_write_final (job, b->txn->tag)
+                                        : mh_record_write (r, b->txn->tag);
   if (!empty && b->bytes + mh_value_json_size (v) + OVERHEAD_BYTES > TXN_BYTES)
     {
       mh_value_unref (v);
@@ -546,14 +553,14 @@
     }
   const char *key = keep_key (b, mh_record_key (job->spec->id, r->chunk));
   const char *final = keep_key (b, g_strconcat ("f/", job->spec->id, NULL));
-  const char *put = job->finished ? final : key;
+  const char *put = mh_job_is_finished (job) ? final : key;
   add_write (b, r, key, v);
   add_change (b, put, v);
   if (b->txn->first_key == NULL)
     b->txn->first_key = g_strdup (put);
-  if (job->finished || (r->chunk == 0 && r->version == 0))
+  if (mh_job_is_finished (job) || (r->chunk == 0 && r->version == 0))
     add_condition (b, final, 0);
-  if (job->finished && r->version)
+  if (mh_job_is_finished (job) && r->version)
     add_change (b, key, NULL);
   for (guint i = 1; i <= drops; i++)
     if (job->records[i].version)
@@ -605,7 +612,7 @@
           MhRecord *r = l->data;
           next = l->next;
           /* The final record ends all others. */
-          bool needless = r->job->finished && r->chunk != 0;
+          bool needless = mh_job_is_finished (r->job) && r->chunk != 0;
           if (!needless && !writable (core, r))
             continue;
           if (!needless && !batch_add (core, &b, r))
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -7,15 +7,6 @@
 
 #include "jobs/job.h"
 
-/* Written in this order: a user or a service waits; a start or the end of a job; progress. */
-typedef enum
-{
-  MH_URGENCY_USER,
-  MH_URGENCY_START,
-  MH_URGENCY_PROGRESS
-} MhUrgency;
-#define MH_URGENCIES 3
-
 /* The record differs from what is stored. */
 void
 mh_store_touch (MhCore *core, MhRecord *record, MhUrgency urgency);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -26,7 +26,7 @@
       mh_value_set (m, "s", mh_wire_write_submission (job->spec));
       mh_value_set_uint (m, "at", (guint64)MAX (job->submitted_wall_us, 0));
       mh_value_set_uint (m, "c", job->chunk);
-      if (job->cancelled)
+      if (mh_job_is_cancelled (job))
         mh_value_set_bool (m, "x", true);
       if (mh_fault_backs_off (job))
         mh_value_set_uint (m, "e", job->faults.level);
@@ -58,7 +58,7 @@
 {
   MhValue *m = mh_value_map ();
   mh_value_set_text (m, "w", tag);
-  mh_value_set_uint (m, "state", job->cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE);
+  mh_value_set_uint (m, "state", mh_job_is_cancelled (job) ? MH_JOB_CANCELLED : MH_JOB_DONE);
   mh_value_set_uint (m, "done", job->n_done);
   return m;
 }
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -269,12 +269,12 @@
   set_up (&plain, GPOINTER_TO_UINT (data));
   g_autoptr (GPtrArray) expected = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GPtrArray) got = g_ptr_array_new_with_free_func (g_free);
-  g_autoptr (GPtrArray) queue = mh_queue_jobs (plain.core, MH_QUEUE_ACCEPTED);
+  g_autoptr (GPtrArray) queue = mh_job_queue_pending (plain.core, MH_JOB_QUEUE_ACCEPTED);
   for (guint i = 0; i < queue->len; i++)
     {
       MhJob *job = g_ptr_array_index (queue, i);
       /* A job with a task on a machine that has not reported waits: its counts are not known. */
-      if (job->n_unheard == 0)
+      if (job->n_unreported == 0)
         plain_job (&plain, job, expected);
     }
   GHashTableIter it;
@@ -285,7 +285,7 @@
     for (guint i = 0; i < ((MhJob *)value)->spec->tasks; i++)
       if (((MhJob *)value)->tasks[i].live)
         g_hash_table_add (before, ((MhJob *)value)->tasks[i].live);
-  mh_place_step (f.core);
+  mh_placement_run (f.core);
   g_hash_table_iter_init (&it, f.core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     for (guint i = 0; i < ((MhJob *)value)->spec->tasks; i++)
--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -37,12 +37,12 @@
   for (guint i = 0; i < 3; i++)
     if (row->feasible[i])
       {
-        if (mh_spread_hard_fits (zones, 3, i, row->max_skew))
+        if (mh_topology_spread_allows_zone (zones, 3, i, row->max_skew))
           g_string_append_printf (hard, "%u", i);
-        best = MIN (best, mh_spread_soft_score (zones, 3, i, row->max_skew));
+        best = MIN (best, mh_topology_spread_score_zone (zones, 3, i, row->max_skew));
       }
   for (guint i = 0; i < 3; i++)
-    if (row->feasible[i] && mh_spread_soft_score (zones, 3, i, row->max_skew) == best)
+    if (row->feasible[i] && mh_topology_spread_score_zone (zones, 3, i, row->max_skew) == best)
       g_string_append_printf (soft, "%u", i);
   g_assert_cmpstr (hard->str, ==, row->hard);
   g_assert_cmpstr (soft->str, ==, row->soft);
@@ -55,8 +55,8 @@
 {
   /* count - minimum - MaxSkew */
   const MhZoneCount zones[] = { { "a", 5, true }, { "b", 2, true }, { "c", 0, false } };
-  g_assert_cmpint (mh_spread_soft_score (zones, 3, 0, 2), ==, 1);
-  g_assert_cmpint (mh_spread_soft_score (zones, 3, 1, 2), ==, -2);
+  g_assert_cmpint (mh_topology_spread_score_zone (zones, 3, 0, 2), ==, 1);
+  g_assert_cmpint (mh_topology_spread_score_zone (zones, 3, 1, 2), ==, -2);
 }
 
 int
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -103,7 +103,7 @@
     mh_fleet_attempt_new (core, job, i * 15, 2 + i, m);
   job->tasks[1] = (MhTask){ .attempt = 4, .state = MH_TASK_DONE };
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
-  job->cancelled = true;
+  job->cancellation = MH_CANCELLATION_REQUESTED;
   job->n_done = 1;
   ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17"), production_job);
   ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17"), production_tasks);
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -333,7 +333,7 @@
   /* The record says how many tasks it holds, so that another version or another limit can read it.
    */
   MhJob *job = mh_job_new (spec, 0, value_bytes, 0, &now);
-  g_assert_cmpuint (mh_job_chunk (spec, value_bytes), ==, job->chunk);
+  g_assert_cmpuint (mh_job_tasks_per_record (spec, value_bytes), ==, job->chunk);
   g_assert_cmpuint (job->chunk, >=, small ? 16 : 64);
   MhMachine machine = { .name = (char *)"vm-000000000001" };
   MhAttempt attempt = { .machine = &machine };
