--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -121,7 +121,7 @@
 
   MhJobPlacement placement;
   MhJobGang gang;
-  MhJobFaults faults;
+  MhJobFailures failures;
 };
 
 /**
