--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -349,7 +349,8 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
-      job->placement.expected_run_us = mh_runtime_estimate_us (core, job->spec);
+      job->placement.expected_run_us
+          = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
       job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, core->types);
     }
 }
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -148,7 +148,7 @@
   mh_failure_clear (core);
   core->service_replicas = 0;
   g_hash_table_remove_all (core->team_use);
-  g_hash_table_remove_all (core->gangs);
+  mh_gang_attempts_clear (core->gang_attempts);
 }
 
 /* The reports that come after a reload are measured from here, not from before. */
@@ -410,8 +410,7 @@
   if (mh_job_is_gang (job))
     mh_gang_task_ended (core, job, done);
   /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
-  core->place_urgent |= a->stopping || job->spec->shape == MH_SHAPE_SERVICE;
-  core->place_wanted = true;
+  mh_placement_request_pass (core->placement, a->stopping || job->spec->shape == MH_SHAPE_SERVICE);
   g_free (a);
   job_check_over (core, job);
 }
@@ -534,7 +533,8 @@
     {
     case MH_CAUSE_DONE:
       if (a->running_since_us && !a->loaded)
-        mh_runtime_estimate_observe (core, job->spec, core->now.mono_us - a->running_since_us);
+        mh_runtime_estimator_observe (core->runtime_estimator, job->spec,
+                                      core->now.mono_us - a->running_since_us);
       mh_task_failure_record_success (core, m, job);
       break;
     case MH_CAUSE_ERROR:
@@ -590,8 +590,8 @@
       a->seen = a->present = true;
       a->phase = t->phase;
       set_running (core, a, t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING);
-      if (t->phase == MH_TASK_GATHERING && job->gang.gathering_since_us == 0)
-        job->gang.gathering_since_us = core->now.mono_us;
+      if (t->phase == MH_TASK_GATHERING)
+        mh_gang_task_gathering (job, core->now.mono_us);
       /* One that was stopped while it waited for its image ends without it. */
       if (t->phase == MH_TASK_GATHERING || t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING
           || t->cause == MH_CAUSE_DONE)
@@ -630,7 +630,7 @@
       for (guint i = 0; i < m->attempts->len; i++)
         mh_machine_attempt (m, i)->job->n_unreported--;
       m->idle_since_us = core->now.mono_us;
-      core->place_wanted = true;
+      mh_placement_request_pass (core->placement, false);
       mh_info (core, "machine %s: reports (%s in %s%s, %u tasks)", m->name, r->type, r->zone,
                r->spot ? ", spot" : "", r->tasks->len);
     }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -11,14 +11,25 @@
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
-#include "placement/gang-scheduling.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
 #include "election/election.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
+#include "placement/candidate.h"
+#include "placement/filter.h"
+#include "placement/gang-placement.h"
+#include "placement/infeasible.h"
 #include "placement/placement.h"
+#include "placement/preemption.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
+#include "placement/score.h"
+#include "placement/victim.h"
+#include "cluster/gang-attempt.h"
 #include "jobs/job-queue.h"
+#include "jobs/objective.h"
+#include "jobs/runtime-estimate.h"
 #include "storage/rechunk.h"
 #include "storage/record.h"
 #include "autoscaler/scale-in.h"
@@ -44,12 +55,6 @@
   bool to_worker; /* and has left */
 } MhCall;
 
-typedef struct
-{
-  double ratio;
-  guint n;
-} MhClassStat;
-
 /* Subjects of which thousands of machines or calls may give a line at once. */
 typedef enum
 {
@@ -124,15 +129,13 @@
   guint service_replicas; /* of services, on all machines */
   gint64 swept_us;
   MhBucket probe_bucket, direct_bucket;
-  GPtrArray *types;               /* MhMachineType; NULL until known */
-  GHashTable *team_use;           /* team -> MhUse */
-  GHashTable *class_stats;        /* class -> MhClassStat */
+  GPtrArray *types;     /* MhMachineType; NULL until known */
+  GHashTable *team_use; /* team -> MhUse */
+  MhRuntimeEstimator *runtime_estimator;
   GHashTable *boot_stats;         /* type -> MhBootStat */
   gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
-  GHashTable *gangs;              /* ids of those that a task's end has consequences for */
-  gint64 gangs_looked_us;
-  bool place_wanted, place_urgent;
-  gint64 placed_us, preempted_us;
+  MhGangAttempts *gang_attempts;
+  MhPlacement *placement;
   GHashTable *forwards; /* request id -> job id */
   GHashTable *lookups;  /* job id -> reads under way for its users; not owned */
 
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -371,7 +371,7 @@
     return 503;
   for (guint i = 0; i < core->types->len; i++)
     if (mh_job_spec_fits_type (spec, g_ptr_array_index (core->types, i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (core, spec) ? 422 : 0;
+      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (core->types, spec) ? 422 : 0;
   return 422;
 }
 
@@ -614,7 +614,7 @@
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
       mh_cluster_step (core);
-      mh_placement_run (core);
+      mh_placement_run (core->placement, core);
       mh_scale_step (core);
       mh_release_step (core);
       mh_store_step (core);
@@ -645,10 +645,11 @@
   core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_machine_free);
   core->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   core->returned = g_hash_table_new (g_str_hash, g_str_equal);
-  core->gangs = mh_gang_set_new ();
+  core->gang_attempts = mh_gang_attempts_new ();
+  core->placement = mh_placement_new ();
   core->commands_due = g_ptr_array_new ();
   core->zones = g_array_new (FALSE, TRUE, sizeof (MhZone));
-  core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  core->runtime_estimator = mh_runtime_estimator_new ();
   core->boot_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_queue_init (&core->actions);
@@ -690,10 +691,11 @@
   g_hash_table_unref (core->finals);
   g_hash_table_unref (core->team_use);
   g_hash_table_unref (core->returned);
-  g_hash_table_unref (core->gangs);
+  mh_gang_attempts_free (core->gang_attempts);
+  mh_placement_free (core->placement);
   g_ptr_array_unref (core->commands_due);
   g_array_unref (core->zones);
-  g_hash_table_unref (core->class_stats);
+  mh_runtime_estimator_free (core->runtime_estimator);
   g_hash_table_unref (core->boot_stats);
   g_hash_table_unref (core->scale.refused);
   g_free (core->leader.node);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -419,7 +419,7 @@
 {
   core->leader.phase = MH_PHASE_LEAD;
   core->leader.rebuilt = false;
-  core->place_wanted = true;
+  mh_placement_request_pass (core->placement, false);
   /* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
   core->leader.rebuild_until_us
       = core->now.mono_us + 2 * core->settings->report_us + 2 * MH_SECOND_US;
@@ -520,7 +520,7 @@
   if (core->leader.phase == MH_PHASE_LEAD && !core->leader.rebuilt && rebuilt (core))
     {
       core->leader.rebuilt = true;
-      core->place_wanted = true;
+      mh_placement_request_pass (core->placement, false);
       mh_info (core, "counts rebuilt %.1f s after the election",
                (double)(now - core->leader.since_us) / MH_SECOND_US);
     }
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -1,159 +1,117 @@
-/* The order of work: which jobs have something to start, which come first, and how long they may
-   wait. */
+#include "jobs/job-queue.h"
+
 #include "controller/core-private.h"
 
 #include <string.h>
 
-/* Jobs that can meet no aim any more count as due this much later: behind those that can, but not
-   for ever. */
-#define HOPELESS_US (180 * MH_SECOND_US)
 /* A job of which nothing has begun for so long goes before all work that is not urgent, with one
    task: else the largest and the least would wait for ever behind a steady stream of small ones. */
-#define BEGIN_US (150 * MH_SECOND_US)
-
-static gint
-by_submission (gconstpointer a, gconstpointer b)
-{
-  const MhJob *x = *(MhJob *const *)a, *y = *(MhJob *const *)b;
-  if (x->submitted_wall_us != y->submitted_wall_us)
-    return x->submitted_wall_us < y->submitted_wall_us ? -1 : 1;
-  return strcmp (x->spec->id, y->spec->id);
-}
+#define STARVATION_US (150 * MH_SECOND_US)
+#define EPSILON 1e-6
 
-guint
+MhJobTier
 mh_job_queue_tier (const MhJob *job)
 {
   if (job->spec->priority >= MH_PRIORITY_HIGH)
-    return job->placement.guaranteed ? 0 : 1;
-  return job->placement.guaranteed ? 2 : 3;
+    return job->placement.guaranteed ? MH_TIER_URGENT_GUARANTEED : MH_TIER_URGENT;
+  return job->placement.guaranteed ? MH_TIER_GUARANTEED : MH_TIER_REST;
 }
 
-static bool
-starved (const MhCore *core, const MhJob *job)
-{
-  return job->n_live == 0 && job->n_done == 0 && !mh_task_failure_backs_off (job)
-         && core->now.mono_us - job->submitted_us > BEGIN_US;
-}
+/* ---- order ---- */
 
 static gint
-by_order (gconstpointer a, gconstpointer b)
+compare_submission (gconstpointer left, gconstpointer right)
 {
-  const MhJob *x = *(MhJob *const *)a, *y = *(MhJob *const *)b;
-  guint tx = x->placement.starved ? MIN (mh_job_queue_tier (x), 2) : mh_job_queue_tier (x);
-  guint ty = y->placement.starved ? MIN (mh_job_queue_tier (y), 2) : mh_job_queue_tier (y);
-  if (tx != ty)
-    return tx < ty ? -1 : 1;
-  if (x->placement.starved != y->placement.starved)
-    return x->placement.starved ? -1 : 1;
-  if (x->placement.starved)
-    return by_submission (a, b);
-  if (x->spec->priority != y->spec->priority)
-    return x->spec->priority > y->spec->priority ? -1 : 1;
-  if (x->placement.latest_start_us != y->placement.latest_start_us)
-    return x->placement.latest_start_us < y->placement.latest_start_us ? -1 : 1;
-  return by_submission (a, b);
+  const MhJob *first = *(MhJob *const *)left, *second = *(MhJob *const *)right;
+  if (first->submitted_wall_us != second->submitted_wall_us)
+    return first->submitted_wall_us < second->submitted_wall_us ? -1 : 1;
+  return strcmp (first->spec->id, second->spec->id);
 }
 
-double
-mh_runtime_estimate_ratio (MhCore *core, const char *class_name)
+static MhJobTier
+tier_in_order (const MhJob *job)
 {
-  const MhClassStat *stat = g_hash_table_lookup (core->class_stats, class_name);
-  return stat && stat->n >= 3 ? CLAMP (stat->ratio, 0.25, 4) : 1;
+  MhJobTier tier = mh_job_queue_tier (job);
+  return job->placement.starved ? MIN (tier, MH_TIER_GUARANTEED) : tier;
 }
 
-void
-mh_runtime_estimate_observe (MhCore *core, const MhJobSpec *s, gint64 ran_us)
+gint
+mh_job_queue_compare (gconstpointer left, gconstpointer right)
 {
-  if (s->estimate_us < MH_SECOND_US)
-    return;
-  MhClassStat *stat = g_hash_table_lookup (core->class_stats, s->class_name);
-  if (stat == NULL)
-    {
-      stat = g_new0 (MhClassStat, 1);
-      g_hash_table_insert (core->class_stats, g_strdup (s->class_name), stat);
-    }
-  stat->n++;
-  double weight = MAX (1.0 / stat->n, 0.02);
-  stat->ratio += weight * ((double)ran_us / (double)s->estimate_us - stat->ratio);
+  const MhJob *first = *(MhJob *const *)left, *second = *(MhJob *const *)right;
+  MhJobTier first_tier = tier_in_order (first), second_tier = tier_in_order (second);
+  if (first_tier != second_tier)
+    return first_tier < second_tier ? -1 : 1;
+  if (first->placement.starved != second->placement.starved)
+    return first->placement.starved ? -1 : 1;
+  if (first->placement.starved)
+    return compare_submission (left, right);
+  if (first->spec->priority != second->spec->priority)
+    return first->spec->priority > second->spec->priority ? -1 : 1;
+  if (first->placement.latest_start_us != second->placement.latest_start_us)
+    return first->placement.latest_start_us < second->placement.latest_start_us ? -1 : 1;
+  return compare_submission (left, right);
 }
 
-gint64
-mh_runtime_estimate_us (MhCore *core, const MhJobSpec *s)
-{
-  return (gint64)((double)s->estimate_us * mh_runtime_estimate_ratio (core, s->class_name));
-}
+/* ---- what depends on the present ---- */
 
-/* When the job has to be done so that it meets the objective; 0: it says nothing of that. A gang
-   whose tasks begin in time counts as one that is done a run later: by the aim for its end alone,
-   gangs waited behind arrays whose deadlines were nearer. */
-static gint64
-done_by (MhCore *core, const MhJob *job, const MhObjective *objective)
+static bool
+is_starved (const MhJob *job, gint64 now_us)
 {
-  const MhJobSpec *s = job->spec;
-  gint64 by = job->submitted_us + objective->within_us;
-  if (g_strcmp0 (objective->class_name, s->class_name) != 0)
-    return 0;
-  if (objective->kind == MH_OBJECTIVE_FINISHED)
-    return by;
-  if (objective->kind == MH_OBJECTIVE_WAIT && s->shape == MH_SHAPE_GANG)
-    return by + mh_runtime_estimate_us (core, s);
-  return 0;
+  return job->n_live == 0 && job->n_done == 0 && !mh_task_failure_backs_off (job)
+         && now_us - job->submitted_us > STARVATION_US;
 }
 
-/* When the job's tasks should start at the latest, by its deadline or its class's aims, of which
-   those count that can still be met. A job that can meet none goes behind those that can. */
-static gint64
-start_by (MhCore *core, MhJob *job)
+static MhUse *
+team_sum (GHashTable *sums, const char *team)
 {
-  const MhJobSpec *s = job->spec;
-  gint64 now = core->now.mono_us, at = G_MAXINT64, last = 0;
-  gint64 needs = mh_job_spec_fetch_us (s, core->types) + mh_runtime_estimate_us (core, s);
-  if (s->deadline_us >= 0)
-    at = last = job->submitted_us + s->deadline_us;
-  else
-    for (guint i = 0; i < core->settings->objectives->len; i++)
-      {
-        gint64 by = done_by (core, job, g_ptr_array_index (core->settings->objectives, i));
-        if (by == 0)
-          continue;
-        last = MAX (last, by);
-        if (by - needs >= now)
-          at = MIN (at, by);
-      }
-  if (last == 0)
-    at = job->submitted_us + 600 * MH_SECOND_US;
-  job->placement.objectives_missed = last && (at == G_MAXINT64 || at - needs < now);
-  if (job->placement.objectives_missed)
-    at = MIN (at, last) + HOPELESS_US;
-  return at - needs;
+  MhUse *sum = g_hash_table_lookup (sums, team);
+  if (sum == NULL)
+    {
+      sum = g_new0 (MhUse, 1);
+      g_hash_table_insert (sums, (gpointer)team, sum);
+    }
+  return sum;
 }
 
-/* A job is within its team's guarantee if it fits into it together with the team's earlier
-   unfinished jobs. */
+/* A job is within its team's quota if it fits into it together with the team's earlier unfinished
+   jobs. */
 static void
-mark_guaranteed (MhCore *core, GPtrArray *jobs)
+mark_guaranteed (const MhSettings *settings, GPtrArray *jobs)
 {
   g_autoptr (GHashTable) sums = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   for (guint i = 0; i < jobs->len; i++)
     {
       MhJob *job = g_ptr_array_index (jobs, i);
-      const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
-      MhUse *sum = g_hash_table_lookup (sums, job->spec->team);
-      if (sum == NULL)
-        {
-          sum = g_new0 (MhUse, 1);
-          g_hash_table_insert (sums, job->spec->team, sum);
-        }
-      double left = job->spec->tasks - job->n_done;
-      sum->cpus += left * job->spec->cpus;
-      sum->gpus += left * job->spec->gpus;
+      const MhTeam *team = mh_settings_team (settings, job->spec->team);
+      MhUse *sum = team_sum (sums, job->spec->team);
+      double unfinished = job->spec->tasks - job->n_done;
+      sum->cpus += unfinished * job->spec->cpus;
+      sum->gpus += unfinished * job->spec->gpus;
       job->placement.guaranteed
-          = team && sum->cpus <= team->cpus + 1e-6 && sum->gpus <= team->gpus + 1e-6;
+          = team && sum->cpus <= team->cpus + EPSILON && sum->gpus <= team->gpus + EPSILON;
     }
 }
 
-GPtrArray *
-mh_job_queue_pending (MhCore *core, MhJobQueueScope scope)
+static void
+update_job (MhCore *core, MhJob *job)
+{
+  gint64 now_us = core->now.mono_us;
+  if (job->placement.unplaced_since_us == 0)
+    job->placement.unplaced_since_us = now_us;
+  job->placement.starved = is_starved (job, now_us);
+  gint64 run_us = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
+  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, core->types);
+  MhStartTarget target
+      = mh_objective_latest_start (core->settings, job, fetch_us + run_us, run_us, now_us);
+  job->placement.latest_start_us = target.at_us;
+  job->placement.objectives_missed = target.missed;
+}
+
+/* ---- the queue ---- */
+
+static GPtrArray *
+unfinished_jobs (MhCore *core, MhJobQueueScope scope)
 {
   GPtrArray *jobs = g_ptr_array_new ();
   GHashTableIter it;
@@ -165,8 +123,15 @@
       if ((job->accepted || scope == MH_JOB_QUEUE_ALL) && !mh_job_is_over (job))
         g_ptr_array_add (jobs, job);
     }
-  g_ptr_array_sort (jobs, by_submission);
-  mark_guaranteed (core, jobs);
+  g_ptr_array_sort (jobs, compare_submission);
+  return jobs;
+}
+
+GPtrArray *
+mh_job_queue_pending (MhCore *core, MhJobQueueScope scope)
+{
+  GPtrArray *jobs = unfinished_jobs (core, scope);
+  mark_guaranteed (core->settings, jobs);
   guint kept = 0;
   for (guint i = 0; i < jobs->len; i++)
     {
@@ -176,35 +141,10 @@
           job->placement.unplaced_since_us = 0;
           continue;
         }
-      if (job->placement.unplaced_since_us == 0)
-        job->placement.unplaced_since_us = core->now.mono_us;
-      job->placement.starved = starved (core, job);
-      job->placement.latest_start_us = start_by (core, job);
+      update_job (core, job);
       jobs->pdata[kept++] = job;
     }
   g_ptr_array_set_size (jobs, (gint)kept);
-  g_ptr_array_sort (jobs, by_order);
+  g_ptr_array_sort (jobs, mh_job_queue_compare);
   return jobs;
 }
-
-/* How long a start of the job may still take, by the aims that hold for it. Once it is late there
-   is no hurry. A guarantee without an aim means soon. */
-gint64
-mh_objective_start_slack_us (const MhCore *core, const MhJob *job)
-{
-  gint64 waited = core->now.mono_us - job->submitted_us, least = 60 * MH_SECOND_US;
-  bool promised = false;
-  for (guint i = 0; i < core->settings->objectives->len; i++)
-    {
-      const MhObjective *o = g_ptr_array_index (core->settings->objectives, i);
-      bool holds = o->kind == MH_OBJECTIVE_WAIT
-                       ? g_strcmp0 (o->class_name, job->spec->class_name) == 0
-                       : o->kind == MH_OBJECTIVE_GUARANTEE && job->placement.guaranteed;
-      promised |= o->kind == MH_OBJECTIVE_GUARANTEE;
-      if (holds && waited < o->within_us)
-        least = MIN (least, o->within_us - waited);
-    }
-  if (job->placement.guaranteed && !promised)
-    least = MIN (least, 3 * MH_SECOND_US);
-  return least;
-}
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -6,6 +6,7 @@
 
 #include "controller/core-types.h"
 #include "cluster/task-failure.h"
+#include "jobs/gang-state.h"
 
 /** MhTaskState: whether a task has still to be started, and whether it is done. */
 typedef enum
@@ -85,11 +86,11 @@
   gint64 expected_fetch_us; /* of the image, alone on a machine; kept by the scale-out plan */
 } MhJobPlacement;
 
-/** MhJobGang: what is known of a job whose tasks run all at once; see gang-scheduling.h. */
+/** MhJobGang: what is known of a job whose tasks run all at once. */
 typedef struct
 {
-  bool ending;               /* a task of the attempt is over, or all are told to stop */
-  gint64 gathering_since_us; /* a task waits for the others since; 0: none was seen to */
+  MhGangState state;
+  gint64 gathering_since_us; /* in MH_GANG_STATE_GATHERING: a task waits for the others since */
   guint held_tasks;          /* tasks for which capacity is held in this pass ... */
   const char *held_zone;     /* ... in the only zone that it may go to; interned, NULL: any */
 } MhJobGang;
--- /dev/null
+++ b/src/placement/candidate.c
@@ -0,0 +1,324 @@
+#include "placement/candidate.h"
+
+#include "controller/core-private.h"
+
+/* A machine that has not come after so many of its type's boot times is not counted on. */
+#define MAX_BOOT_TIMES 2
+/* What is late is expected within a part of the boot time. */
+#define LATE_BOOT_PART 4
+/* A machine is silent after so many halves of the time between reports. */
+#define SILENT_REPORT_HALVES 5
+
+/* ---- a pass ---- */
+
+static bool
+is_live (const MhMachine *machine)
+{
+  return machine->heartbeat.reported && !machine->releasing && machine->zone && machine->type;
+}
+
+static bool
+is_usable (const MhCore *core, const MhMachine *machine)
+{
+  return is_live (machine) && !machine->draining && !machine->heartbeat.ignored_answers
+         && machine->notice_until_us < 0 && core->now.mono_us >= machine->no_start_before_us
+         && !mh_failure_is_report_overdue (core, machine);
+}
+
+static void
+add_arrival (MhPlacementPass *pass, const MhMachine *machine)
+{
+  gint64 now = pass->core->now.mono_us;
+  if (machine->heartbeat.reported || machine->releasing || machine->type == NULL
+      || machine->zone == NULL || machine->boot.late_age_us)
+    return;
+  gint64 boot_us = machine->type->boot_us;
+  if (now - machine->boot.rented_us > MAX_BOOT_TIMES * boot_us)
+    return;
+  MhArrival arrival
+      = { .machine = machine,
+          .arrives_us = MAX (machine->boot.rented_us + boot_us, now + boot_us / LATE_BOOT_PART),
+          .cpus = machine->type->cpus,
+          .mem_gb = machine->type->mem_gb };
+  g_array_append_val (pass->arrivals, arrival);
+}
+
+/* The index of the zone among those of the pass. */
+static guint
+zone_index (MhPlacementPass *pass, const char *name)
+{
+  for (guint i = 0; i < pass->zones->len; i++)
+    if (g_array_index (pass->zones, MhZoneCount, i).name == name)
+      return i;
+  MhZoneCount zone = { .name = name };
+  g_array_append_val (pass->zones, zone);
+  return pass->zones->len - 1;
+}
+
+static void
+collect_usable_machines (MhPlacementPass *pass)
+{
+  MhCore *core = pass->core;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, core->machines);
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    {
+      MhMachine *machine = value;
+      machine->usage.reserved_cpus = machine->usage.reserved_mem_gb = 0;
+      add_arrival (pass, machine);
+      /* A machine that may be cut off is no live one: a partitioned zone leaves the count. */
+      if (!is_live (machine)
+          || mh_cluster_is_silent (core, machine,
+                                   core->settings->report_us * SILENT_REPORT_HALVES / 2))
+        continue;
+      machine->zone_index = zone_index (pass, machine->zone);
+      if (is_usable (core, machine))
+        g_ptr_array_add (pass->usable_machines, machine);
+    }
+}
+
+void
+mh_placement_pass_init (MhPlacementPass *pass, MhCore *core, bool may_preempt)
+{
+  *pass = (MhPlacementPass){ .core = core,
+                             .usable_machines = g_ptr_array_new (),
+                             .zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount)),
+                             .infeasible = mh_infeasible_new (),
+                             .not_preempting = g_ptr_array_new (),
+                             .arrivals = g_array_new (FALSE, FALSE, sizeof (MhArrival)),
+                             .may_preempt = may_preempt };
+  collect_usable_machines (pass);
+}
+
+void
+mh_placement_pass_clear (MhPlacementPass *pass)
+{
+  g_ptr_array_unref (pass->usable_machines);
+  g_array_unref (pass->zones);
+  mh_infeasible_free (pass->infeasible);
+  g_ptr_array_unref (pass->not_preempting);
+  g_array_unref (pass->arrivals);
+}
+
+/* ---- the cycle of a job ---- */
+
+static void
+count_task (MhJobCycle *cycle, const MhAttempt *attempt)
+{
+  if (attempt == NULL || attempt->machine->zone == NULL)
+    return;
+  for (guint i = 0; i < cycle->zones->len; i++)
+    {
+      MhZoneCount *zone = &g_array_index (cycle->zones, MhZoneCount, i);
+      if (zone->name == attempt->machine->zone)
+        zone->count++;
+    }
+}
+
+static void
+count_tasks (MhJobCycle *cycle)
+{
+  const MhJobSpec *spec = cycle->job->spec;
+  /* Counting walks all tasks of the job; most arrays need no counts. */
+  if (cycle->job->n_live == 0 || !(cycle->is_service || spec->one_zone || spec->scatter))
+    return;
+  for (guint i = 0; i < spec->tasks; i++)
+    count_task (cycle, cycle->job->tasks[i].live);
+}
+
+/* A zone counts when it has live machines and passes the job's zone filter, feasible or not. */
+static void
+count_zones (MhJobCycle *cycle)
+{
+  const GArray *all_zones = cycle->pass->zones;
+  const char *required = mh_filter_required_zone (cycle->job);
+  cycle->zone_of = g_new0 (guint, all_zones->len + 1);
+  for (guint i = 0; i < all_zones->len; i++)
+    {
+      MhZoneCount zone = g_array_index (all_zones, MhZoneCount, i);
+      bool counts = required == NULL || zone.name == required;
+      cycle->zone_of[i] = counts ? cycle->zones->len : MH_ZONE_NOT_COUNTED;
+      if (counts)
+        g_array_append_val (cycle->zones, zone);
+    }
+}
+
+void
+mh_job_cycle_init (MhJobCycle *cycle, MhPlacementPass *pass, MhJob *job)
+{
+  MhCore *core = pass->core;
+  *cycle = (MhJobCycle){ .pass = pass,
+                         .core = core,
+                         .job = job,
+                         .candidates = g_array_new (FALSE, FALSE, sizeof (MhCandidate)),
+                         .zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount)),
+                         .type_fits = g_new0 (bool, core->types->len + 1),
+                         .is_service = job->spec->shape == MH_SHAPE_SERVICE,
+                         .spread
+                         = mh_topology_spread_constraint (core->settings, job->spec->class_name),
+                         .start_slack_us
+                         = mh_objective_slack_us (core->settings, job, core->now.mono_us),
+                         .next_task = job->placement.first_pending };
+  for (guint i = 0; i < core->types->len; i++)
+    cycle->type_fits[i] = mh_job_spec_fits_type (job->spec, g_ptr_array_index (core->types, i));
+  count_zones (cycle);
+  count_tasks (cycle);
+}
+
+void
+mh_job_cycle_clear (MhJobCycle *cycle)
+{
+  g_array_unref (cycle->candidates);
+  g_array_unref (cycle->zones);
+  g_free (cycle->zone_of);
+  g_free (cycle->type_fits);
+}
+
+/* ---- candidates ---- */
+
+static void
+add_candidate (MhJobCycle *cycle, MhMachine *machine)
+{
+  const MhJobSpec *spec = cycle->job->spec;
+  MhCandidate candidate = { .machine = machine,
+                            .zone = cycle->zone_of[machine->zone_index],
+                            .image_wait_us = mh_machine_image_wait_us (
+                                cycle->core, machine, cycle->job->image, spec->image_gb) };
+  candidate.cost = mh_score_cost (spec, &candidate, cycle->start_slack_us);
+  if (cycle->is_service)
+    candidate.replicas_on_machine
+        = mh_score_replicas_on_machine (machine->usage.replicas, cycle->core->service_replicas);
+  g_array_append_val (cycle->candidates, candidate);
+  g_array_index (cycle->zones, MhZoneCount, candidate.zone).feasible = true;
+}
+
+/* A replica may keep its machine for long after everything else on it has ended, so that those
+   which cost much more than another of the kind are marked. */
+static void
+mark_above_price_cap (MhJobCycle *cycle, double lowest_price)
+{
+  for (guint i = 0; i < cycle->candidates->len; i++)
+    {
+      MhCandidate *candidate = &g_array_index (cycle->candidates, MhCandidate, i);
+      candidate->above_price_cap = mh_score_is_above_price_cap (
+          mh_machine_hourly_price (candidate->machine), lowest_price);
+    }
+}
+
+void
+mh_candidates_collect (MhJobCycle *cycle)
+{
+  const MhJobSpec *spec = cycle->job->spec;
+  double lowest_price = G_MAXDOUBLE;
+  if (mh_infeasible_is_known (cycle->pass->infeasible, spec))
+    return;
+  for (guint i = 0; i < cycle->pass->usable_machines->len; i++)
+    {
+      MhMachine *machine = g_ptr_array_index (cycle->pass->usable_machines, i);
+      if (!mh_filter_machine (cycle, machine))
+        continue;
+      lowest_price = MIN (lowest_price, mh_machine_hourly_price (machine));
+      if (mh_filter_resources (machine, spec))
+        add_candidate (cycle, machine);
+    }
+  if (cycle->candidates->len == 0)
+    mh_infeasible_remember (cycle->pass->infeasible, spec);
+  /* A service has few tasks, and each start changes what is best for the next: it is not sorted. */
+  if (cycle->is_service)
+    mark_above_price_cap (cycle, lowest_price);
+  else
+    g_array_sort (cycle->candidates, mh_score_compare_candidates);
+}
+
+static bool
+passes_now (const MhJobCycle *cycle, const MhCandidate *candidate)
+{
+  return mh_filter_resources (candidate->machine, cycle->job->spec)
+         && mh_filter_zone (cycle, candidate->zone);
+}
+
+/* Among the sorted candidates of an array: first fit. */
+static MhCandidate *
+select_first (MhJobCycle *cycle)
+{
+  for (guint i = cycle->first_with_room; i < cycle->candidates->len; i++)
+    {
+      MhCandidate *candidate = &g_array_index (cycle->candidates, MhCandidate, i);
+      if (passes_now (cycle, candidate))
+        return candidate;
+    }
+  return NULL;
+}
+
+/* Among the candidates of a service, whose scores change with each start. */
+static MhCandidate *
+select_best (MhJobCycle *cycle)
+{
+  MhCandidate *best = NULL;
+  for (guint i = cycle->first_with_room; i < cycle->candidates->len; i++)
+    {
+      MhCandidate *candidate = &g_array_index (cycle->candidates, MhCandidate, i);
+      if (!passes_now (cycle, candidate))
+        continue;
+      if (cycle->spread.soft)
+        candidate->spread_score = mh_topology_spread_score_zone (
+            (const MhZoneCount *)cycle->zones->data, cycle->zones->len, candidate->zone,
+            cycle->spread.max_skew);
+      if (best == NULL || mh_score_compare_candidates (candidate, best) < 0)
+        best = candidate;
+    }
+  return best;
+}
+
+MhCandidate *
+mh_candidates_select (MhJobCycle *cycle)
+{
+  const GArray *candidates = cycle->candidates;
+  while (cycle->first_with_room < candidates->len
+         && !mh_filter_resources (
+             g_array_index (candidates, MhCandidate, cycle->first_with_room).machine,
+             cycle->job->spec))
+    cycle->first_with_room++;
+  return cycle->is_service ? select_best (cycle) : select_first (cycle);
+}
+
+/* ---- machines on their way ---- */
+
+static bool
+arrival_can_take (const MhJobCycle *cycle, const MhArrival *arrival)
+{
+  const MhJob *job = cycle->job;
+  const MhMachine *machine = arrival->machine;
+  if (arrival->image && arrival->image != job->image)
+    return false;
+  if (machine->spot || !cycle->type_fits[machine->type_index])
+    return false;
+  if (job->zone && job->zone != machine->zone)
+    return false;
+  return arrival->cpus + MH_RESOURCE_EPSILON >= job->spec->cpus
+         && arrival->mem_gb + MH_RESOURCE_EPSILON >= job->spec->mem_gb;
+}
+
+bool
+mh_arrival_claim (MhJobCycle *cycle, gint64 image_wait_us)
+{
+  const MhJob *job = cycle->job;
+  if (!cycle->is_service)
+    return false;
+  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, cycle->core->types);
+  if (image_wait_us <= fetch_us)
+    return false;
+  for (guint i = 0; i < cycle->pass->arrivals->len; i++)
+    {
+      MhArrival *arrival = &g_array_index (cycle->pass->arrivals, MhArrival, i);
+      if (!arrival_can_take (cycle, arrival)
+          || arrival->arrives_us - cycle->core->now.mono_us + fetch_us >= image_wait_us)
+        continue;
+      arrival->image = job->image;
+      arrival->cpus -= job->spec->cpus;
+      arrival->mem_gb -= job->spec->mem_gb;
+      return true;
+    }
+  return false;
+}
--- a/src/placement/topology-spread.c
+++ b/src/placement/topology-spread.c
@@ -1,7 +1,23 @@
-#include "controller/core-private.h"
+#include "placement/topology-spread.h"
+
+#include <string.h>
+
+MhSpreadConstraint
+mh_topology_spread_constraint (const MhSettings *settings, const char *class_name)
+{
+  MhSpreadConstraint constraint = { .max_skew = settings->max_skew, .soft = settings->soft };
+  for (guint i = 0; i < settings->spread->len; i++)
+    {
+      const MhSpreadRule *rule = g_ptr_array_index (settings->spread, i);
+      if (strcmp (rule->class_name, class_name) == 0)
+        {
+          constraint.max_skew = rule->max_skew;
+          constraint.soft = rule->soft;
+        }
+    }
+  return constraint;
+}
 
-/* KEP-895, "MaxSkew": matching num - min matching num < maxSkew. An infeasible zone still enters
-   the minimum of the hard rule. */
 bool
 mh_topology_spread_allows_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
 {
@@ -11,7 +27,6 @@
   return zones[zone].count - min < max_skew;
 }
 
-/* KEP-895, "Priority": the minimum is taken over zones that passed the other filters. */
 gint
 mh_topology_spread_score_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
 {
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -175,8 +175,7 @@
   if (job->accepted)
     return;
   job->accepted = true;
-  core->place_wanted = true;
-  core->place_urgent |= job->spec->shape == MH_SHAPE_SERVICE;
+  mh_placement_request_pass (core->placement, job->spec->shape == MH_SHAPE_SERVICE);
   mh_info (core, "job %s: accepted after %d ms: %s of %u tasks for %s (%s)", job->spec->id,
            (int)((core->now.mono_us - job->submitted_us) / 1000), shape_name (job->spec->shape),
            job->spec->tasks, job->spec->team, job->spec->class_name);
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -286,7 +286,7 @@
     for (guint i = 0; i < ((MhJob *)value)->spec->tasks; i++)
       if (((MhJob *)value)->tasks[i].live)
         g_hash_table_add (before, ((MhJob *)value)->tasks[i].live);
-  mh_placement_run (f.core);
+  mh_placement_run (f.core->placement, f.core);
   g_hash_table_iter_init (&it, f.core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     for (guint i = 0; i < ((MhJob *)value)->spec->tasks; i++)
