--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -31,8 +31,9 @@
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (!mh_job_is_over (value))
-      waiting
-          += mh_quota_allowed_tasks (core, value, &none, mh_task_failure_startable (core, value));
+      waiting += mh_quota_allowed_tasks (core->settings,
+                                         mh_cluster_team_use (core, ((MhJob *)value)->spec->team),
+                                         value, &none, mh_task_failure_startable (core, value));
   return waiting;
 }
 
@@ -40,7 +41,8 @@
 static bool
 may_rent (const MhCore *core)
 {
-  return core->leader.rebuilt && core->types && core->scale.listed && !core->scale.renting
+  return core->leader.rebuilt && mh_cluster_types (core) && core->scale.listed
+         && !core->scale.renting
          && (core->leader.own_epoch == 1
              || core->now.mono_us - core->leader.since_us > core->settings->list_lag_us);
 }
@@ -55,13 +57,14 @@
 static const char *
 waits_for (MhCore *core, const MhJob *job)
 {
-  if (mh_task_failure_backs_off (job))
+  if (mh_job_backs_off (job))
     return "its next try: it fails wherever it starts";
   if (core->now.mono_us < job->placement.retry_after_us)
     return "its next try";
   if (job->n_unreported && !core->leader.rebuilt)
     return "reports of the machines that it may be on";
-  if (!mh_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
+  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core, job->spec->team), job,
+                      job->spec->cpus, job->spec->gpus))
     return "its team's limit";
   return "room on a machine that suits it";
 }
@@ -99,7 +102,7 @@
   double all = 0, used = 0, an_hour = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -3,14 +3,18 @@
 #pragma once
 
 #include "controller/core.h"
-#include "cluster/boot-time.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster.h"
+#include "cluster/direct-command.h"
+#include "cluster/heartbeat.h"
+#include "cluster/image-wait.h"
 #include "base/token-bucket.h"
-#include "cluster/worker-command.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/zone-silence.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
 #include "election/election.h"
@@ -18,6 +22,7 @@
 #include "storage/lookup.h"
 #include "placement/candidate.h"
 #include "placement/filter.h"
+#include "placement/gang-attempt.h"
 #include "placement/gang-placement.h"
 #include "placement/infeasible.h"
 #include "placement/placement.h"
@@ -26,7 +31,6 @@
 #include "placement/resources.h"
 #include "placement/score.h"
 #include "placement/victim.h"
-#include "cluster/gang-attempt.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
 #include "jobs/runtime-estimate.h"
@@ -120,19 +124,8 @@
   } limits;   /* on record, so that no later leader has to find out */
   guint txns; /* in flight */
   guint64 rev;
-  GHashTable *machines;    /* name -> MhMachine */
-  GHashTable *returned;    /* names of machines that are gone */
-  GQueue returned_order;   /* Returned */
-  GPtrArray *commands_due; /* MhMachine, not owned */
-  GArray *zones;           /* MhZone */
-  MhSilenceThresholds silence;
-  guint service_replicas; /* of services, on all machines */
-  gint64 swept_us;
-  MhBucket probe_bucket, direct_bucket;
-  GPtrArray *types;     /* MhMachineType; NULL until known */
-  GHashTable *team_use; /* team -> MhUse */
+  MhCluster *cluster;
   MhRuntimeEstimator *runtime_estimator;
-  GHashTable *boot_stats;         /* type -> MhBootStat */
   gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
   MhGangAttempts *gang_attempts;
   MhPlacement *placement;
--- a/src/jobs/gang-state.c
+++ b/src/jobs/gang-state.c
@@ -33,3 +33,15 @@
     }
   return false;
 }
+
+bool
+mh_job_gang_apply (MhJobGang *gang, MhGangEvent event, gint64 now_us)
+{
+  MhGangState next;
+  if (!mh_gang_state_next (gang->state, event, &next))
+    return false;
+  if (next == MH_GANG_STATE_GATHERING && gang->state != MH_GANG_STATE_GATHERING)
+    gang->gathering_since_us = now_us;
+  gang->state = next;
+  return true;
+}
--- a/src/jobs/gang-state.h
+++ b/src/jobs/gang-state.h
@@ -43,6 +43,24 @@
 } MhGangEvent;
 #define MH_GANG_EVENTS (MH_GANG_EVENT_GONE + 1)
 
+/**
+ * MhJobGang:
+ * @state: of the attempt
+ * @gathering_since_us: in %MH_GANG_STATE_GATHERING: a task waits for the others since, by the
+ * steady clock
+ * @held_tasks: tasks for which capacity is held in this placement pass
+ * @held_zone: (nullable): the only zone in which it is held; interned; %NULL: any
+ *
+ * What is known of a job whose tasks run all at once.
+ */
+typedef struct
+{
+  MhGangState state;
+  gint64 gathering_since_us;
+  guint held_tasks;
+  const char *held_zone;
+} MhJobGang;
+
 /**
  * mh_gang_state_next:
  * @state: the state
@@ -56,3 +74,16 @@
  */
 bool
 mh_gang_state_next (MhGangState state, MhGangEvent event, MhGangState *next);
+
+/**
+ * mh_job_gang_apply:
+ * @gang: a gang
+ * @event: what has happened
+ * @now_us: the present, by the steady clock
+ *
+ * Goes to the next state, see mh_gang_state_next(). An event that is refused changes nothing.
+ *
+ * Returns: %FALSE if the event is refused
+ */
+bool
+mh_job_gang_apply (MhJobGang *gang, MhGangEvent event, gint64 now_us);
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -58,7 +58,7 @@
 static bool
 is_starved (const MhJob *job, gint64 now_us)
 {
-  return job->n_live == 0 && job->n_done == 0 && !mh_task_failure_backs_off (job)
+  return job->n_live == 0 && job->n_done == 0 && !mh_job_backs_off (job)
          && now_us - job->submitted_us > STARVATION_US;
 }
 
@@ -101,7 +101,7 @@
     job->placement.unplaced_since_us = now_us;
   job->placement.starved = is_starved (job, now_us);
   gint64 run_us = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
-  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, core->types);
+  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
   MhStartTarget target
       = mh_objective_latest_start (core->settings, job, fetch_us + run_us, run_us, now_us);
   job->placement.latest_start_us = target.at_us;
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -72,6 +72,12 @@
   return &job->records[index / job->chunk];
 }
 
+bool
+mh_job_backs_off (const MhJob *job)
+{
+  return job->failures.back_off_level > 0;
+}
+
 guint
 mh_job_pending_tasks (const MhJob *job)
 {
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "controller/core-types.h"
-#include "cluster/task-failure.h"
 #include "jobs/gang-state.h"
+#include "jobs/job-failures.h"
 
 /** MhTaskState: whether a task has still to be started, and whether it is done. */
 typedef enum
@@ -86,15 +86,6 @@
   gint64 expected_fetch_us; /* of the image, alone on a machine; kept by the scale-out plan */
 } MhJobPlacement;
 
-/** MhJobGang: what is known of a job whose tasks run all at once. */
-typedef struct
-{
-  MhGangState state;
-  gint64 gathering_since_us; /* in MH_GANG_STATE_GATHERING: a task waits for the others since */
-  guint held_tasks;          /* tasks for which capacity is held in this pass ... */
-  const char *held_zone;     /* ... in the only zone that it may go to; interned, NULL: any */
-} MhJobGang;
-
 /** MhJob: a job in the leader's memory. */
 struct MhJob
 {
@@ -174,6 +165,16 @@
 bool
 mh_job_is_gang (const MhJob *job);
 
+/**
+ * mh_job_backs_off:
+ * @job: a job
+ *
+ * Returns: %TRUE if its tasks have failed wherever they were started: one is tried at a time, after
+ * exponentially growing waits
+ */
+bool
+mh_job_backs_off (const MhJob *job);
+
 /**
  * mh_job_is_cancelled:
  * @job: a job
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -1,6 +1,15 @@
 #include "placement/candidate.h"
 
-#include "controller/core-private.h"
+#include "placement/resources.h"
+
+#include "cluster/attempt.h"
+#include "cluster/cluster.h"
+#include "cluster/failure-detection.h"
+#include "cluster/image-wait.h"
+#include "cluster/machine-registry.h"
+#include "jobs/objective.h"
+#include "placement/filter.h"
+#include "placement/score.h"
 
 /* A machine that has not come after so many of its type's boot times is not counted on. */
 #define MAX_BOOT_TIMES 2
@@ -18,28 +27,27 @@
 }
 
 static bool
-is_usable (const MhCore *core, const MhMachine *machine)
+is_usable (const MhPlacementPass *pass, const MhMachine *machine)
 {
   return is_live (machine) && !machine->draining && !machine->heartbeat.ignored_answers
-         && machine->notice_until_us < 0 && core->now.mono_us >= machine->no_start_before_us
-         && !mh_failure_is_report_overdue (core, machine);
+         && machine->notice_until_us < 0 && pass->now_us >= machine->no_start_before_us
+         && !mh_failure_is_report_overdue (pass->core, machine);
 }
 
 static void
 add_arrival (MhPlacementPass *pass, const MhMachine *machine)
 {
-  gint64 now = pass->core->now.mono_us;
   if (machine->heartbeat.reported || machine->releasing || machine->type == NULL
       || machine->zone == NULL || machine->boot.late_age_us)
     return;
   gint64 boot_us = machine->type->boot_us;
-  if (now - machine->boot.rented_us > MAX_BOOT_TIMES * boot_us)
+  if (pass->now_us - machine->boot.rented_us > MAX_BOOT_TIMES * boot_us)
     return;
-  MhArrival arrival
-      = { .machine = machine,
-          .arrives_us = MAX (machine->boot.rented_us + boot_us, now + boot_us / LATE_BOOT_PART),
-          .cpus = machine->type->cpus,
-          .mem_gb = machine->type->mem_gb };
+  MhArrival arrival = { .machine = machine,
+                        .arrives_us = MAX (machine->boot.rented_us + boot_us,
+                                           pass->now_us + boot_us / LATE_BOOT_PART),
+                        .cpus = machine->type->cpus,
+                        .mem_gb = machine->type->mem_gb };
   g_array_append_val (pass->arrivals, arrival);
 }
 
@@ -61,7 +69,7 @@
   MhCore *core = pass->core;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *machine = value;
@@ -70,24 +78,22 @@
       /* A machine that may be cut off is no live one: a partitioned zone leaves the count. */
       if (!is_live (machine)
           || mh_cluster_is_silent (core, machine,
-                                   core->settings->report_us * SILENT_REPORT_HALVES / 2))
+                                   pass->settings->report_us * SILENT_REPORT_HALVES / 2))
         continue;
       machine->zone_index = zone_index (pass, machine->zone);
-      if (is_usable (core, machine))
+      if (is_usable (pass, machine))
         g_ptr_array_add (pass->usable_machines, machine);
     }
 }
 
 void
-mh_placement_pass_init (MhPlacementPass *pass, MhCore *core, bool may_preempt)
+mh_placement_pass_init (MhPlacementPass *pass)
 {
-  *pass = (MhPlacementPass){ .core = core,
-                             .usable_machines = g_ptr_array_new (),
-                             .zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount)),
-                             .infeasible = mh_infeasible_new (),
-                             .not_preempting = g_ptr_array_new (),
-                             .arrivals = g_array_new (FALSE, FALSE, sizeof (MhArrival)),
-                             .may_preempt = may_preempt };
+  pass->usable_machines = g_ptr_array_new ();
+  pass->zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount));
+  pass->infeasible = mh_infeasible_new ();
+  pass->not_preempting = g_ptr_array_new ();
+  pass->arrivals = g_array_new (FALSE, FALSE, sizeof (MhArrival));
   collect_usable_machines (pass);
 }
 
@@ -147,21 +153,19 @@
 void
 mh_job_cycle_init (MhJobCycle *cycle, MhPlacementPass *pass, MhJob *job)
 {
-  MhCore *core = pass->core;
-  *cycle = (MhJobCycle){ .pass = pass,
-                         .core = core,
-                         .job = job,
-                         .candidates = g_array_new (FALSE, FALSE, sizeof (MhCandidate)),
-                         .zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount)),
-                         .type_fits = g_new0 (bool, core->types->len + 1),
-                         .is_service = job->spec->shape == MH_SHAPE_SERVICE,
-                         .spread
-                         = mh_topology_spread_constraint (core->settings, job->spec->class_name),
-                         .start_slack_us
-                         = mh_objective_slack_us (core->settings, job, core->now.mono_us),
-                         .next_task = job->placement.first_pending };
-  for (guint i = 0; i < core->types->len; i++)
-    cycle->type_fits[i] = mh_job_spec_fits_type (job->spec, g_ptr_array_index (core->types, i));
+  *cycle
+      = (MhJobCycle){ .pass = pass,
+                      .job = job,
+                      .candidates = g_array_new (FALSE, FALSE, sizeof (MhCandidate)),
+                      .zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount)),
+                      .type_fits = g_new0 (bool, pass->types->len + 1),
+                      .is_service = job->spec->shape == MH_SHAPE_SERVICE,
+                      .spread
+                      = mh_topology_spread_constraint (pass->settings, job->spec->class_name),
+                      .start_slack_us = mh_objective_slack_us (pass->settings, job, pass->now_us),
+                      .next_task = job->placement.first_pending };
+  for (guint i = 0; i < pass->types->len; i++)
+    cycle->type_fits[i] = mh_job_spec_fits_type (job->spec, g_ptr_array_index (pass->types, i));
   count_zones (cycle);
   count_tasks (cycle);
 }
@@ -184,11 +188,11 @@
   MhCandidate candidate = { .machine = machine,
                             .zone = cycle->zone_of[machine->zone_index],
                             .image_wait_us = mh_machine_image_wait_us (
-                                cycle->core, machine, cycle->job->image, spec->image_gb) };
+                                cycle->pass->core, machine, cycle->job->image, spec->image_gb) };
   candidate.cost = mh_score_cost (spec, &candidate, cycle->start_slack_us);
   if (cycle->is_service)
-    candidate.replicas_on_machine
-        = mh_score_replicas_on_machine (machine->usage.replicas, cycle->core->service_replicas);
+    candidate.replicas_on_machine = mh_score_replicas_on_machine (
+        machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->core));
   g_array_append_val (cycle->candidates, candidate);
   g_array_index (cycle->zones, MhZoneCount, candidate.zone).feasible = true;
 }
@@ -306,14 +310,14 @@
   const MhJob *job = cycle->job;
   if (!cycle->is_service)
     return false;
-  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, cycle->core->types);
+  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, cycle->pass->types);
   if (image_wait_us <= fetch_us)
     return false;
   for (guint i = 0; i < cycle->pass->arrivals->len; i++)
     {
       MhArrival *arrival = &g_array_index (cycle->pass->arrivals, MhArrival, i);
       if (!arrival_can_take (cycle, arrival)
-          || arrival->arrives_us - cycle->core->now.mono_us + fetch_us >= image_wait_us)
+          || arrival->arrives_us - cycle->pass->now_us + fetch_us >= image_wait_us)
         continue;
       arrival->image = job->image;
       arrival->cpus -= job->spec->cpus;
--- a/src/placement/filter.c
+++ b/src/placement/filter.c
@@ -1,5 +1,9 @@
 #include "placement/filter.h"
 
+#include "placement/resources.h"
+
+#include "cluster/attempt.h"
+
 const char *
 mh_filter_required_zone (const MhJob *job)
 {
--- a/src/placement/filter.h
+++ b/src/placement/filter.h
@@ -2,7 +2,7 @@
    Kubernetes scheduler's Filter phase. */
 #pragma once
 
-#include "placement/candidate.h"
+#include "placement/placement-types.h"
 
 /**
  * mh_filter_required_zone:
--- a/src/cluster/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -1,4 +1,4 @@
-#include "cluster/gang-attempt.h"
+#include "placement/gang-attempt.h"
 
 #include "controller/core-private.h"
 
@@ -50,33 +50,11 @@
 
 /* ---- events ---- */
 
-/* An event that is refused changes nothing. */
-static void
-apply (MhJob *job, MhGangEvent event)
-{
-  mh_gang_state_next (job->gang.state, event, &job->gang.state);
-}
-
-void
-mh_gang_placed (MhJob *job)
-{
-  apply (job, MH_GANG_EVENT_PLACED);
-}
-
-void
-mh_gang_task_gathering (MhJob *job, gint64 now_us)
-{
-  if (job->gang.state == MH_GANG_STATE_GATHERING)
-    return;
-  apply (job, MH_GANG_EVENT_TASK_GATHERING);
-  job->gang.gathering_since_us = now_us;
-}
-
 void
 mh_gang_task_ended (MhCore *core, MhJob *job, bool done)
 {
   if (!done)
-    apply (job, MH_GANG_EVENT_TASK_LOST);
+    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_TASK_LOST, core->now.mono_us);
   settle_later (core, job);
 }
 
@@ -86,24 +64,7 @@
   if (job->n_done || (job->n_live && job->n_live < job->spec->tasks))
     mh_gang_task_ended (core, job, job->n_done > 0);
   else if (job->n_live)
-    apply (job, MH_GANG_EVENT_RESTORED);
-}
-
-/* ---- starts ---- */
-
-bool
-mh_gang_is_durable (const MhAttempt *attempt)
-{
-  MhJob *job = attempt->job;
-  if (job->gang.state == MH_GANG_STATE_ENDING || job->n_live < job->spec->tasks)
-    return false;
-  for (guint i = 0; i < job->spec->tasks; i++)
-    {
-      const MhAttempt *other = job->tasks[i].live;
-      if (other->loaded || mh_job_record (job, i)->durable < other->need_rev)
-        return false;
-    }
-  return true;
+    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_RESTORED, core->now.mono_us);
 }
 
 /* ---- stops ---- */
@@ -116,8 +77,8 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *attempt = job->tasks[i].live;
-      if (attempt == NULL || !attempt->start_sent
-          || mh_worker_command_can_send (core, attempt->machine))
+      if (attempt == NULL || !mh_attempt_start_was_sent (attempt)
+          || mh_direct_command_can_send (core, attempt->machine))
         continue;
       mh_info (core,
                "gang's machine cannot be told at once, work since the last checkpoint may be lost "
@@ -133,7 +94,7 @@
   bool saves = grace_us > 0 && job->n_running;
   if (saves && job->gang.state != MH_GANG_STATE_ENDING)
     log_if_unreachable (core, job);
-  apply (job, MH_GANG_EVENT_STOPPED);
+  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOPPED, core->now.mono_us);
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
@@ -149,7 +110,7 @@
 static void
 complete (MhCore *core, MhJob *job)
 {
-  apply (job, MH_GANG_EVENT_COMPLETED);
+  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_COMPLETED, core->now.mono_us);
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
       mh_attempt_proven_over (core, job->tasks[i].live, true);
@@ -166,13 +127,13 @@
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt == NULL)
         continue;
-      if (!attempt->start_sent && !attempt->loaded)
+      if (!mh_attempt_start_was_sent (attempt) && !mh_attempt_is_from_record (attempt))
         mh_attempt_proven_over (core, attempt, false);
-      else if (!attempt->stopping)
+      else if (!mh_attempt_is_stopping (attempt))
         mh_attempt_send_stop (core, attempt, 0);
     }
   if (job->n_live == 0)
-    apply (job, MH_GANG_EVENT_GONE);
+    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_GONE, core->now.mono_us);
 }
 
 static void
--- a/src/cluster/gang-attempt.h
+++ b/src/placement/gang-attempt.h
@@ -6,7 +6,7 @@
    caller may be walking over them. */
 #pragma once
 
-#include "jobs/job.h"
+#include "cluster/cluster.h"
 
 /** MhGangAttempts: the gangs that a task's end has consequences for. */
 typedef struct MhGangAttempts MhGangAttempts;
@@ -45,17 +45,6 @@
 void
 mh_gang_reconcile (MhCore *core);
 
-/**
- * mh_gang_is_durable:
- * @attempt: of a gang
- *
- * A successor must not take a part of an attempt for the whole.
- *
- * Returns: whether every place of the attempt is on record, so that its starts may leave
- */
-bool
-mh_gang_is_durable (const MhAttempt *attempt);
-
 /**
  * mh_gang_restore:
  * @core: the controller, which has begun to lead
@@ -66,16 +55,6 @@
 void
 mh_gang_restore (MhCore *core, MhJob *job);
 
-/**
- * mh_gang_task_gathering:
- * @job: a gang
- * @now_us: the present, by the steady clock
- *
- * A task reports that it has its image and waits for the others.
- */
-void
-mh_gang_task_gathering (MhJob *job, gint64 now_us);
-
 /**
  * mh_gang_task_ended:
  * @core: the controller
@@ -87,15 +66,6 @@
 void
 mh_gang_task_ended (MhCore *core, MhJob *job, bool done);
 
-/**
- * mh_gang_placed:
- * @job: a gang without live attempts
- *
- * A new attempt begins.
- */
-void
-mh_gang_placed (MhJob *job);
-
 /**
  * mh_gang_stop:
  * @core: the controller
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -1,8 +1,15 @@
 #include "placement/gang-placement.h"
 
+#include "placement/resources.h"
+
 #include "placement/gang-site.h"
 
-#include "controller/core-private.h"
+#include "cluster/cluster.h"
+#include "jobs/objective.h"
+#include "placement/placement.h"
+#include "placement/preemption.h"
+#include "placement/quota.h"
+#include "placement/victim.h"
 
 #include <string.h>
 
@@ -58,12 +65,12 @@
   MhJob *job = sites->job;
   guint32 attempt = last_attempt (job) + 1;
   guint index = 0;
-  mh_gang_placed (job);
+  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_PLACED, sites->pass->now_us);
   for (guint i = 0; i < sites->sites->len; i++)
     {
       const MhGangSite *site = &g_array_index (sites->sites, MhGangSite, i);
       for (guint j = 0; j < site->taken; j++)
-        mh_placement_start_task (sites->core, job, index++, attempt, site->machine,
+        mh_placement_start_task (sites->pass->core, job, index++, attempt, site->machine,
                                  MH_URGENCY_USER);
     }
 }
@@ -75,8 +82,8 @@
 {
   MhResources preemptible;
   MhResources soon = mh_victims_capacity (sites->job, site->machine, &preemptible);
-  mh_victims_select (sites->core, sites->job, site->machine, soon, site->taken, victims);
-  mh_preemption_stop_victims (sites->core, sites->job, victims);
+  mh_victims_select (sites->pass->now_us, sites->job, site->machine, soon, site->taken, victims);
+  mh_preemption_stop_victims (sites->pass->core, sites->job, victims);
 }
 
 /* Stops lesser work for as many tasks as there is no room for. */
@@ -152,19 +159,19 @@
 /* Like a service, an urgent gang that would come too late by its image rather takes the room of
    lesser work where the image is. */
 static gint64
-max_image_wait_us (const MhCore *core, const MhJob *job)
+max_image_wait_us (const MhPlacementPass *pass, const MhJob *job)
 {
   if (job->spec->priority < MH_PRIORITY_HIGH)
     return G_MAXINT64;
-  return MAX (mh_objective_slack_us (core->settings, job, core->now.mono_us), 0);
+  return MAX (mh_objective_slack_us (pass->settings, job, pass->now_us), 0);
 }
 
 static MhGangPlacement
 place (MhGangSites *sites, bool may_preempt)
 {
   MhJob *job = sites->job;
-  const MhCore *core = sites->core;
-  gint64 in_time_us = max_image_wait_us (core, job);
+  const MhPlacementPass *pass = sites->pass;
+  gint64 in_time_us = max_image_wait_us (pass, job);
   MhGangPlacement placement;
   if (start_now (sites, in_time_us))
     return MH_GANG_STARTED;
@@ -174,22 +181,23 @@
     return MH_GANG_STARTED;
   if (wait_for_room (sites, may_preempt, G_MAXINT64, &placement))
     return placement;
-  if (job->placement.starved || core->now.mono_us - job->placement.unplaced_since_us < HOLD_US)
+  if (job->placement.starved || pass->now_us - job->placement.unplaced_since_us < HOLD_US)
     hold_capacity (sites);
   return MH_GANG_PENDING;
 }
 
 MhGangPlacement
-mh_gang_place (MhCore *core, MhJob *job, const GPtrArray *usable_machines, bool may_preempt)
+mh_gang_place (const MhPlacementPass *pass, MhJob *job, bool may_preempt)
 {
   const MhJobSpec *spec = job->spec;
   job->gang.held_tasks = 0;
   job->gang.held_zone = NULL;
   if (job->n_live || job->gang.state == MH_GANG_STATE_ENDING
-      || !mh_quota_fits (core, job, spec->cpus * spec->tasks, spec->gpus * spec->tasks))
+      || !mh_quota_fits (pass->settings, mh_cluster_team_use (pass->core, spec->team), job,
+                         spec->cpus * spec->tasks, spec->gpus * spec->tasks))
     return MH_GANG_PENDING;
   MhGangSites sites;
-  mh_gang_sites_init (&sites, core, job, usable_machines);
+  mh_gang_sites_init (&sites, pass, job);
   MhGangPlacement placement = place (&sites, may_preempt);
   mh_gang_sites_clear (&sites);
   return placement;
--- a/src/placement/gang-placement.h
+++ b/src/placement/gang-placement.h
@@ -2,7 +2,7 @@
    spread is about services and does not apply here. */
 #pragma once
 
-#include "placement/resources.h"
+#include "placement/placement-types.h"
 
 /**
  * MhGangPlacement:
@@ -30,9 +30,8 @@
 
 /**
  * mh_gang_place:
- * @core: the controller
+ * @pass: the pass
  * @job: a gang
- * @usable_machines: (element-type MhMachine): of this pass
  * @may_preempt: whether lesser work may be stopped for it
  *
  * Starts all tasks, or none. For one that cannot start, capacity may be held or made.
@@ -40,4 +39,4 @@
  * Returns: what was done
  */
 MhGangPlacement
-mh_gang_place (MhCore *core, MhJob *job, const GPtrArray *usable_machines, bool may_preempt);
+mh_gang_place (const MhPlacementPass *pass, MhJob *job, bool may_preempt);
--- a/src/placement/gang-site.c
+++ b/src/placement/gang-site.c
@@ -1,6 +1,10 @@
 #include "placement/gang-site.h"
 
-#include "controller/core-private.h"
+#include "placement/resources.h"
+
+#include "cluster/image-wait.h"
+#include "placement/filter.h"
+#include "placement/victim.h"
 
 #include <string.h>
 
@@ -66,22 +70,22 @@
       == 0)
     return;
   site.image_wait_us
-      = mh_machine_image_wait_us (sites->core, machine, sites->job->image, spec->image_gb);
+      = mh_machine_image_wait_us (sites->pass->core, machine, sites->job->image, spec->image_gb);
   g_array_append_val (sites->sites, site);
   if (!g_ptr_array_find (sites->zones, machine->zone, NULL))
     g_ptr_array_add (sites->zones, machine->zone);
 }
 
 void
-mh_gang_sites_init (MhGangSites *sites, MhCore *core, MhJob *job, const GPtrArray *usable_machines)
+mh_gang_sites_init (MhGangSites *sites, const MhPlacementPass *pass, MhJob *job)
 {
-  *sites = (MhGangSites){ .core = core,
+  *sites = (MhGangSites){ .pass = pass,
                           .job = job,
                           .sites = g_array_new (FALSE, FALSE, sizeof (MhGangSite)),
                           .zones = g_ptr_array_new () };
-  for (guint i = 0; i < usable_machines->len; i++)
+  for (guint i = 0; i < pass->usable_machines->len; i++)
     {
-      MhMachine *machine = g_ptr_array_index (usable_machines, i);
+      MhMachine *machine = g_ptr_array_index (pass->usable_machines, i);
       if (admits (job, machine))
         add_site (sites, machine);
     }
@@ -109,8 +113,8 @@
         continue;
       MhResources preemptible;
       MhResources soon = mh_victims_capacity (sites->job, site->machine, &preemptible);
-      double loss
-          = mh_victims_select (sites->core, sites->job, site->machine, soon, tasks, victims);
+      double loss = mh_victims_select (sites->pass->now_us, sites->job, site->machine, soon, tasks,
+                                       victims);
       site->cost = loss / tasks + loss_per_s * (double)site->image_wait_us / MH_SECOND_US;
     }
   g_array_sort (sites->sites, compare_cost);
@@ -158,7 +162,7 @@
 mh_gang_sites_select (MhGangSites *sites, const char *zone, MhGangRoom room)
 {
   const MhJobSpec *spec = sites->job->spec;
-  double gang_wait_us = (double)sites->core->settings->gang_wait_us;
+  double gang_wait_us = (double)sites->pass->settings->gang_wait_us;
   g_autofree guint *in_zone = g_new0 (guint, sites->zones->len + 1);
   Selecting selecting = { .first_image_us = G_MAXINT64,
                           .max_apart_us = (gint64)(gang_wait_us * MAX_APART_SHARE),
--- a/src/placement/gang-site.h
+++ b/src/placement/gang-site.h
@@ -1,7 +1,7 @@
 /* Sites of a gang: the machines with room for its tasks, and the choice among them. */
 #pragma once
 
-#include "placement/resources.h"
+#include "placement/placement-types.h"
 
 /**
  * MhGangRoom:
@@ -49,14 +49,14 @@
 
 /**
  * MhGangSites:
- * @core: the controller
+ * @pass: the pass
  * @job: the gang
  * @sites: (element-type MhGangSite): in the order in which they are taken
  * @zones: distinct, interned
  */
 typedef struct
 {
-  MhCore *core;
+  const MhPlacementPass *pass;
   MhJob *job;
   GArray *sites;
   GPtrArray *zones;
@@ -65,12 +65,11 @@
 /**
  * mh_gang_sites_init:
  * @sites: is filled in
- * @core: the controller
+ * @pass: the pass
  * @job: a gang
- * @usable_machines: (element-type MhMachine): of this pass
  */
 void
-mh_gang_sites_init (MhGangSites *sites, MhCore *core, MhJob *job, const GPtrArray *usable_machines);
+mh_gang_sites_init (MhGangSites *sites, const MhPlacementPass *pass, MhJob *job);
 
 /**
  * mh_gang_sites_clear:
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -60,11 +60,11 @@
   MhJob *job = cycle->job;
   guint index = cycle->next_task;
   MhAttempt *attempt = mh_placement_start_task (
-      cycle->core, job, index, job->tasks[index].attempt + 1, candidate->machine,
+      cycle->pass->core, job, index, job->tasks[index].attempt + 1, candidate->machine,
       cycle->is_service ? MH_URGENCY_USER : MH_URGENCY_START);
   attempt->of_starved_job = job->placement.starved;
-  candidate->replicas_on_machine = mh_score_replicas_on_machine (candidate->machine->usage.replicas,
-                                                                 cycle->core->service_replicas);
+  candidate->replicas_on_machine = mh_score_replicas_on_machine (
+      candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->core));
   g_array_index (cycle->zones, MhZoneCount, candidate->zone).count++;
   cycle->pass->starts++;
 }
@@ -86,7 +86,7 @@
   /* A service that would come too late by its image rather takes the room of lesser work where the
      image is. */
   if (cycle->is_service && candidate->image_wait_us > cycle->start_slack_us
-      && cycle->core->leader.rebuilt
+      && cycle->pass->is_rebuilt
       && mh_preemption_make_room_for_task (cycle, MAX (cycle->start_slack_us, 0)))
     cycle->room_made++;
   else if (mh_arrival_claim (cycle, candidate->image_wait_us))
@@ -110,20 +110,27 @@
   return candidate;
 }
 
+static bool
+quota_allows_task (const MhPlacementPass *pass, const MhJob *job)
+{
+  const MhUse *use = mh_cluster_team_use (pass->core, job->spec->team);
+  return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
+}
+
 /* Starts what finds room. */
 static void
 start_tasks (MhJobCycle *cycle)
 {
-  MhCore *core = cycle->core;
+  const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  guint startable = mh_task_failure_startable (core, job);
+  guint startable = mh_task_failure_startable (pass->core, job);
   while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < STARTS_PER_PASS)
     {
       /* Not past a task that was passed over: it once was forgotten with that, and a replica never
          started. */
       if (!cycle->passed_over)
         job->placement.first_pending = cycle->next_task;
-      if (!mh_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
+      if (!quota_allows_task (pass, job))
         return;
       MhCandidate *candidate = select_candidate (cycle);
       if (candidate == NULL)
@@ -160,18 +167,16 @@
 static void
 place_gang (MhPlacementPass *pass, MhJob *job)
 {
-  MhCore *core = pass->core;
-  gint64 now_us = core->now.mono_us;
   bool may_preempt = pass->may_preempt && pass->preemptions < MH_PREEMPTIONS_PER_PASS
                      && mh_preemption_is_allowed (
-                         core, job, mh_objective_slack_us (core->settings, job, now_us));
-  MhGangPlacement placement = mh_gang_place (core, job, pass->usable_machines, may_preempt);
+                         pass, job, mh_objective_slack_us (pass->settings, job, pass->now_us));
+  MhGangPlacement placement = mh_gang_place (pass, job, may_preempt);
   if (placement == MH_GANG_STARTED)
     pass->starts += job->spec->tasks;
   if (placement == MH_GANG_PREEMPTING)
     {
       pass->preemptions++;
-      pass->last_preemption_us = now_us;
+      pass->last_preemption_us = pass->now_us;
     }
 }
 
@@ -186,7 +191,7 @@
     reserve_machine (&cycle);
   /* Nothing is stopped for a job that is only tried. */
   if (mh_job_pending_tasks (job) && !cycle.awaits_arrival && pass->may_preempt
-      && !mh_task_failure_backs_off (job))
+      && !mh_job_backs_off (job))
     mh_preemption_make_room (&cycle);
   mh_job_cycle_clear (&cycle);
 }
@@ -205,12 +210,12 @@
    is over, the zones must be known at least: a machine known from a record alone has none yet, and
    the task on it would be left out of the count. */
 static bool
-counts_are_known (const MhCore *core, const MhJob *job)
+counts_are_known (const MhPlacementPass *pass, const MhJob *job)
 {
   const MhJobSpec *spec = job->spec;
   if (job->n_unreported == 0)
     return true;
-  if (!core->leader.rebuilt)
+  if (!pass->is_rebuilt)
     return false;
   if (spec->shape != MH_SHAPE_SERVICE && !spec->scatter && !spec->one_zone)
     return true;
@@ -220,14 +225,13 @@
 static void
 place_job (MhPlacementPass *pass, MhJob *job)
 {
-  MhCore *core = pass->core;
-  if (core->now.mono_us < job->placement.retry_after_us)
+  if (pass->now_us < job->placement.retry_after_us)
     {
-      mh_core_wake_at (core, job->placement.retry_after_us);
+      mh_core_wake_at (pass->core, job->placement.retry_after_us);
       return;
     }
-  if (mh_task_failure_startable (core, job) == 0 || !counts_are_known (core, job)
-      || !mh_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
+  if (mh_task_failure_startable (pass->core, job) == 0 || !counts_are_known (pass, job)
+      || !quota_allows_task (pass, job))
     return;
   if (mh_job_is_gang (job))
     place_gang (pass, job);
@@ -252,10 +256,15 @@
 run_pass (MhPlacement *placement, MhCore *core, const GPtrArray *queue)
 {
   gint64 now = core->now.mono_us;
-  MhPlacementPass pass;
-  mh_placement_pass_init (&pass, core,
-                          now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US);
-  pass.last_preemption_us = placement->last_preemption_us;
+  MhPlacementPass pass
+      = { .core = core,
+          .settings = core->settings,
+          .types = mh_cluster_types (core),
+          .now_us = now,
+          .is_rebuilt = core->leader.rebuilt,
+          .may_preempt = now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
+          .last_preemption_us = placement->last_preemption_us };
+  mh_placement_pass_init (&pass);
   for (guint i = 0; i < queue->len; i++)
     place_job (&pass, g_ptr_array_index (queue, i));
   placement->last_preemption_us = pass.last_preemption_us;
@@ -266,7 +275,7 @@
 mh_placement_run (MhPlacement *placement, MhCore *core)
 {
   gint64 now = core->now.mono_us, next = next_pass_us (placement);
-  if (now < next || core->types == NULL)
+  if (now < next || mh_cluster_types (core) == NULL)
     {
       mh_core_wake_at (core, MAX (next, now + MIN_WAKE_UP_US));
       return;
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -18,15 +18,15 @@
 }
 
 bool
-mh_preemption_is_allowed (MhCore *core, const MhJob *job, gint64 start_slack_us)
+mh_preemption_is_allowed (const MhPlacementPass *pass, const MhJob *job, gint64 start_slack_us)
 {
-  if (!core->leader.rebuilt
+  if (!pass->is_rebuilt
       || (mh_job_queue_tier (job) == MH_TIER_REST && job->spec->priority <= MH_PRIORITY_LOW))
     return false;
   gint64 waits_until_us = job->placement.unplaced_since_us + start_slack_us / WAIT_PART;
-  if (waits_for_endings (job->spec) && core->now.mono_us < waits_until_us)
+  if (waits_for_endings (job->spec) && pass->now_us < waits_until_us)
     {
-      mh_core_wake_at (core, waits_until_us);
+      mh_core_wake_at (pass->core, waits_until_us);
       return false;
     }
   return true;
@@ -78,7 +78,8 @@
         continue;
       MhResources available = mh_victims_capacity (cycle->job, machine, &preemptible);
       if (!mh_victims_suffice (&available, spec, 1)
-          || mh_machine_image_wait_us (cycle->core, machine, cycle->job->image, spec->image_gb)
+          || mh_machine_image_wait_us (cycle->pass->core, machine, cycle->job->image,
+                                       spec->image_gb)
                  > image_wait_us)
         continue;
       mh_resources_reserve (machine, spec, 1);
@@ -106,12 +107,13 @@
   MhResources available = mh_victims_capacity (cycle->job, site->machine, &preemptible);
   if (!mh_victims_suffice (&preemptible, spec, 1))
     return false;
-  site->image_wait_us
-      = mh_machine_image_wait_us (cycle->core, site->machine, cycle->job->image, spec->image_gb);
+  site->image_wait_us = mh_machine_image_wait_us (cycle->pass->core, site->machine,
+                                                  cycle->job->image, spec->image_gb);
   if (site->image_wait_us > max_wait_us)
     return false;
-  site->loss = (double)site->image_wait_us / MH_SECOND_US
-               + mh_victims_select (cycle->core, cycle->job, site->machine, available, 1, victims);
+  site->loss
+      = (double)site->image_wait_us / MH_SECOND_US
+        + mh_victims_select (cycle->pass->now_us, cycle->job, site->machine, available, 1, victims);
   return true;
 }
 
@@ -155,8 +157,8 @@
   g_autoptr (GPtrArray) victims = g_ptr_array_new ();
   MhResources preemptible;
   MhResources available = mh_victims_capacity (cycle->job, site.machine, &preemptible);
-  mh_victims_select (cycle->core, cycle->job, site.machine, available, 1, victims);
-  mh_preemption_stop_victims (cycle->core, cycle->job, victims);
+  mh_victims_select (cycle->pass->now_us, cycle->job, site.machine, available, 1, victims);
+  mh_preemption_stop_victims (cycle->pass->core, cycle->job, victims);
   mh_resources_reserve (site.machine, cycle->job->spec, 1);
   return true;
 }
@@ -171,7 +173,7 @@
     return true;
   if (!pass->may_preempt || pass->preemptions >= MH_PREEMPTIONS_PER_PASS)
     return false;
-  pass->last_preemption_us = cycle->core->now.mono_us;
+  pass->last_preemption_us = pass->now_us;
   if (!preempt_for_task (cycle, image_wait_us))
     return false;
   pass->preemptions++;
@@ -181,15 +183,16 @@
 void
 mh_preemption_make_room (MhJobCycle *cycle)
 {
-  MhCore *core = cycle->core;
+  const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  if (!mh_preemption_is_allowed (core, job, cycle->start_slack_us))
+  const MhUse *use = mh_cluster_team_use (pass->core, job->spec->team);
+  if (!mh_preemption_is_allowed (pass, job, cycle->start_slack_us))
     return;
   double cpus = 0;
   for (guint i = mh_job_pending_tasks (job); i > cycle->room_made; i--)
     {
       cpus += job->spec->cpus;
-      if (!mh_quota_fits (core, job, cpus, 0) || is_known_to_fail (cycle->pass, job))
+      if (!mh_quota_fits (pass->settings, use, job, cpus, 0) || is_known_to_fail (cycle->pass, job))
         return;
       /* In time at first; then late rather than not at all. */
       if (mh_preemption_make_room_for_task (cycle, cycle->start_slack_us)
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -1,14 +1,14 @@
 /* Preemption: stops tasks of lesser jobs to make room for those that found none. */
 #pragma once
 
-#include "placement/candidate.h"
+#include "placement/placement-types.h"
 
 /* How often a pass makes room. */
 #define MH_PREEMPTIONS_PER_PASS 16u
 
 /**
  * mh_preemption_is_allowed:
- * @core: the controller
+ * @pass: the pass
  * @job: a job with pending tasks
  * @start_slack_us: how long a start may still take
  *
@@ -18,7 +18,7 @@
  * Returns: whether tasks may be stopped for the job now
  */
 bool
-mh_preemption_is_allowed (MhCore *core, const MhJob *job, gint64 start_slack_us);
+mh_preemption_is_allowed (const MhPlacementPass *pass, const MhJob *job, gint64 start_slack_us);
 
 /**
  * mh_preemption_make_room_for_task:
--- a/src/placement/quota.c
+++ b/src/placement/quota.c
@@ -1,12 +1,12 @@
 #include "placement/quota.h"
 
-#include "controller/core-private.h"
+#include "placement/resources.h"
 
 bool
-mh_quota_fits (MhCore *core, const MhJob *job, double more_cpus, double more_gpus)
+mh_quota_fits (const MhSettings *settings, const MhUse *use, const MhJob *job, double more_cpus,
+               double more_gpus)
 {
-  const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
-  const MhUse *use = g_hash_table_lookup (core->team_use, job->spec->team);
+  const MhTeam *team = mh_settings_team (settings, job->spec->team);
   if (team == NULL)
     return false;
   return (use ? use->cpus : 0) + more_cpus <= team->cpus_max + MH_RESOURCE_EPSILON
@@ -23,10 +23,10 @@
 }
 
 guint
-mh_quota_allowed_tasks (MhCore *core, const MhJob *job, const MhUse *planned, guint tasks)
+mh_quota_allowed_tasks (const MhSettings *settings, const MhUse *use, const MhJob *job,
+                        const MhUse *planned, guint tasks)
 {
-  const MhTeam *team = mh_settings_team (core->settings, job->spec->team);
-  const MhUse *use = g_hash_table_lookup (core->team_use, job->spec->team);
+  const MhTeam *team = mh_settings_team (settings, job->spec->team);
   if (team == NULL)
     return 0;
   double cpus = team->cpus_max - planned->cpus - (use ? use->cpus : 0) + MH_RESOURCE_EPSILON;
--- a/src/placement/quota.h
+++ b/src/placement/quota.h
@@ -1,12 +1,13 @@
 /* Team quotas: what the tasks of a team may use at the same time. */
 #pragma once
 
-#include "cluster/machine-registry.h"
-#include "jobs/job.h"
+#include "cluster/machine.h"
+#include "settings/settings.h"
 
 /**
  * mh_quota_fits:
- * @core: the controller
+ * @settings: with the teams' quotas
+ * @use: (nullable): what tasks of the team may be using now; %NULL: nothing
  * @job: a job
  * @more_cpus: cores that further tasks of it would use
  * @more_gpus: GPUs that they would use
@@ -15,11 +16,13 @@
  * for a team that the settings do not know
  */
 bool
-mh_quota_fits (MhCore *core, const MhJob *job, double more_cpus, double more_gpus);
+mh_quota_fits (const MhSettings *settings, const MhUse *use, const MhJob *job, double more_cpus,
+               double more_gpus);
 
 /**
  * mh_quota_allowed_tasks:
- * @core: the controller
+ * @settings: with the teams' quotas
+ * @use: (nullable): what tasks of the team may be using now; %NULL: nothing
  * @job: a job
  * @planned: what is planned for the team besides what may be in use now
  * @tasks: how many tasks are wanted
@@ -28,4 +31,5 @@
  * the settings do not know
  */
 guint
-mh_quota_allowed_tasks (MhCore *core, const MhJob *job, const MhUse *planned, guint tasks);
+mh_quota_allowed_tasks (const MhSettings *settings, const MhUse *use, const MhJob *job,
+                        const MhUse *planned, guint tasks);
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -1,7 +1,7 @@
 /* Resources of machines, and what tasks need of them. */
 #pragma once
 
-#include "cluster/machine-registry.h"
+#include "cluster/machine.h"
 #include "jobs/job.h"
 
 /* Sums of fractions of a cpu or a GB are exact to less than this. */
--- a/src/placement/score.c
+++ b/src/placement/score.c
@@ -1,5 +1,7 @@
 #include "placement/score.h"
 
+#include "placement/resources.h"
+
 #include <math.h>
 #include <string.h>
 
--- a/src/placement/score.h
+++ b/src/placement/score.h
@@ -1,7 +1,7 @@
 /* The scores of placement: which of the machines that pass the filters is best. */
 #pragma once
 
-#include "placement/candidate.h"
+#include "placement/placement-types.h"
 
 /**
  * mh_score_cost:
--- a/src/placement/victim.c
+++ b/src/placement/victim.c
@@ -1,6 +1,7 @@
 #include "placement/victim.h"
 
-#include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "jobs/job-queue.h"
 
 #include <string.h>
 
@@ -23,7 +24,7 @@
 mh_victim_is_eligible (const MhJob *preemptor, const MhAttempt *victim)
 {
   const MhJob *holder = victim->job;
-  if (holder == preemptor || victim->stopping)
+  if (holder == preemptor || mh_attempt_is_stopping (victim))
     return false;
   /* The one task with which a starved job begins gives way to urgent work alone: it once was
      stopped in the very pass that had placed it. */
@@ -79,7 +80,7 @@
   for (guint i = 0; i < machine->attempts->len; i++)
     {
       const MhAttempt *attempt = mh_machine_attempt (machine, i);
-      if (attempt->stopping)
+      if (mh_attempt_is_stopping (attempt))
         mh_resources_add_task (&available, attempt->job->spec);
       else if (mh_victim_is_eligible (preemptor, attempt))
         mh_resources_add_task (preemptible, attempt->job->spec);
@@ -98,10 +99,9 @@
 }
 
 double
-mh_victims_select (MhCore *core, const MhJob *preemptor, const MhMachine *machine,
+mh_victims_select (gint64 now_us, const MhJob *preemptor, const MhMachine *machine,
                    MhResources available, guint tasks, GPtrArray *victims)
 {
-  gint64 now_us = core->now.mono_us;
   g_autoptr (GPtrArray) eligible = g_ptr_array_new ();
   double loss = 0;
   for (guint i = 0; i < machine->attempts->len; i++)
--- a/src/placement/victim.h
+++ b/src/placement/victim.h
@@ -62,7 +62,7 @@
 
 /**
  * mh_victims_select:
- * @core: the controller
+ * @now_us: the present, by the steady clock
  * @preemptor: a job with pending tasks
  * @machine: a machine
  * @available: what there is without victims, see mh_victims_capacity()
@@ -74,5 +74,5 @@
  * Returns: what is lost with them
  */
 double
-mh_victims_select (MhCore *core, const MhJob *preemptor, const MhMachine *machine,
+mh_victims_select (gint64 now_us, const MhJob *preemptor, const MhMachine *machine,
                    MhResources available, guint tasks, GPtrArray *victims);
