--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -28,10 +28,10 @@
 guint
 mh_task_failure_startable (const MhCore *core, const MhJob *job)
 {
-  guint pending = mh_job_pending (job);
+  guint pending = mh_job_pending_tasks (job);
   if (!mh_job_backs_off (job))
     return pending;
-  if (core->now.mono_us < job->retry_us || job->n_live)
+  if (core->now.mono_us < job->placement.retry_after_us || job->n_live)
     return 0;
   return mh_job_is_gang (job) ? pending : MIN (pending, 1);
 }
@@ -39,7 +39,7 @@
 guint
 mh_task_failure_rentable (const MhCore *core, const MhJob *job)
 {
-  if (mh_job_backs_off (job) && core->now.mono_us < job->retry_us + PLACED_BY_US)
+  if (mh_job_backs_off (job) && core->now.mono_us < job->placement.retry_after_us + PLACED_BY_US)
     return 0;
   return mh_task_failure_startable (core, job);
 }
@@ -88,7 +88,7 @@
 {
   gint64 wait = FIRST_WAIT_US << (job->failures.back_off_level - 1);
   double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * core->now.jitter;
-  job->retry_us = core->now.mono_us + (gint64)((double)wait * factor);
+  job->placement.retry_after_us = core->now.mono_us + (gint64)((double)wait * factor);
 }
 
 /* Tasks that still fetch the image of a job that cannot run keep it from others. */
@@ -112,7 +112,7 @@
   wait_before_retry (core, job);
   mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
   mh_info (core, "job backs off, fails wherever it starts job=%s next_start_s=%.0f", job->spec->id,
-           (double)(job->retry_us - core->now.mono_us) / MH_SECOND_US);
+           (double)(job->placement.retry_after_us - core->now.mono_us) / MH_SECOND_US);
   if (first)
     stop_fetching (core, job);
 }
@@ -191,7 +191,7 @@
 mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job)
 {
   /* Others that were started with the first: nothing more is learnt from them. */
-  if (mh_job_backs_off (job) && core->now.mono_us < job->retry_us)
+  if (mh_job_backs_off (job) && core->now.mono_us < job->placement.retry_after_us)
     return;
   if (!runs_well (core, job))
     {
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -328,7 +328,7 @@
 mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_USER, id);
-  mh_job_answer (job, &a->answer);
+  mh_job_fill_answer (job, &a->answer);
   a->answer.status = status;
 }
 
@@ -359,7 +359,7 @@
 {
   /* One that does not fit would be refused by the state service time and again, and end each
      leadership. */
-  if (mh_job_chunk (spec, core->settings->value_bytes) == 0)
+  if (mh_job_tasks_per_record (spec, core->settings->value_bytes) == 0)
     return 400;
   const MhTeam *team = mh_settings_team (core->settings, spec->team);
   if (team == NULL)
@@ -370,8 +370,10 @@
   if (mh_cluster_types (core) == NULL)
     return 503;
   for (guint i = 0; i < mh_cluster_types (core)->len; i++)
-    if (mh_place_type_fits (spec, g_ptr_array_index (mh_cluster_types (core), i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_possible (core, spec) ? 422 : 0;
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core), i)))
+      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (mh_cluster_types (core), spec)
+                 ? 422
+                 : 0;
   return 422;
 }
 
@@ -439,15 +441,15 @@
 static void
 cancel (MhCore *core, guint64 id, MhJob *job)
 {
-  if (job->final || job->cancel_durable)
+  if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
     {
       mh_core_answer_job (core, id, job, 200);
       return;
     }
-  if (!job->cancelled && !job->finished)
+  if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
-      job->cancelled = true;
+      job->cancellation = MH_CANCELLATION_REQUESTED;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
       mh_attempt_stop_job (core, job);
     }
@@ -613,9 +615,9 @@
   mh_leader_step (core);
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
-      mh_gang_step (core);
+      mh_gang_reconcile (core);
       mh_cluster_step (core);
-      mh_place_step (core);
+      mh_placement_run (core->placement, core);
       mh_scale_step (core);
       mh_release_step (core);
       mh_store_step (core);
@@ -633,15 +635,14 @@
 static void
 note_capacity_changed (MhCore *core, bool urgent)
 {
-  core->place_wanted = true;
-  core->place_urgent |= urgent;
+  mh_placement_request_pass (core->placement, urgent);
 }
 
 static const MhClusterCallbacks cluster_callbacks = {
   .release_machine = mh_release_machine,
   .capacity_changed = note_capacity_changed,
-  .gang_loaded = mh_gang_loaded,
-  .gang_task_over = mh_gang_task_over,
+  .gang_loaded = mh_gang_restore,
+  .gang_task_over = mh_gang_task_ended,
   .gang_stop = mh_gang_stop,
 };
 
@@ -659,8 +660,9 @@
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->cluster = mh_cluster_new (settings, &cluster_callbacks, t);
-  core->gangs = mh_gang_table ();
-  core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  core->gang_attempts = mh_gang_attempts_new ();
+  core->placement = mh_placement_new ();
+  core->runtime_estimator = mh_runtime_estimator_new ();
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_queue_init (&core->actions);
   /* The other controllers read and watch a little too. */
@@ -684,7 +686,7 @@
     return;
   mh_store_clear (core);
   mh_cluster_clear (core);
-  mh_gang_clear (core);
+  mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
   mh_core_drop_calls (core);
@@ -697,8 +699,9 @@
   g_hash_table_unref (core->unreadable);
   g_hash_table_unref (core->finals);
   g_clear_pointer (&core->cluster, mh_cluster_free);
-  g_hash_table_unref (core->gangs);
-  g_hash_table_unref (core->class_stats);
+  mh_gang_attempts_free (core->gang_attempts);
+  mh_placement_free (core->placement);
+  mh_runtime_estimator_free (core->runtime_estimator);
   g_hash_table_unref (core->scale.refused);
   g_free (core->leader.node);
   g_free (core);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -392,7 +392,7 @@
   mh_core_drop_calls (core);
   mh_store_clear (core);
   mh_cluster_clear (core);
-  mh_gang_clear (core);
+  mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
@@ -420,7 +420,7 @@
 {
   core->leader.phase = MH_PHASE_LEAD;
   core->leader.rebuilt = false;
-  core->place_wanted = true;
+  mh_placement_request_pass (core->placement, false);
   /* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
   core->leader.rebuild_until_us
       = core->now.mono_us + 2 * core->settings->report_us + 2 * MH_SECOND_US;
@@ -521,7 +521,7 @@
   if (core->leader.phase == MH_PHASE_LEAD && !core->leader.rebuilt && rebuilt (core))
     {
       core->leader.rebuilt = true;
-      core->place_wanted = true;
+      mh_placement_request_pass (core->placement, false);
       mh_info (core, "counts rebuilt %.1f s after the election",
                (double)(now - core->leader.since_us) / MH_SECOND_US);
     }
