--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -136,7 +136,7 @@
   call->machine = g_strdup (machine->name);
   call->commands = g_array_ref (commands);
   machine->direct_commands_in_flight++;
-  mh_core_call (core, MH_RANK_WORK,
+  mh_core_call (core, MH_CALL_WORK,
                 mh_wire_commands (machine->endpoint, token, machine->heartbeat.session, commands),
                 0, TIMEOUT_US, direct_call_answered, call, direct_call_free);
 }
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -75,7 +75,7 @@
 probe_failed (MhCore *core, MhMachine *machine)
 {
   /* The answer may have come while this process stood still, and the time-out with it. */
-  if (machine->probe.first_sent_us > core->awake_us
+  if (machine->probe.first_sent_us > mh_runtime_resumed_us (core->runtime)
       && ++machine->probe.failures < MAX_FAILED_PROBES)
     probe (core, machine);
 }
@@ -121,7 +121,7 @@
   machine->probe.in_flight = true;
   machine->probe.session = heartbeat->reported ? heartbeat->session : 0;
   machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_show (machine->endpoint), 0, PROBE_TIMEOUT_US,
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_show (machine->endpoint), 0, PROBE_TIMEOUT_US,
                 probe_answered, g_strdup (machine->name), g_free);
 }
 
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -218,7 +218,7 @@
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
   if (status == STATUS_OK && mh_leader_valid (core))
-    action->until_us = core->leader.valid_until_us;
+    action->lease_until_us = core->leader.valid_until_us;
 }
 
 /* One that this leadership knew is known no more when it has been given back. */
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -109,7 +109,7 @@
 gint64
 mh_cluster_silence_us (const MhCore *core, gint64 heard_us)
 {
-  return core->now.mono_us - MAX (heard_us, core->awake_us);
+  return core->now.mono_us - MAX (heard_us, mh_runtime_resumed_us (core->runtime));
 }
 
 bool
