--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -78,7 +78,7 @@
       MhJob *job = value;
       if (mh_job_is_gang (job))
         core->cluster->callbacks->gang_loaded (core, job);
-      if (job->cancelled)
+      if (mh_job_is_cancelled (job))
         mh_attempt_stop_job (core, job);
       else
         mh_attempt_finish_job_if_over (core, job);
--- a/src/placement/topology-spread.c
+++ b/src/placement/topology-spread.c
@@ -1,9 +1,25 @@
-#include "controller/core-private.h"
+#include "placement/topology-spread.h"
+
+#include <string.h>
+
+MhSpreadConstraint
+mh_topology_spread_constraint (const MhSettings *settings, const char *class_name)
+{
+  MhSpreadConstraint constraint = { .max_skew = settings->max_skew, .soft = settings->soft };
+  for (guint i = 0; i < settings->spread->len; i++)
+    {
+      const MhSpreadRule *rule = g_ptr_array_index (settings->spread, i);
+      if (strcmp (rule->class_name, class_name) == 0)
+        {
+          constraint.max_skew = rule->max_skew;
+          constraint.soft = rule->soft;
+        }
+    }
+  return constraint;
+}
 
-/* KEP-895, "MaxSkew": matching num - min matching num < maxSkew. An infeasible zone still enters
-   the minimum of the hard rule. */
 bool
-mh_spread_hard_fits (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
+mh_topology_spread_allows_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
 {
   guint min = zones[zone].count;
   for (guint i = 0; i < n_zones; i++)
@@ -11,9 +27,8 @@
   return zones[zone].count - min < max_skew;
 }
 
-/* KEP-895, "Priority": the minimum is taken over zones that passed the other filters. */
 gint
-mh_spread_soft_score (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
+mh_topology_spread_score_zone (const MhZoneCount *zones, guint n_zones, guint zone, guint max_skew)
 {
   guint min = zones[zone].count;
   for (guint i = 0; i < n_zones; i++)
