--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -144,7 +144,7 @@
 write_down (MhCore *core, Parcel *p)
 {
   MhCondition conditions[]
-      = { { "leader", mh_election_key_version (core->election) }, { p->key, 0 } };
+      = { { MH_LEADER_KEY, mh_election_key_version (core->election) }, { p->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (p->names);
   g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
   MhChange put = { .key = p->key, .value = value };
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -17,6 +17,7 @@
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
 #include "election/election.h"
+#include "election/leader-record.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
 #include "placement/placement.h"
@@ -101,6 +102,12 @@
 
 void
 mh_core_step (MhCore *core);
+/* leadership.c: what the controller does as leadership comes and goes. */
+const MhElectionCallbacks *
+mh_core_election_callbacks (void);
+/* leadership.c: notes whether the machines have reported to a new leader. */
+void
+mh_core_update_recovery (MhCore *core);
 /* For modules that still take the whole core; see src/runtime. */
 typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
 void
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -367,37 +367,6 @@
   return mh_election_is_leader (core->election);
 }
 
-/* Recovery is complete when every machine that a record or the list knows as running has reported.
-   One that gives no answer either will not report. */
-static bool
-all_machines_reported (const MhCore *core)
-{
-  if (core->types == NULL || !core->scale.listed)
-    return false;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value))
-    {
-      const MhMachine *machine = value;
-      if (!machine->releasing && !machine->reported && !mh_failure_unreachable (machine)
-          && (machine->running || machine->attempts->len))
-        return false;
-    }
-  return true;
-}
-
-static void
-update_recovery (MhCore *core)
-{
-  if (mh_recovery_is_complete (core->recovery)
-      || !mh_recovery_update (core->recovery, core->now.mono_us, all_machines_reported (core)))
-    return;
-  core->place_wanted = true;
-  mh_info (core, "counts rebuilt %.1f s after the election",
-           (double)(core->now.mono_us - mh_election_elected_us (core->election)) / MH_SECOND_US);
-}
-
 void
 mh_core_step (MhCore *core)
 {
@@ -405,7 +374,7 @@
   mh_election_step (core->election);
   if (mh_election_is_serving (core->election))
     {
-      update_recovery (core);
+      mh_core_update_recovery (core);
       mh_fleet_step (core);
       mh_place_step (core);
       mh_scale_step (core);
@@ -422,14 +391,6 @@
   mh_core_step (core);
 }
 
-static gint64
-lease_until_us (gconstpointer owner, gint64 now_us)
-{
-  const MhCore *core = owner;
-  (void)now_us;
-  return mh_election_is_leader (core->election) ? mh_election_lease_until_us (core->election) : 0;
-}
-
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -437,9 +398,9 @@
   core->settings = settings;
   core->now = *now;
   core->runtime = mh_runtime_new (settings, now);
-  mh_runtime_set_lease_source (core->runtime, lease_until_us, core);
   core->calls = mh_call_queue_new (core->runtime);
-  core->election = mh_election_new (core);
+  core->election
+      = mh_election_new (core->runtime, core->calls, mh_core_election_callbacks (), core);
   core->recovery = mh_recovery_new ();
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
--- /dev/null
+++ b/src/election/election-state.c
@@ -0,0 +1,54 @@
+#include "election/election-state.h"
+
+bool
+mh_election_apply (MhElection *election, MhLeadershipEvent event)
+{
+  return mh_leadership_apply (&election->state, event);
+}
+
+void
+mh_election_call (MhElection *election, MhRequest *request, MhCallOptions options)
+{
+  options.owner = election;
+  mh_call_queue_add (election->calls, request, &options);
+}
+
+static void
+ignore_reply (gpointer owner, gpointer data, const MhReply *reply)
+{
+  (void)owner;
+  (void)data;
+  (void)reply;
+}
+
+void
+mh_election_revoke_lease (MhElection *election, MhCallClass class)
+{
+  mh_election_call (election, mh_wire_lease_revoke (election->lease.id),
+                    (MhCallOptions){ .class = class,
+                                     .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
+                                     .func = ignore_reply });
+}
+
+void
+mh_election_retry_after (MhElection *election, gint64 delay_us)
+{
+  election->request_pending = false;
+  election->retry_us = mh_runtime_jittered_us (election->runtime, delay_us, delay_us);
+}
+
+bool
+mh_election_is_own_key (const MhElection *election)
+{
+  return g_strcmp0 (election->leader_name, mh_runtime_settings (election->runtime)->node) == 0;
+}
+
+bool
+mh_election_set_leader (MhElection *election, const char *node)
+{
+  if (g_strcmp0 (election->leader_name, node) == 0)
+    return false;
+  g_free (election->leader_name);
+  election->leader_name = g_strdup (node);
+  return true;
+}
--- /dev/null
+++ b/src/election/follower.c
@@ -0,0 +1,138 @@
+#include "election/follower.h"
+
+#include "election/campaign.h"
+#include "election/election-state.h"
+#include "election/leader-record.h"
+
+#include <string.h>
+
+/* For how long the store holds a watch that has nothing to tell. */
+#define WATCH_US (5 * MH_SECOND_US)
+/* After a reply that could not be used. */
+#define RETRY_US 200000
+
+static void
+handle_watch_reply (gpointer owner, gpointer data, const MhReply *reply);
+
+static void
+watch_leader_key (MhElection *election, guint64 since_revision)
+{
+  election->request_pending = true;
+  mh_election_call (election, mh_wire_watch (MH_LEADER_KEY, since_revision, WATCH_US),
+                    (MhCallOptions){ .class = MH_CALL_LEASE,
+                                     .timeout_us = WATCH_US + MH_ELECTION_CALL_TIMEOUT_US,
+                                     .func = handle_watch_reply });
+}
+
+static void
+forget_leader (MhElection *election)
+{
+  mh_election_set_leader (election, NULL);
+  election->leader_key_version = 0;
+}
+
+/* A key that cannot be read names nobody. */
+static void
+adopt_leader_key (MhElection *election, const MhEntry *entry)
+{
+  g_autofree char *node = NULL;
+  guint64 epoch = 0;
+  guint64 lease_id = 0;
+  if (!mh_leader_record_read (entry->value, &node, &epoch, &lease_id))
+    {
+      mh_election_set_leader (election, NULL);
+      return;
+    }
+  if (mh_election_set_leader (election, node))
+    {
+      mh_log_info (election->runtime, "leader known: leader=%s epoch=%" G_GUINT64_FORMAT, node,
+                   epoch);
+      election->contact.unanswered_since_us = 0;
+    }
+  election->leader_epoch = epoch;
+  election->leader_key_version = entry->version;
+  election->contact.usable_us = mh_runtime_now_us (election->runtime);
+}
+
+/* An earlier life of this very process held the lease: nobody else may take the key before the end
+   of that lease, but this process may, since the earlier life is over. */
+static void
+follow_leader_key (MhElection *election, const MhEntry *entry)
+{
+  adopt_leader_key (election, entry);
+  if (mh_election_is_own_key (election))
+    mh_campaign_start (election);
+  else
+    watch_leader_key (election, entry->version);
+}
+
+static void
+handle_read_reply (gpointer owner, gpointer data, const MhReply *reply)
+{
+  MhElection *election = owner;
+  (void)data;
+  if (reply->status == 404)
+    {
+      forget_leader (election);
+      mh_campaign_start (election);
+      return;
+    }
+  MhEntry *entry = reply->status == 200 ? mh_wire_read_entry (reply->body) : NULL;
+  if (entry)
+    follow_leader_key (election, entry);
+  else
+    mh_election_retry_after (election, RETRY_US);
+  mh_entry_free (entry);
+}
+
+static const MhEntry *
+last_change_of_leader_key (const GPtrArray *events)
+{
+  for (guint i = events->len; i-- > 0;)
+    {
+      const MhEntry *entry = g_ptr_array_index (events, i);
+      if (strcmp (entry->key, MH_LEADER_KEY) == 0)
+        return entry;
+    }
+  return NULL;
+}
+
+static void
+handle_watch_reply (gpointer owner, gpointer data, const MhReply *reply)
+{
+  MhElection *election = owner;
+  (void)data;
+  guint64 revision = 0;
+  g_autoptr (GPtrArray) events
+      = reply->status == 200 ? mh_wire_read_events (reply->body, &revision) : NULL;
+  if (events == NULL)
+    {
+      mh_election_retry_after (election, RETRY_US);
+      return;
+    }
+  const MhEntry *last = last_change_of_leader_key (events);
+  if (last == NULL)
+    {
+      election->contact.usable_us = mh_runtime_now_us (election->runtime);
+      watch_leader_key (election, revision);
+    }
+  else if (last->value == NULL)
+    {
+      mh_log_info (election->runtime, "leader's lease expired: leader=%s",
+                   election->leader_name ? election->leader_name : "unknown");
+      forget_leader (election);
+      mh_campaign_start (election);
+    }
+  else
+    follow_leader_key (election, last);
+}
+
+void
+mh_follower_read_leader_key (MhElection *election)
+{
+  election->request_pending = true;
+  mh_election_call (election, mh_wire_get (MH_LEADER_KEY),
+                    (MhCallOptions){ .class = MH_CALL_LEASE,
+                                     .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
+                                     .func = handle_read_reply });
+}
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -596,7 +596,7 @@
               .keys = keys,
               .values = values,
               .most = most };
-  add_condition (&b, "leader", mh_election_key_version (core->election));
+  add_condition (&b, MH_LEADER_KEY, mh_election_key_version (core->election));
   add_limits (core, &b);
   bool full = false, alone = false;
   for (guint urgency = 0; urgency < MH_URGENCIES && !full; urgency++)
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -1,5 +1,5 @@
-/* The stored form of jobs, of leadership and of machines that are being given back. Keys: leader,
-   epoch, j/ID (job and its first tasks), t/ID/CHUNK (further tasks), f/ID (the final state, kept
+/* The stored form of jobs and of machines that are being given back. Keys: j/ID (job and its first
+   tasks), t/ID/CHUNK (further tasks), f/ID (the final state, kept
    for ever), r/EPOCH/N (names of machines), limits (what the state service was found to take; the
    version before this one never reads it). Short names, since values are limited. */
 #include "controller/core-private.h"
@@ -80,24 +80,6 @@
   return mh_value_get_text (v, "w");
 }
 
-MhValue *
-mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id)
-{
-  MhValue *m = mh_value_map ();
-  mh_value_set_uint (m, "claim", lease_id);
-  mh_value_set_text (m, "node", node);
-  mh_value_set_uint (m, "epoch", epoch);
-  return m;
-}
-
-MhValue *
-mh_record_write_epoch (guint64 epoch)
-{
-  MhValue *m = mh_value_map ();
-  mh_value_set_uint (m, "epoch", epoch);
-  return m;
-}
-
 MhValue *
 mh_record_write_limits (double write_rps)
 {
@@ -127,23 +109,6 @@
   return mh_value_get_names (v, "m", &names) ? names : NULL;
 }
 
-bool
-mh_record_read_epoch (const MhValue *v, guint64 *epoch)
-{
-  return mh_value_get_uint (v, "epoch", epoch);
-}
-
-bool
-mh_record_read_leader (const MhValue *v, char **node, guint64 *epoch, guint64 *lease_id)
-{
-  if (!mh_value_get_uint (v, "claim", lease_id))
-    *lease_id = 0;
-  if (!mh_record_read_epoch (v, epoch))
-    return false;
-  *node = mh_value_get_text (v, "node");
-  return *node != NULL;
-}
-
 MhJobSpec *
 mh_record_read_job (const MhValue *v, const char *id, gint64 *submitted_wall_us, guint *chunk,
                     bool *cancelled)
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -12,17 +12,12 @@
 mh_record_write (const MhRecord *record, const char *tag);
 MhValue *
 mh_record_write_final (const MhJob *job, const char *tag);
-/* The lease tells an earlier life of the same node from this one. */
-MhValue *
-mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id);
 /* Keys of machines that are being given back begin with this. */
 #define MH_RECORD_RELEASES "r/"
 MhValue *
 mh_record_write_release (char **machines);
 char **
 mh_record_read_release (const MhValue *value); /* NULL: malformed */
-MhValue *
-mh_record_write_epoch (guint64 epoch);
 /* The changes a second that the state service was found to take at most. */
 #define MH_RECORD_LIMITS "limits"
 MhValue *
@@ -30,10 +25,6 @@
 bool
 mh_record_read_limits (const MhValue *value, double *write_rps);
 bool
-mh_record_read_leader (const MhValue *value, char **node, guint64 *epoch, guint64 *lease_id);
-bool
-mh_record_read_epoch (const MhValue *value, guint64 *epoch);
-bool
 mh_record_read_final (const MhValue *value, MhUserAnswer *answer);
 char *
 mh_record_read_tag (const MhValue *value);
--- /dev/null
+++ b/tests/test-election.c
@@ -0,0 +1,451 @@
+/* The leader election by itself: a fake clock, and scripted replies of the key-value store. */
+#include "election/election.h"
+#include "election/leader-contact.h"
+#include "election/leader-record.h"
+#include "election/lease.h"
+
+#define NODE "c1"
+#define OTHER "c2"
+#define LEASE_ID 7
+#define LEASE_US (4 * MH_SECOND_US)
+/* The part of the lease that is relied on: less 0.1% for drift, and 0.1 s. */
+#define RELIED_ON_US (LEASE_US - LEASE_US / 1000 - 100000)
+#define START_US (100 * MH_SECOND_US)
+
+typedef struct
+{
+  MhSettings *settings;
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  MhElection *election;
+  MhNow now;
+  guint64 call_id; /* of the call that left last */
+  guint announcements, elected, leading, refused, cleared;
+  gint64 renewal_before_pause_us;
+} Fixture;
+
+static void
+note_elected (gpointer owner)
+{
+  ((Fixture *)owner)->elected++;
+}
+
+static void
+note_leading (gpointer owner)
+{
+  ((Fixture *)owner)->leading++;
+}
+
+static void
+note_refused (gpointer owner)
+{
+  ((Fixture *)owner)->refused++;
+}
+
+static void
+note_cleared (gpointer owner)
+{
+  ((Fixture *)owner)->cleared++;
+}
+
+static void
+note_renewed_after_pause (gpointer owner, gint64 last_renewal_us)
+{
+  ((Fixture *)owner)->renewal_before_pause_us = last_renewal_us;
+}
+
+static const MhElectionCallbacks callbacks = { .elected = note_elected,
+                                               .leading = note_leading,
+                                               .refuse_waiting = note_refused,
+                                               .clear = note_cleared,
+                                               .renewed_after_pause = note_renewed_after_pause };
+
+static void
+step (Fixture *fixture)
+{
+  mh_runtime_reset_wake_up (fixture->runtime);
+  mh_election_step (fixture->election);
+  mh_call_queue_flush (fixture->calls);
+}
+
+static void
+set_up (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  fixture->now = (MhNow){ .mono_us = START_US };
+  fixture->settings = mh_settings_new ();
+  fixture->settings->node = g_strdup (NODE);
+  fixture->settings->lease_us = LEASE_US;
+  fixture->settings->state_rps = 100;
+  MhMember *member = g_new0 (MhMember, 1);
+  member->name = g_strdup (OTHER);
+  g_ptr_array_add (fixture->settings->members, member);
+  fixture->runtime = mh_runtime_new (fixture->settings, &fixture->now);
+  fixture->calls = mh_call_queue_new (fixture->runtime);
+  fixture->election = mh_election_new (fixture->runtime, fixture->calls, &callbacks, fixture);
+  step (fixture);
+}
+
+static void
+tear_down (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  mh_election_free (fixture->election);
+  mh_call_queue_free (fixture->calls);
+  mh_runtime_free (fixture->runtime);
+  mh_settings_free (fixture->settings);
+}
+
+static void
+advance (Fixture *fixture, gint64 by_us)
+{
+  fixture->now.mono_us += by_us;
+  mh_runtime_begin_input (fixture->runtime, &fixture->now);
+}
+
+/* The next call that left; NULL: none did. */
+static MhAction *
+pop_call (Fixture *fixture)
+{
+  MhAction *action;
+  while ((action = mh_runtime_pop_action (fixture->runtime)) && action->kind != MH_ACTION_CALL)
+    {
+      fixture->announcements += action->kind == MH_ACTION_ANNOUNCE_LEADER;
+      mh_action_free (action);
+    }
+  return action;
+}
+
+static void
+assert_call (Fixture *fixture, const char *method, const char *path)
+{
+  g_autoptr (MhAction) action = pop_call (fixture);
+  g_assert_nonnull (action);
+  g_assert_cmpstr (action->request->method, ==, method);
+  g_assert_cmpstr (action->request->path, ==, path);
+  fixture->call_id = action->id;
+}
+
+static void
+assert_no_call (Fixture *fixture)
+{
+  g_autoptr (MhAction) action = pop_call (fixture);
+  g_assert_null (action);
+}
+
+/* Answers the call that left last. The body is taken over. */
+static void
+reply (Fixture *fixture, guint status, MhValue *body)
+{
+  MhReply answer = { .status = status, .body = body };
+  mh_runtime_begin_input (fixture->runtime, &fixture->now);
+  mh_call_queue_complete (fixture->calls, fixture->call_id, &answer);
+  mh_value_unref (body);
+  step (fixture);
+}
+
+static MhValue *
+number_body (const char *name, guint64 number)
+{
+  MhValue *body = mh_value_map ();
+  mh_value_set_uint (body, name, number);
+  return body;
+}
+
+static MhValue *
+entry_body (const char *key, MhValue *value, guint64 version)
+{
+  MhValue *body = number_body ("stamp", version);
+  mh_value_set_text (body, "key", key);
+  mh_value_set (body, "v", value);
+  return body;
+}
+
+/* Until the transaction that writes the leader key is under way. */
+static void
+campaign (Fixture *fixture)
+{
+  assert_call (fixture, "GET", "/kv/leader");
+  reply (fixture, 404, NULL);
+  assert_call (fixture, "POST", "/grants");
+  reply (fixture, 200, number_body ("claim", LEASE_ID));
+  assert_call (fixture, "GET", "/kv/epoch");
+  reply (fixture, 200, entry_body ("epoch", mh_epoch_record_write (1000000), 3));
+  assert_call (fixture, "POST", "/multi");
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_CAMPAIGNING);
+}
+
+static void
+elect (Fixture *fixture)
+{
+  campaign (fixture);
+  reply (fixture, 200, number_body ("ledger", 9));
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_LOADING);
+  assert_call (fixture, "POST", "/grants/7/extend");
+}
+
+static void
+lead (Fixture *fixture)
+{
+  elect (fixture);
+  mh_election_records_loaded (fixture->election);
+  g_assert_true (mh_election_is_serving (fixture->election));
+}
+
+/* A transition that is not in the table would let a controller lead without having been elected, or
+   go on with the memory of an earlier leadership. */
+static void
+test_transitions (void)
+{
+  const MhLeadership refused = MH_LEADERSHIP_STATES;
+  const MhLeadership following = MH_LEADERSHIP_FOLLOWING, campaigning = MH_LEADERSHIP_CAMPAIGNING;
+  const MhLeadership loading = MH_LEADERSHIP_LOADING, leading = MH_LEADERSHIP_LEADING;
+  const MhLeadership stepping_down = MH_LEADERSHIP_STEPPING_DOWN;
+  /* Events in their order: campaign, campaign failed, elected, records loaded, lost, cleared. */
+  const MhLeadership next[MH_LEADERSHIP_STATES][MH_LEADERSHIP_EVENTS] = {
+    [MH_LEADERSHIP_FOLLOWING] = { campaigning, refused, refused, refused, refused, refused },
+    [MH_LEADERSHIP_CAMPAIGNING] = { refused, following, loading, refused, refused, refused },
+    [MH_LEADERSHIP_LOADING] = { refused, refused, refused, leading, stepping_down, refused },
+    [MH_LEADERSHIP_LEADING] = { refused, refused, refused, refused, stepping_down, refused },
+    [MH_LEADERSHIP_STEPPING_DOWN] = { refused, refused, refused, refused, refused, following },
+  };
+  for (guint i = 0; i < MH_LEADERSHIP_STATES; i++)
+    for (guint j = 0; j < MH_LEADERSHIP_EVENTS; j++)
+      {
+        MhLeadership state = (MhLeadership)i;
+        bool applied = mh_leadership_apply (&state, (MhLeadershipEvent)j);
+        g_assert_cmpint (applied, ==, next[i][j] != refused);
+        g_assert_cmpint (state, ==, applied ? next[i][j] : (MhLeadership)i);
+      }
+}
+
+/* A lease that counted from the answer would end here after it has ended in the store: two leaders.
+ */
+static void
+test_lease_counts_from_sending (void)
+{
+  MhLease lease = { .id = LEASE_ID };
+  g_assert_false (mh_lease_is_valid (&lease, START_US));
+  mh_lease_confirm (&lease, START_US, LEASE_US);
+  g_assert_cmpint (lease.last_renewal_us, ==, START_US);
+  g_assert_true (mh_lease_is_valid (&lease, START_US + RELIED_ON_US - 1));
+  g_assert_false (mh_lease_is_valid (&lease, START_US + RELIED_ON_US));
+}
+
+/* Without one epoch above all earlier ones workers could not tell the leader from a former one. */
+static void
+test_epoch_rises (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  lead (fixture);
+  g_assert_cmpuint (mh_election_epoch (fixture->election), ==, 1000001);
+  g_assert_cmpuint (mh_election_key_version (fixture->election), ==, 9);
+  g_assert_cmpint (mh_election_elected_us (fixture->election), ==, START_US);
+  g_assert_cmpstr (mh_election_leader_name (fixture->election), ==, NODE);
+  g_assert_null (mh_election_other_leader (fixture->election));
+  g_assert_cmpuint (fixture->elected, ==, 1);
+  g_assert_cmpuint (fixture->leading, ==, 1);
+  g_assert_true (mh_runtime_is_leader (fixture->runtime));
+}
+
+/* An answer that comes after the lease has ended must not make a leader. */
+static void
+test_late_answer_does_not_elect (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  campaign (fixture);
+  advance (fixture, RELIED_ON_US);
+  reply (fixture, 200, number_body ("ledger", 9));
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
+  g_assert_cmpuint (fixture->elected, ==, 0);
+  /* A late copy of the transaction must not take the key with the lease. */
+  assert_call (fixture, "DELETE", "/grants/7");
+}
+
+/* A transaction without an answer may have been carried out: a controller that gave up then would
+   leave a leader key that nobody stands by. */
+static void
+test_unanswered_write_is_checked (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  campaign (fixture);
+  reply (fixture, 0, NULL);
+  assert_call (fixture, "GET", "/kv/leader");
+  reply (fixture, 200, entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID), 11));
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_LOADING);
+  g_assert_cmpuint (mh_election_key_version (fixture->election), ==, 11);
+}
+
+/* An earlier life of the controller has written the same name and epoch, with a lease that nobody
+   renews: another controller may lead as soon as that ends. */
+static void
+test_other_lease_is_not_own (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  campaign (fixture);
+  reply (fixture, 0, NULL);
+  assert_call (fixture, "GET", "/kv/leader");
+  reply (fixture, 200,
+         entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID - 1), 11));
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
+  g_assert_cmpuint (fixture->elected, ==, 0);
+}
+
+/* Somebody else was faster: the campaign must end, and be tried again later. */
+static void
+test_conflict_ends_campaign (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  campaign (fixture);
+  reply (fixture, 409, NULL);
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
+  assert_call (fixture, "DELETE", "/grants/7");
+  assert_no_call (fixture);
+  advance (fixture, 20000);
+  step (fixture);
+  assert_call (fixture, "GET", "/kv/leader");
+  reply (fixture, 200, entry_body ("leader", mh_leader_record_write (OTHER, 1000001, 8), 12));
+  assert_call (fixture, "GET", "/watch?starts=leader&since=12&hold_ms=5000");
+  g_assert_cmpstr (mh_election_other_leader (fixture->election), ==, OTHER);
+  g_assert_true (mh_election_is_ready (fixture->election));
+}
+
+/* While a renewal is under way the lease may end: nothing may be decided on it then, and who waits
+   must not wait for ever. A renewal that comes after all finds nobody else elected. */
+static void
+test_lease_expires_while_renewing (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  lead (fixture);
+  advance (fixture, RELIED_ON_US);
+  step (fixture);
+  g_assert_false (mh_election_is_leader (fixture->election));
+  g_assert_true (mh_election_is_elected (fixture->election));
+  g_assert_cmpint (mh_runtime_lease_until_us (fixture->runtime), ==, 0);
+  g_assert_cmpuint (fixture->refused, ==, 1);
+  reply (fixture, 200, NULL);
+  g_assert_cmpint (fixture->renewal_before_pause_us, ==, START_US);
+  /* It counts from its sending, so that this one is over already. */
+  g_assert_false (mh_election_is_leader (fixture->election));
+  assert_call (fixture, "POST", "/grants/7/extend");
+  reply (fixture, 200, NULL);
+  g_assert_true (mh_election_is_serving (fixture->election));
+  g_assert_cmpuint (fixture->cleared, ==, 0);
+}
+
+/* A lease that the store does not know any more: another controller may lead already. */
+static void
+test_lost_lease_ends_leadership (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  lead (fixture);
+  reply (fixture, 404, NULL);
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
+  g_assert_cmpuint (fixture->cleared, ==, 1);
+  g_assert_cmpuint (fixture->refused, ==, 1);
+  g_assert_cmpuint (mh_election_epoch (fixture->election), ==, 0);
+  g_assert_null (mh_election_leader_name (fixture->election));
+  /* What comes late for it has no effect. */
+  reply (fixture, 200, NULL);
+  mh_election_records_loaded (fixture->election);
+  g_assert_cmpuint (fixture->leading, ==, 1);
+  g_assert_false (mh_election_is_leader (fixture->election));
+}
+
+/* A leader that cannot do its work would be elected again at once if it did not let others try. */
+static void
+test_transfer_lets_others_try (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  lead (fixture);
+  mh_election_transfer_leadership (fixture->election, MH_LOSS_NO_HEARTBEATS);
+  g_assert_true (mh_election_is_stepping_down (fixture->election));
+  g_assert_false (mh_election_is_leader (fixture->election));
+  step (fixture);
+  assert_call (fixture, "DELETE", "/grants/7");
+  for (guint i = 0; i < 2; i++)
+    {
+      advance (fixture, MH_SECOND_US);
+      step (fixture);
+      assert_call (fixture, "GET", "/kv/leader");
+      reply (fixture, 404, NULL);
+      if (i == 0)
+        assert_no_call (fixture);
+    }
+  assert_call (fixture, "POST", "/grants");
+}
+
+/* A second reason would give back a lease that is to end by itself, and a late reply to a former
+   leadership's renewal would bring its lease back. */
+static void
+test_first_loss_holds (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  lead (fixture);
+  mh_election_step_down (fixture->election, MH_LOSS_ANOTHER_LEADER);
+  mh_election_transfer_leadership (fixture->election, MH_LOSS_NO_HEARTBEATS);
+  step (fixture);
+  assert_no_call (fixture);
+  reply (fixture, 200, NULL);
+  g_assert_cmpint (mh_election_lease_until_us (fixture->election), ==, 0);
+}
+
+/* A former leader that is cut off from the store would keep workers to itself; a late announcement
+   must not unseat the leader, nor bring back one that is gone. */
+static void
+test_announcements (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  lead (fixture);
+  assert_no_call (fixture);
+  g_assert_cmpuint (fixture->announcements, ==, 1);
+  mh_election_leader_announced (fixture->election, OTHER, 1000001);
+  mh_election_leader_announced (fixture->election, NODE, 3000001);
+  g_assert_true (mh_election_is_serving (fixture->election));
+  mh_election_leader_announced (fixture->election, OTHER, 2000001);
+  g_assert_true (mh_election_is_stepping_down (fixture->election));
+  step (fixture);
+  g_assert_cmpstr (mh_election_other_leader (fixture->election), ==, OTHER);
+  mh_election_leader_announced (fixture->election, "c3", 1000001);
+  g_assert_cmpstr (mh_election_leader_name (fixture->election), ==, OTHER);
+}
+
+/* A controller that cannot reach the leader would keep users to itself; one that never called
+   itself ready again would never get any. */
+static void
+test_unreachable_leader (void)
+{
+  MhLeaderContact contact = { 0 };
+  g_assert_false (mh_leader_contact_is_ready (&contact, START_US, false));
+  contact.usable_us = START_US;
+  mh_leader_contact_note_unanswered (&contact, START_US);
+  mh_leader_contact_note_unanswered (&contact, START_US + 2 * MH_SECOND_US);
+  g_assert_true (mh_leader_contact_is_ready (&contact, START_US + MH_SECOND_US, true));
+  g_assert_false (mh_leader_contact_is_ready (&contact, START_US + 2 * MH_SECOND_US, true));
+  g_assert_true (mh_leader_contact_is_ready (&contact, START_US + 2 * MH_SECOND_US, false));
+  g_assert_true (mh_leader_contact_is_ready (&contact, START_US + 6 * MH_SECOND_US, true));
+  g_assert_false (mh_leader_contact_is_ready (&contact, START_US + 30 * MH_SECOND_US, false));
+  mh_leader_contact_note_answered (&contact, START_US + 31 * MH_SECOND_US);
+  g_assert_true (mh_leader_contact_is_ready (&contact, START_US + 32 * MH_SECOND_US, true));
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/leadership/transitions", test_transitions);
+  g_test_add_func ("/lease/counts-from-sending", test_lease_counts_from_sending);
+  g_test_add_func ("/leader-contact/unreachable-leader", test_unreachable_leader);
+#define ADD(name, func) g_test_add ("/election/" name, Fixture, NULL, set_up, (func), tear_down)
+  ADD ("epoch-rises", test_epoch_rises);
+  ADD ("late-answer-does-not-elect", test_late_answer_does_not_elect);
+  ADD ("unanswered-write-is-checked", test_unanswered_write_is_checked);
+  ADD ("other-lease-is-not-own", test_other_lease_is_not_own);
+  ADD ("conflict-ends-campaign", test_conflict_ends_campaign);
+  ADD ("lease-expires-while-renewing", test_lease_expires_while_renewing);
+  ADD ("lost-lease-ends-leadership", test_lost_lease_ends_leadership);
+  ADD ("transfer-lets-others-try", test_transfer_lets_others_try);
+  ADD ("first-loss-holds", test_first_loss_holds);
+  ADD ("announcements", test_announcements);
+  return g_test_run ();
+}
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,6 @@
 /* Beside the version in production: what it writes is read, and what is written here is the same to
    the byte as long as no gang is in it. */
+#include "election/leader-record.h"
 #include "controller/core-private.h"
 #include "protocol/peer.h"
 #include "production-gang-records.h"
@@ -75,9 +76,9 @@
   g_autoptr (MhValue) last = LOAD (production_epoch), release = LOAD (production_release);
   g_assert_true (mh_record_read_final (final, &a));
   g_assert_cmpint (a.state, ==, MH_JOB_CANCELLED);
-  g_assert_true (mh_record_read_leader (leader, &node, &epoch, &lease_id));
+  g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpstr (node, ==, "worker-1");
-  g_assert_true (mh_record_read_epoch (last, &epoch));
+  g_assert_true (mh_epoch_record_read (last, &epoch));
   g_assert_cmpuint (epoch, ==, 2000000);
   g_auto (GStrv) names = mh_record_read_release (release);
   g_assert_cmpuint (g_strv_length (names), ==, 2);
@@ -108,8 +109,8 @@
   ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17"), production_job);
   ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17"), production_tasks);
   ASSERT_WRITTEN (mh_record_write_final (job, "5.18"), production_final);
-  ASSERT_WRITTEN (mh_record_write_leader ("worker-1", 1000001, 7), production_leader);
-  ASSERT_WRITTEN (mh_record_write_epoch (2000000), production_epoch);
+  ASSERT_WRITTEN (mh_leader_record_write ("worker-1", 1000001, 7), production_leader);
+  ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_epoch);
   const char *names[] = { "vm-000231", "vm-000232", NULL };
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_release);
   for (guint i = 0; i < 3; i++)
@@ -288,10 +289,10 @@
   g_autofree char *node = NULL;
   const char *names[] = { "vm-000233", NULL };
   g_autoptr (MhValue) leader = LOAD (production_gang_leader);
-  ASSERT_WRITTEN (mh_record_write_leader ("worker-2", 1000001, 9), production_gang_leader);
-  ASSERT_WRITTEN (mh_record_write_epoch (2000000), production_gang_epoch);
+  ASSERT_WRITTEN (mh_leader_record_write ("worker-2", 1000001, 9), production_gang_leader);
+  ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_gang_epoch);
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_gang_release);
-  g_assert_true (mh_record_read_leader (leader, &node, &epoch, &lease_id));
+  g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpuint (lease_id, ==, 9);
 }
 
