--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -31,7 +31,7 @@
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (!mh_job_over (value))
-      waiting += mh_place_quota_room (core, value, &none, mh_fault_startable (core, value));
+      waiting += mh_place_quota_room (core, value, &none, mh_task_failure_startable (core, value));
   return waiting;
 }
 
@@ -39,7 +39,7 @@
 static bool
 may_rent (const MhCore *core)
 {
-  return mh_recovery_is_complete (core->recovery) && core->types && core->scale.listed
+  return mh_recovery_is_complete (core->recovery) && mh_cluster_types (core) && core->scale.listed
          && !core->scale.renting
          && (mh_election_epoch (core->election) == 1
              || core->now.mono_us - mh_election_elected_us (core->election)
@@ -56,7 +56,7 @@
 static const char *
 waits_for (MhCore *core, const MhJob *job)
 {
-  if (mh_fault_backs_off (job))
+  if (mh_job_backs_off (job))
     return "its next try: it fails wherever it starts";
   if (core->now.mono_us < job->retry_us)
     return "its next try";
@@ -98,19 +98,19 @@
   double all = 0, used = 0, an_hour = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      leaving += m->releasing;
-      an_hour += m->type ? mh_fleet_hourly (m) : 0;
-      live += m->reported && !m->releasing;
-      coming += !m->reported && !m->releasing;
-      idle += m->reported && !m->releasing && m->attempts->len == 0;
-      if (m->type && m->reported && !m->releasing)
+      leaving += mh_machine_is_releasing (m);
+      an_hour += m->type ? mh_machine_hourly_price (m) : 0;
+      live += m->heartbeat.reported && !mh_machine_is_releasing (m);
+      coming += !m->heartbeat.reported && !mh_machine_is_releasing (m);
+      idle += m->heartbeat.reported && !mh_machine_is_releasing (m) && m->attempts->len == 0;
+      if (m->type && m->heartbeat.reported && !mh_machine_is_releasing (m))
         {
           all += m->type->cpus;
-          used += m->used_cpus;
+          used += m->usage.cpus;
         }
     }
   mh_info (
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -73,11 +73,11 @@
 void
 mh_release_machine (MhCore *core, MhMachine *m, const char *why)
 {
-  if (m->releasing)
+  if (mh_machine_is_releasing (m))
     return;
   mh_info (core, "machine %s: given back: %s", m->name, why);
-  m->releasing = true;
-  core->scale.lost_cpus += m->used_cpus;
+  mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
+  core->scale.lost_cpus += m->usage.cpus;
   const char *names[] = { m->name, NULL };
   want (core, g_strdupv ((char **)names), NULL);
 }
@@ -100,10 +100,10 @@
     }
   for (char **name = p->names; *name; name++)
     {
-      MhMachine *m = mh_fleet_machine (core, *name);
+      MhMachine *m = mh_cluster_find_machine (core, *name);
       mh_debug (core, "machine %s: confirmed gone", *name);
       if (m)
-        mh_fleet_gone (core, m);
+        mh_cluster_machine_released (core, m);
     }
   mh_store_drop (core, p->key);
   core->release.under_way--;
@@ -167,10 +167,10 @@
   char **names = mh_record_read_release (e->value);
   for (char **name = names; name && *name; name++)
     {
-      MhMachine *m = mh_fleet_machine (core, *name);
+      MhMachine *m = mh_cluster_find_machine (core, *name);
       if (m == NULL)
-        m = mh_fleet_add (core, *name, NULL, NULL, false);
-      m->releasing = true;
+        m = mh_cluster_add_machine (core, *name, NULL, NULL, false);
+      mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
     want (core, names, g_strdup (e->key));
@@ -186,15 +186,17 @@
   gint64 now = core->now.mono_us;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      if (!m->reported || m->releasing || m->attempts->len || m->unknown)
+      if (!m->heartbeat.reported || mh_machine_is_releasing (m) || m->attempts->len
+          || m->heartbeat.unreadable_tasks)
         continue;
-      if (m->notice_until_us >= 0 || m->draining)
+      if (m->notice_until_us >= 0 || mh_machine_is_draining (m))
         mh_release_machine (core, m, "empty, as was wanted");
-      else if (now - m->idle_us > core->settings->idle_us && now - m->rented_us > MH_LEAST_PAID_US)
+      else if (now - m->idle_since_us > core->settings->idle_us
+               && now - m->boot.rented_us > MH_LEAST_PAID_US)
         mh_release_machine (core, m, "idle");
     }
 }
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -16,7 +16,7 @@
   MhCore *core = owner;
   mh_recovery_begin (core->recovery, mh_runtime_now_us (core->runtime), core->settings->report_us);
   core->place_wanted = true;
-  mh_fleet_loaded (core);
+  mh_cluster_records_loaded (core);
   mh_log_info (core->runtime,
                "records loaded, waiting for the workers' reports: unfinished_jobs=%u",
                g_hash_table_size (core->jobs));
@@ -44,7 +44,8 @@
 {
   MhCore *core = owner;
   mh_store_clear (core);
-  mh_fleet_clear (core);
+  mh_cluster_clear (core);
+  mh_gang_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
@@ -58,7 +59,7 @@
 note_pause (gpointer owner, gint64 last_renewal_us)
 {
   MhCore *core = owner;
-  if (mh_runtime_now_us (core->runtime) >= last_renewal_us + mh_fleet_keep_alive_us (core))
+  if (mh_runtime_now_us (core->runtime) >= last_renewal_us + mh_heartbeat_keep_alive_us (core))
     mh_runtime_mark_resumed (core->runtime);
 }
 
@@ -78,16 +79,17 @@
 static bool
 all_machines_reported (const MhCore *core)
 {
-  if (core->types == NULL || !core->scale.listed)
+  if (mh_cluster_types (core) == NULL || !core->scale.listed)
     return false;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *machine = value;
-      if (!machine->releasing && !machine->reported && !mh_failure_unreachable (machine)
-          && (machine->running || machine->attempts->len))
+      if (!mh_machine_is_releasing (machine) && !machine->heartbeat.reported
+          && !mh_failure_is_unreachable (machine)
+          && (machine->listed_running || machine->attempts->len))
         return false;
     }
   return true;
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -99,9 +99,9 @@
   g_autoptr (MhValue) stored = LOAD (production_job);
   MhJobSpec *s = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
   MhJob *job = mh_job_new (s, chunk, settings->value_bytes, at, &now);
-  MhMachine *m = mh_fleet_add (core, "vm-000231", "g8", "b", true);
+  MhMachine *m = mh_cluster_add_machine (core, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
-    mh_fleet_attempt_new (core, job, i * 15, 2 + i, m);
+    mh_attempt_new (core, job, i * 15, 2 + i, m);
   job->tasks[1] = (MhTask){ .attempt = 4, .state = MH_TASK_DONE };
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
   job->cancelled = true;
@@ -114,7 +114,7 @@
   const char *names[] = { "vm-000231", "vm-000232", NULL };
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_release);
   for (guint i = 0; i < 3; i++)
-    mh_fleet_attempt_forget (core, job->tasks[(gsize)i * 15].live);
+    mh_attempt_discard (core, job->tasks[(gsize)i * 15].live);
   mh_job_free (job);
 }
 
@@ -168,8 +168,8 @@
   settings->cancel_us = 60 * MH_SECOND_US;
   fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   fixture->core = mh_core_new (settings, &fixture->now);
-  fixture->machines[0] = mh_fleet_add (fixture->core, "vm-000231", "g8", "b", false);
-  fixture->machines[1] = mh_fleet_add (fixture->core, "vm-000232", "g8", "b", false);
+  fixture->machines[0] = mh_cluster_add_machine (fixture->core, "vm-000231", "g8", "b", false);
+  fixture->machines[1] = mh_cluster_add_machine (fixture->core, "vm-000232", "g8", "b", false);
 }
 
 static void
@@ -205,8 +205,8 @@
   MhTask *task = &loading->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *on = mh_fleet_machine (loading->fixture->core, machine);
-      mh_fleet_attempt_new (loading->fixture->core, loading->job, index, attempt, on);
+      MhMachine *on = mh_cluster_find_machine (loading->fixture->core, machine);
+      mh_attempt_new (loading->fixture->core, loading->job, index, attempt, on);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
@@ -224,7 +224,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_fleet_attempt_forget (fixture->core, job->tasks[i].live);
+      mh_attempt_discard (fixture->core, job->tasks[i].live);
   mh_job_free (job);
 }
 
@@ -248,7 +248,7 @@
   ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40"), production_gang);
 
   for (guint i = 0; i < 4; i++)
-    mh_fleet_attempt_forget (fixture->core, job->tasks[i].live);
+    mh_attempt_discard (fixture->core, job->tasks[i].live);
   load_tasks (fixture, job, done);
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (job->tasks[i].state, ==, MH_TASK_DONE);
@@ -331,37 +331,39 @@
 {
   for (guint seed = 1; seed <= 6; seed++)
     {
-      Sim *sim = sim_new (seed);
-      sim->world->capacity = 6;
-      MhJobSpec *s = sim_spec (1, MH_SHAPE_ARRAY, 300, 0.04);
+      Simulation *simulation = simulation_new (seed);
+      simulation->cloud->capacity = 6;
+      MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 300, 0.04);
       s->mem_gb = 0.1;
       s->estimate_us = 600 * MH_SECOND_US;
-      SimUser *u = sim_submit (sim, s, 70), *service = running_service (sim, 3, 2);
-      WAIT (sim, 60, all_run, u);
+      User *u = simulation_submit (simulation, s, 70),
+           *service = running_service (simulation, 3, 2);
+      WAIT (simulation, 60, all_run, u);
       for (guint turn = 0; turn < 6; turn++)
         {
-          guint index = (turn + seed) % SIM_NODES;
+          guint index = (turn + seed) % SIMULATION_NODES;
           bool small = turn % 2 == 0 || turn > 3;
-          sim_stop_node (sim, index);
-          sim->nodes[index].settings->value_bytes = small ? 2048 : 8192;
-          sim->nodes[index].settings->txn_ops = sim->nodes[index].settings->batch = small ? 5 : 16;
-          sim_run (sim, 0.3 * turn);
-          sim_start_node (sim, index);
-          SimNode *leader = sim_leader (sim);
+          simulation_stop_node (simulation, index);
+          simulation->nodes[index].settings->value_bytes = small ? 2048 : 8192;
+          simulation->nodes[index].settings->txn_ops = simulation->nodes[index].settings->batch
+              = small ? 5 : 16;
+          simulation_run (simulation, 0.3 * turn);
+          simulation_start_node (simulation, index);
+          ControllerNode *leader = simulation_leader (simulation);
           if (leader && leader->index != index)
             {
-              sim_stop_node (sim, leader->index);
-              sim_run (sim, 1.5);
-              sim_start_node (sim, leader->index);
+              simulation_stop_node (simulation, leader->index);
+              simulation_run (simulation, 1.5);
+              simulation_start_node (simulation, leader->index);
             }
-          sim_run (sim, 4);
+          simulation_run (simulation, 4);
         }
-      sim_limit (sim, 2048, 5);
-      WAIT (sim, 200, told_done, u);
-      g_assert_cmpuint (world_running (sim->world, service->job->spec->id), ==, 2);
-      g_assert_cmpuint (sim->world->starts, ==, 302);
-      sim_assert_rules (sim);
-      sim_free (sim);
+      simulation_limit (simulation, 2048, 5);
+      WAIT (simulation, 200, told_done, u);
+      g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
+      g_assert_cmpuint (simulation->rules->task_starts, ==, 302);
+      simulation_assert_rules (simulation);
+      simulation_free (simulation);
     }
 }
 
