--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -333,7 +333,7 @@
                       MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return limit_us << MIN (core->fruitless_transfers, MAX_DOUBLINGS);
+  return limit_us << MIN (core->cluster->fruitless_transfers, MAX_DOUBLINGS);
 }
 
 void
@@ -353,6 +353,6 @@
       = mh_cluster_silence_us (core, MAX (last_report_us, mh_election_elected_us (core->election)));
   if (unheard_us <= max_unheard_us (core, machines, last_report_us > 0))
     return;
-  core->fruitless_transfers++;
+  core->cluster->fruitless_transfers++;
   mh_election_transfer_leadership (core->election, MH_LOSS_NO_HEARTBEATS);
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -15,10 +15,12 @@
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/recovery.h"
 #include "cluster/zone-silence.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
 #include "election/election.h"
+#include "election/leader-record.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
 #include "placement/candidate.h"
@@ -42,7 +44,6 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
-#include "cluster/recovery.h"
 #include "runtime/call-queue.h"
 #include "storage/record-writer.h"
 
@@ -55,7 +56,6 @@
 
   MhElection *election;
   MhRecovery *recovery;
-  guint fruitless_transfers; /* of leadership, because no worker was heard; none has been since */
 
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
@@ -98,6 +98,12 @@
 
 void
 mh_core_step (MhCore *core);
+/* leadership.c: what the controller does as leadership comes and goes. */
+const MhElectionCallbacks *
+mh_core_election_callbacks (void);
+/* leadership.c: notes whether the machines have reported to a new leader. */
+void
+mh_core_update_recovery (MhCore *core);
 /* For modules that still take the whole core; see src/runtime. */
 typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
 void
