--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -5,7 +5,7 @@
 #define SUMMARY_US (10 * MH_SECOND_US)
 
 void
-mh_scale_clear (MhCore *core)
+mh_autoscaler_clear (MhCore *core)
 {
   core->scale.types_busy = core->scale.list_busy = core->scale.renting = false;
   core->scale.listed = false;
@@ -14,12 +14,6 @@
   g_hash_table_remove_all (core->scale.refused);
 }
 
-void
-mh_scale_start (MhCore *core)
-{
-  mh_scale_clear (core);
-}
-
 static guint
 tasks_waiting (MhCore *core)
 {
@@ -48,7 +42,7 @@
 plan_and_rent (MhCore *core)
 {
   g_autoptr (GArray) rooms = mh_demand_plan (core);
-  mh_rental_call (core, rooms);
+  mh_scale_out_request (core, rooms);
 }
 
 static const char *
@@ -119,7 +113,7 @@
 }
 
 void
-mh_scale_step (MhCore *core)
+mh_autoscaler_step (MhCore *core)
 {
   gint64 now = core->now.mono_us;
   if (now >= core->scale.summary_us)
@@ -139,5 +133,5 @@
   if (may_rent (core))
     plan_and_rent (core);
   if (core->leader.rebuilt)
-    mh_consolidate (core, waiting);
+    mh_consolidation_step (core, waiting);
 }
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -4,8 +4,6 @@
 #include "controller/core-types.h"
 
 void
-mh_scale_start (MhCore *core);
+mh_autoscaler_step (MhCore *core);
 void
-mh_scale_step (MhCore *core);
-void
-mh_scale_clear (MhCore *core);
+mh_autoscaler_clear (MhCore *core);
--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -1,25 +1,26 @@
 #include "controller/core-private.h"
 
-MhRoom
-mh_room_new (const MhMachineType *type, const GRefString *zone, bool spot)
+MhCapacityEstimate
+mh_capacity_estimate_for_type (const MhMachineType *type, const GRefString *zone, bool spot)
 {
-  return (MhRoom){ .type = type,
-                   .zone = zone,
-                   .spot = spot,
-                   .cpus = type->cpus,
-                   .gpus = type->gpus,
-                   .mem = type->mem_gb };
+  return (MhCapacityEstimate){ .type = type,
+                               .zone = zone,
+                               .spot = spot,
+                               .cpus = type->cpus,
+                               .gpus = type->gpus,
+                               .mem = type->mem_gb };
 }
 
 bool
-mh_room_of_kind (const MhRoom *room, const MhJob *job, const char *zone)
+mh_capacity_estimate_suits (const MhCapacityEstimate *room, const MhJob *job, const char *zone)
 {
   return (!room->spot || job->spec->spot) && (zone == NULL || zone == room->zone)
          && mh_place_type_fits (job->spec, room->type);
 }
 
 guint
-mh_room_for (const MhRoom *room, const MhJobSpec *spec, guint tasks)
+mh_capacity_estimate_count_tasks (const MhCapacityEstimate *room, const MhJobSpec *spec,
+                                  guint tasks)
 {
   tasks = mh_place_times (room->cpus, spec->cpus, tasks);
   tasks = mh_place_times (room->gpus, spec->gpus, tasks);
@@ -27,7 +28,7 @@
 }
 
 void
-mh_room_take (MhRoom *room, const MhJobSpec *spec, guint tasks)
+mh_capacity_estimate_reserve (MhCapacityEstimate *room, const MhJobSpec *spec, guint tasks)
 {
   room->cpus -= spec->cpus * tasks;
   room->gpus -= spec->gpus * tasks;
--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -4,7 +4,8 @@
 
 #include "jobs/job.h"
 
-/* MhRoom on a machine: one that stays, one that is coming, or one that would have to be rented. */
+/* MhCapacityEstimate on a machine: one that stays, one that is coming, or one that would have to be
+ * rented. */
 typedef struct
 {
   const MhMachine *machine; /* NULL: not there yet */
@@ -12,16 +13,17 @@
   const GRefString *zone;
   bool spot, wanted;
   double cpus, gpus, mem; /* free */
-} MhRoom;
+} MhCapacityEstimate;
 
 /* All of a machine of the type. */
-MhRoom
-mh_room_new (const MhMachineType *type, const GRefString *zone, bool spot);
+MhCapacityEstimate
+mh_capacity_estimate_for_type (const MhMachineType *type, const GRefString *zone, bool spot);
 /* Whether type, zone and kind suit the job. `zone`: the only one, or NULL. */
 bool
-mh_room_of_kind (const MhRoom *room, const MhJob *job, const char *zone);
+mh_capacity_estimate_suits (const MhCapacityEstimate *room, const MhJob *job, const char *zone);
 /* How many of `tasks` fit. */
 guint
-mh_room_for (const MhRoom *room, const MhJobSpec *spec, guint tasks);
+mh_capacity_estimate_count_tasks (const MhCapacityEstimate *room, const MhJobSpec *spec,
+                                  guint tasks);
 void
-mh_room_take (MhRoom *room, const MhJobSpec *spec, guint tasks);
+mh_capacity_estimate_reserve (MhCapacityEstimate *room, const MhJobSpec *spec, guint tasks);
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -18,7 +18,7 @@
 /* The machines that stay, and how much of them is in use. */
 typedef struct
 {
-  GArray *rooms; /* MhRoom */
+  GArray *rooms; /* MhCapacityEstimate */
   double all, used;
 } Staying;
 
@@ -35,7 +35,7 @@
         continue;
       staying->all += m->type->cpus;
       staying->used += m->used_cpus;
-      MhRoom r = mh_room_new (m->type, m->zone, m->spot);
+      MhCapacityEstimate r = mh_capacity_estimate_for_type (m->type, m->zone, m->spot);
       r.machine = m;
       r.cpus -= m->used_cpus;
       r.gpus -= m->used_gpus;
@@ -54,7 +54,7 @@
   if (staying->used + moved > (staying->all - own) * FULLEST)
     return false;
   for (guint k = 0; k < rooms->len; k++)
-    if (g_array_index (rooms, MhRoom, k).machine == m)
+    if (g_array_index (rooms, MhCapacityEstimate, k).machine == m)
       {
         g_array_remove_index_fast (rooms, k);
         break;
@@ -67,19 +67,19 @@
         continue; /* it ends by itself */
       if (a->running_us == 0 || core->now.mono_us - a->running_us < SETTLED_US)
         return false;
-      MhRoom *to = NULL;
+      MhCapacityEstimate *to = NULL;
       for (guint k = 0; k < rooms->len && to == NULL; k++)
         {
-          MhRoom *r = &g_array_index (rooms, MhRoom, k);
+          MhCapacityEstimate *r = &g_array_index (rooms, MhCapacityEstimate, k);
           /* A service of several tasks stays as spread as it is. */
-          if (mh_room_for (r, s, 1) && (s->tasks == 1 || r->zone == m->zone)
-              && mh_room_of_kind (r, a->job, a->job->zone)
+          if (mh_capacity_estimate_count_tasks (r, s, 1) && (s->tasks == 1 || r->zone == m->zone)
+              && mh_capacity_estimate_suits (r, a->job, a->job->zone)
               && mh_fleet_cached (r->machine, a->job->image))
             to = r;
         }
       if (to == NULL)
         return false;
-      mh_room_take (to, s, 1);
+      mh_capacity_estimate_reserve (to, s, 1);
     }
   g_array_unref (staying->rooms);
   staying->rooms = g_steal_pointer (&rooms);
@@ -119,10 +119,10 @@
    one. Its replicas are moved to where their image is, which takes a moment, and it is given back.
    A small part of the machines at a time, and only while nothing waits. */
 void
-mh_consolidate (MhCore *core, bool waiting)
+mh_consolidation_step (MhCore *core, bool waiting)
 {
   g_autoptr (GArray) wasteful = g_array_new (FALSE, FALSE, sizeof (Wasteful));
-  Staying staying = { .rooms = g_array_new (FALSE, FALSE, sizeof (MhRoom)) };
+  Staying staying = { .rooms = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate)) };
   guint draining = 0, all = 0;
   GHashTableIter it;
   gpointer value;
@@ -143,7 +143,7 @@
           empty_machine (core, m);
         }
       else if (m->replicas > 0 && m->used_cpus <= m->type->cpus * EMPTY_ENOUGH
-               && core->now.mono_us - m->rented_us >= MH_LEAST_PAID_US)
+               && core->now.mono_us - m->rented_us >= MH_MINIMUM_BILLED_US)
         {
           Wasteful w
               = { .machine = m, .waste = mh_fleet_hourly (m) * (1 - m->used_cpus / m->type->cpus) };
--- a/src/autoscaler/consolidation.h
+++ b/src/autoscaler/consolidation.h
@@ -6,4 +6,4 @@
 
 /* `waiting`: tasks wait for room, so that nothing is emptied. */
 void
-mh_consolidate (MhCore *core, bool waiting);
+mh_consolidation_step (MhCore *core, bool waiting);
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -19,7 +19,7 @@
 
 typedef struct
 {
-  GArray *rooms;     /* MhRoom */
+  GArray *rooms;     /* MhCapacityEstimate */
   GArray *kinds;     /* Kind */
   GHashTable *loads; /* zone -> guint */
   GArray *endings;   /* Ending */
@@ -38,7 +38,7 @@
 static void
 room_clear (gpointer data)
 {
-  g_ref_string_release ((GRefString *)((MhRoom *)data)->zone);
+  g_ref_string_release ((GRefString *)((MhCapacityEstimate *)data)->zone);
 }
 
 static guint *
@@ -66,7 +66,7 @@
         (*zone_load (plan, m->zone))++;
     }
   for (guint i = 0; i < plan->rooms->len; i++)
-    (*zone_load (plan, g_array_index (plan->rooms, MhRoom, i).zone))++;
+    (*zone_load (plan, g_array_index (plan->rooms, MhCapacityEstimate, i).zone))++;
   for (guint i = 0; i < core->types->len; i++)
     {
       const MhMachineType *t = g_ptr_array_index (core->types, i);
@@ -75,7 +75,7 @@
           {
             g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
             /* What comes up in a zone that is cut off is of no use until that is over. */
-            if (mh_rental_refused (core, t, *zone, spot)
+            if (mh_scale_out_is_refused (core, t, *zone, spot)
                 || mh_failure_zone_partitioned (core, name))
               continue;
             Kind k = { .type = t,
@@ -109,8 +109,8 @@
   for (guint i = 0; i < plan->kinds->len; i++)
     {
       const Kind *kind = &g_array_index (plan->kinds, Kind, i);
-      MhRoom r = mh_room_new (kind->type, kind->zone, kind->spot);
-      if (!mh_room_of_kind (&r, job, zone))
+      MhCapacityEstimate r = mh_capacity_estimate_for_type (kind->type, kind->zone, kind->spot);
+      if (!mh_capacity_estimate_suits (&r, job, zone))
         continue;
       double price = slot_price (kind, job->spec, n);
       bool equal = price < best_price + 1e-9;
@@ -124,17 +124,18 @@
 }
 
 /* A machine that is wanted for these tasks; NULL: none can be had. */
-static MhRoom *
+static MhCapacityEstimate *
 choose (Plan *plan, const MhJob *job, const char *zone, guint n)
 {
   const Kind *kind = cheapest_kind (plan, job, zone, n);
   if (kind == NULL)
     return NULL;
   (*kind->load)++;
-  MhRoom r = mh_room_new (kind->type, g_ref_string_acquire (kind->zone), kind->spot);
+  MhCapacityEstimate r
+      = mh_capacity_estimate_for_type (kind->type, g_ref_string_acquire (kind->zone), kind->spot);
   r.wanted = true;
   g_array_append_val (plan->rooms, r);
-  return &g_array_index (plan->rooms, MhRoom, plan->rooms->len - 1);
+  return &g_array_index (plan->rooms, MhCapacityEstimate, plan->rooms->len - 1);
 }
 
 /* Machines that are coming, as far as they can be counted on. */
@@ -151,12 +152,13 @@
         continue;
       if (m->late_age_us)
         continue; /* perhaps it never comes */
-      MhRoom r = mh_room_new (m->type, g_ref_string_acquire (m->zone), m->spot);
+      MhCapacityEstimate r
+          = mh_capacity_estimate_for_type (m->type, g_ref_string_acquire (m->zone), m->spot);
       g_array_append_val (rooms, r);
     }
 }
 
-/* MhRoom that running tasks are expected to leave. */
+/* MhCapacityEstimate that running tasks are expected to leave. */
 typedef struct
 {
   gint64 at_us;
@@ -271,14 +273,14 @@
 
 /* Puts as many tasks there as there is room for, and expects them to leave again. */
 static guint
-assign (const MhCore *core, Plan *plan, Assignment *assignment, MhRoom *room)
+assign (const MhCore *core, Plan *plan, Assignment *assignment, MhCapacityEstimate *room)
 {
   const MhJob *job = assignment->job;
   const MhJobSpec *s = job->spec;
-  guint n = mh_room_for (room, s, assignment->left);
+  guint n = mh_capacity_estimate_count_tasks (room, s, assignment->left);
   if (n == 0)
     return 0;
-  mh_room_take (room, s, n);
+  mh_capacity_estimate_reserve (room, s, n);
   if (s->one_zone)
     assignment->zone = room->zone;
   assignment->left -= n;
@@ -319,15 +321,15 @@
     }
   for (guint i = 0; i < plan->rooms->len && assignment.left; i++)
     {
-      MhRoom *room = &g_array_index (plan->rooms, MhRoom, i);
-      if (mh_room_of_kind (room, job, assignment.zone))
+      MhCapacityEstimate *room = &g_array_index (plan->rooms, MhCapacityEstimate, i);
+      if (mh_capacity_estimate_suits (room, job, assignment.zone))
         assign (core, plan, &assignment, room);
     }
   guint again = to_run_again (plan, job->spec, assignment.left);
   assignment.left -= may_wait (core, plan, job, assignment.left - again);
   while (assignment.left)
     {
-      MhRoom *room = choose (plan, job, assignment.zone, assignment.left);
+      MhCapacityEstimate *room = choose (plan, job, assignment.zone, assignment.left);
       if (room == NULL || assign (core, plan, &assignment, room) == 0)
         return;
     }
@@ -387,7 +389,7 @@
 mh_demand_plan (MhCore *core)
 {
   Plan plan = { .lost_cpus = core->scale.lost_cpus,
-                .rooms = g_array_new (FALSE, FALSE, sizeof (MhRoom)),
+                .rooms = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate)),
                 .kinds = g_array_new (FALSE, FALSE, sizeof (Kind)),
                 .loads = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
                 .endings = g_array_new (FALSE, FALSE, sizeof (Ending)) };
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -3,6 +3,7 @@
 
 #include "controller/core-types.h"
 
-/* Rooms (MhRoom) on machines that are coming, and, marked as wanted, on those to be rented. */
+/* Rooms (MhCapacityEstimate) on machines that are coming, and, marked as wanted, on those to be
+ * rented. */
 GArray *
 mh_demand_plan (MhCore *core);
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -41,7 +41,7 @@
     }
   m->running = l->state == MH_LISTED_RUNNING;
   if (l->state == MH_LISTED_FAILED)
-    mh_release_machine (core, m, "failed");
+    mh_scale_in_release_machine (core, m, "failed");
 }
 
 static void
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -54,7 +54,7 @@
 }
 
 void
-mh_release_clear (MhCore *core)
+mh_scale_in_clear (MhCore *core)
 {
   g_queue_clear_full (&core->release.wanted, lot_free);
   core->release.next_us = 0;
@@ -71,7 +71,7 @@
 }
 
 void
-mh_release_machine (MhCore *core, MhMachine *m, const char *why)
+mh_scale_in_release_machine (MhCore *core, MhMachine *m, const char *why)
 {
   if (m->releasing)
     return;
@@ -161,7 +161,7 @@
 
 /* What an earlier leader wrote down. */
 void
-mh_release_load (MhCore *core, const MhEntry *e)
+mh_scale_in_load (MhCore *core, const MhEntry *e)
 {
   char **names = mh_record_read_release (e->value);
   for (char **name = names; name && *name; name++)
@@ -192,14 +192,15 @@
       if (!m->reported || m->releasing || m->attempts->len || m->unknown)
         continue;
       if (m->notice_until_us >= 0 || m->draining)
-        mh_release_machine (core, m, "empty, as was wanted");
-      else if (now - m->idle_us > core->settings->idle_us && now - m->rented_us > MH_LEAST_PAID_US)
-        mh_release_machine (core, m, "idle");
+        mh_scale_in_release_machine (core, m, "empty, as was wanted");
+      else if (now - m->idle_us > core->settings->idle_us
+               && now - m->rented_us > MH_MINIMUM_BILLED_US)
+        mh_scale_in_release_machine (core, m, "idle");
     }
 }
 
 void
-mh_release_step (MhCore *core)
+mh_scale_in_step (MhCore *core)
 {
   if (core->now.mono_us < core->release.next_us)
     {
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -4,12 +4,12 @@
 #include "cluster/machine-registry.h"
 
 /* A machine that is deleted costs at least this. */
-#define MH_LEAST_PAID_US (60 * MH_SECOND_US)
+#define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
 void
-mh_release_machine (MhCore *core, MhMachine *machine, const char *why);
+mh_scale_in_release_machine (MhCore *core, MhMachine *machine, const char *why);
 void
-mh_release_load (MhCore *core, const MhEntry *entry);
+mh_scale_in_load (MhCore *core, const MhEntry *entry);
 void
-mh_release_step (MhCore *core);
+mh_scale_in_step (MhCore *core);
 void
-mh_release_clear (MhCore *core);
+mh_scale_in_clear (MhCore *core);
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -16,7 +16,7 @@
 }
 
 bool
-mh_rental_refused (MhCore *core, const MhMachineType *t, const char *zone, bool spot)
+mh_scale_out_is_refused (MhCore *core, const MhMachineType *t, const char *zone, bool spot)
 {
   g_autofree char *key = kind_key (t->name, zone, spot);
   gint64 *until = g_hash_table_lookup (core->scale.refused, key);
@@ -112,13 +112,13 @@
 }
 
 void
-mh_rental_call (MhCore *core, const GArray *rooms)
+mh_scale_out_request (MhCore *core, const GArray *rooms)
 {
-  const MhRoom *first = NULL;
+  const MhCapacityEstimate *first = NULL;
   guint count = 0;
   for (guint i = 0; i < rooms->len; i++)
     {
-      const MhRoom *r = &g_array_index (rooms, MhRoom, i);
+      const MhCapacityEstimate *r = &g_array_index (rooms, MhCapacityEstimate, i);
       if (!r->wanted)
         continue;
       if (first == NULL)
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -7,7 +7,7 @@
 #include "protocol/types.h"
 
 bool
-mh_rental_refused (MhCore *core, const MhMachineType *type, const char *zone, bool spot);
-/* Rents machines for the first kind among `rooms` (MhRoom) that is wanted. */
+mh_scale_out_is_refused (MhCore *core, const MhMachineType *type, const char *zone, bool spot);
+/* Rents machines for the first kind among `rooms` (MhCapacityEstimate) that is wanted. */
 void
-mh_rental_call (MhCore *core, const GArray *rooms);
+mh_scale_out_request (MhCore *core, const GArray *rooms);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -615,8 +615,8 @@
     {
       mh_fleet_step (core);
       mh_place_step (core);
-      mh_scale_step (core);
-      mh_release_step (core);
+      mh_autoscaler_step (core);
+      mh_scale_in_step (core);
       mh_store_step (core);
     }
   mh_core_flush (core);
@@ -675,8 +675,8 @@
     return;
   mh_store_clear (core);
   mh_fleet_clear (core);
-  mh_scale_clear (core);
-  mh_release_clear (core);
+  mh_autoscaler_clear (core);
+  mh_scale_in_clear (core);
   mh_core_drop_calls (core);
   g_queue_clear_full (&core->actions, (GDestroyNotify)mh_action_free);
   g_queue_clear_full (&core->finals_order, g_free);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -391,8 +391,8 @@
   mh_core_drop_calls (core);
   mh_store_clear (core);
   mh_fleet_clear (core);
-  mh_scale_clear (core);
-  mh_release_clear (core);
+  mh_autoscaler_clear (core);
+  mh_scale_in_clear (core);
   g_hash_table_remove_all (core->jobs);
   g_hash_table_remove_all (core->unreadable);
   core->leader.phase = MH_PHASE_FOLLOW;
@@ -426,7 +426,7 @@
   mh_fleet_loaded (core);
   mh_info (core, "%u unfinished jobs loaded; waiting for the workers' reports",
            g_hash_table_size (core->jobs));
-  mh_scale_start (core);
+  mh_autoscaler_clear (core);
 }
 
 /* Counts are rebuilt when every machine that a record or the list knows as running has reported. */
