--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -112,7 +112,7 @@
         mh_direct_command_send_token (core, machine);
     }
   else if (worker_has_begun_anew (machine, report))
-    release (core, machine, "its worker has begun anew");
+    release (core, machine, "worker_restarted");
 }
 
 static void
@@ -174,7 +174,7 @@
 check_in_partition (MhCore *core, MhMachine *machine)
 {
   if (mh_cluster_is_silent (core, machine, core->settings->worker_lease_us + LEASE_SPARE_US))
-    release (core, machine, "silent with all of its zone");
+    release (core, machine, "silent_zone");
 }
 
 static bool
@@ -195,11 +195,11 @@
   gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
   guint ignored_answers = machine->heartbeat.ignored_answers;
   if (reports_are_lost (core, machine))
-    release (core, machine, "its reports do not come");
+    release (core, machine, "heartbeats_missing");
   else if (is_believed_unreachable (core, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
-    release (core, machine, "nothing reaches it");
+    release (core, machine, "unreachable");
   else if (has_failed (core, machine))
-    release (core, machine, machine->probe.failures ? "silent, and gives no answer" : "silent");
+    release (core, machine, machine->probe.failures ? "silent_no_answer" : "silent");
   else if (ignored_answers || mh_cluster_is_silent (core, machine, suspect_us))
     start_probing (core, machine);
 }
@@ -217,7 +217,7 @@
   if (unheard_us > silence->unheard_us
       || (is_believed_unreachable (core, machine) && others_are_heard (core, machine)
           && unheard_us > silence->report_us))
-    release (core, machine, "silent since the change of leader");
+    release (core, machine, "silent_since_failover");
 }
 
 void
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -380,8 +380,7 @@
       mh_gang_reconcile (core);
       mh_cluster_step (core);
       mh_placement_run (core->placement, core);
-      mh_scale_step (core);
-      mh_release_step (core);
+      mh_autoscaler_step (core->autoscaler);
       mh_store_step (core);
     }
   mh_call_queue_flush (core->calls);
@@ -400,8 +399,14 @@
   mh_placement_request_pass (core->placement, urgent);
 }
 
+static void
+release_machine (MhCore *core, MhMachine *machine, const char *reason)
+{
+  mh_autoscaler_release_machine (core->autoscaler, machine, reason);
+}
+
 static const MhClusterCallbacks cluster_callbacks = {
-  .release_machine = mh_release_machine,
+  .release_machine = release_machine,
   .capacity_changed = note_capacity_changed,
   .gang_loaded = mh_gang_restore,
   .gang_task_over = mh_gang_task_ended,
@@ -428,7 +433,7 @@
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
   core->runtime_estimator = mh_runtime_estimator_new ();
-  core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  core->autoscaler = mh_autoscaler_new (core);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
@@ -445,8 +450,6 @@
   mh_store_clear (core);
   mh_cluster_clear (core);
   mh_gang_attempts_clear (core->gang_attempts);
-  mh_scale_clear (core);
-  mh_release_clear (core);
   mh_call_queue_forget_all (core->calls);
   g_queue_clear_full (&core->finals_order, g_free);
   g_hash_table_unref (core->forwards);
@@ -458,10 +461,10 @@
   mh_gang_attempts_free (core->gang_attempts);
   mh_placement_free (core->placement);
   mh_runtime_estimator_free (core->runtime_estimator);
-  g_hash_table_unref (core->scale.refused);
   mh_recovery_free (core->recovery);
   mh_election_free (core->election);
   mh_call_queue_free (core->calls);
+  mh_autoscaler_free (core->autoscaler);
   mh_runtime_free (core->runtime);
   g_free (core);
 }
