--- a/src/main.c
+++ b/src/main.c
@@ -1,51 +1,37 @@
+/* The program: arguments, settings, start. */
+#include "server/log-output.h"
+#include "server/server.h"
 #include "settings/settings.h"
-#include "server/shell.h"
 
 #include <errno.h>
-#include <stdio.h>
-#include <string.h>
+#include <stdbool.h>
 #include <sys/resource.h>
 
-#define EXIT_SETTINGS 2
+#define EXIT_CANNOT_LISTEN 1
+#define EXIT_BAD_SETTINGS 2
+/* Descriptors for all but connections: listening sockets, epoll, log, calls. */
+#define OTHER_DESCRIPTORS 64
 
-static GLogLevelFlags log_mask;
-
-/* LOG_LEVEL error|info|debug; each includes those before it. */
-static void
-read_log_level (void)
+typedef struct
 {
-  const char *level = g_getenv ("LOG_LEVEL");
-  log_mask = G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING;
-  if (g_strcmp0 (level, "info") == 0 || g_strcmp0 (level, "debug") == 0)
-    log_mask |= G_LOG_LEVEL_MESSAGE | G_LOG_LEVEL_INFO;
-  if (g_strcmp0 (level, "debug") == 0)
-    log_mask |= G_LOG_LEVEL_DEBUG;
-}
+  char *platform_file; /* the platform's settings */
+  char *operator_file; /* NULL: none */
+  gboolean check_only;
+  gboolean show_version;
+} Arguments;
 
-static GLogWriterOutput
-write_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
+static void
+arguments_clear (Arguments *arguments)
 {
-  (void)data;
-  if ((level & log_mask) == 0)
-    return G_LOG_WRITER_HANDLED;
-  /* GIO tells at length of every connection that it makes. */
-  if (level & G_LOG_LEVEL_DEBUG)
-    for (gsize i = 0; i < n; i++)
-      if (strcmp (fields[i].key, "GLIB_DOMAIN") == 0 && strcmp (fields[i].value, "minthill") != 0)
-        return G_LOG_WRITER_HANDLED;
-  const char *word = level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_MESSAGE) ? "info"
-                     : level & G_LOG_LEVEL_DEBUG                      ? "debug"
-                                                                      : "error";
-  for (gsize i = 0; i < n; i++)
-    if (strcmp (fields[i].key, "MESSAGE") == 0)
-      (void)fprintf (stderr, "%s: %s\n", word, (const char *)fields[i].value);
-  return G_LOG_WRITER_HANDLED;
+  g_free (arguments->platform_file);
+  g_free (arguments->operator_file);
 }
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Arguments, arguments_clear)
 
 /* GIO looks for modules, D-Bus, netlink and proxies when it starts. None of it exists on a
    controller, and looking costs time. */
 static void
-quiet_gio (void)
+restrict_gio (void)
 {
   g_setenv ("GIO_MODULE_DIR", "/nonexistent", TRUE);
   g_setenv ("GIO_USE_VFS", "local", TRUE);
@@ -54,77 +40,85 @@
   g_setenv ("GSETTINGS_BACKEND", "memory", TRUE);
 }
 
-/* A connection takes a file, and some take a second one for what waits beside them. Where fewer are
-   allowed, so many connections are refused. */
+/* A connection takes a descriptor, and some take a second one for what waits beside them. Where
+   fewer are allowed, connections beyond them are refused. */
 static void
-allow_files (guint connections)
+raise_descriptor_limit (guint max_connections)
 {
   struct rlimit limit;
-  rlim_t wanted = (rlim_t)connections * 3 / 2 + 64;
+  rlim_t wanted = (rlim_t)max_connections * 3 / 2 + OTHER_DESCRIPTORS;
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= wanted)
     return;
   limit.rlim_cur = MIN (wanted, limit.rlim_max);
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
-    g_info ("%u connections want %" G_GUINT64_FORMAT " open files: %s", connections,
-            (guint64)wanted, g_strerror (errno));
+    g_info ("open files cannot be raised connections=%u wanted=%" G_GUINT64_FORMAT " error=%s",
+            max_connections, (guint64)wanted, g_strerror (errno));
 }
 
-int
-main (int argc, char **argv)
+static bool
+parse_arguments (int *argc, char ***argv, Arguments *arguments, GError **error)
 {
-  g_autofree char *config = NULL, *operator_file = NULL;
-  gboolean check = FALSE, version = FALSE;
   const GOptionEntry entries[]
-      = { { "config", 0, 0, G_OPTION_ARG_FILENAME, &config, "The platform's settings (TOML)",
-            "FILE" },
-          { "operator", 0, 0, G_OPTION_ARG_FILENAME, &operator_file, "The operator's own settings",
-            "FILE" },
-          { "check", 0, 0, G_OPTION_ARG_NONE, &check, "Check the settings and exit", NULL },
-          { "version", 0, 0, G_OPTION_ARG_NONE, &version, "Show the version and exit", NULL },
+      = { { "config", 0, 0, G_OPTION_ARG_FILENAME, &arguments->platform_file,
+            "The platform's settings (TOML)", "FILE" },
+          { "operator", 0, 0, G_OPTION_ARG_FILENAME, &arguments->operator_file,
+            "The operator's own settings", "FILE" },
+          { "check", 0, 0, G_OPTION_ARG_NONE, &arguments->check_only, "Check the settings and exit",
+            NULL },
+          { "version", 0, 0, G_OPTION_ARG_NONE, &arguments->show_version,
+            "Show the version and exit", NULL },
           G_OPTION_ENTRY_NULL };
-  g_autoptr (GError) error = NULL;
-  quiet_gio ();
-  read_log_level ();
-  g_log_set_writer_func (write_log, NULL, NULL);
-
   g_autoptr (GOptionContext) context = g_option_context_new ("- a cluster scheduler");
   g_option_context_add_main_entries (context, entries, NULL);
-  if (!g_option_context_parse (context, &argc, &argv, &error))
+  return g_option_context_parse (context, argc, argv, error);
+}
+
+static int
+fail (int status, const char *problem)
+{
+  g_printerr ("minthill: %s\n", problem);
+  return status;
+}
+
+static int
+run (const Arguments *arguments)
+{
+  g_autoptr (GError) error = NULL;
+  g_autoptr (MhSettings) settings
+      = mh_settings_load (arguments->platform_file, arguments->operator_file, &error);
+  if (settings == NULL)
+    return fail (EXIT_BAD_SETTINGS, error->message);
+  if (arguments->check_only)
     {
-      g_printerr ("minthill: %s\n", error->message);
-      return EXIT_SETTINGS;
+      g_print ("%s: settings are good\n", arguments->platform_file);
+      return 0;
     }
-  if (version)
+  raise_descriptor_limit (settings->max_connections);
+  if (!mh_server_run (settings, &error))
+    return fail (EXIT_CANNOT_LISTEN, error->message);
+  return 0;
+}
+
+int
+main (int argc, char **argv)
+{
+  g_auto (Arguments) arguments = { 0 };
+  g_autoptr (GError) error = NULL;
+  restrict_gio ();
+  mh_log_output_install ();
+  if (!parse_arguments (&argc, &argv, &arguments, &error))
+    return fail (EXIT_BAD_SETTINGS, error->message);
+  if (arguments.show_version)
     {
       g_print ("minthill " MINTHILL_VERSION "\n");
       return 0;
     }
   if (argc > 1)
     {
-      g_printerr ("minthill: unexpected argument %s\n", argv[1]);
-      return EXIT_SETTINGS;
-    }
-  if (config == NULL)
-    {
-      g_printerr ("minthill: --config FILE is missing\n");
-      return EXIT_SETTINGS;
+      g_autofree char *problem = g_strdup_printf ("unexpected argument %s", argv[1]);
+      return fail (EXIT_BAD_SETTINGS, problem);
     }
-  g_autoptr (MhSettings) settings = mh_settings_load (config, operator_file, &error);
-  if (settings == NULL)
-    {
-      g_printerr ("minthill: %s\n", error->message);
-      return EXIT_SETTINGS;
-    }
-  if (check)
-    {
-      g_print ("%s: settings are good\n", config);
-      return 0;
-    }
-  allow_files (settings->max_connections);
-  if (!mh_shell_run (settings, &error))
-    {
-      g_printerr ("minthill: %s\n", error->message);
-      return 1;
-    }
-  return 0;
+  if (arguments.platform_file == NULL)
+    return fail (EXIT_BAD_SETTINGS, "--config FILE is missing");
+  return run (&arguments);
 }
--- /dev/null
+++ b/src/server/http-client.c
@@ -0,0 +1,191 @@
+#include "server/http-client.h"
+
+#include <libsoup/soup.h>
+
+#define CBOR_MEDIA_TYPE "application/cbor"
+#define MILLISECOND_US 1000
+/* To the key-value store and to the cloud, each. */
+#define CONNECTIONS_PER_HOST 16u
+#define IDLE_TIMEOUT_S 30u
+/* A session keeps a timer for five minutes for each host that it has called, and each iteration of
+   the main loop looks at all of them: with a thousand workers that once took half of the leader's
+   time. After so many calls a session is replaced, and its timers go with it. */
+#define CALLS_PER_WORKER_SESSION 32u
+#define WORKER_IDLE_TIMEOUT_S 1u
+
+struct MhHttpClient
+{
+  MhHttpEndpoints endpoints;
+  MhHttpReplyFunc reply;
+  gpointer user_data;
+  SoupSession *session;        /* to the key-value store and the cloud */
+  SoupSession *worker_session; /* NULL before the first call */
+  guint worker_session_calls;  /* calls that the present worker session was given */
+};
+
+/* A call that waits for its reply. */
+typedef struct
+{
+  MhHttpClient *client;
+  guint64 id;
+  SoupMessage *message;
+  GCancellable *cancellable;
+  guint timeout_source; /* 0: none any more */
+} HttpCall;
+
+static void
+http_call_free (HttpCall *call)
+{
+  g_clear_handle_id (&call->timeout_source, g_source_remove);
+  g_clear_object (&call->message);
+  g_clear_object (&call->cancellable);
+  g_free (call);
+}
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (HttpCall, http_call_free)
+
+static SoupSession *
+session_new (guint max_connections, guint max_connections_per_host, guint idle_timeout_s)
+{
+  SoupSession *session = soup_session_new_with_options (
+      "proxy-resolver", NULL, "max-conns", (int)max_connections, "max-conns-per-host",
+      (int)max_connections_per_host, "timeout", 0, "idle-timeout", idle_timeout_s, NULL);
+  soup_session_remove_feature_by_type (session, SOUP_TYPE_CONTENT_DECODER);
+  return session;
+}
+
+MhHttpClient *
+mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpReplyFunc reply, gpointer user_data)
+{
+  MhHttpClient *client = g_new0 (MhHttpClient, 1);
+  client->endpoints = *endpoints;
+  client->reply = reply;
+  client->user_data = user_data;
+  client->session = session_new (2 * CONNECTIONS_PER_HOST, CONNECTIONS_PER_HOST, IDLE_TIMEOUT_S);
+  return client;
+}
+
+void
+mh_http_client_free (MhHttpClient *client)
+{
+  if (client == NULL)
+    return;
+  g_clear_object (&client->session);
+  g_clear_object (&client->worker_session);
+  g_free (client);
+}
+
+static SoupSession *
+get_worker_session (MhHttpClient *client)
+{
+  if (client->worker_session_calls == CALLS_PER_WORKER_SESSION)
+    {
+      g_clear_object (&client->worker_session); /* pending calls hold it */
+      client->worker_session_calls = 0;
+    }
+  if (client->worker_session == NULL)
+    client->worker_session = session_new (CALLS_PER_WORKER_SESSION, 1, WORKER_IDLE_TIMEOUT_S);
+  client->worker_session_calls++;
+  return client->worker_session;
+}
+
+static const char *
+get_host (const MhHttpClient *client, const MhRequest *request)
+{
+  switch (request->target)
+    {
+    case MH_TARGET_STATE:
+      return client->endpoints.key_value_store;
+    case MH_TARGET_CLOUD:
+      return client->endpoints.cloud;
+    case MH_TARGET_WORKER:
+      break;
+    }
+  return request->endpoint;
+}
+
+static gboolean
+on_timeout (gpointer data)
+{
+  HttpCall *call = data;
+  call->timeout_source = 0;
+  g_cancellable_cancel (call->cancellable);
+  return G_SOURCE_REMOVE;
+}
+
+/* The status of an answered call, with its body if it has one; 0: no answer that can be used. */
+static guint
+read_reply (SoupMessage *message, GBytes *bytes, MhValue **body)
+{
+  gsize size;
+  if (bytes == NULL)
+    return 0;
+  const void *data = g_bytes_get_data (bytes, &size);
+  if (size == 0)
+    return soup_message_get_status (message);
+  *body = mh_value_load (data, size);
+  if (*body == NULL)
+    {
+      g_info ("malformed reply method=%s", soup_message_get_method (message));
+      return 0;
+    }
+  return soup_message_get_status (message);
+}
+
+static void
+on_reply (GObject *source, GAsyncResult *result, gpointer data)
+{
+  g_autoptr (HttpCall) call = data;
+  MhHttpClient *client = call->client;
+  guint64 id = call->id;
+  g_autoptr (MhValue) body = NULL;
+  g_autoptr (GBytes) bytes
+      = soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
+  guint status = read_reply (call->message, bytes, &body);
+  g_clear_pointer (&call, http_call_free);
+  client->reply (id, status, body, client->user_data);
+}
+
+/* NULL when the request's endpoint is no address. */
+static SoupMessage *
+message_new (const MhHttpClient *client, const MhRequest *request)
+{
+  g_autofree char *url = g_strconcat ("http://", get_host (client, request), request->path, NULL);
+  SoupMessage *message = soup_message_new (request->method, url);
+  if (message == NULL)
+    {
+      g_info ("not an address url=%s", url);
+      return NULL;
+    }
+  if (request->body)
+    {
+      g_autoptr (GBytes) bytes = mh_value_save (request->body);
+      soup_message_set_request_body_from_bytes (message, CBOR_MEDIA_TYPE, bytes);
+    }
+  /* The next command to the same worker is seconds away, and until then the main loop would look at
+     an idle connection in each iteration. */
+  if (request->target == MH_TARGET_WORKER)
+    soup_message_headers_append (soup_message_get_request_headers (message), "Connection", "close");
+  return message;
+}
+
+void
+mh_http_client_send (MhHttpClient *client, guint64 id, const MhRequest *request, gint64 timeout_us)
+{
+  g_return_if_fail (client != NULL && request != NULL);
+  SoupMessage *message = message_new (client, request);
+  if (message == NULL)
+    {
+      client->reply (id, 0, NULL, client->user_data);
+      return;
+    }
+  HttpCall *call = g_new0 (HttpCall, 1);
+  call->client = client;
+  call->id = id;
+  call->message = message;
+  call->cancellable = g_cancellable_new ();
+  call->timeout_source = g_timeout_add ((guint)(timeout_us / MILLISECOND_US), on_timeout, call);
+  SoupSession *session
+      = request->target == MH_TARGET_WORKER ? get_worker_session (client) : client->session;
+  soup_session_send_and_read_async (session, message, G_PRIORITY_DEFAULT, call->cancellable,
+                                    on_reply, call);
+}
--- /dev/null
+++ b/src/server/pending-request.c
@@ -0,0 +1,109 @@
+#include "server/pending-request.h"
+
+struct MhPendingRequests
+{
+  GHashTable *requests; /* id -> MhPendingRequest, which owns the key */
+  guint64 last_id;
+};
+
+static void
+request_free (gpointer data)
+{
+  MhPendingRequest *request = data;
+  if (request->message)
+    g_signal_handler_disconnect (request->message, request->finished_handler);
+  g_clear_object (&request->message);
+  if (request->forward_timeout)
+    g_source_remove (request->forward_timeout);
+  g_free (request->job);
+  g_clear_pointer (&request->body, g_bytes_unref);
+  g_free (request);
+}
+
+MhPendingRequests *
+mh_pending_requests_new (void)
+{
+  MhPendingRequests *table = g_new0 (MhPendingRequests, 1);
+  table->requests = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, request_free);
+  return table;
+}
+
+void
+mh_pending_requests_free (MhPendingRequests *table)
+{
+  if (table == NULL)
+    return;
+  g_hash_table_unref (table->requests);
+  g_free (table);
+}
+
+static MhPendingRequest *
+add_request (MhPendingRequests *table)
+{
+  MhPendingRequest *request = g_new0 (MhPendingRequest, 1);
+  request->table = table;
+  request->id = ++table->last_id;
+  g_hash_table_insert (table->requests, &request->id, request);
+  return request;
+}
+
+static void
+on_finished (SoupServerMessage *message, gpointer data)
+{
+  MhPendingRequest *request = data;
+  (void)message;
+  mh_pending_requests_remove (request->table, request->id);
+}
+
+MhPendingRequest *
+mh_pending_requests_add_message (MhPendingRequests *table, SoupServerMessage *message,
+                                 MhConnectionGroup *group)
+{
+  MhPendingRequest *request = add_request (table);
+  request->group = group;
+  request->message = g_object_ref (message);
+  request->finished_handler
+      = g_signal_connect (message, "finished", G_CALLBACK (on_finished), request);
+  soup_server_message_pause (message);
+  return request;
+}
+
+MhPendingRequest *
+mh_pending_requests_add_forwarded (MhPendingRequests *table, MhPeerConnection *peer,
+                                   guint64 peer_request_id)
+{
+  MhPendingRequest *request = add_request (table);
+  request->peer = peer;
+  request->peer_request_id = peer_request_id;
+  return request;
+}
+
+MhPendingRequest *
+mh_pending_requests_lookup (MhPendingRequests *table, guint64 id)
+{
+  return g_hash_table_lookup (table->requests, &id);
+}
+
+void
+mh_pending_requests_remove (MhPendingRequests *table, guint64 id)
+{
+  g_hash_table_remove (table->requests, &id);
+}
+
+GArray *
+mh_pending_requests_drop_connection (MhPendingRequests *table, MhPeerConnection *connection)
+{
+  GArray *forwarded = g_array_new (FALSE, FALSE, sizeof (guint64));
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, table->requests);
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    {
+      MhPendingRequest *request = value;
+      if (request->peer == connection)
+        request->peer = NULL;
+      if (request->forwarded_to == connection)
+        g_array_append_val (forwarded, request->id);
+    }
+  return forwarded;
+}
--- /dev/null
+++ b/src/server/request-forwarder.c
@@ -0,0 +1,131 @@
+#include "server/request-forwarder.h"
+
+#include "protocol/wire.h"
+
+#include <libsoup/soup.h>
+#include <string.h>
+
+#define MILLISECOND_US 1000
+
+struct MhRequestForwarder
+{
+  MhPendingRequests *requests;
+  MhForwardOutcomeFunc outcome;
+  gpointer user_data;
+};
+
+/* What a timeout is about. */
+typedef struct
+{
+  MhRequestForwarder *forwarder;
+  MhPendingRequest *request;
+} ForwardTimeout;
+
+MhRequestForwarder *
+mh_request_forwarder_new (MhPendingRequests *requests, MhForwardOutcomeFunc outcome,
+                          gpointer user_data)
+{
+  MhRequestForwarder *self = g_new0 (MhRequestForwarder, 1);
+  self->requests = requests;
+  self->outcome = outcome;
+  self->user_data = user_data;
+  return self;
+}
+
+void
+mh_request_forwarder_free (MhRequestForwarder *self)
+{
+  g_free (self);
+}
+
+static void
+report_failure (MhRequestForwarder *self, guint64 id)
+{
+  MhPendingRequest *request = mh_pending_requests_lookup (self->requests, id);
+  if (request)
+    request->forwarded_to = NULL;
+  self->outcome (id, NULL, self->user_data);
+}
+
+static gboolean
+on_timeout (gpointer data)
+{
+  const ForwardTimeout *timeout = data;
+  MhRequestForwarder *self = timeout->forwarder;
+  MhPendingRequest *request = timeout->request;
+  MhPeerConnection *connection = request->forwarded_to;
+  request->forward_timeout = 0;
+  report_failure (self, request->id);
+  /* A controller that does not answer in time may hang: the next request tries a new connection. */
+  if (connection)
+    mh_peer_connection_close (connection);
+  return G_SOURCE_REMOVE;
+}
+
+void
+mh_request_forwarder_send (MhRequestForwarder *self, MhPendingRequest *request,
+                           MhPeerConnection *connection, gint64 timeout_us)
+{
+  ForwardTimeout *timeout = g_new0 (ForwardTimeout, 1);
+  timeout->forwarder = self;
+  timeout->request = request;
+  request->forwarded_to = connection;
+  request->forward_timeout = g_timeout_add_full (
+      G_PRIORITY_DEFAULT, (guint)(timeout_us / MILLISECOND_US), on_timeout, timeout, g_free);
+  mh_peer_connection_send (
+      connection, mh_peer_write_call (request->id, request->verb, request->job, request->body));
+}
+
+void
+mh_request_forwarder_handle_answer (MhRequestForwarder *self, MhPeerConnection *connection,
+                                    const MhPeerMessage *message)
+{
+  MhPendingRequest *request = mh_pending_requests_lookup (self->requests, message->id);
+  if (request == NULL || request->forwarded_to != connection)
+    return;
+  request->forwarded_to = NULL;
+  self->outcome (request->id, &message->answer, self->user_data);
+}
+
+void
+mh_request_forwarder_handle_closed (MhRequestForwarder *self, MhPeerConnection *connection)
+{
+  g_autoptr (GArray) forwarded = mh_pending_requests_drop_connection (self->requests, connection);
+  for (guint i = 0; i < forwarded->len; i++)
+    report_failure (self, g_array_index (forwarded, guint64, i));
+}
+
+/* NULL when the call holds no submission of the job that it names. */
+static MhJobSpec *
+read_submission (const MhPeerMessage *call)
+{
+  gsize size;
+  const void *data = g_bytes_get_data (call->body, &size);
+  g_autoptr (MhValue) body = mh_value_load (data, size);
+  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (body);
+  if (spec == NULL || strcmp (spec->id, call->job) != 0)
+    return NULL;
+  return g_steal_pointer (&spec);
+}
+
+MhPendingRequest *
+mh_request_forwarder_receive (MhRequestForwarder *self, MhPeerConnection *connection,
+                              const MhPeerMessage *call, MhJobSpec **spec)
+{
+  *spec = NULL;
+  if (call->verb == MH_USER_SUBMIT)
+    {
+      *spec = read_submission (call);
+      if (*spec == NULL)
+        {
+          const MhUserAnswer refused = { .status = SOUP_STATUS_BAD_REQUEST };
+          mh_peer_connection_send (connection, mh_peer_write_answer (call->id, &refused));
+          return NULL;
+        }
+    }
+  MhPendingRequest *request
+      = mh_pending_requests_add_forwarded (self->requests, connection, call->id);
+  request->verb = call->verb;
+  request->job = g_strdup (call->job);
+  return request;
+}
--- /dev/null
+++ b/src/server/server.c
@@ -0,0 +1,307 @@
+#include "server/server.h"
+
+#include "controller/core.h"
+#include "server/http-client.h"
+#include "server/http-server.h"
+#include "server/log-output.h"
+#include "server/peer-network.h"
+#include "server/pending-request.h"
+#include "server/process-clock.h"
+#include "server/request-forwarder.h"
+#include "server/socket-address.h"
+
+typedef struct
+{
+  const MhSettings *settings;
+  MhCore *core; /* NULL until all sockets listen */
+  MhProcessClock *clock;
+  MhPendingRequests *requests;
+  MhHttpServer *http_server;
+  MhHttpClient *http_client;
+  MhPeerNetwork *peers;
+  MhRequestForwarder *forwarder;
+  GSource *timer; /* of the controller's next wake-up */
+  bool dispatching;
+} Server;
+
+/* ---- actions of the controller ---- */
+
+static void
+forward_request (Server *server, const MhAction *action)
+{
+  MhPendingRequest *request = mh_pending_requests_lookup (server->requests, action->id);
+  MhPeerConnection *connection
+      = request ? mh_peer_network_get_connection (server->peers, action->text) : NULL;
+  if (connection == NULL)
+    {
+      MhNow now = mh_process_clock_read (server->clock);
+      mh_core_forwarded (server->core, &now, action->id, NULL);
+      return;
+    }
+  mh_request_forwarder_send (server->forwarder, request, connection, action->timeout_us);
+}
+
+static void
+announce_leader (Server *server, const MhAction *action)
+{
+  MhPeerConnection *connection = mh_peer_network_get_connection (server->peers, action->text);
+  /* A slow or absent controller that has not taken the last announcement yet needs no second one.
+   */
+  if (connection && !mh_peer_connection_has_queued_output (connection))
+    mh_peer_connection_send (connection,
+                             mh_peer_write_announcement (server->settings->node, action->id));
+}
+
+static void
+answer_request (Server *server, const MhAction *action)
+{
+  const MhPendingRequest *request = mh_pending_requests_lookup (server->requests, action->id);
+  if (request == NULL)
+    return; /* who asked is gone */
+  if (request->message == NULL)
+    {
+      if (request->peer)
+        mh_peer_connection_send (request->peer,
+                                 mh_peer_write_answer (request->peer_request_id, &action->answer));
+    }
+  else if (action->kind == MH_ACTION_ANSWER_USER)
+    mh_http_server_answer_user (server->http_server, request, &action->answer);
+  else
+    mh_http_server_answer_report (server->http_server, request, action->status, action->body);
+  mh_pending_requests_remove (server->requests, action->id);
+}
+
+static void
+dispatch_action (Server *server, const MhAction *action)
+{
+  switch (action->kind)
+    {
+    case MH_ACTION_CALL:
+      mh_http_client_send (server->http_client, action->id, action->request, action->timeout_us);
+      break;
+    case MH_ACTION_FORWARD:
+      forward_request (server, action);
+      break;
+    case MH_ACTION_ANNOUNCE_LEADER:
+      announce_leader (server, action);
+      break;
+    case MH_ACTION_ANSWER_USER:
+    case MH_ACTION_ANSWER_REPORT:
+      answer_request (server, action);
+      break;
+    case MH_ACTION_LOG:
+      mh_log_output_write (action->level, server->settings->node, action->text);
+      break;
+    }
+}
+
+static MhAction *
+pop_action (Server *server)
+{
+  return mh_core_pop (server->core, g_get_monotonic_time ());
+}
+
+/* Carries out what the controller says after an input. An action may be an input in turn, and so
+   come back here; the outer call goes on with what follows from it. */
+static void
+dispatch_actions (Server *server)
+{
+  if (server->dispatching)
+    return;
+  server->dispatching = true;
+  /* Sources that are made here belong to the main context, also while a connection's own is
+   * iterated. */
+  g_main_context_push_thread_default (NULL);
+  for (MhAction *action = pop_action (server); action; action = pop_action (server))
+    {
+      dispatch_action (server, action);
+      mh_action_free (action);
+    }
+  g_main_context_pop_thread_default (NULL);
+  server->dispatching = false;
+  g_source_set_ready_time (server->timer, mh_core_next_wake (server->core));
+}
+
+/* ---- inputs of the controller ---- */
+
+static bool
+on_readiness_probe (gpointer data)
+{
+  const Server *server = data;
+  return mh_core_ready (server->core);
+}
+
+static void
+on_user_request (const MhPendingRequest *request, MhJobSpec *spec, gpointer data)
+{
+  Server *server = data;
+  MhNow now = mh_process_clock_read (server->clock);
+  mh_core_user (server->core, &now, request->id, request->verb, request->job, spec, false);
+  dispatch_actions (server);
+}
+
+static void
+on_report (const MhPendingRequest *request, const MhReport *report, gpointer data)
+{
+  Server *server = data;
+  MhNow now = mh_process_clock_read (server->clock);
+  mh_core_report (server->core, &now, request->id, report);
+  dispatch_actions (server);
+}
+
+static void
+on_reply (guint64 id, guint status, const MhValue *body, gpointer data)
+{
+  Server *server = data;
+  MhNow now = mh_process_clock_read (server->clock);
+  mh_core_reply (server->core, &now, id, status, body);
+  dispatch_actions (server);
+}
+
+static void
+on_forward_outcome (guint64 id, const MhUserAnswer *answer, gpointer data)
+{
+  Server *server = data;
+  MhNow now = mh_process_clock_read (server->clock);
+  mh_core_forwarded (server->core, &now, id, answer);
+  dispatch_actions (server);
+}
+
+static void
+on_forwarded_request (Server *server, MhPeerConnection *connection, const MhPeerMessage *call)
+{
+  MhJobSpec *spec;
+  MhNow now = mh_process_clock_read (server->clock);
+  const MhPendingRequest *request
+      = mh_request_forwarder_receive (server->forwarder, connection, call, &spec);
+  if (request == NULL)
+    return;
+  mh_core_user (server->core, &now, request->id, request->verb, request->job, spec, true);
+  dispatch_actions (server);
+}
+
+static void
+on_announcement (Server *server, const MhPeerMessage *announcement)
+{
+  MhNow now = mh_process_clock_read (server->clock);
+  mh_core_leader_announced (server->core, &now, announcement->job, announcement->id);
+  dispatch_actions (server);
+}
+
+static void
+on_peer_message (MhPeerConnection *connection, const MhPeerMessage *message, gpointer data)
+{
+  Server *server = data;
+  switch (message->kind)
+    {
+    case MH_PEER_CALL:
+      on_forwarded_request (server, connection, message);
+      break;
+    case MH_PEER_ANSWER:
+      mh_request_forwarder_handle_answer (server->forwarder, connection, message);
+      break;
+    case MH_PEER_ANNOUNCEMENT:
+      on_announcement (server, message);
+      break;
+    }
+}
+
+static void
+on_peer_closed (MhPeerConnection *connection, gpointer data)
+{
+  Server *server = data;
+  mh_request_forwarder_handle_closed (server->forwarder, connection);
+}
+
+static gboolean
+on_wake_up (gpointer data)
+{
+  Server *server = data;
+  MhNow now = mh_process_clock_read (server->clock);
+  mh_core_tick (server->core, &now);
+  dispatch_actions (server);
+  return G_SOURCE_CONTINUE;
+}
+
+/* ---- start ---- */
+
+static gboolean
+dispatch_timer (GSource *source, GSourceFunc callback, gpointer user_data)
+{
+  (void)source;
+  return callback (user_data);
+}
+
+static GSourceFuncs timer_funcs = { .dispatch = dispatch_timer };
+
+static const MhHttpServerHandlers http_handlers
+    = { .is_ready = on_readiness_probe, .user_request = on_user_request, .report = on_report };
+
+static const MhPeerHandlers peer_handlers
+    = { .message = on_peer_message, .closed = on_peer_closed };
+
+static void
+server_clear (Server *server)
+{
+  if (server->timer)
+    g_source_destroy (server->timer);
+  g_clear_pointer (&server->timer, g_source_unref);
+  mh_http_server_free (server->http_server);
+  mh_peer_network_free (server->peers);
+  mh_http_client_free (server->http_client);
+  mh_request_forwarder_free (server->forwarder);
+  mh_pending_requests_free (server->requests);
+  mh_core_free (server->core);
+  mh_process_clock_free (server->clock);
+}
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Server, server_clear)
+
+static bool
+listen_on_all (Server *server, GError **error)
+{
+  const MhSettings *settings = server->settings;
+  g_autoptr (GSocketAddress) front = mh_socket_address_parse (settings->front);
+  g_autoptr (GSocketAddress) peer_bind = mh_socket_address_parse (settings->peer_bind);
+  if (front == NULL || peer_bind == NULL)
+    {
+      g_set_error_literal (error, MH_SETTINGS_ERROR, 0, "front or peer_bind is not an IP address");
+      return false;
+    }
+  if (!mh_http_server_listen (server->http_server, front, settings->max_connections, error))
+    return false;
+  server->peers = mh_peer_network_new (settings->members, peer_bind, &peer_handlers, server, error);
+  return server->peers != NULL;
+}
+
+static void
+start_controller (Server *server)
+{
+  MhNow now = mh_process_clock_read (server->clock);
+  server->core = mh_core_new (server->settings, &now);
+  server->timer = g_source_new (&timer_funcs, sizeof (GSource));
+  g_source_set_callback (server->timer, on_wake_up, server, NULL);
+  g_source_set_ready_time (server->timer, 0);
+  g_source_attach (server->timer, NULL);
+}
+
+bool
+mh_server_run (const MhSettings *settings, GError **error)
+{
+  g_return_val_if_fail (settings != NULL, false);
+  const MhHttpEndpoints endpoints
+      = { .key_value_store = settings->state, .cloud = settings->cloud };
+  g_auto (Server) server = { .settings = settings };
+  server.clock = mh_process_clock_new ();
+  server.requests = mh_pending_requests_new ();
+  server.forwarder = mh_request_forwarder_new (server.requests, on_forward_outcome, &server);
+  server.http_client = mh_http_client_new (&endpoints, on_reply, &server);
+  server.http_server = mh_http_server_new (server.requests, &http_handlers, &server);
+  if (!listen_on_all (&server, error))
+    return false;
+  start_controller (&server);
+  g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
+  g_info ("%s: users and workers on %s, controllers on %s", settings->node, settings->front,
+          settings->peer_bind);
+  g_main_loop_run (loop);
+  return true;
+}
