--- a/src/server/server.c
+++ b/src/server/server.c
@@ -31,7 +31,7 @@
 {
   MhPendingRequest *request = mh_pending_requests_lookup (server->requests, action->id);
   MhPeerConnection *connection
-      = request ? mh_peer_network_get_connection (server->peers, action->text) : NULL;
+      = request ? mh_peer_network_get_connection (server->peers, action->node) : NULL;
   if (connection == NULL)
     {
       MhNow now = mh_process_clock_read (server->clock);
@@ -44,7 +44,7 @@
 static void
 announce_leader (Server *server, const MhAction *action)
 {
-  MhPeerConnection *connection = mh_peer_network_get_connection (server->peers, action->text);
+  MhPeerConnection *connection = mh_peer_network_get_connection (server->peers, action->node);
   /* A slow or absent controller that has not taken the last announcement yet needs no second one.
    */
   if (connection && !mh_peer_connection_has_queued_output (connection))
@@ -90,7 +90,7 @@
       answer_request (server, action);
       break;
     case MH_ACTION_LOG:
-      mh_log_output_write (action->level, server->settings->node, action->text);
+      mh_log_output_write (action->level, server->settings->node, action->line);
       break;
     }
 }
