--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -363,7 +363,8 @@
      come. But what is not on record has not been placed either: once there are machines, those jobs
      may find room on them, and machines were rented for each beside free ones. */
   MhJobQueueScope scope = mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
-  g_autoptr (GPtrArray) queue = mh_job_queue_pending (core, scope);
+  g_autoptr (GPtrArray) queue
+      = mh_job_queue_pending (core->job_queue, scope, mh_cluster_types (core), core->now.mono_us);
   if (queue->len == 0)
     return;
   g_autoptr (GHashTable) asked = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -31,6 +31,7 @@
 #include "placement/resources.h"
 #include "placement/score.h"
 #include "placement/victim.h"
+#include "jobs/final-answers.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
 #include "jobs/runtime-estimate.h"
@@ -113,8 +114,8 @@
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
   GHashTable *unreadable; /* ids of jobs whose records are not understood: nothing is guessed */
-  GHashTable *finals;     /* id -> MhUserAnswer, a bounded cache */
-  GQueue finals_order;
+  MhFinalAnswers *final_answers;
+  MhJobQueue *job_queue;
   GQueue dirty[MH_URGENCIES]; /* MhRecord */
   GQueue garbage;             /* keys to drop */
   struct
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -2,11 +2,6 @@
 
 #include <string.h>
 
-/* Of the memory, the part (one in so many) for the answers about finished jobs, and what one takes.
-   Others are read when they are asked for. */
-#define FINALS_MEMORY_PART 32
-#define FINAL_BYTES 200
-#define LEAST_FINALS_KEPT 2000u
 /* A node that has had no usable leader for so long is rather cut off by itself. */
 #define READY_US (30 * MH_SECOND_US)
 /* One that cannot reach a leader which the state service says is there sends its users elsewhere
@@ -332,25 +327,10 @@
   a->answer.status = status;
 }
 
-static guint
-most_finals (const MhCore *core)
-{
-  return MAX (LEAST_FINALS_KEPT,
-              (guint)(core->settings->memory_bytes / FINALS_MEMORY_PART / FINAL_BYTES));
-}
-
 void
 mh_core_final (MhCore *core, const char *id, const MhUserAnswer *answer)
 {
-  if (g_hash_table_contains (core->finals, id))
-    return;
-  g_hash_table_insert (core->finals, g_strdup (id), g_memdup2 (answer, sizeof *answer));
-  g_queue_push_tail (&core->finals_order, g_strdup (id));
-  while (core->finals_order.length > most_finals (core))
-    {
-      g_autofree char *old = g_queue_pop_head (&core->finals_order);
-      g_hash_table_remove (core->finals, old);
-    }
+  mh_final_answers_add (core->final_answers, id, answer);
 }
 
 /* 400: too large to keep. 422: can never run here. 0: can. 503: not known yet. */
@@ -399,7 +379,7 @@
 submit (MhCore *core, guint64 id, MhJobSpec *spec)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, spec->id);
-  const MhUserAnswer *final = g_hash_table_lookup (core->finals, spec->id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, spec->id);
   if (final || (job && job->accepted))
     {
       /* A repeated submission may wait in memory beside the final answer, which holds: it once was
@@ -473,7 +453,7 @@
 user_not_in_charge (MhCore *core, guint64 id, MhUserVerb verb, const char *job_id,
                     const MhJobSpec *spec, bool forwarded)
 {
-  const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, job_id);
   bool other = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
                && strcmp (core->leader.node, core->settings->node) != 0;
   if (final)
@@ -492,7 +472,7 @@
               MhJobSpec *spec, bool forwarded)
 {
   enter (core, now);
-  const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, job_id);
   if (core->leader.phase != MH_PHASE_LEAD || !mh_leader_valid (core))
     {
       user_not_in_charge (core, id, verb, job_id, spec, forwarded);
@@ -658,11 +638,12 @@
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
   core->cluster = mh_cluster_new (settings, &cluster_callbacks, t);
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
   core->runtime_estimator = mh_runtime_estimator_new ();
+  core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_queue_init (&core->actions);
   /* The other controllers read and watch a little too. */
@@ -691,13 +672,13 @@
   mh_release_clear (core);
   mh_core_drop_calls (core);
   g_queue_clear_full (&core->actions, (GDestroyNotify)mh_action_free);
-  g_queue_clear_full (&core->finals_order, g_free);
   g_hash_table_unref (core->calls);
   g_hash_table_unref (core->forwards);
   g_hash_table_unref (core->lookups);
   g_hash_table_unref (core->jobs);
   g_hash_table_unref (core->unreadable);
-  g_hash_table_unref (core->finals);
+  mh_final_answers_free (core->final_answers);
+  mh_job_queue_free (core->job_queue);
   g_clear_pointer (&core->cluster, mh_cluster_free);
   mh_gang_attempts_free (core->gang_attempts);
   mh_placement_free (core->placement);
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -1,6 +1,6 @@
 #include "jobs/job-queue.h"
 
-#include "controller/core-private.h"
+#include "jobs/objective.h"
 
 #include <string.h>
 
@@ -9,6 +9,30 @@
 #define STARVATION_US (150 * MH_SECOND_US)
 #define EPSILON 1e-6
 
+struct MhJobQueue
+{
+  const MhSettings *settings;
+  GHashTable *jobs; /* id -> MhJob */
+  const MhRuntimeEstimator *estimator;
+};
+
+MhJobQueue *
+mh_job_queue_new (const MhSettings *settings, GHashTable *jobs, const MhRuntimeEstimator *estimator)
+{
+  MhJobQueue *queue = g_new0 (MhJobQueue, 1);
+  queue->settings = settings;
+  queue->jobs = g_hash_table_ref (jobs);
+  queue->estimator = estimator;
+  return queue;
+}
+
+void
+mh_job_queue_free (MhJobQueue *queue)
+{
+  g_hash_table_unref (queue->jobs);
+  g_free (queue);
+}
+
 MhJobTier
 mh_job_queue_tier (const MhJob *job)
 {
@@ -94,16 +118,15 @@
 }
 
 static void
-update_job (MhCore *core, MhJob *job)
+update_job (const MhJobQueue *queue, MhJob *job, const GPtrArray *types, gint64 now_us)
 {
-  gint64 now_us = core->now.mono_us;
   if (job->placement.unplaced_since_us == 0)
     job->placement.unplaced_since_us = now_us;
   job->placement.starved = is_starved (job, now_us);
-  gint64 run_us = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
-  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
+  gint64 run_us = mh_runtime_estimator_run_us (queue->estimator, job->spec);
+  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, types);
   MhStartTarget target
-      = mh_objective_latest_start (core->settings, job, fetch_us + run_us, run_us, now_us);
+      = mh_objective_latest_start (queue->settings, job, fetch_us + run_us, run_us, now_us);
   job->placement.latest_start_us = target.at_us;
   job->placement.objectives_missed = target.missed;
 }
@@ -111,12 +134,12 @@
 /* ---- the queue ---- */
 
 static GPtrArray *
-unfinished_jobs (MhCore *core, MhJobQueueScope scope)
+unfinished_jobs (const MhJobQueue *queue, MhJobQueueScope scope)
 {
   GPtrArray *jobs = g_ptr_array_new ();
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->jobs);
+  g_hash_table_iter_init (&it, queue->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
@@ -128,10 +151,11 @@
 }
 
 GPtrArray *
-mh_job_queue_pending (MhCore *core, MhJobQueueScope scope)
+mh_job_queue_pending (MhJobQueue *queue, MhJobQueueScope scope, const GPtrArray *types,
+                      gint64 now_us)
 {
-  GPtrArray *jobs = unfinished_jobs (core, scope);
-  mark_guaranteed (core->settings, jobs);
+  GPtrArray *jobs = unfinished_jobs (queue, scope);
+  mark_guaranteed (queue->settings, jobs);
   guint kept = 0;
   for (guint i = 0; i < jobs->len; i++)
     {
@@ -141,7 +165,7 @@
           job->placement.unplaced_since_us = 0;
           continue;
         }
-      update_job (core, job);
+      update_job (queue, job, types, now_us);
       jobs->pdata[kept++] = job;
     }
   g_ptr_array_set_size (jobs, (gint)kept);
--- a/src/jobs/job-queue.h
+++ b/src/jobs/job-queue.h
@@ -2,6 +2,8 @@
 #pragma once
 
 #include "jobs/job.h"
+#include "jobs/runtime-estimate.h"
+#include "settings/settings.h"
 
 /**
  * MhJobQueueScope:
@@ -31,10 +33,34 @@
   MH_TIER_REST
 } MhJobTier;
 
+/** MhJobQueue: the queue; it owns no jobs. */
+typedef struct MhJobQueue MhJobQueue;
+
+/**
+ * mh_job_queue_new:
+ * @settings: (transfer none): with quotas and objectives; must outlive the queue
+ * @jobs: (element-type utf8 MhJob): all jobs by id; a reference is held
+ * @estimator: (transfer none): must outlive the queue
+ *
+ * Returns: (transfer full): free it with mh_job_queue_free()
+ */
+MhJobQueue *
+mh_job_queue_new (const MhSettings *settings, GHashTable *jobs,
+                  const MhRuntimeEstimator *estimator);
+
+/**
+ * mh_job_queue_free:
+ * @queue: (transfer full): a queue
+ */
+void
+mh_job_queue_free (MhJobQueue *queue);
+
 /**
  * mh_job_queue_pending:
- * @core: the controller
+ * @queue: a queue
  * @scope: which jobs
+ * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
+ * @now_us: the present, by the steady clock
  *
  * Works out for each job what depends on the present (MhJobPlacement), and sorts.
  *
@@ -42,7 +68,8 @@
  * which they are to be started
  */
 GPtrArray *
-mh_job_queue_pending (MhCore *core, MhJobQueueScope scope);
+mh_job_queue_pending (MhJobQueue *queue, MhJobQueueScope scope, const GPtrArray *types,
+                      gint64 now_us);
 
 /**
  * mh_job_queue_tier:
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -282,7 +282,8 @@
     }
   placement->last_pass_us = now;
   placement->pass_requested = placement->urgent = false;
-  g_autoptr (GPtrArray) queue = mh_job_queue_pending (core, MH_JOB_QUEUE_ACCEPTED);
+  g_autoptr (GPtrArray) queue
+      = mh_job_queue_pending (core->job_queue, MH_JOB_QUEUE_ACCEPTED, mh_cluster_types (core), now);
   if (queue->len > 0)
     run_pass (placement, core, queue);
 }
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -1,4 +1,5 @@
-/* The order of the job queue, objectives, and estimates of run times, each by itself. */
+/* The order of the job queue, objectives, estimates of run times, and answers, each by itself. */
+#include "jobs/final-answers.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
 #include "jobs/runtime-estimate.h"
@@ -169,6 +170,25 @@
   g_assert_cmpuint (answer.running, ==, 0);
 }
 
+/* The memory would grow with every job that was ever over. */
+static void
+test_final_answers (void)
+{
+  g_autoptr (MhFinalAnswers) answers = mh_final_answers_new (0);
+  const MhUserAnswer done = { .state = MH_JOB_DONE }, cancelled = { .state = MH_JOB_CANCELLED };
+  mh_final_answers_add (answers, "first", &done);
+  mh_final_answers_add (answers, "first", &cancelled); /* the first one stays */
+  g_assert_cmpint (mh_final_answers_find (answers, "first")->state, ==, MH_JOB_DONE);
+  g_assert_null (mh_final_answers_find (answers, "other"));
+  for (guint i = 0; i < 2000; i++)
+    {
+      g_autofree char *id = g_strdup_printf ("j-%u", i);
+      mh_final_answers_add (answers, id, &done);
+    }
+  g_assert_null (mh_final_answers_find (answers, "first"));
+  g_assert_nonnull (mh_final_answers_find (answers, "j-0"));
+}
+
 #define ADD(name, func) g_test_add (name, Fixture, NULL, set_up, func, tear_down)
 
 int
@@ -181,5 +201,6 @@
   ADD ("/jobs/queue/tier", test_tier);
   ADD ("/jobs/runtime-estimate", test_runtime_estimate);
   ADD ("/jobs/answer-is-durable", test_answer_is_durable);
+  g_test_add_func ("/jobs/final-answers", test_final_answers);
   return g_test_run ();
 }
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -271,7 +271,9 @@
   set_up (&plain, GPOINTER_TO_UINT (data));
   g_autoptr (GPtrArray) expected = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GPtrArray) got = g_ptr_array_new_with_free_func (g_free);
-  g_autoptr (GPtrArray) queue = mh_job_queue_pending (plain.core, MH_JOB_QUEUE_ACCEPTED);
+  g_autoptr (GPtrArray) queue
+      = mh_job_queue_pending (plain.core->job_queue, MH_JOB_QUEUE_ACCEPTED,
+                              mh_cluster_types (plain.core), plain.core->now.mono_us);
   for (guint i = 0; i < queue->len; i++)
     {
       MhJob *job = g_ptr_array_index (queue, i);
