--- /dev/null
+++ b/tests/test-placement-order.c
@@ -0,0 +1,474 @@
+/* What a placement pass chooses on a random cluster, against a plain walk over all machines for
+   every task: the lists and short cuts of src/placement must not change what first fit, the skew
+   rule and the documented order of candidates decide. */
+#include "controller/core-private.h"
+
+#include <math.h>
+#include <string.h>
+
+#define MACHINES 80
+#define JOBS 60
+#define ZONES 4
+#define TYPES 3
+/* Keys by which candidates are compared, the most important first. */
+#define KEYS 6
+#define KEY_COST 0
+#define KEY_ABOVE_PRICE_CAP 1
+#define KEY_REPLICAS 2
+#define KEY_CPU_PRICE 3
+#define KEY_UNUSED_CPUS 4
+
+typedef struct
+{
+  GRand *random;
+  MhSettings *settings;
+  MhCore *core;
+  guint jobs;
+  MhMachine *machines[MACHINES];
+  GArray *live_zones; /* of the job at hand: zone of each live task */
+} Fixture;
+
+/* What the plain walk knows of the job at hand. */
+typedef struct
+{
+  MhJob *job;
+  bool admits[MACHINES]; /* type, spot and zone */
+  double keys[MACHINES][KEYS];
+  double lowest_price;
+} PlainWalk;
+
+static const char *const zones[ZONES] = { "a", "b", "c", "d" };
+static const double type_cpus[TYPES] = { 4, 16, 32 }, type_mem_gb[TYPES] = { 8, 128, 64 };
+
+/* ---- a random cluster ---- */
+
+static guint
+random_below (Fixture *fixture, guint limit)
+{
+  return (guint)g_rand_int_range (fixture->random, 0, (gint)limit);
+}
+
+static MhJobSpec *
+random_spec (Fixture *fixture)
+{
+  MhJobSpec *spec = g_new0 (MhJobSpec, 1);
+  bool service = random_below (fixture, 2);
+  spec->id = g_strdup_printf ("j-%06u", ++fixture->jobs);
+  spec->class_name = g_strdup (service ? "live" : "batch");
+  spec->team = g_strdup ("red");
+  spec->image = g_strdup_printf ("img-%u", random_below (fixture, 6));
+  spec->image_gb = 1 + random_below (fixture, 4);
+  spec->shape = service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY;
+  spec->priority = service ? MH_PRIORITY_HIGH : MH_PRIORITY_NORMAL;
+  spec->tasks = 1 + random_below (fixture, service ? 5 : 16); /* all in one pass */
+  spec->cpus = 1 + random_below (fixture, 3);
+  spec->mem_gb = 1 + random_below (fixture, 5);
+  spec->spot = !service;
+  spec->zone = random_below (fixture, 5) ? NULL : g_strdup (zones[random_below (fixture, ZONES)]);
+  spec->one_zone = !service && random_below (fixture, 6) == 0;
+  spec->scatter = random_below (fixture, 6) == 0;
+  spec->estimate_us = service ? 0 : (gint64)(5 + random_below (fixture, 60)) * MH_SECOND_US;
+  spec->deadline_us = -1;
+  return spec;
+}
+
+static MhJob *
+add_job (Fixture *fixture)
+{
+  const MhNow *now = &fixture->core->now;
+  MhJobSpec *spec = random_spec (fixture);
+  gint64 age_us = (gint64)random_below (fixture, 9) * MH_SECOND_US;
+  MhJob *job = mh_job_new (spec, 0, 32768, now->wall_us - age_us, now);
+  job->accepted = true;
+  g_hash_table_insert (fixture->core->jobs, spec->id, job);
+  return job;
+}
+
+static MhSettings *
+settings_new (void)
+{
+  MhSettings *settings = mh_settings_new ();
+  settings->report_us = 3 * MH_SECOND_US;
+  settings->value_bytes = 32768;
+  settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
+  MhTeam *team = g_new0 (MhTeam, 1);
+  *team = (MhTeam){ .name = g_strdup ("red"), .cpus = 1e6, .cpus_max = 1e6 };
+  g_ptr_array_add (settings->teams, team);
+  return settings;
+}
+
+static void
+add_types (MhCore *core)
+{
+  GPtrArray *types = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
+  for (guint i = 0; i < TYPES; i++)
+    {
+      MhMachineType *type = g_new0 (MhMachineType, 1);
+      type->name = g_strdup_printf ("type-%u", i);
+      type->cpus = type_cpus[i];
+      type->mem_gb = type_mem_gb[i];
+      type->cache_gb = 50;
+      type->fetch_gb_per_s = 0.5;
+      type->price = 0.3 * (i + 1) * (i + 1);
+      type->spot_price = type->price / 3;
+      type->zones = g_strdupv ((char **)(const char *[]){ "a", "b", "c", "d", NULL });
+      g_ptr_array_add (types, type);
+    }
+  mh_cluster_set_types (core, types);
+}
+
+static MhMachine *
+add_machine (Fixture *fixture, guint index)
+{
+  g_autofree char *name = g_strdup_printf ("vm-%03u", index);
+  g_autofree char *type = g_strdup_printf ("type-%u", random_below (fixture, TYPES));
+  const char *zone = zones[random_below (fixture, ZONES)];
+  MhMachine *machine
+      = mh_cluster_add_machine (fixture->core, name, type, zone, random_below (fixture, 3) == 0);
+  machine->heartbeat.reported = random_below (fixture, 10) > 0;
+  machine->boot.rented_us = 0; /* none that is about to come */
+  if (random_below (fixture, 12) == 0)
+    machine->draining = true;
+  if (random_below (fixture, 12) == 0)
+    machine->notice_until_us = fixture->core->now.mono_us + MH_SECOND_US;
+  for (guint i = random_below (fixture, 4); i > 0; i--)
+    {
+      g_autofree char *image = g_strdup_printf ("img-%u", random_below (fixture, 6));
+      g_autoptr (GRefString) interned = g_ref_string_new_intern (image);
+      mh_machine_add_image (machine, interned, 2);
+    }
+  return machine;
+}
+
+static bool
+has_room (const MhMachine *machine, const MhJobSpec *spec)
+{
+  return machine->usage.cpus + spec->cpus <= machine->type->cpus
+         && machine->usage.mem_gb + spec->mem_gb <= machine->type->mem_gb;
+}
+
+/* Some tasks of the job run somewhere. */
+static void
+run_some_tasks (Fixture *fixture, MhJob *job)
+{
+  for (guint i = 0; i < job->spec->tasks; i++)
+    {
+      MhMachine *machine = fixture->machines[random_below (fixture, MACHINES)];
+      if (has_room (machine, job->spec) && random_below (fixture, 3))
+        mh_attempt_new (fixture->core, job, i, 1, machine)->phase = MH_TASK_RUNNING;
+    }
+}
+
+static void
+set_up (Fixture *fixture, guint32 seed)
+{
+  MhNow now = { .mono_us = 1000 * MH_SECOND_US, .wall_us = 2000 * MH_SECOND_US };
+  *fixture = (Fixture){ .random = g_rand_new_with_seed (seed),
+                        .settings = settings_new (),
+                        .live_zones = g_array_new (FALSE, FALSE, sizeof (char *)) };
+  fixture->core = mh_core_new (fixture->settings, &now);
+  add_types (fixture->core);
+  for (guint i = 0; i < MACHINES; i++)
+    fixture->machines[i] = add_machine (fixture, i);
+  for (guint i = 0; i < JOBS / 3; i++)
+    run_some_tasks (fixture, add_job (fixture));
+  while (fixture->jobs < JOBS)
+    add_job (fixture);
+}
+
+static void
+tear_down (Fixture *fixture)
+{
+  mh_core_free (fixture->core);
+  mh_settings_free (fixture->settings);
+  g_rand_free (fixture->random);
+  g_array_unref (fixture->live_zones);
+}
+
+/* ---- the plain walk ---- */
+
+static double
+cost_of (const MhJobSpec *spec, double wait_us, double cpu_price)
+{
+  /* Within a quota and without an objective: soon. */
+  double slack_us = 3e6;
+  if (spec->shape != MH_SHAPE_SERVICE)
+    return cpu_price * (wait_us + (double)spec->estimate_us + 1e6)
+           * (wait_us > slack_us ? 1000 : 1);
+  if (wait_us <= 0)
+    return 0;
+  return wait_us <= slack_us ? 1 : 2 + floor (wait_us / 10000000);
+}
+
+/* The documented order, worked out afresh. */
+static void
+work_out_keys (const Fixture *fixture, PlainWalk *walk, guint index)
+{
+  const MhMachine *machine = fixture->machines[index];
+  const MhJobSpec *spec = walk->job->spec;
+  double *keys = walk->keys[index];
+  double wait_us
+      = (double)mh_machine_image_wait_us (fixture->core, machine, walk->job->image, spec->image_gb);
+  double cpu_price = mh_machine_hourly_price (machine) / machine->type->cpus;
+  memset (keys, 0, KEYS * sizeof *keys);
+  keys[KEY_COST] = cost_of (spec, wait_us, cpu_price);
+  if (spec->shape == MH_SHAPE_SERVICE)
+    {
+      guint most = MAX (1, mh_cluster_service_replicas (fixture->core) / 24);
+      guint replicas = machine->usage.replicas;
+      keys[KEY_ABOVE_PRICE_CAP] = mh_machine_hourly_price (machine) > 2 * walk->lowest_price;
+      keys[KEY_REPLICAS] = replicas < most ? most - replicas : replicas + 1;
+    }
+  keys[KEY_CPU_PRICE] = cpu_price;
+  keys[KEY_UNUSED_CPUS] = machine->type->cpus - machine->usage.cpus;
+}
+
+/* The only zone in which the next task may run; NULL: any. */
+static const char *
+only_zone (const Fixture *fixture, const MhJobSpec *spec)
+{
+  if (spec->one_zone && fixture->live_zones->len)
+    return g_array_index (fixture->live_zones, const char *, 0);
+  return spec->zone;
+}
+
+static bool
+zone_is (const char *only, const char *zone)
+{
+  return only == NULL || strcmp (only, zone) == 0;
+}
+
+static guint
+tasks_in (const Fixture *fixture, const char *zone)
+{
+  guint count = 0;
+  for (guint i = 0; i < fixture->live_zones->len; i++)
+    count += strcmp (zone, g_array_index (fixture->live_zones, const char *, i)) == 0;
+  return count;
+}
+
+/* A zone counts when a machine there is live and the job may run in it. */
+static bool
+zone_counts (const Fixture *fixture, const char *only, const char *zone)
+{
+  if (!zone_is (only, zone))
+    return false;
+  for (guint i = 0; i < MACHINES; i++)
+    if (fixture->machines[i]->heartbeat.reported && strcmp (fixture->machines[i]->zone, zone) == 0)
+      return true;
+  return false;
+}
+
+static bool
+zone_allows (const Fixture *fixture, const MhJobSpec *spec, const char *zone)
+{
+  const char *only = only_zone (fixture, spec);
+  guint here = tasks_in (fixture, zone), least = G_MAXUINT;
+  if (!zone_counts (fixture, only, zone))
+    return false;
+  for (guint i = 0; i < ZONES; i++)
+    if (zone_counts (fixture, only, zones[i]))
+      least = MIN (least, tasks_in (fixture, zones[i]));
+  if (spec->scatter && here + 1 > (spec->tasks + 1) / 2)
+    return false;
+  return spec->shape != MH_SHAPE_SERVICE || here < least + 1;
+}
+
+static bool
+admits (const Fixture *fixture, const MhJobSpec *spec, const MhMachine *machine)
+{
+  bool usable = machine->heartbeat.reported && !machine->draining && machine->notice_until_us < 0;
+  return usable && (!machine->spot || spec->spot) && spec->cpus <= machine->type->cpus
+         && spec->mem_gb <= machine->type->mem_gb
+         && zone_is (only_zone (fixture, spec), machine->zone);
+}
+
+static void
+begin_walk (Fixture *fixture, PlainWalk *walk, MhJob *job)
+{
+  *walk = (PlainWalk){ .job = job, .lowest_price = G_MAXDOUBLE };
+  g_array_set_size (fixture->live_zones, 0);
+  for (guint i = 0; i < job->spec->tasks; i++)
+    if (job->tasks[i].live)
+      g_array_append_val (fixture->live_zones, job->tasks[i].live->machine->zone);
+  for (guint i = 0; i < MACHINES; i++)
+    {
+      const MhMachine *machine = fixture->machines[i];
+      walk->admits[i] = admits (fixture, job->spec, machine);
+      if (walk->admits[i])
+        walk->lowest_price = MIN (walk->lowest_price, mh_machine_hourly_price (machine));
+    }
+  for (guint i = 0; i < MACHINES; i++)
+    work_out_keys (fixture, walk, i);
+}
+
+static bool
+comes_before (const Fixture *fixture, const PlainWalk *walk, guint left, guint right)
+{
+  for (guint i = 0; i < KEYS; i++)
+    if (walk->keys[left][i] != walk->keys[right][i])
+      return walk->keys[left][i] < walk->keys[right][i];
+  return strcmp (fixture->machines[left]->name, fixture->machines[right]->name) < 0;
+}
+
+/* The index of the best machine for the next task; MACHINES: there is none. */
+static guint
+best_machine (const Fixture *fixture, const PlainWalk *walk)
+{
+  const MhJobSpec *spec = walk->job->spec;
+  guint best = MACHINES;
+  for (guint i = 0; i < MACHINES; i++)
+    {
+      const MhMachine *machine = fixture->machines[i];
+      if (!walk->admits[i] || !has_room (machine, spec)
+          || !zone_allows (fixture, spec, machine->zone))
+        continue;
+      if (best == MACHINES || comes_before (fixture, walk, i, best))
+        best = i;
+    }
+  return best;
+}
+
+static char *
+placed (const MhJob *job, guint task, const MhMachine *machine)
+{
+  return g_strdup_printf ("%s/%u on %s", job->spec->id, task, machine->name);
+}
+
+/* A service's own start is seen by its next task; nothing else has changed meanwhile. */
+static void
+update_keys (const Fixture *fixture, PlainWalk *walk, guint index)
+{
+  PlainWalk afresh = *walk;
+  if (walk->job->spec->shape != MH_SHAPE_SERVICE)
+    return;
+  work_out_keys (fixture, &afresh, index);
+  walk->keys[index][KEY_REPLICAS] = afresh.keys[index][KEY_REPLICAS];
+  walk->keys[index][KEY_UNUSED_CPUS] = afresh.keys[index][KEY_UNUSED_CPUS];
+}
+
+static void
+place_plainly (Fixture *fixture, MhJob *job, GPtrArray *expected)
+{
+  PlainWalk walk;
+  begin_walk (fixture, &walk, job);
+  for (guint i = 0; i < job->spec->tasks; i++)
+    {
+      if (job->tasks[i].state != MH_TASK_PENDING)
+        continue;
+      guint best = best_machine (fixture, &walk);
+      if (best == MACHINES)
+        return;
+      MhMachine *machine = fixture->machines[best];
+      mh_attempt_new (fixture->core, job, i, 1, machine);
+      update_keys (fixture, &walk, best);
+      g_array_append_val (fixture->live_zones, machine->zone);
+      g_ptr_array_add (expected, placed (job, i, machine));
+    }
+}
+
+static GPtrArray *
+place_all_plainly (Fixture *fixture)
+{
+  MhCore *core = fixture->core;
+  GPtrArray *expected = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) queue = mh_job_queue_pending (core->job_queue, MH_JOB_QUEUE_ACCEPTED,
+                                                      mh_cluster_types (core), core->now.mono_us);
+  for (guint i = 0; i < queue->len; i++)
+    {
+      MhJob *job = g_ptr_array_index (queue, i);
+      /* A job with a task on a machine that has not reported waits: its counts are not known. */
+      if (job->n_unreported == 0)
+        place_plainly (fixture, job, expected);
+    }
+  return expected;
+}
+
+/* ---- the pass ---- */
+
+/* Calls `func` for each live attempt. */
+static void
+for_each_attempt (Fixture *fixture, GFunc func, gpointer data)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, fixture->core->jobs);
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    {
+      const MhJob *job = value;
+      for (guint i = 0; i < job->spec->tasks; i++)
+        if (job->tasks[i].live)
+          func (job->tasks[i].live, data);
+    }
+}
+
+static void
+add_to_set (gpointer attempt, gpointer set)
+{
+  g_hash_table_add (set, attempt);
+}
+
+typedef struct
+{
+  GHashTable *before;
+  GPtrArray *placed;
+} NewAttempts;
+
+static void
+add_if_new (gpointer data, gpointer user_data)
+{
+  const MhAttempt *attempt = data;
+  const NewAttempts *attempts = user_data;
+  if (!g_hash_table_contains (attempts->before, attempt))
+    g_ptr_array_add (attempts->placed, placed (attempt->job, attempt->index, attempt->machine));
+}
+
+static GPtrArray *
+run_pass (Fixture *fixture)
+{
+  g_autoptr (GHashTable) before = g_hash_table_new (NULL, NULL);
+  NewAttempts attempts = { .before = before, .placed = g_ptr_array_new_with_free_func (g_free) };
+  for_each_attempt (fixture, add_to_set, before);
+  mh_placement_run (fixture->core->placement, fixture->core);
+  for_each_attempt (fixture, add_if_new, &attempts);
+  return attempts.placed;
+}
+
+/* ---- both ---- */
+
+static gint
+compare_text (gconstpointer left, gconstpointer right)
+{
+  return strcmp (*(char *const *)left, *(char *const *)right);
+}
+
+/* A short cut of the pass would start tasks on other machines than the documentation says. */
+static void
+test_against_plain_walk (gconstpointer data)
+{
+  Fixture fixture, plain; /* alike */
+  set_up (&fixture, GPOINTER_TO_UINT (data));
+  set_up (&plain, GPOINTER_TO_UINT (data));
+  g_autoptr (GPtrArray) expected = place_all_plainly (&plain);
+  g_autoptr (GPtrArray) actual = run_pass (&fixture);
+  g_ptr_array_sort (expected, compare_text);
+  g_ptr_array_sort (actual, compare_text);
+  for (guint i = 0; i < MIN (expected->len, actual->len); i++)
+    g_assert_cmpstr (g_ptr_array_index (actual, i), ==, g_ptr_array_index (expected, i));
+  g_assert_cmpuint (actual->len, ==, expected->len);
+  g_assert_cmpuint (actual->len, >, 0);
+  tear_down (&fixture);
+  tear_down (&plain);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  for (guint seed = 1; seed <= 30; seed++)
+    {
+      g_autofree char *path = g_strdup_printf ("/placement/order/plain-walk/%u", seed);
+      g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_against_plain_walk);
+    }
+  return g_test_run ();
+}
