--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -73,10 +73,10 @@
 void
 mh_release_machine (MhCore *core, MhMachine *m, const char *why)
 {
-  if (m->releasing)
+  if (mh_machine_is_releasing (m))
     return;
   mh_info (core, "machine %s: given back: %s", m->name, why);
-  m->releasing = true;
+  mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
   core->scale.lost_cpus += m->usage.cpus;
   const char *names[] = { m->name, NULL };
   want (core, g_strdupv ((char **)names), NULL);
@@ -94,7 +94,7 @@
   (void)body;
   if (status != 200)
     {
-      core->cloud_pause_us = core->now.mono_us + 500000 + (gint64)(core->now.jitter * 500000);
+      mh_call_queue_pause_cloud (core->calls, 500000, 500000);
       call (core, p);
       return;
     }
@@ -112,7 +112,7 @@
 static void
 call (MhCore *core, Parcel *p)
 {
-  mh_core_call (core, MH_RANK_RULES, mh_wire_release (p->names), 0, CLOUD_TIMEOUT_US, call_reply,
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_release (p->names), 0, CLOUD_TIMEOUT_US, call_reply,
                 g_rc_box_acquire (p), parcel_unref);
 }
 
@@ -135,7 +135,7 @@
     mh_leader_lost (core, "the state service calls a record malformed");
   else
     {
-      mh_core_state_call_failed (core, status);
+      mh_call_queue_store_failed (core->calls, status);
       write_down (core, p);
     }
 }
@@ -154,7 +154,7 @@
       g_array_append_val (changes, drop);
     }
   mh_core_call (
-      core, MH_RANK_RULES,
+      core, MH_CALL_SAFETY,
       mh_wire_txn (conditions, G_N_ELEMENTS (conditions), (MhChange *)changes->data, changes->len),
       changes->len, STATE_TIMEOUT_US, write_reply, g_rc_box_acquire (p), parcel_unref);
 }
@@ -169,7 +169,7 @@
       MhMachine *m = mh_cluster_find_machine (core, *name);
       if (m == NULL)
         m = mh_cluster_add_machine (core, *name, NULL, NULL, false);
-      m->releasing = true;
+      mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
     want (core, names, g_strdup (e->key));
@@ -189,10 +189,10 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
-      if (!m->heartbeat.reported || m->releasing || m->attempts->len
+      if (!m->heartbeat.reported || mh_machine_is_releasing (m) || m->attempts->len
           || m->heartbeat.unreadable_tasks)
         continue;
-      if (m->notice_until_us >= 0 || m->draining)
+      if (m->notice_until_us >= 0 || mh_machine_is_draining (m))
         mh_release_machine (core, m, "empty, as was wanted");
       else if (now - m->idle_since_us > core->settings->idle_us
                && now - m->boot.rented_us > MH_LEAST_PAID_US)
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -75,7 +75,7 @@
 probe_failed (MhCore *core, MhMachine *machine)
 {
   /* The answer may have come while this process stood still, and the time-out with it. */
-  if (machine->probe.first_sent_us > core->awake_us
+  if (machine->probe.first_sent_us > mh_runtime_resumed_us (core->runtime)
       && ++machine->probe.failures < MAX_FAILED_PROBES)
     probe (core, machine);
 }
@@ -87,7 +87,7 @@
 worker_has_begun_anew (const MhMachine *machine, const MhReport *report)
 {
   const MhMachineProbe *asked = &machine->probe;
-  return machine->heartbeat.reported && !machine->releasing
+  return machine->heartbeat.reported && !mh_machine_is_releasing (machine)
          && (report->session < asked->session
              || (report->session == asked->session && report->sequence < asked->sequence));
 }
@@ -121,7 +121,7 @@
   machine->probe.in_flight = true;
   machine->probe.session = heartbeat->reported ? heartbeat->session : 0;
   machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_show (machine->endpoint), 0, PROBE_TIMEOUT_US,
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_show (machine->endpoint), 0, PROBE_TIMEOUT_US,
                 probe_answered, g_strdup (machine->name), g_free);
 }
 
@@ -244,7 +244,7 @@
 count_machine (MhCore *core, const MhMachine *machine, Census *census)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  if (machine->releasing || !(heartbeat->reported || machine->attempts->len))
+  if (mh_machine_is_releasing (machine) || !(heartbeat->reported || machine->attempts->len))
     return;
   census->machines++;
   census->with_replicas += machine->usage.replicas > 0;
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -40,6 +40,7 @@
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   bool first = !heartbeat->reported;
   heartbeat->reported = true;
+  mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
   heartbeat->last_message_us = core->now.mono_us;
   if (source == MH_MESSAGE_ANSWER)
     heartbeat->ignored_answers = 0;
@@ -109,7 +110,7 @@
 static void
 note_unverified_report (MhCore *core, MhMachine *machine, const MhReport *report)
 {
-  if (machine == NULL || machine->heartbeat.reported || machine->releasing)
+  if (machine == NULL || machine->heartbeat.reported || mh_machine_is_releasing (machine))
     return;
   if (machine->endpoint == NULL)
     machine->endpoint = g_strdup (report->endpoint);
@@ -217,7 +218,7 @@
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
   if (status == STATUS_OK && mh_leader_valid (core))
-    action->until_us = core->leader.valid_until_us;
+    action->lease_until_us = core->leader.valid_until_us;
 }
 
 /* One that this leadership knew is known no more when it has been given back. */
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -23,21 +23,23 @@
 static bool
 is_live (const MhMachine *machine)
 {
-  return machine->heartbeat.reported && !machine->releasing && machine->zone && machine->type;
+  return machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->zone
+         && machine->type;
 }
 
 static bool
 is_usable (const MhPlacementPass *pass, const MhMachine *machine)
 {
-  return is_live (machine) && !machine->draining && !machine->heartbeat.ignored_answers
-         && machine->notice_until_us < 0 && pass->now_us >= machine->no_start_before_us
+  return is_live (machine) && !mh_machine_is_draining (machine)
+         && !machine->heartbeat.ignored_answers && machine->notice_until_us < 0
+         && pass->now_us >= machine->no_start_before_us
          && !mh_failure_is_report_overdue (pass->core, machine);
 }
 
 static void
 add_arrival (MhPlacementPass *pass, const MhMachine *machine)
 {
-  if (machine->heartbeat.reported || machine->releasing || machine->type == NULL
+  if (machine->heartbeat.reported || mh_machine_is_releasing (machine) || machine->type == NULL
       || machine->zone == NULL || machine->boot.late_age_us)
     return;
   gint64 boot_us = machine->type->boot_us;
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -126,9 +126,11 @@
   MhMachine *machine
       = mh_cluster_add_machine (fixture->core, name, type, zone, random_below (fixture, 3) == 0);
   machine->heartbeat.reported = random_below (fixture, 10) > 0;
+  if (machine->heartbeat.reported)
+    mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
   machine->boot.rented_us = 0; /* none that is about to come */
-  if (random_below (fixture, 12) == 0)
-    machine->draining = true;
+  if (random_below (fixture, 12) == 0 && machine->heartbeat.reported)
+    mh_machine_change_state (machine, MH_MACHINE_EVENT_DRAIN_STARTED);
   if (random_below (fixture, 12) == 0)
     machine->notice_until_us = fixture->core->now.mono_us + MH_SECOND_US;
   for (guint i = random_below (fixture, 4); i > 0; i--)
@@ -277,7 +279,8 @@
 static bool
 admits (const Fixture *fixture, const MhJobSpec *spec, const MhMachine *machine)
 {
-  bool usable = machine->heartbeat.reported && !machine->draining && machine->notice_until_us < 0;
+  bool usable = machine->heartbeat.reported && !mh_machine_is_draining (machine)
+                && machine->notice_until_us < 0;
   return usable && (!machine->spot || spec->spot) && spec->cpus <= machine->type->cpus
          && spec->mem_gb <= machine->type->mem_gb
          && zone_is (only_zone (fixture, spec), machine->zone);
