--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -31,9 +31,9 @@
   g_hash_table_iter_init (&it, core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (!mh_job_is_over (value))
-      waiting += mh_quota_allowed_tasks (core->settings,
-                                         mh_cluster_team_use (core, ((MhJob *)value)->spec->team),
-                                         value, &none, mh_task_failure_startable (core, value));
+      waiting += mh_quota_allowed_tasks (
+          core->settings, mh_cluster_team_use (core->cluster, ((MhJob *)value)->spec->team), value,
+          &none, mh_task_failure_startable (core->cluster, value));
   return waiting;
 }
 
@@ -41,7 +41,7 @@
 static bool
 may_rent (const MhCore *core)
 {
-  return core->leader.rebuilt && mh_cluster_types (core) && core->scale.listed
+  return core->leader.rebuilt && mh_cluster_types (core->cluster) && core->scale.listed
          && !core->scale.renting
          && (core->leader.own_epoch == 1
              || core->now.mono_us - core->leader.since_us > core->settings->list_lag_us);
@@ -63,7 +63,7 @@
     return "its next try";
   if (job->n_unreported && !core->leader.rebuilt)
     return "reports of the machines that it may be on";
-  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core, job->spec->team), job,
+  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core->cluster, job->spec->team), job,
                       job->spec->cpus, job->spec->gpus))
     return "its team's limit";
   return "room on a machine that suits it";
@@ -102,7 +102,7 @@
   double all = 0, used = 0, an_hour = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -27,12 +27,12 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
       if (!steady (m) || mh_machine_is_draining (m)
-          || mh_cluster_is_silent (core, m, core->settings->report_us * 2))
+          || mh_cluster_is_silent (core->cluster, m, core->settings->report_us * 2))
         continue;
       staying->all += m->type->cpus;
       staying->used += m->usage.cpus;
@@ -114,7 +114,7 @@
   if (m->attempts->len == 0)
     return;
   MhAttempt *a = mh_machine_attempt (m, 0);
-  mh_attempt_stop (core, a, mh_job_grace_us (a->job));
+  mh_attempt_stop (core->cluster, a, mh_job_grace_us (a->job));
 }
 
 /* A machine that holds a few replicas long after the work it was rented for costs as much as a full
@@ -130,7 +130,7 @@
   gpointer value;
   if (!waiting)
     look_for_room (core, &staying);
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -58,7 +58,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -67,15 +67,16 @@
     }
   for (guint i = 0; i < plan->rooms->len; i++)
     (*zone_load (plan, g_array_index (plan->rooms, MhRoom, i).zone))++;
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core->cluster), i);
       for (char **zone = t->zones; zone && *zone; zone++)
         for (int spot = 0; spot < 2; spot++)
           {
             g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
             /* What comes up in a zone that is cut off is of no use until that is over. */
-            if (mh_rental_refused (core, t, *zone, spot) || mh_zone_is_partitioned (core, name))
+            if (mh_rental_refused (core, t, *zone, spot)
+                || mh_zone_is_partitioned (core->cluster, name))
               continue;
             Kind k = { .type = t,
                        .zone = g_ref_string_acquire (name),
@@ -142,7 +143,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -176,7 +177,7 @@
   gint64 now = core->now.mono_us;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
@@ -227,9 +228,9 @@
   if (s->shape != MH_SHAPE_ARRAY)
     return 0;
   gint64 soonest = G_MAXINT64;
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core->cluster), i);
       if (mh_job_spec_fits_type (s, t))
         soonest = MIN (soonest, t->boot_us);
     }
@@ -351,7 +352,8 @@
       MhJob *job = value;
       job->placement.expected_run_us
           = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
-      job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
+      job->placement.expected_fetch_us
+          = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core->cluster));
     }
 }
 
@@ -363,7 +365,8 @@
   /* A hundred jobs that come at once are on record only seconds later, and machines take long to
      come. But what is not on record has not been placed either: once there are machines, those jobs
      may find room on them, and machines were rented for each beside free ones. */
-  MhJobQueueScope scope = mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  MhJobQueueScope scope
+      = mh_zone_any_heard (core->cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
   g_autoptr (GPtrArray) queue = mh_job_queue_pending (core, scope);
   if (queue->len == 0)
     return;
@@ -383,8 +386,9 @@
           g_hash_table_insert (asked, s->team, use);
         }
       /* Machines once were rented for all tasks of jobs that fail everywhere, and stood idle. */
-      guint n = mh_quota_allowed_tasks (core->settings, mh_cluster_team_use (core, job->spec->team),
-                                        job, use, mh_task_failure_rentable (core, job));
+      guint n = mh_quota_allowed_tasks (core->settings,
+                                        mh_cluster_team_use (core->cluster, job->spec->team), job,
+                                        use, mh_task_failure_rentable (core->cluster, job));
       use->cpus += s->cpus * n;
       use->gpus += s->gpus * n;
       if (n > 0)
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -17,21 +17,21 @@
   core->scale.types_us = core->now.mono_us + (types ? TYPES_US : MH_SECOND_US);
   if (types == NULL)
     return;
-  mh_cluster_set_types (core, types);
+  mh_cluster_set_types (core->cluster, types);
 }
 
 static void
 listed (MhCore *core, const MhListedMachine *l)
 {
-  MhMachine *m = mh_cluster_find_machine (core, l->name);
-  if (mh_cluster_was_released (core, l->name) || (m && mh_machine_is_releasing (m)))
+  MhMachine *m = mh_cluster_find_machine (core->cluster, l->name);
+  if (mh_cluster_was_released (core->cluster, l->name) || (m && mh_machine_is_releasing (m)))
     return; /* lists lag */
   if (m == NULL || m->type_name == NULL)
     {
       if (m == NULL)
-        m = mh_cluster_add_machine (core, l->name, l->type, l->zone, l->spot);
+        m = mh_cluster_add_machine (core->cluster, l->name, l->type, l->zone, l->spot);
       else
-        mh_cluster_identify_machine (core, m, l->type, l->zone, l->spot);
+        mh_cluster_identify_machine (core->cluster, m, l->type, l->zone, l->spot);
       m->boot.rented_us = core->now.mono_us - l->age_us;
       m->endpoint = m->endpoint ? m->endpoint : g_strdup (l->endpoint);
     }
@@ -90,7 +90,7 @@
     {
       core->scale.types_busy = true;
       /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
-      mh_core_call (core, mh_cluster_types (core) ? MH_CALL_WORK : MH_CALL_LEASE,
+      mh_core_call (core, mh_cluster_types (core->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
                     mh_wire_machine_types (), 0, CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
     }
   if (!core->scale.list_busy && now >= core->scale.list_us)
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -100,10 +100,10 @@
     }
   for (char **name = p->names; *name; name++)
     {
-      MhMachine *m = mh_cluster_find_machine (core, *name);
+      MhMachine *m = mh_cluster_find_machine (core->cluster, *name);
       mh_debug (core, "machine %s: confirmed gone", *name);
       if (m)
-        mh_cluster_machine_released (core, m);
+        mh_cluster_machine_released (core->cluster, m);
     }
   mh_store_drop (core, p->key);
   core->release.under_way--;
@@ -166,9 +166,9 @@
   char **names = mh_record_read_release (e->value);
   for (char **name = names; name && *name; name++)
     {
-      MhMachine *m = mh_cluster_find_machine (core, *name);
+      MhMachine *m = mh_cluster_find_machine (core->cluster, *name);
       if (m == NULL)
-        m = mh_cluster_add_machine (core, *name, NULL, NULL, false);
+        m = mh_cluster_add_machine (core->cluster, *name, NULL, NULL, false);
       mh_machine_change_state (m, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
@@ -185,7 +185,7 @@
   gint64 now = core->now.mono_us;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *m = value;
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -63,9 +63,10 @@
            r->zone);
   core->scale.lost_cpus = MAX (0, core->scale.lost_cpus - r->cpus * got);
   for (guint i = 0; i < got; i++)
-    if (mh_cluster_find_machine (core, names[i]) == NULL
-        && !mh_cluster_was_released (core, names[i]))
-      mh_cluster_add_machine (core, names[i], r->type, r->zone, r->spot)->boot.rented_here = true;
+    if (mh_cluster_find_machine (core->cluster, names[i]) == NULL
+        && !mh_cluster_was_released (core->cluster, names[i]))
+      mh_cluster_add_machine (core->cluster, names[i], r->type, r->zone, r->spot)->boot.rented_here
+          = true;
   if (got < r->count)
     rental_refused (core, r, r->count - got, true);
 }
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -13,28 +13,28 @@
 /* ---- what attempts occupy ---- */
 
 static MhUse *
-team_use (MhCore *core, const char *team_name)
+team_use (MhCluster *cluster, const char *team_name)
 {
-  MhUse *use = g_hash_table_lookup (core->cluster->team_use, team_name);
+  MhUse *use = g_hash_table_lookup (cluster->team_use, team_name);
   if (use == NULL)
     {
-      const MhTeam *team = mh_settings_team (core->settings, team_name);
+      const MhTeam *team = mh_settings_team (cluster->settings, team_name);
       use = g_new0 (MhUse, 1);
       /* A team that the settings no longer name still has its name in its jobs' specs, but those
          go away; the settings' copy stays. */
       const char *key = team ? team->name : g_intern_string (team_name);
-      g_hash_table_insert (core->cluster->team_use, (gpointer)key, use);
+      g_hash_table_insert (cluster->team_use, (gpointer)key, use);
     }
   return use;
 }
 
 /* `sign` 1: the attempt occupies its share from now on; -1: no longer. */
 static void
-account (MhCore *core, const MhAttempt *attempt, int sign)
+account (MhCluster *cluster, const MhAttempt *attempt, int sign)
 {
   const MhJobSpec *spec = attempt->job->spec;
   MhMachine *machine = attempt->machine;
-  MhUse *team = team_use (core, spec->team);
+  MhUse *team = team_use (cluster, spec->team);
   team->cpus += sign * spec->cpus;
   team->gpus += sign * spec->gpus;
   machine->usage.cpus += sign * spec->cpus;
@@ -43,14 +43,14 @@
   if (spec->shape == MH_SHAPE_SERVICE)
     {
       machine->usage.replicas += sign;
-      core->cluster->service_replicas += sign;
+      cluster->service_replicas += sign;
     }
   if (!machine->heartbeat.reported)
     attempt->job->n_unreported += sign;
 }
 
 MhAttempt *
-mh_attempt_new (MhCore *core, MhJob *job, guint index, guint32 number, MhMachine *machine)
+mh_attempt_new (MhCluster *cluster, MhJob *job, guint index, guint32 number, MhMachine *machine)
 {
   MhTask *task = &job->tasks[index];
   MhAttempt *attempt = g_new0 (MhAttempt, 1);
@@ -58,21 +58,21 @@
   attempt->index = index;
   attempt->attempt = task->attempt = number;
   attempt->machine = machine;
-  attempt->placed_us = core->now.mono_us;
+  attempt->placed_us = mh_runtime_now_us (cluster->runtime);
   attempt->phase = MH_TASK_FETCHING;
   task->live = attempt;
   task->state = MH_TASK_LIVE;
   job->n_live++;
   g_ptr_array_add (machine->attempts, attempt);
-  account (core, attempt, 1);
+  account (cluster, attempt, 1);
   return attempt;
 }
 
 MhAttempt *
-mh_attempt_new_from_record (MhCore *core, MhJob *job, guint index, guint32 number,
+mh_attempt_new_from_record (MhCluster *cluster, MhJob *job, guint index, guint32 number,
                             MhMachine *machine)
 {
-  MhAttempt *attempt = mh_attempt_new (core, job, index, number, machine);
+  MhAttempt *attempt = mh_attempt_new (cluster, job, index, number, machine);
   attempt->start = MH_START_BY_EARLIER_LEADER;
   return attempt;
 }
@@ -99,17 +99,18 @@
 }
 
 static void
-set_running (MhCore *core, MhAttempt *attempt, bool running)
+set_running (MhCluster *cluster, MhAttempt *attempt, bool running)
 {
   MhJob *job = attempt->job;
-  gint64 now_us = core->now.mono_us;
+  gint64 now_us = mh_runtime_now_us (cluster->runtime);
   if (running && attempt->running_since_us == 0)
     {
       attempt->running_since_us = now_us;
       job->n_running++;
-      mh_debug (core, "task running job=%s task=%u machine=%s since_submission_s=%.1f",
-                job->spec->id, attempt->index, attempt->machine->name,
-                (double)(now_us - job->submitted_us) / MH_SECOND_US);
+      mh_log_debug (cluster->runtime,
+                    "task running job=%s task=%u machine=%s since_submission_s=%.1f", job->spec->id,
+                    attempt->index, attempt->machine->name,
+                    (double)(now_us - job->submitted_us) / MH_SECOND_US);
     }
   else if (!running && attempt->running_since_us)
     {
@@ -119,7 +120,7 @@
 }
 
 void
-mh_attempt_note_shown (MhCore *core, MhAttempt *attempt, MhTaskPhase phase)
+mh_attempt_note_shown (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase)
 {
   bool running = phase == MH_TASK_RUNNING || phase == MH_TASK_SAVING;
   attempt->shown = attempt->shown_now = true;
@@ -127,36 +128,37 @@
   if (phase != MH_TASK_ENDED)
     change_state (attempt,
                   running ? MH_ATTEMPT_EVENT_SHOWN_RUNNING : MH_ATTEMPT_EVENT_SHOWN_WAITING);
-  set_running (core, attempt, running);
+  set_running (cluster, attempt, running);
   if (phase == MH_TASK_GATHERING)
-    mh_job_gang_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING, core->now.mono_us);
+    mh_job_gang_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING,
+                       mh_runtime_now_us (cluster->runtime));
 }
 
 /* ---- the end ---- */
 
 void
-mh_attempt_finish_job_if_over (MhCore *core, MhJob *job)
+mh_attempt_finish_job_if_over (MhCluster *cluster, MhJob *job)
 {
   bool over = mh_job_is_cancelled (job) ? job->n_live == 0 : job->n_done == job->spec->tasks;
   if (!over || mh_job_is_finished (job))
     return;
   job->completion = MH_COMPLETION_UNWRITTEN;
-  mh_store_touch (core, &job->records[0],
+  mh_store_touch (cluster->core, &job->records[0],
                   mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
 }
 
 /* Out of all accounts; the attempt itself is left to the caller. */
 static void
-detach (MhCore *core, MhAttempt *attempt)
+detach (MhCluster *cluster, MhAttempt *attempt)
 {
   MhMachine *machine = attempt->machine;
   change_state (attempt, MH_ATTEMPT_EVENT_PROVEN_OVER);
-  set_running (core, attempt, false);
-  account (core, attempt, -1);
+  set_running (cluster, attempt, false);
+  account (cluster, attempt, -1);
   g_ptr_array_remove_fast (machine->attempts, attempt);
   if (machine->attempts->len == 0)
     {
-      machine->idle_since_us = core->now.mono_us;
+      machine->idle_since_us = mh_runtime_now_us (cluster->runtime);
       /* No rounding is left behind. */
       machine->usage.cpus = machine->usage.gpus = machine->usage.mem_gb = 0;
     }
@@ -164,20 +166,20 @@
 }
 
 void
-mh_attempt_discard (MhCore *core, MhAttempt *attempt)
+mh_attempt_discard (MhCluster *cluster, MhAttempt *attempt)
 {
-  detach (core, attempt);
+  detach (cluster, attempt);
   g_free (attempt);
 }
 
 void
-mh_attempt_proven_over (MhCore *core, MhAttempt *attempt, bool done)
+mh_attempt_proven_over (MhCluster *cluster, MhAttempt *attempt, bool done)
 {
-  const MhClusterCallbacks *callbacks = core->cluster->callbacks;
+  const MhClusterCallbacks *callbacks = cluster->callbacks;
   MhJob *job = attempt->job;
   MhTask *task = &job->tasks[attempt->index];
   bool was_stopping = mh_attempt_is_stopping (attempt);
-  detach (core, attempt);
+  detach (cluster, attempt);
   task->state = done ? MH_TASK_DONE : MH_TASK_PENDING;
   job->n_live--;
   if (done)
@@ -185,53 +187,54 @@
   else
     job->placement.first_pending = MIN (job->placement.first_pending, attempt->index);
   if (!mh_job_is_cancelled (job))
-    mh_store_touch (core, mh_job_record (job, attempt->index), MH_URGENCY_PROGRESS);
+    mh_store_touch (cluster->core, mh_job_record (job, attempt->index), MH_URGENCY_PROGRESS);
   if (mh_job_is_gang (job))
-    callbacks->gang_task_over (core, job, done);
+    callbacks->gang_task_over (cluster->owner, job, done);
   /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
-  callbacks->capacity_changed (core, was_stopping || job->spec->shape == MH_SHAPE_SERVICE);
+  callbacks->capacity_changed (cluster->owner,
+                               was_stopping || job->spec->shape == MH_SHAPE_SERVICE);
   g_free (attempt);
-  mh_attempt_finish_job_if_over (core, job);
+  mh_attempt_finish_job_if_over (cluster, job);
 }
 
 void
-mh_attempt_task_done (MhCore *core, MhJob *job, guint index)
+mh_attempt_task_done (MhCluster *cluster, MhJob *job, guint index)
 {
   job->tasks[index].state = MH_TASK_DONE;
   job->n_done++;
-  mh_store_touch (core, mh_job_record (job, index), MH_URGENCY_START);
-  mh_attempt_finish_job_if_over (core, job);
+  mh_store_touch (cluster->core, mh_job_record (job, index), MH_URGENCY_START);
+  mh_attempt_finish_job_if_over (cluster, job);
 }
 
 /* ---- stops ---- */
 
 void
-mh_attempt_send_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us)
+mh_attempt_send_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us)
 {
   if (mh_attempt_is_stopping (attempt) && grace_us >= attempt->grace_us)
     return;
   change_state (attempt, MH_ATTEMPT_EVENT_STOP_WANTED);
   attempt->grace_us = grace_us;
   attempt->stop_sent_us = 0;
-  mh_machine_schedule_commands (core, attempt->machine);
+  mh_machine_schedule_commands (cluster, attempt->machine);
 }
 
 void
-mh_attempt_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us)
+mh_attempt_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us)
 {
   if (mh_job_is_gang (attempt->job) && !mh_job_is_over (attempt->job))
-    core->cluster->callbacks->gang_stop (core, attempt->job, grace_us);
+    cluster->callbacks->gang_stop (cluster->owner, attempt->job, grace_us);
   else if (attempt->start == MH_START_NOT_SENT)
-    mh_attempt_proven_over (core, attempt, false);
+    mh_attempt_proven_over (cluster, attempt, false);
   else
-    mh_attempt_send_stop (core, attempt, grace_us);
+    mh_attempt_send_stop (cluster, attempt, grace_us);
 }
 
 void
-mh_attempt_stop_job (MhCore *core, MhJob *job)
+mh_attempt_stop_job (MhCluster *cluster, MhJob *job)
 {
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     if (job->tasks[i].live)
-      mh_attempt_stop (core, job->tasks[i].live, 0);
-  mh_attempt_finish_job_if_over (core, job);
+      mh_attempt_stop (cluster, job->tasks[i].live, 0);
+  mh_attempt_finish_job_if_over (cluster, job);
 }
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -5,6 +5,7 @@
 #pragma once
 
 #include "cluster/attempt-state.h"
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
@@ -97,7 +98,7 @@
 
 /**
  * mh_attempt_new:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a job whose task @index is pending
  * @index: of the task
  * @number: of the attempt, above those of the task's earlier ones
@@ -109,11 +110,11 @@
  *   mh_attempt_discard()
  */
 MhAttempt *
-mh_attempt_new (MhCore *core, MhJob *job, guint index, guint32 number, MhMachine *machine);
+mh_attempt_new (MhCluster *cluster, MhJob *job, guint index, guint32 number, MhMachine *machine);
 
 /**
  * mh_attempt_new_from_record:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a job that is being loaded
  * @index: of the task
  * @number: of the attempt
@@ -124,7 +125,7 @@
  * Returns: (transfer none): the attempt
  */
 MhAttempt *
-mh_attempt_new_from_record (MhCore *core, MhJob *job, guint index, guint32 number,
+mh_attempt_new_from_record (MhCluster *cluster, MhJob *job, guint index, guint32 number,
                             MhMachine *machine);
 
 /**
@@ -147,48 +148,48 @@
 
 /**
  * mh_attempt_note_shown:
- * @core: the controller
+ * @cluster: the cluster
  * @attempt: an attempt that its worker shows
  * @phase: in which it is shown
  */
 void
-mh_attempt_note_shown (MhCore *core, MhAttempt *attempt, MhTaskPhase phase);
+mh_attempt_note_shown (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase);
 
 /**
  * mh_attempt_send_stop:
- * @core: the controller
+ * @cluster: the cluster
  * @attempt: an attempt whose start was sent, or may have been
  * @grace_us: what it gets to save, in microseconds
  *
  * Tells the worker to end it, unless it was told to do so at least as soon.
  */
 void
-mh_attempt_send_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us);
+mh_attempt_send_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us);
 
 /**
  * mh_attempt_stop:
- * @core: the controller
+ * @cluster: the cluster
  * @attempt: (transfer full): an attempt; may be freed
  * @grace_us: what it gets to save, in microseconds
  *
  * Stops it, and the rest of its gang. One that was never started is over at once.
  */
 void
-mh_attempt_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us);
+mh_attempt_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us);
 
 /**
  * mh_attempt_stop_job:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a cancelled job
  *
  * Stops all its attempts; a job without any is finished.
  */
 void
-mh_attempt_stop_job (MhCore *core, MhJob *job);
+mh_attempt_stop_job (MhCluster *cluster, MhJob *job);
 
 /**
  * mh_attempt_proven_over:
- * @core: the controller
+ * @cluster: the cluster
  * @attempt: (transfer full): an attempt that can no longer run
  * @done: it ended with a result
  *
@@ -196,35 +197,35 @@
  * would look for proof once more, on a machine that may be gone by then.
  */
 void
-mh_attempt_proven_over (MhCore *core, MhAttempt *attempt, bool done);
+mh_attempt_proven_over (MhCluster *cluster, MhAttempt *attempt, bool done);
 
 /**
  * mh_attempt_task_done:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a gang of which another task is done
  * @index: of a task without an attempt
  *
  * Notes that the task is done though no attempt of ours showed it.
  */
 void
-mh_attempt_task_done (MhCore *core, MhJob *job, guint index);
+mh_attempt_task_done (MhCluster *cluster, MhJob *job, guint index);
 
 /**
  * mh_attempt_discard:
- * @core: the controller
+ * @cluster: the cluster
  * @attempt: (transfer full): an attempt
  *
  * Takes it out of all accounts, without consequences: its job goes away.
  */
 void
-mh_attempt_discard (MhCore *core, MhAttempt *attempt);
+mh_attempt_discard (MhCluster *cluster, MhAttempt *attempt);
 
 /**
  * mh_attempt_finish_job_if_over:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a job
  *
  * Notes that nothing is left to do for the job, if that is so: its final record is then written.
  */
 void
-mh_attempt_finish_job_if_over (MhCore *core, MhJob *job);
+mh_attempt_finish_job_if_over (MhCluster *cluster, MhJob *job);
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -28,9 +28,9 @@
 } BootStatistics;
 
 static BootStatistics *
-statistics_of (MhCore *core, const MhMachineType *type)
+statistics_of (MhCluster *cluster, const MhMachineType *type)
 {
-  GHashTable *all = core->cluster->boot_statistics;
+  GHashTable *all = cluster->boot_statistics;
   BootStatistics *statistics = g_hash_table_lookup (all, type->name);
   if (statistics == NULL)
     {
@@ -55,46 +55,47 @@
 }
 
 void
-mh_boot_time_joined (MhCore *core, const MhMachine *machine)
+mh_boot_time_joined (MhCluster *cluster, const MhMachine *machine)
 {
   /* Of one that another leader rented, or that was up before, nothing is known. */
   if (machine->type && machine->boot.rented_here && machine->heartbeat.session <= 1)
-    add_sample (statistics_of (core, machine->type),
-                (double)(core->now.mono_us - machine->boot.rented_us));
+    add_sample (statistics_of (cluster, machine->type),
+                (double)(mh_runtime_now_us (cluster->runtime) - machine->boot.rented_us));
 }
 
 /* A machine of the type that has not joined at that age is late. */
 static gint64
-late_at_us (const MhCore *core, const MhMachineType *type)
+late_at_us (const MhCluster *cluster, const MhMachineType *type)
 {
   double boot_us = type ? (double)type->boot_us : UNKNOWN_BOOT_US;
   const BootStatistics *seen
-      = type ? g_hash_table_lookup (core->cluster->boot_statistics, type->name) : NULL;
+      = type ? g_hash_table_lookup (cluster->boot_statistics, type->name) : NULL;
   double usual_us = seen ? seen->mean_us + DEVIATIONS * seen->deviation_us : UNSEEN_BOOTS * boot_us;
   return (gint64)CLAMP (usual_us, LEAST_BOOTS * boot_us, MOST_BOOTS * boot_us) + SPARE_US;
 }
 
 static void
-note_late (MhCore *core, MhMachine *machine, gint64 age_us)
+note_late (MhCluster *cluster, MhMachine *machine, gint64 age_us)
 {
   machine->boot.late_age_us = age_us;
   if (machine->type == NULL || !machine->boot.rented_here)
     return;
-  mh_info_limited (core, MH_LOG_BOOT,
-                   "machine late to join, replaced machine=%s age_s=%.0f type=%s zone=%s",
-                   machine->name, (double)age_us / MH_SECOND_US, machine->type_name, machine->zone);
-  add_sample (statistics_of (core, machine->type), (double)age_us);
+  mh_log_info_limited (cluster->runtime, MH_LOG_BOOT,
+                       "machine late to join, replaced machine=%s age_s=%.0f type=%s zone=%s",
+                       machine->name, (double)age_us / MH_SECOND_US, machine->type_name,
+                       machine->zone);
+  add_sample (statistics_of (cluster, machine->type), (double)age_us);
 }
 
 void
-mh_boot_time_check (MhCore *core, MhMachine *machine)
+mh_boot_time_check (MhCluster *cluster, MhMachine *machine)
 {
-  gint64 now_us = core->now.mono_us;
+  gint64 now_us = mh_runtime_now_us (cluster->runtime);
   gint64 age_us = now_us - machine->boot.rented_us;
-  if (machine->boot.late_age_us == 0 && age_us > late_at_us (core, machine->type))
-    note_late (core, machine, age_us);
-  gint64 leading_us = now_us - core->leader.since_us;
-  bool all_reported = leading_us > core->settings->report_us * 2 + FIRST_REPORT_SPARE_US;
+  if (machine->boot.late_age_us == 0 && age_us > late_at_us (cluster, machine->type))
+    note_late (cluster, machine, age_us);
+  gint64 leading_us = now_us - cluster->core->leader.since_us;
+  bool all_reported = leading_us > cluster->settings->report_us * 2 + FIRST_REPORT_SPARE_US;
   if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us && all_reported)
-    core->cluster->callbacks->release_machine (core, machine, "never came up");
+    cluster->callbacks->release_machine (cluster->owner, machine, "never came up");
 }
--- a/src/cluster/boot-time.h
+++ b/src/cluster/boot-time.h
@@ -6,25 +6,26 @@
    are slow the estimate follows, and not all machines on their way are rented once more. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
  * mh_boot_time_joined:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine that has just reported for the first time
  *
  * Learns from its boot, if this leader rented it.
  */
 void
-mh_boot_time_joined (MhCore *core, const MhMachine *machine);
+mh_boot_time_joined (MhCluster *cluster, const MhMachine *machine);
 
 /**
  * mh_boot_time_check:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine that has not joined
  *
  * Notes that it is late: it is not counted on any more, so that another is rented in its place.
  * Later it is given back.
  */
 void
-mh_boot_time_check (MhCore *core, MhMachine *machine);
+mh_boot_time_check (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -23,6 +23,8 @@
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
+   core: jobs, records and leadership, until they are objects too; for nothing else
+   callbacks, owner: the layers above, and what they are called with
    machines: name -> MhMachine, which owns its name
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
    commands_due: MhMachine, not owned, that are looked at for commands in this step
@@ -36,8 +38,12 @@
    boot_statistics: name of a type -> statistics of boot-time.c */
 struct MhCluster
 {
+  MhCore *core;
+  MhRuntime *runtime;
+  MhCallQueue *calls;
   const MhSettings *settings;
   const MhClusterCallbacks *callbacks;
+  gpointer owner;
   GHashTable *machines;
   GHashTable *released;
   GQueue released_order;
--- a/src/cluster/cluster-types.h
+++ b/src/cluster/cluster-types.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "jobs/job.h"
+#include "runtime/call-queue.h"
 
 /**
  * MhCluster:
@@ -21,13 +22,14 @@
  * may not be changed from here: the caller may be walking over them
  * @gang_stop: all attempts of a gang are to be stopped, with @grace_us to save
  *
- * What the layers above are told. All are set, by the controller, before the first call.
+ * What the layers above are told; the first parameter is what was registered with them. All are
+ * set, by the controller, before the first call.
  */
 typedef struct
 {
-  void (*release_machine) (MhCore *core, MhMachine *machine, const char *reason);
-  void (*capacity_changed) (MhCore *core, bool urgent);
-  void (*gang_loaded) (MhCore *core, MhJob *job);
-  void (*gang_task_over) (MhCore *core, MhJob *job, bool done);
-  void (*gang_stop) (MhCore *core, MhJob *job, gint64 grace_us);
+  void (*release_machine) (gpointer owner, MhMachine *machine, const char *reason);
+  void (*capacity_changed) (gpointer owner, bool urgent);
+  void (*gang_loaded) (gpointer owner, MhJob *job);
+  void (*gang_task_over) (gpointer owner, MhJob *job, bool done);
+  void (*gang_stop) (gpointer owner, MhJob *job, gint64 grace_us);
 } MhClusterCallbacks;
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -22,15 +22,20 @@
 }
 
 MhCluster *
-mh_cluster_new (const MhSettings *settings, const MhClusterCallbacks *callbacks, gint64 now_us)
+mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls,
+                const MhClusterCallbacks *callbacks, gpointer owner)
 {
-  g_return_val_if_fail (settings != NULL && callbacks != NULL, NULL);
+  g_return_val_if_fail (runtime != NULL && calls != NULL && callbacks != NULL, NULL);
   MhCluster *cluster = g_new0 (MhCluster, 1);
-  cluster->settings = settings;
+  cluster->core = core;
+  cluster->runtime = runtime;
+  cluster->calls = calls;
+  cluster->settings = mh_runtime_settings (runtime);
   cluster->callbacks = callbacks;
+  cluster->owner = owner;
   create_tables (cluster);
-  mh_direct_command_init (cluster, now_us);
-  mh_failure_init (cluster, now_us);
+  mh_direct_command_init (cluster);
+  mh_failure_init (cluster);
   return cluster;
 }
 
@@ -51,9 +56,8 @@
 }
 
 void
-mh_cluster_clear (MhCore *core)
+mh_cluster_clear (MhCluster *cluster)
 {
-  MhCluster *cluster = core->cluster;
   GHashTableIter it;
   gpointer machine;
   g_hash_table_iter_init (&it, cluster->machines);
@@ -68,41 +72,40 @@
 }
 
 void
-mh_cluster_records_loaded (MhCore *core)
+mh_cluster_records_loaded (MhCluster *cluster)
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->jobs);
+  g_hash_table_iter_init (&it, cluster->core->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
       if (mh_job_is_gang (job))
-        core->cluster->callbacks->gang_loaded (core, job);
+        cluster->callbacks->gang_loaded (cluster->owner, job);
       if (mh_job_is_cancelled (job))
-        mh_attempt_stop_job (core, job);
+        mh_attempt_stop_job (cluster, job);
       else
-        mh_attempt_finish_job_if_over (core, job);
+        mh_attempt_finish_job_if_over (cluster, job);
     }
 }
 
 /* ---- what other layers ask ---- */
 
 GHashTable *
-mh_cluster_machines (const MhCore *core)
+mh_cluster_machines (const MhCluster *cluster)
 {
-  return core->cluster->machines;
+  return cluster->machines;
 }
 
 const GPtrArray *
-mh_cluster_types (const MhCore *core)
+mh_cluster_types (const MhCluster *cluster)
 {
-  return core->cluster->types;
+  return cluster->types;
 }
 
 void
-mh_cluster_set_types (MhCore *core, GPtrArray *types)
+mh_cluster_set_types (MhCluster *cluster, GPtrArray *types)
 {
-  MhCluster *cluster = core->cluster;
   GPtrArray *old_types = cluster->types;
   cluster->types = types;
   GHashTableIter it;
@@ -114,26 +117,27 @@
 }
 
 const MhUse *
-mh_cluster_team_use (const MhCore *core, const char *team)
+mh_cluster_team_use (const MhCluster *cluster, const char *team)
 {
-  return g_hash_table_lookup (core->cluster->team_use, team);
+  return g_hash_table_lookup (cluster->team_use, team);
 }
 
 guint
-mh_cluster_service_replicas (const MhCore *core)
+mh_cluster_service_replicas (const MhCluster *cluster)
 {
-  return core->cluster->service_replicas;
+  return cluster->service_replicas;
 }
 
 void
-mh_cluster_machine_released (MhCore *core, MhMachine *machine)
+mh_cluster_machine_released (MhCluster *cluster, MhMachine *machine)
 {
   mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_CONFIRMED);
-  mh_cluster_remember_released (core, machine->name);
+  mh_cluster_remember_released (cluster, machine->name);
   while (machine->attempts->len)
-    mh_attempt_proven_over (core, mh_machine_attempt (machine, machine->attempts->len - 1), false);
-  g_ptr_array_remove_fast (core->cluster->commands_due, machine);
-  g_hash_table_remove (core->cluster->machines, machine->name);
+    mh_attempt_proven_over (cluster, mh_machine_attempt (machine, machine->attempts->len - 1),
+                            false);
+  g_ptr_array_remove_fast (cluster->commands_due, machine);
+  g_hash_table_remove (cluster->machines, machine->name);
 }
 
 /* ---- a step ---- */
@@ -141,82 +145,81 @@
 /* Before the cloud takes the machine back, what can be saved is, and what would not end in time
    makes room elsewhere at once. */
 static void
-drain_attempt (MhCore *core, MhAttempt *attempt, gint64 left_us)
+drain_attempt (MhCluster *cluster, MhAttempt *attempt, gint64 left_us)
 {
   const MhJobSpec *spec = attempt->job->spec;
   gint64 running_since_us = attempt->running_since_us;
-  gint64 ran_us = running_since_us ? core->now.mono_us - running_since_us : 0;
+  gint64 ran_us = running_since_us ? mh_runtime_now_us (cluster->runtime) - running_since_us : 0;
   /* Too late to save together: it may still end in time, and loses nothing more if not. */
   if (mh_job_is_gang (attempt->job) && running_since_us && left_us < spec->save_us + MH_SECOND_US)
     return;
   if (spec->checkpoint_us > 0 && running_since_us)
-    mh_attempt_stop (core, attempt, MAX (0, MIN (spec->save_us, left_us)));
+    mh_attempt_stop (cluster, attempt, MAX (0, MIN (spec->save_us, left_us)));
   else if (spec->shape == MH_SHAPE_SERVICE || spec->estimate_us - ran_us > left_us)
-    mh_attempt_stop (core, attempt, 0);
+    mh_attempt_stop (cluster, attempt, 0);
 }
 
 static void
-drain_by_notice (MhCore *core, MhMachine *machine)
+drain_by_notice (MhCluster *cluster, MhMachine *machine)
 {
-  gint64 left_us = machine->notice_until_us - core->now.mono_us;
+  gint64 left_us = machine->notice_until_us - mh_runtime_now_us (cluster->runtime);
   for (guint i = machine->attempts->len; i-- > 0;)
     {
       MhAttempt *attempt = mh_machine_attempt (machine, i);
       if (!mh_attempt_is_stopping (attempt))
-        drain_attempt (core, attempt, left_us);
+        drain_attempt (cluster, attempt, left_us);
     }
 }
 
 static void
-check_machine (MhCore *core, MhMachine *machine)
+check_machine (MhCluster *cluster, MhMachine *machine)
 {
   if (mh_machine_is_releasing (machine))
     return;
-  mh_failure_check (core, machine);
+  mh_failure_check (cluster, machine);
   if (machine->notice_until_us >= 0)
-    drain_by_notice (core, machine);
-  mh_fencing_raise_token (core, machine);
-  mh_direct_command_send_unsent (core, machine);
+    drain_by_notice (cluster, machine);
+  mh_fencing_raise_token (cluster, machine);
+  mh_direct_command_send_unsent (cluster, machine);
 }
 
 static void
-send_due_commands (MhCore *core)
+send_due_commands (MhCluster *cluster)
 {
-  GPtrArray *due = core->cluster->commands_due;
+  GPtrArray *due = cluster->commands_due;
   for (guint i = 0; i < due->len; i++)
     {
       MhMachine *machine = g_ptr_array_index (due, i);
       machine->commands_due = false;
       if (!mh_machine_is_releasing (machine))
-        mh_direct_command_send_unsent (core, machine);
+        mh_direct_command_send_unsent (cluster, machine);
     }
   g_ptr_array_set_size (due, 0);
 }
 
 static void
-check_all_machines (MhCore *core)
+check_all_machines (MhCluster *cluster)
 {
   GHashTableIter it;
   gpointer machine;
-  mh_failure_survey (core);
-  g_hash_table_iter_init (&it, core->cluster->machines);
+  mh_failure_survey (cluster);
+  g_hash_table_iter_init (&it, cluster->machines);
   while (g_hash_table_iter_next (&it, NULL, &machine))
-    check_machine (core, machine);
-  mh_cluster_forget_old_releases (core->cluster, core->now.mono_us);
-  mh_failure_check_leader_unheard (core);
+    check_machine (cluster, machine);
+  mh_cluster_forget_old_releases (cluster, mh_runtime_now_us (cluster->runtime));
+  mh_failure_check_leader_unheard (cluster);
 }
 
 /* What has just changed is answered at once; all machines are looked through now and then only, so
    that the work of a step does not grow with the number of machines. */
 void
-mh_cluster_step (MhCore *core)
+mh_cluster_step (MhCluster *cluster)
 {
-  MhCluster *cluster = core->cluster;
-  send_due_commands (core);
-  if (core->now.mono_us >= cluster->checked_us + CHECK_INTERVAL_US)
+  send_due_commands (cluster);
+  if (mh_runtime_now_us (cluster->runtime) >= cluster->checked_us + CHECK_INTERVAL_US)
     {
-      cluster->checked_us = core->now.mono_us;
-      check_all_machines (core);
+      cluster->checked_us = mh_runtime_now_us (cluster->runtime);
+      check_all_machines (cluster);
     }
-  mh_core_wake_at (core, cluster->checked_us + CHECK_INTERVAL_US);
+  mh_runtime_wake_at (cluster->runtime, cluster->checked_us + CHECK_INTERVAL_US);
 }
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -19,10 +19,11 @@
 #define STATUS_CONFLICT 409 /* other session, or a token that the worker has outgrown */
 
 void
-mh_direct_command_init (MhCluster *cluster, gint64 now_us)
+mh_direct_command_init (MhCluster *cluster)
 {
   double rate = PATIENT_PER_CORE_S * cluster->settings->core_share;
-  mh_bucket_init (&cluster->direct_bucket, rate, MAX (1, rate / 4), now_us);
+  mh_bucket_init (&cluster->direct_bucket, rate, MAX (1, rate / 4),
+                  mh_runtime_now_us (cluster->runtime));
 }
 
 /* ---- the answer ---- */
@@ -84,13 +85,14 @@
 }
 
 static void
-direct_call_answered (MhCore *core, gpointer data, guint status, const MhValue *body)
+direct_call_answered (gpointer owner, gpointer data, const MhReply *reply)
 {
+  MhCluster *cluster = owner;
   const DirectCall *call = data;
-  MhMachine *machine = mh_cluster_find_machine (core, call->machine);
+  MhMachine *machine = mh_cluster_find_machine (cluster, call->machine);
   g_autoptr (MhReport) report = NULL;
-  if (status == STATUS_OK || status == STATUS_CONFLICT)
-    report = mh_wire_read_report (body);
+  if (reply->status == STATUS_OK || reply->status == STATUS_CONFLICT)
+    report = mh_wire_read_report (reply->body);
   if (machine == NULL)
     return;
   machine->direct_commands_in_flight--;
@@ -98,34 +100,34 @@
     {
       const MhCommand *command = &g_array_index (call->commands, MhCommand, i);
       if (command->kind == MH_COMMAND_STOP)
-        stop_answered (machine, command, status);
+        stop_answered (machine, command, reply->status);
       else
-        start_answered (machine, command, status);
+        start_answered (machine, command, reply->status);
     }
   if (report)
-    mh_heartbeat_take_answer (core, machine, report);
+    mh_heartbeat_take_answer (cluster, machine, report);
 }
 
 /* ---- the command ---- */
 
 bool
-mh_direct_command_can_send (const MhCore *core, const MhMachine *machine)
+mh_direct_command_can_send (const MhCluster *cluster, const MhMachine *machine)
 {
-  gint64 report_us = core->settings->report_us;
-  return core->settings->direct && !machine->direct_commands_in_flight
+  gint64 report_us = cluster->settings->report_us;
+  return cluster->settings->direct && !machine->direct_commands_in_flight
          && machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->endpoint
          && !machine->heartbeat.ignored_answers
-         && !mh_cluster_is_silent (core, machine, report_us * 3 / 2)
+         && !mh_cluster_is_silent (cluster, machine, report_us * 3 / 2)
          && !mh_fencing_has_lost_start (machine);
 }
 
 static void
-send_directly (MhCore *core, MhMachine *machine)
+send_directly (MhCluster *cluster, MhMachine *machine)
 {
-  guint64 token = mh_fencing_token (core, machine);
+  guint64 token = mh_fencing_token (cluster, machine);
   g_autoptr (GArray) commands = mh_commands_new ();
-  mh_bucket_take (&core->cluster->direct_bucket, 1);
-  mh_worker_command_collect_unsent (core, machine, commands);
+  mh_bucket_take (&cluster->direct_bucket, 1);
+  mh_worker_command_collect_unsent (cluster, machine, commands);
   for (guint i = 0; i < commands->len; i++)
     {
       const MhCommand *command = &g_array_index (commands, MhCommand, i);
@@ -136,26 +138,32 @@
   call->machine = g_strdup (machine->name);
   call->commands = g_array_ref (commands);
   machine->direct_commands_in_flight++;
-  mh_core_call (core, MH_CALL_WORK,
-                mh_wire_commands (machine->endpoint, token, machine->heartbeat.session, commands),
-                0, TIMEOUT_US, direct_call_answered, call, direct_call_free);
+  const MhCallOptions options = { .class = MH_CALL_WORK,
+                                  .timeout_us = TIMEOUT_US,
+                                  .func = direct_call_answered,
+                                  .owner = cluster,
+                                  .data = call,
+                                  .free_data = direct_call_free };
+  mh_call_queue_add (
+      cluster->calls,
+      mh_wire_commands (machine->endpoint, token, machine->heartbeat.session, commands), &options);
 }
 
 void
-mh_direct_command_send_unsent (MhCore *core, MhMachine *machine)
+mh_direct_command_send_unsent (MhCluster *cluster, MhMachine *machine)
 {
-  if (!mh_direct_command_can_send (core, machine))
+  if (!mh_direct_command_can_send (cluster, machine))
     return;
   MhUnsentCommands unsent = mh_worker_command_unsent (machine);
   if (unsent == MH_UNSENT_URGENT
       || (unsent == MH_UNSENT_PATIENT
-          && mh_bucket_has (&core->cluster->direct_bucket, 1, core->now.mono_us)))
-    send_directly (core, machine);
+          && mh_bucket_has (&cluster->direct_bucket, 1, mh_runtime_now_us (cluster->runtime))))
+    send_directly (cluster, machine);
 }
 
 void
-mh_direct_command_send_token (MhCore *core, MhMachine *machine)
+mh_direct_command_send_token (MhCluster *cluster, MhMachine *machine)
 {
-  if (mh_direct_command_can_send (core, machine))
-    send_directly (core, machine);
+  if (mh_direct_command_can_send (cluster, machine))
+    send_directly (cluster, machine);
 }
--- a/src/cluster/direct-command.h
+++ b/src/cluster/direct-command.h
@@ -7,14 +7,13 @@
 /**
  * mh_direct_command_init:
  * @cluster: the cluster
- * @now_us: monotonic time, in microseconds
  */
 void
-mh_direct_command_init (MhCluster *cluster, gint64 now_us);
+mh_direct_command_init (MhCluster *cluster);
 
 /**
  * mh_direct_command_can_send:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine
  *
  * Only one direct command is under way to a machine at a time, and none to one that may not be
@@ -23,26 +22,26 @@
  * Returns: %TRUE if a command would leave for the machine now
  */
 bool
-mh_direct_command_can_send (const MhCore *core, const MhMachine *machine);
+mh_direct_command_can_send (const MhCluster *cluster, const MhMachine *machine);
 
 /**
  * mh_direct_command_send_unsent:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine
  *
  * Sends what has not been said yet, if a command can leave now, and if it is urgent or few others
  * are.
  */
 void
-mh_direct_command_send_unsent (MhCore *core, MhMachine *machine);
+mh_direct_command_send_unsent (MhCluster *cluster, MhMachine *machine);
 
 /**
  * mh_direct_command_send_token:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine
  *
  * Sends the token, even without commands: the worker learns of this leader, and so does a former
  * one that it still reports to.
  */
 void
-mh_direct_command_send_token (MhCore *core, MhMachine *machine);
+mh_direct_command_send_token (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -41,17 +41,17 @@
 #define STATUS_OK 200
 
 void
-mh_failure_init (MhCluster *cluster, gint64 now_us)
+mh_failure_init (MhCluster *cluster)
 {
   double rate = PROBES_PER_CORE_S * cluster->settings->core_share;
-  mh_bucket_init (&cluster->probe_bucket, rate, rate, now_us);
+  mh_bucket_init (&cluster->probe_bucket, rate, rate, mh_runtime_now_us (cluster->runtime));
 }
 
 bool
-mh_failure_is_report_overdue (const MhCore *core, const MhMachine *machine)
+mh_failure_is_report_overdue (const MhCluster *cluster, const MhMachine *machine)
 {
-  return mh_cluster_silence_us (core, machine->heartbeat.last_report_us)
-         > core->settings->report_us * 5 / 2;
+  return mh_cluster_silence_us (cluster, machine->heartbeat.last_report_us)
+         > cluster->settings->report_us * 5 / 2;
 }
 
 bool
@@ -61,23 +61,23 @@
 }
 
 static void
-release (MhCore *core, MhMachine *machine, const char *reason)
+release (MhCluster *cluster, MhMachine *machine, const char *reason)
 {
-  core->cluster->callbacks->release_machine (core, machine, reason);
+  cluster->callbacks->release_machine (cluster->owner, machine, reason);
 }
 
 /* ---- probes ---- */
 
 static void
-probe (MhCore *core, MhMachine *machine);
+probe (MhCluster *cluster, MhMachine *machine);
 
 static void
-probe_failed (MhCore *core, MhMachine *machine)
+probe_failed (MhCluster *cluster, MhMachine *machine)
 {
   /* The answer may have come while this process stood still, and the time-out with it. */
-  if (machine->probe.first_sent_us > mh_runtime_resumed_us (core->runtime)
+  if (machine->probe.first_sent_us > mh_runtime_resumed_us (cluster->runtime)
       && ++machine->probe.failures < MAX_FAILED_PROBES)
-    probe (core, machine);
+    probe (cluster, machine);
 }
 
 /* The answer to a question is newer than all that was known when it was put. One that counts from
@@ -93,48 +93,56 @@
 }
 
 static void
-probe_answered (MhCore *core, gpointer data, guint status, const MhValue *body)
+probe_answered (gpointer owner, gpointer data, const MhReply *reply)
 {
+  MhCluster *cluster = owner;
   const char *name = data;
-  MhMachine *machine = mh_cluster_find_machine (core, name);
-  g_autoptr (MhReport) report = status == STATUS_OK ? mh_wire_read_report (body) : NULL;
+  MhMachine *machine = mh_cluster_find_machine (cluster, name);
+  g_autoptr (MhReport) report
+      = reply->status == STATUS_OK ? mh_wire_read_report (reply->body) : NULL;
   if (machine == NULL)
     return;
   machine->probe.in_flight = false;
   if (report == NULL || strcmp (report->machine, machine->name) != 0)
-    probe_failed (core, machine);
-  else if (mh_heartbeat_take_answer (core, machine, report))
+    probe_failed (cluster, machine);
+  else if (mh_heartbeat_take_answer (cluster, machine, report))
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (report->token < core->leader.own_epoch && mh_leader_valid (core))
-        mh_direct_command_send_token (core, machine);
+      if (report->token < cluster->core->leader.own_epoch
+          && mh_runtime_is_leader (cluster->runtime))
+        mh_direct_command_send_token (cluster, machine);
     }
   else if (worker_has_begun_anew (machine, report))
-    release (core, machine, "its worker has begun anew");
+    release (cluster, machine, "its worker has begun anew");
 }
 
 static void
-probe (MhCore *core, MhMachine *machine)
+probe (MhCluster *cluster, MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   machine->probe.in_flight = true;
   machine->probe.session = heartbeat->reported ? heartbeat->session : 0;
   machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
-  mh_core_call (core, MH_CALL_SAFETY, mh_wire_show (machine->endpoint), 0, PROBE_TIMEOUT_US,
-                probe_answered, g_strdup (machine->name), g_free);
+  const MhCallOptions options = { .class = MH_CALL_SAFETY,
+                                  .timeout_us = PROBE_TIMEOUT_US,
+                                  .func = probe_answered,
+                                  .owner = cluster,
+                                  .data = g_strdup (machine->name),
+                                  .free_data = g_free };
+  mh_call_queue_add (cluster->calls, mh_wire_show (machine->endpoint), &options);
 }
 
 static void
-start_probing (MhCore *core, MhMachine *machine)
+start_probing (MhCluster *cluster, MhMachine *machine)
 {
-  MhBucket *bucket = &core->cluster->probe_bucket;
+  MhBucket *bucket = &cluster->probe_bucket;
   if (machine->probe.in_flight || machine->probe.failures || machine->endpoint == NULL
-      || !mh_bucket_has (bucket, 1, core->now.mono_us))
+      || !mh_bucket_has (bucket, 1, mh_runtime_now_us (cluster->runtime)))
     return;
   mh_bucket_take (bucket, 1);
-  machine->probe.first_sent_us = core->now.mono_us;
-  probe (core, machine);
+  machine->probe.first_sent_us = mh_runtime_now_us (cluster->runtime);
+  probe (cluster, machine);
 }
 
 /* ---- one machine ---- */
@@ -142,95 +150,95 @@
 /* Whether others of its zone have been heard since it was first asked in vain; else it may be the
    first of many. */
 static bool
-others_are_heard (const MhCore *core, const MhMachine *machine)
+others_are_heard (const MhCluster *cluster, const MhMachine *machine)
 {
-  const MhZone *zone = mh_zone_find (core, machine->zone);
+  const MhZone *zone = mh_zone_find (cluster, machine->zone);
   return zone == NULL || zone->machines < MH_LEAST_MACHINES_OF_ZONE
          || zone->last_message_us > machine->probe.first_sent_us;
 }
 
 /* Probes without an answer are believed only while this side is not the one that is cut off. */
 static bool
-is_believed_unreachable (const MhCore *core, const MhMachine *machine)
+is_believed_unreachable (const MhCluster *cluster, const MhMachine *machine)
 {
-  return mh_failure_is_unreachable (machine) && !core->cluster->silence.cut_off;
+  return mh_failure_is_unreachable (machine) && !cluster->silence.cut_off;
 }
 
 /* It answers, but its own reports reach nobody. What runs there goes on until its lease is over,
    and what it is told directly after that it would only lose again. */
 static bool
-reports_are_lost (const MhCore *core, const MhMachine *machine)
+reports_are_lost (const MhCluster *cluster, const MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  return mh_cluster_silence_us (core, heartbeat->last_message_us) < core->settings->silence_us
-         && mh_cluster_silence_us (core, heartbeat->last_report_us)
-                > core->settings->worker_lease_us + LEASE_SPARE_US;
+  return mh_cluster_silence_us (cluster, heartbeat->last_message_us) < cluster->settings->silence_us
+         && mh_cluster_silence_us (cluster, heartbeat->last_report_us)
+                > cluster->settings->worker_lease_us + LEASE_SPARE_US;
 }
 
 /* Nothing comes from its whole zone: what runs there goes on until the worker's lease is over, and
    nothing is gained by giving it back before. */
 static void
-check_in_partition (MhCore *core, MhMachine *machine)
+check_in_partition (MhCluster *cluster, MhMachine *machine)
 {
-  if (mh_cluster_is_silent (core, machine, core->settings->worker_lease_us + LEASE_SPARE_US))
-    release (core, machine, "silent with all of its zone");
+  if (mh_cluster_is_silent (cluster, machine, cluster->settings->worker_lease_us + LEASE_SPARE_US))
+    release (cluster, machine, "silent with all of its zone");
 }
 
 static bool
-has_failed (const MhCore *core, const MhMachine *machine)
+has_failed (const MhCluster *cluster, const MhMachine *machine)
 {
-  const MhSilenceThresholds *silence = &core->cluster->silence;
+  const MhSilenceThresholds *silence = &cluster->silence;
   bool overdue
-      = mh_cluster_silence_us (core, machine->heartbeat.last_report_us) > silence->report_us;
-  return mh_cluster_is_silent (core, machine, silence->silent_us)
-         || (is_believed_unreachable (core, machine) && others_are_heard (core, machine)
+      = mh_cluster_silence_us (cluster, machine->heartbeat.last_report_us) > silence->report_us;
+  return mh_cluster_is_silent (cluster, machine, silence->silent_us)
+         || (is_believed_unreachable (cluster, machine) && others_are_heard (cluster, machine)
              && overdue);
 }
 
 static void
-check_reported (MhCore *core, MhMachine *machine)
+check_reported (MhCluster *cluster, MhMachine *machine)
 {
-  const MhSilenceThresholds *silence = &core->cluster->silence;
+  const MhSilenceThresholds *silence = &cluster->silence;
   gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
   guint ignored_answers = machine->heartbeat.ignored_answers;
-  if (reports_are_lost (core, machine))
-    release (core, machine, "its reports do not come");
-  else if (is_believed_unreachable (core, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
-    release (core, machine, "nothing reaches it");
-  else if (has_failed (core, machine))
-    release (core, machine, machine->probe.failures ? "silent, and gives no answer" : "silent");
-  else if (ignored_answers || mh_cluster_is_silent (core, machine, suspect_us))
-    start_probing (core, machine);
+  if (reports_are_lost (cluster, machine))
+    release (cluster, machine, "its reports do not come");
+  else if (is_believed_unreachable (cluster, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
+    release (cluster, machine, "nothing reaches it");
+  else if (has_failed (cluster, machine))
+    release (cluster, machine, machine->probe.failures ? "silent, and gives no answer" : "silent");
+  else if (ignored_answers || mh_cluster_is_silent (cluster, machine, suspect_us))
+    start_probing (cluster, machine);
 }
 
 /* Known from a record or the list, and not heard by this leader. A new leader does not wait for the
    workers to find it, where it knows their address. */
 static void
-check_unheard (MhCore *core, MhMachine *machine)
+check_unheard (MhCluster *cluster, MhMachine *machine)
 {
-  const MhSilenceThresholds *silence = &core->cluster->silence;
-  gint64 unheard_us
-      = mh_cluster_silence_us (core, MAX (core->leader.since_us, machine->discovered_us));
-  if (core->now.mono_us - machine->heartbeat.unverified_us > SECOND_REPORT_US)
-    start_probing (core, machine);
+  const MhSilenceThresholds *silence = &cluster->silence;
+  gint64 unheard_us = mh_cluster_silence_us (
+      cluster, MAX (cluster->core->leader.since_us, machine->discovered_us));
+  if (mh_runtime_now_us (cluster->runtime) - machine->heartbeat.unverified_us > SECOND_REPORT_US)
+    start_probing (cluster, machine);
   if (unheard_us > silence->unheard_us
-      || (is_believed_unreachable (core, machine) && others_are_heard (core, machine)
+      || (is_believed_unreachable (cluster, machine) && others_are_heard (cluster, machine)
           && unheard_us > silence->report_us))
-    release (core, machine, "silent since the change of leader");
+    release (cluster, machine, "silent since the change of leader");
 }
 
 void
-mh_failure_check (MhCore *core, MhMachine *machine)
+mh_failure_check (MhCluster *cluster, MhMachine *machine)
 {
   bool reported = machine->heartbeat.reported;
-  if (reported && mh_zone_is_partitioned (core, machine->zone))
-    check_in_partition (core, machine);
+  if (reported && mh_zone_is_partitioned (cluster, machine->zone))
+    check_in_partition (cluster, machine);
   else if (reported)
-    check_reported (core, machine);
+    check_reported (cluster, machine);
   else if (machine->attempts->len || machine->listed_running)
-    check_unheard (core, machine);
+    check_unheard (cluster, machine);
   else
-    mh_boot_time_check (core, machine);
+    mh_boot_time_check (cluster, machine);
 }
 
 /* ---- all machines ---- */
@@ -241,7 +249,7 @@
 } Census;
 
 static void
-count_machine (MhCore *core, const MhMachine *machine, Census *census)
+count_machine (MhCluster *cluster, const MhMachine *machine, Census *census)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   if (mh_machine_is_releasing (machine) || !(heartbeat->reported || machine->attempts->len))
@@ -253,25 +261,25 @@
       census->unheard++;
       return;
     }
-  MhZone *zone = mh_zone_find (core, machine->zone);
+  MhZone *zone = mh_zone_find (cluster, machine->zone);
   if (zone)
     zone->machines++;
-  census->silent
-      += machine->probe.failures || heartbeat->ignored_answers
-         || mh_cluster_silence_us (core, heartbeat->last_report_us) > core->settings->silence_us;
+  census->silent += machine->probe.failures || heartbeat->ignored_answers
+                    || mh_cluster_silence_us (cluster, heartbeat->last_report_us)
+                           > cluster->settings->silence_us;
 }
 
 static Census
-take_census (MhCore *core)
+take_census (MhCluster *cluster)
 {
   Census census = { 0 };
   GHashTableIter it;
   gpointer machine;
-  for (guint i = 0; i < core->cluster->zones->len; i++)
-    g_array_index (core->cluster->zones, MhZone, i).machines = 0;
-  g_hash_table_iter_init (&it, core->cluster->machines);
+  for (guint i = 0; i < cluster->zones->len; i++)
+    g_array_index (cluster->zones, MhZone, i).machines = 0;
+  g_hash_table_iter_init (&it, cluster->machines);
   while (g_hash_table_iter_next (&it, NULL, &machine))
-    count_machine (core, machine, &census);
+    count_machine (cluster, machine, &census);
   return census;
 }
 
@@ -284,24 +292,25 @@
 /* Machines with replicas are asked sooner, but only as many in a report's interval as the rate of
    probes allows; both probes are over when the report is overdue. */
 static gint64
-replica_suspect_us (const MhCore *core, const Census *census, const MhSilenceThresholds *silence)
+replica_suspect_us (const MhCluster *cluster, const Census *census,
+                    const MhSilenceThresholds *silence)
 {
-  double rate = PROBES_PER_CORE_S * core->settings->core_share;
+  double rate = PROBES_PER_CORE_S * cluster->settings->core_share;
   gint64 all_probed_us = (gint64)((double)census->with_replicas * MH_SECOND_US / rate);
   gint64 early_us = silence->report_us - MAX_FAILED_PROBES * PROBE_TIMEOUT_US;
   return MIN (silence->suspect_us, MAX (early_us, all_probed_us));
 }
 
 void
-mh_failure_survey (MhCore *core)
+mh_failure_survey (MhCluster *cluster)
 {
-  const MhSettings *settings = core->settings;
-  Census census = take_census (core);
-  mh_zone_check_all (core);
+  const MhSettings *settings = cluster->settings;
+  Census census = take_census (cluster);
+  mh_zone_check_all (cluster);
   MhSilenceThresholds silence = { .silent_us = settings->silence_us };
   silence.report_us = settings->report_us * 5 / 4 + REPORT_SPARE_US;
   silence.suspect_us = silence.report_us + SUSPECT_SPARE_US;
-  silence.replica_us = replica_suspect_us (core, &census, &silence);
+  silence.replica_us = replica_suspect_us (cluster, &census, &silence);
   silence.unheard_us = settings->silence_us + FIND_LEADER_US;
   /* When most are silent at once it is rather this side that is cut off; and a former leader that
      is cut off from the state service alone may hold all workers for a while. Without this, a new
@@ -313,8 +322,8 @@
     }
   if (are_most (census.unheard, &census))
     silence.unheard_us
-        = MAX (silence.unheard_us, mh_heartbeat_keep_alive_us (core) + MOSTLY_UNHEARD_SPARE_US);
-  core->cluster->silence = silence;
+        = MAX (silence.unheard_us, mh_heartbeat_keep_alive_us (cluster) + MOSTLY_UNHEARD_SPARE_US);
+  cluster->silence = silence;
 }
 
 /* ---- this leader ---- */
@@ -323,34 +332,35 @@
    the workers of the others time to find it: each waits for an answer of one after the other. Each
    time that it was of no use, since no report has come since, the next one waits twice as long. */
 static gint64
-max_unheard_us (const MhCore *core, guint machines, bool any_report)
+max_unheard_us (const MhCluster *cluster, guint machines, bool any_report)
 {
-  const MhSettings *settings = core->settings;
+  const MhSettings *settings = cluster->settings;
   gint64 limit_us;
   if (any_report)
     limit_us = CLAMP (settings->report_us * UNHEARD_REPORTS / MAX (machines, 1), UNHEARD_LEADER_US,
                       MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return limit_us << MIN (core->leader.vain_hand_overs, MAX_DOUBLINGS);
+  return limit_us << MIN (cluster->core->leader.vain_hand_overs, MAX_DOUBLINGS);
 }
 
 void
-mh_failure_check_leader_unheard (MhCore *core)
+mh_failure_check_leader_unheard (MhCluster *cluster)
 {
   gint64 last_report_us = 0;
   guint machines = 0;
-  for (guint i = 0; i < core->cluster->zones->len; i++)
+  for (guint i = 0; i < cluster->zones->len; i++)
     {
-      const MhZone *zone = &g_array_index (core->cluster->zones, MhZone, i);
+      const MhZone *zone = &g_array_index (cluster->zones, MhZone, i);
       last_report_us = MAX (last_report_us, zone->last_report_us);
       machines += zone->machines;
     }
-  if (machines < MH_LEAST_MACHINES_OF_ZONE || core->settings->members->len == 0)
+  if (machines < MH_LEAST_MACHINES_OF_ZONE || cluster->settings->members->len == 0)
     return;
-  gint64 unheard_us = mh_cluster_silence_us (core, MAX (last_report_us, core->leader.since_us));
-  if (unheard_us <= max_unheard_us (core, machines, last_report_us > 0))
+  gint64 unheard_us
+      = mh_cluster_silence_us (cluster, MAX (last_report_us, cluster->core->leader.since_us));
+  if (unheard_us <= max_unheard_us (cluster, machines, last_report_us > 0))
     return;
-  core->leader.vain_hand_overs++;
-  mh_leader_hand_over (core, "no worker is heard any more");
+  cluster->core->leader.vain_hand_overs++;
+  mh_leader_hand_over (cluster->core, "no worker is heard any more");
 }
--- a/src/cluster/failure-detection.h
+++ b/src/cluster/failure-detection.h
@@ -11,20 +11,19 @@
 /**
  * mh_failure_init:
  * @cluster: the cluster
- * @now_us: monotonic time, in microseconds
  */
 void
-mh_failure_init (MhCluster *cluster, gint64 now_us);
+mh_failure_init (MhCluster *cluster);
 
 /**
  * mh_failure_is_report_overdue:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine
  *
  * Returns: %TRUE if reports of its own should have come long ago, whatever it answers
  */
 bool
-mh_failure_is_report_overdue (const MhCore *core, const MhMachine *machine);
+mh_failure_is_report_overdue (const MhCluster *cluster, const MhMachine *machine);
 
 /**
  * mh_failure_is_unreachable:
@@ -37,30 +36,30 @@
 
 /**
  * mh_failure_survey:
- * @core: the controller
+ * @cluster: the cluster
  *
  * Looks at all machines and zones together, and sets how long a machine may be silent; then each
  * can be checked.
  */
 void
-mh_failure_survey (MhCore *core);
+mh_failure_survey (MhCluster *cluster);
 
 /**
  * mh_failure_check:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine that is not being released
  *
  * Probes it if it has been silent for too long, and gives it back if it has failed.
  */
 void
-mh_failure_check (MhCore *core, MhMachine *machine);
+mh_failure_check (MhCluster *cluster, MhMachine *machine);
 
 /**
  * mh_failure_check_leader_unheard:
- * @core: the controller
+ * @cluster: the cluster
  *
  * A leader that gets the reports of none of several workers, though the state service serves it, is
  * cut off from them: it lets another controller lead, which may not be.
  */
 void
-mh_failure_check_leader_unheard (MhCore *core);
+mh_failure_check_leader_unheard (MhCluster *cluster);
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -14,9 +14,9 @@
 }
 
 guint64
-mh_fencing_token (const MhCore *core, const MhMachine *machine)
+mh_fencing_token (const MhCluster *cluster, const MhMachine *machine)
 {
-  return core->leader.own_epoch + (machine ? machine->fencing.raises : 0);
+  return cluster->core->leader.own_epoch + (machine ? machine->fencing.raises : 0);
 }
 
 MhUnacknowledgedStart *
@@ -73,17 +73,19 @@
 }
 
 static bool
-clear_waits_long (const MhCore *core, const MhMachine *machine)
+clear_waits_long (const MhCluster *cluster, const MhMachine *machine)
 {
   gint64 since_us = machine->fencing.clear_held_since_us;
-  return since_us && core->now.mono_us - since_us > core->settings->worker_lease_us / 2;
+  return since_us
+         && mh_runtime_now_us (cluster->runtime) - since_us
+                > cluster->settings->worker_lease_us / 2;
 }
 
 /* Whether a higher token would fence anything that the present one does not. */
 static bool
-would_fence_a_start (const MhCore *core, const MhMachine *machine)
+would_fence_a_start (const MhCluster *cluster, const MhMachine *machine)
 {
-  guint64 token = mh_fencing_token (core, machine);
+  guint64 token = mh_fencing_token (cluster, machine);
   for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
     if (start_at (machine, i)->token == token)
       return true;
@@ -91,20 +93,20 @@
 }
 
 void
-mh_fencing_raise_token (MhCore *core, MhMachine *machine)
+mh_fencing_raise_token (MhCluster *cluster, MhMachine *machine)
 {
   MhMachineFencing *fencing = &machine->fencing;
   bool wanted = fencing->unacknowledged->len > MAX_UNFENCED_STARTS
-                || clear_waits_long (core, machine) || mh_fencing_has_lost_start (machine);
-  if (!wanted || !would_fence_a_start (core, machine))
+                || clear_waits_long (cluster, machine) || mh_fencing_has_lost_start (machine);
+  if (!wanted || !would_fence_a_start (cluster, machine))
     return;
   if (fencing->raises + 2 >= MH_EPOCHS_EACH)
     {
-      mh_leader_lost (core, "the epochs of this leadership are used up");
+      mh_leader_lost (cluster->core, "the epochs of this leadership are used up");
       return;
     }
   fencing->raises++;
   fencing->clear_held_since_us = 0;
-  mh_debug (core, "fencing token raised machine=%s token=%" G_GUINT64_FORMAT, machine->name,
-            mh_fencing_token (core, machine));
+  mh_log_debug (cluster->runtime, "fencing token raised machine=%s token=%" G_GUINT64_FORMAT,
+                machine->name, mh_fencing_token (cluster, machine));
 }
--- a/src/cluster/fencing.h
+++ b/src/cluster/fencing.h
@@ -6,17 +6,18 @@
    leadership has MH_EPOCHS_EACH of them, so that raising one costs no write. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
  * mh_fencing_token:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: (nullable): a machine; %NULL: one that is not known
  *
  * Returns: the fencing token that goes with what the machine is told
  */
 guint64
-mh_fencing_token (const MhCore *core, const MhMachine *machine);
+mh_fencing_token (const MhCluster *cluster, const MhMachine *machine);
 
 /**
  * mh_fencing_find_start:
@@ -68,11 +69,11 @@
 
 /**
  * mh_fencing_raise_token:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine
  *
  * Raises its token if a direct start may have been lost, or if a clear has waited for long: the
  * worker answers a raise by one more report, so that clears are gathered.
  */
 void
-mh_fencing_raise_token (MhCore *core, MhMachine *machine);
+mh_fencing_raise_token (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -23,65 +23,68 @@
 /* ---- taking in ---- */
 
 static void
-note_first_message (MhCore *core, MhMachine *machine, const MhReport *report)
+note_first_message (MhCluster *cluster, MhMachine *machine, const MhReport *report)
 {
-  mh_boot_time_joined (core, machine);
+  mh_boot_time_joined (cluster, machine);
   for (guint i = 0; i < machine->attempts->len; i++)
     mh_machine_attempt (machine, i)->job->n_unreported--;
-  machine->idle_since_us = core->now.mono_us;
-  core->cluster->callbacks->capacity_changed (core, false);
-  mh_info (core, "machine joined machine=%s type=%s zone=%s spot=%s tasks=%u", machine->name,
-           report->type, report->zone, report->spot ? "true" : "false", report->tasks->len);
+  machine->idle_since_us = mh_runtime_now_us (cluster->runtime);
+  cluster->callbacks->capacity_changed (cluster->owner, false);
+  mh_log_info (cluster->runtime, "machine joined machine=%s type=%s zone=%s spot=%s tasks=%u",
+               machine->name, report->type, report->zone, report->spot ? "true" : "false",
+               report->tasks->len);
 }
 
 static void
-update_heartbeat (MhCore *core, MhMachine *machine, const MhReport *report, MhMessageSource source)
+update_heartbeat (MhCluster *cluster, MhMachine *machine, const MhReport *report,
+                  MhMessageSource source)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   bool first = !heartbeat->reported;
   heartbeat->reported = true;
   mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
-  heartbeat->last_message_us = core->now.mono_us;
+  heartbeat->last_message_us = mh_runtime_now_us (cluster->runtime);
   if (source == MH_MESSAGE_ANSWER)
     heartbeat->ignored_answers = 0;
   if (!heartbeat->ignored_answers)
     machine->probe.failures = 0;
   if (source == MH_MESSAGE_REPORT || first)
-    heartbeat->last_report_us = core->now.mono_us;
+    heartbeat->last_report_us = mh_runtime_now_us (cluster->runtime);
   /* What it shows may call for commands; a report is answered with them at once. */
   if (source == MH_MESSAGE_ANSWER)
-    mh_machine_schedule_commands (core, machine);
+    mh_machine_schedule_commands (cluster, machine);
   heartbeat->session = report->session;
   heartbeat->sequence = report->sequence;
   heartbeat->token = report->token;
   if (first)
-    note_first_message (core, machine, report);
+    note_first_message (cluster, machine, report);
 }
 
 static void
-update_notice (MhCore *core, MhMachine *machine, const MhReport *report)
+update_notice (MhCluster *cluster, MhMachine *machine, const MhReport *report)
 {
   bool noticed = report->notice_us >= 0;
   if (noticed && machine->notice_until_us < 0)
-    mh_info (core, "machine has preemption notice machine=%s left_s=%.1f", machine->name,
-             (double)report->notice_us / MH_SECOND_US);
-  machine->notice_until_us = noticed ? core->now.mono_us + report->notice_us : -1;
+    mh_log_info (cluster->runtime, "machine has preemption notice machine=%s left_s=%.1f",
+                 machine->name, (double)report->notice_us / MH_SECOND_US);
+  machine->notice_until_us
+      = noticed ? mh_runtime_now_us (cluster->runtime) + report->notice_us : -1;
 }
 
 static void
-take_in (MhCore *core, MhMachine *machine, const MhReport *report, MhMessageSource source)
+take_in (MhCluster *cluster, MhMachine *machine, const MhReport *report, MhMessageSource source)
 {
-  update_heartbeat (core, machine, report, source);
+  update_heartbeat (cluster, machine, report, source);
   if (g_strcmp0 (machine->endpoint, report->endpoint) != 0)
     {
       g_free (machine->endpoint);
       machine->endpoint = g_strdup (report->endpoint);
     }
-  mh_cluster_identify_machine (core, machine, report->type, report->zone, report->spot);
-  mh_zone_note_message (core, machine->zone, source == MH_MESSAGE_REPORT);
-  update_notice (core, machine, report);
+  mh_cluster_identify_machine (cluster, machine, report->type, report->zone, report->spot);
+  mh_zone_note_message (cluster, machine->zone, source == MH_MESSAGE_REPORT);
+  update_notice (cluster, machine, report);
   mh_fencing_forget_fenced (machine);
-  mh_reconcile (core, machine, report, source);
+  mh_reconcile (cluster, machine, report, source);
 }
 
 static bool
@@ -93,28 +96,28 @@
 }
 
 bool
-mh_heartbeat_take_answer (MhCore *core, MhMachine *machine, const MhReport *report)
+mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhReport *report)
 {
   if (strcmp (report->machine, machine->name) != 0 || !is_newer (machine, report))
     return false;
-  if (report->token > mh_fencing_token (core, machine))
+  if (report->token > mh_fencing_token (cluster, machine))
     {
-      mh_leader_lost (core, "a worker has seen a higher token");
+      mh_leader_lost (cluster->core, "a worker has seen a higher token");
       return false;
     }
-  take_in (core, machine, report, MH_MESSAGE_ANSWER);
+  take_in (cluster, machine, report, MH_MESSAGE_ANSWER);
   return true;
 }
 
 /* A report of unknown age: at most it tells where to ask. */
 static void
-note_unverified_report (MhCore *core, MhMachine *machine, const MhReport *report)
+note_unverified_report (MhCluster *cluster, MhMachine *machine, const MhReport *report)
 {
   if (machine == NULL || machine->heartbeat.reported || mh_machine_is_releasing (machine))
     return;
   if (machine->endpoint == NULL)
     machine->endpoint = g_strdup (report->endpoint);
-  machine->heartbeat.unverified_us = core->now.mono_us;
+  machine->heartbeat.unverified_us = mh_runtime_now_us (cluster->runtime);
 }
 
 /* ---- whether the last answer has arrived ---- */
@@ -172,7 +175,7 @@
    that what the answer said must show. A machine whose reports arrive while nothing reaches it
    looks alive, and does nothing that it is told. */
 static void
-check_answer_received (MhCore *core, MhMachine *machine, const MhReport *report)
+check_answer_received (MhCluster *cluster, MhMachine *machine, const MhReport *report)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   if (!heartbeat->answer_pending)
@@ -182,7 +185,7 @@
     {
     case ANSWER_IGNORED:
       if (++heartbeat->ignored_answers == MH_MAX_IGNORED_ANSWERS)
-        mh_info (core, "machine ignores answers machine=%s", machine->name);
+        mh_log_info (cluster->runtime, "machine ignores answers machine=%s", machine->name);
       break;
     case ANSWER_FOLLOWED:
       heartbeat->ignored_answers = 0;
@@ -195,115 +198,118 @@
 /* ---- answering reports ---- */
 
 gint64
-mh_heartbeat_keep_alive_us (const MhCore *core)
+mh_heartbeat_keep_alive_us (const MhCluster *cluster)
 {
-  const MhSettings *settings = core->settings;
+  const MhSettings *settings = cluster->settings;
   return settings->cancel_us - settings->worker_lease_us
          - settings->worker_lease_us / CLOCK_DRIFT_PART - KEEP_ALIVE_SPARE_US;
 }
 
 static bool
-may_keep_alive (const MhCore *core)
+may_keep_alive (const MhCluster *cluster)
 {
-  return core->leader.phase == MH_PHASE_LEAD && !core->leader.lost
-         && core->now.mono_us < core->leader.confirmed_us + mh_heartbeat_keep_alive_us (core);
+  return cluster->core->leader.phase == MH_PHASE_LEAD && !cluster->core->leader.lost
+         && mh_runtime_now_us (cluster->runtime)
+                < cluster->core->leader.confirmed_us + mh_heartbeat_keep_alive_us (cluster);
 }
 
 static void
-answer_report (MhCore *core, guint64 request_id, guint status, MhValue *body)
+answer_report (MhCluster *cluster, guint64 request_id, guint status, MhValue *body)
 {
-  MhAction *action = mh_core_act (core, MH_ACTION_ANSWER_REPORT, request_id);
+  MhAction *action = mh_runtime_act (cluster->runtime, MH_ACTION_ANSWER_REPORT, request_id);
   action->status = status;
   action->body = body;
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
-  if (status == STATUS_OK && mh_leader_valid (core))
-    action->lease_until_us = core->leader.valid_until_us;
+  if (status == STATUS_OK && mh_runtime_is_leader (cluster->runtime))
+    action->lease_until_us = mh_runtime_lease_until_us (cluster->runtime);
 }
 
 /* One that this leadership knew is known no more when it has been given back. */
 static bool
-is_of_released_machine (const MhCore *core, const MhMachine *machine, const MhReport *report)
+is_of_released_machine (const MhCluster *cluster, const MhMachine *machine, const MhReport *report)
 {
-  guint64 first_token = mh_fencing_token (core, NULL);
+  guint64 first_token = mh_fencing_token (cluster, NULL);
   bool was_ours = machine == NULL && report->token > first_token
                   && report->token < first_token + MH_EPOCHS_EACH;
-  return core->leader.phase == MH_PHASE_LEAD
-         && (was_ours || mh_cluster_was_released (core, report->machine));
+  return cluster->core->leader.phase == MH_PHASE_LEAD
+         && (was_ours || mh_cluster_was_released (cluster, report->machine));
 }
 
 /* Takes in a report that was surely sent in this leadership; returns whether the machine is told
    what to do. */
 static bool
-take_in_report (MhCore *core, MhMachine *machine, const MhReport *report, GArray *commands)
+take_in_report (MhCluster *cluster, MhMachine *machine, const MhReport *report, GArray *commands)
 {
   if (!is_newer (machine, report))
     return false;
-  check_answer_received (core, machine, report);
-  bool valid = mh_leader_valid (core);
-  take_in (core, machine, report, MH_MESSAGE_REPORT);
-  if (!valid || core->leader.lost)
+  check_answer_received (cluster, machine, report);
+  bool valid = mh_runtime_is_leader (cluster->runtime);
+  take_in (cluster, machine, report, MH_MESSAGE_REPORT);
+  if (!valid || cluster->core->leader.lost)
     return false;
-  mh_worker_command_collect (core, machine, commands);
+  mh_worker_command_collect (cluster, machine, commands);
   machine->heartbeat.answer_pending = true;
-  machine->heartbeat.answered_token = mh_fencing_token (core, machine);
+  machine->heartbeat.answered_token = mh_fencing_token (cluster, machine);
   machine->heartbeat.answered_sequence = report->sequence;
   return true;
 }
 
 static MhMachine *
-find_or_add (MhCore *core, MhMachine *machine, const MhReport *report)
+find_or_add (MhCluster *cluster, MhMachine *machine, const MhReport *report)
 {
   if (machine)
     return machine;
-  mh_info (core, "machine not known before, used machine=%s", report->machine);
-  return mh_cluster_add_machine (core, report->machine, report->type, report->zone, report->spot);
+  mh_log_info (cluster->runtime, "machine not known before, used machine=%s", report->machine);
+  return mh_cluster_add_machine (cluster, report->machine, report->type, report->zone,
+                                 report->spot);
 }
 
 static void
-answer_with_commands (MhCore *core, guint64 request_id, const MhReport *report)
+answer_with_commands (MhCluster *cluster, guint64 request_id, const MhReport *report)
 {
-  MhMachine *machine = mh_cluster_find_machine (core, report->machine);
+  MhMachine *machine = mh_cluster_find_machine (cluster, report->machine);
   g_autoptr (GArray) commands = mh_commands_new ();
   bool told = false;
   /* Copies of reports come late, also of machines that are long gone and to a leader that has
      heard nothing newer. Only one with a token of this leadership was surely sent in it; by
      any other the worker is merely answered, and it reports again when it has seen the token. */
-  if (report->token < mh_fencing_token (core, NULL))
-    note_unverified_report (core, machine, report);
+  if (report->token < mh_fencing_token (cluster, NULL))
+    note_unverified_report (cluster, machine, report);
   else
     {
-      machine = find_or_add (core, machine, report);
-      told = take_in_report (core, machine, report, commands);
+      machine = find_or_add (cluster, machine, report);
+      told = take_in_report (cluster, machine, report, commands);
     }
   /* No answer renews the lease of a worker without stopping what is cancelled there: the leader may
      not be able to say so later. */
   if (!told && machine)
     mh_worker_command_collect_cancelled (machine, commands);
-  answer_report (core, request_id, STATUS_OK,
-                 mh_wire_write_commands (mh_fencing_token (core, machine), NULL, commands));
+  answer_report (cluster, request_id, STATUS_OK,
+                 mh_wire_write_commands (mh_fencing_token (cluster, machine), NULL, commands));
 }
 
 /* One that has not read the records yet does not know what is cancelled: each of its answers would
    keep such tasks alive, and slow reads, or one short leadership after the other, for ever. */
 static bool
-may_answer (const MhCore *core)
+may_answer (const MhCluster *cluster)
 {
-  return core->leader.phase == MH_PHASE_LEAD && (mh_leader_valid (core) || may_keep_alive (core));
+  return cluster->core->leader.phase == MH_PHASE_LEAD
+         && (mh_runtime_is_leader (cluster->runtime) || may_keep_alive (cluster));
 }
 
 void
-mh_heartbeat_receive (MhCore *core, guint64 request_id, const MhReport *report)
+mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhReport *report)
 {
-  const MhMachine *machine = mh_cluster_find_machine (core, report->machine);
-  bool released = is_of_released_machine (core, machine, report);
-  if (!released && report->token > mh_fencing_token (core, machine))
+  const MhMachine *machine = mh_cluster_find_machine (cluster, report->machine);
+  bool released = is_of_released_machine (cluster, machine, report);
+  if (!released && report->token > mh_fencing_token (cluster, machine))
     {
-      mh_leader_lost (core, "a worker has seen a higher token");
-      answer_report (core, request_id, STATUS_MISDIRECTED, mh_wire_write_redirect (NULL));
+      mh_leader_lost (cluster->core, "a worker has seen a higher token");
+      answer_report (cluster, request_id, STATUS_MISDIRECTED, mh_wire_write_redirect (NULL));
     }
-  else if (released || !may_answer (core))
-    answer_report (core, request_id, STATUS_UNAVAILABLE, NULL);
+  else if (released || !may_answer (cluster))
+    answer_report (cluster, request_id, STATUS_UNAVAILABLE, NULL);
   else
-    answer_with_commands (core, request_id, report);
+    answer_with_commands (cluster, request_id, report);
 }
--- a/src/cluster/heartbeat.h
+++ b/src/cluster/heartbeat.h
@@ -4,11 +4,12 @@
    or the answer to a question or a command of this leader's. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
  * mh_heartbeat_receive:
- * @core: the controller, which leads or is loading
+ * @cluster: the cluster, which leads or is loading
  * @request_id: of the report, for its answer
  * @report: a worker's report
  *
@@ -16,22 +17,22 @@
  * worker has seen a higher token.
  */
 void
-mh_heartbeat_receive (MhCore *core, guint64 request_id, const MhReport *report);
+mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhReport *report);
 
 /**
  * mh_heartbeat_take_answer:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: the machine that was asked
  * @report: the worker's answer to a question or a command of this leader's
  *
  * Returns: %FALSE if the answer is of another machine, or tells nothing newer
  */
 bool
-mh_heartbeat_take_answer (MhCore *core, MhMachine *machine, const MhReport *report);
+mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhReport *report);
 
 /**
  * mh_heartbeat_keep_alive_us:
- * @core: the controller
+ * @cluster: the cluster
  *
  * For how long after its last renewal a leader that cannot renew its lease may keep workers' tasks
  * alive, without starting anything. A successor may confirm a cancellation from that renewal's end
@@ -42,4 +43,4 @@
  * Returns: in microseconds; not above 0: not at all
  */
 gint64
-mh_heartbeat_keep_alive_us (const MhCore *core);
+mh_heartbeat_keep_alive_us (const MhCluster *cluster);
--- a/src/cluster/image-wait.c
+++ b/src/cluster/image-wait.c
@@ -13,10 +13,11 @@
 
 /* Gigabytes that are left of an attempt's fetch. */
 static double
-fetch_left_gb (const MhCore *core, const MhAttempt *attempt, double rate)
+fetch_left_gb (const MhCluster *cluster, const MhAttempt *attempt, double rate)
 {
   double image_gb = attempt->job->spec->image_gb;
-  double fetched_s = (double)(core->now.mono_us - attempt->placed_us) / MH_SECOND_US;
+  double fetched_s
+      = (double)(mh_runtime_now_us (cluster->runtime) - attempt->placed_us) / MH_SECOND_US;
   return MAX (image_gb - fetched_s * rate, image_gb * LEAST_PART_LEFT);
 }
 
@@ -32,8 +33,8 @@
 }
 
 gint64
-mh_machine_image_wait_us (const MhCore *core, const MhMachine *machine, const GRefString *image,
-                          double gb)
+mh_machine_image_wait_us (const MhCluster *cluster, const MhMachine *machine,
+                          const GRefString *image, double gb)
 {
   if (mh_machine_has_image (machine, image))
     return 0;
@@ -45,7 +46,7 @@
       if (mh_attempt_is_stopping (attempt) || attempt->phase != MH_TASK_FETCHING
           || mh_machine_has_image (machine, attempt->job->image))
         continue;
-      double left_gb = fetch_left_gb (core, attempt, rate);
+      double left_gb = fetch_left_gb (cluster, attempt, rate);
       if (attempt->job->image == image)
         return (gint64)(left_gb / rate * MH_SECOND_US);
       if (!is_counted_before (machine, i))
--- a/src/cluster/image-wait.h
+++ b/src/cluster/image-wait.h
@@ -1,11 +1,12 @@
 /* How long a task would wait for its image on a machine. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
  * mh_machine_image_wait_us:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine
  * @image: an interned name
  * @gb: the image's size in gigabytes
@@ -15,5 +16,5 @@
  * the rate
  */
 gint64
-mh_machine_image_wait_us (const MhCore *core, const MhMachine *machine, const GRefString *image,
-                          double gb);
+mh_machine_image_wait_us (const MhCluster *cluster, const MhMachine *machine,
+                          const GRefString *image, double gb);
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -21,9 +21,9 @@
 }
 
 MhMachine *
-mh_cluster_find_machine (const MhCore *core, const char *name)
+mh_cluster_find_machine (const MhCluster *cluster, const char *name)
 {
-  return g_hash_table_lookup (core->cluster->machines, name);
+  return g_hash_table_lookup (cluster->machines, name);
 }
 
 void
@@ -42,48 +42,48 @@
 }
 
 void
-mh_cluster_identify_machine (MhCore *core, MhMachine *machine, const char *type, const char *zone,
-                             bool spot)
+mh_cluster_identify_machine (MhCluster *cluster, MhMachine *machine, const char *type,
+                             const char *zone, bool spot)
 {
   if (machine->zone == NULL)
     machine->zone = g_ref_string_new_intern (zone);
   if (machine->type_name == NULL)
     {
       machine->type_name = g_strdup (type);
-      mh_cluster_resolve_type (core->cluster, machine);
+      mh_cluster_resolve_type (cluster, machine);
     }
   machine->spot = spot;
 }
 
 MhMachine *
-mh_cluster_add_machine (MhCore *core, const char *name, const char *type, const char *zone,
+mh_cluster_add_machine (MhCluster *cluster, const char *name, const char *type, const char *zone,
                         bool spot)
 {
-  MhMachine *machine = mh_machine_new (name, core->now.mono_us);
+  MhMachine *machine = mh_machine_new (name, mh_runtime_now_us (cluster->runtime));
   machine->type_name = g_strdup (type);
   machine->zone = zone ? g_ref_string_new_intern (zone) : NULL;
   machine->spot = spot;
-  mh_cluster_resolve_type (core->cluster, machine);
-  g_hash_table_insert (core->cluster->machines, machine->name, machine);
+  mh_cluster_resolve_type (cluster, machine);
+  g_hash_table_insert (cluster->machines, machine->name, machine);
   return machine;
 }
 
 /* ---- machines that are gone ---- */
 
 bool
-mh_cluster_was_released (const MhCore *core, const char *name)
+mh_cluster_was_released (const MhCluster *cluster, const char *name)
 {
-  return g_hash_table_contains (core->cluster->released, name);
+  return g_hash_table_contains (cluster->released, name);
 }
 
 void
-mh_cluster_remember_released (MhCore *core, const char *name)
+mh_cluster_remember_released (MhCluster *cluster, const char *name)
 {
   ReleasedMachine *released = g_new0 (ReleasedMachine, 1);
   released->name = g_strdup (name);
-  released->released_us = core->now.mono_us;
-  g_queue_push_tail (&core->cluster->released_order, released);
-  g_hash_table_add (core->cluster->released, released->name);
+  released->released_us = mh_runtime_now_us (cluster->runtime);
+  g_queue_push_tail (&cluster->released_order, released);
+  g_hash_table_add (cluster->released, released->name);
 }
 
 void
@@ -107,22 +107,23 @@
 /* ---- silence ---- */
 
 gint64
-mh_cluster_silence_us (const MhCore *core, gint64 heard_us)
+mh_cluster_silence_us (const MhCluster *cluster, gint64 heard_us)
 {
-  return core->now.mono_us - MAX (heard_us, mh_runtime_resumed_us (core->runtime));
+  return mh_runtime_now_us (cluster->runtime)
+         - MAX (heard_us, mh_runtime_resumed_us (cluster->runtime));
 }
 
 bool
-mh_cluster_is_silent (const MhCore *core, const MhMachine *machine, gint64 for_us)
+mh_cluster_is_silent (const MhCluster *cluster, const MhMachine *machine, gint64 for_us)
 {
-  return mh_cluster_silence_us (core, machine->heartbeat.last_message_us) > for_us;
+  return mh_cluster_silence_us (cluster, machine->heartbeat.last_message_us) > for_us;
 }
 
 void
-mh_machine_schedule_commands (MhCore *core, MhMachine *machine)
+mh_machine_schedule_commands (MhCluster *cluster, MhMachine *machine)
 {
   if (machine->commands_due)
     return;
   machine->commands_due = true;
-  g_ptr_array_add (core->cluster->commands_due, machine);
+  g_ptr_array_add (cluster->commands_due, machine);
 }
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -12,77 +12,78 @@
 /* ---- attempts that have ended ---- */
 
 static void
-note_done (MhCore *core, const MhAttempt *attempt)
+note_done (MhCluster *cluster, const MhAttempt *attempt)
 {
   if (attempt->running_since_us && !mh_attempt_is_from_record (attempt))
-    mh_runtime_estimator_observe (core->runtime_estimator, attempt->job->spec,
-                                  core->now.mono_us - attempt->running_since_us);
-  mh_task_failure_record_success (core, attempt->machine, attempt->job);
+    mh_runtime_estimator_observe (cluster->core->runtime_estimator, attempt->job->spec,
+                                  mh_runtime_now_us (cluster->runtime) - attempt->running_since_us);
+  mh_task_failure_record_success (cluster, attempt->machine, attempt->job);
 }
 
 static void
-note_failed (MhCore *core, const MhAttempt *attempt)
+note_failed (MhCluster *cluster, const MhAttempt *attempt)
 {
   /* A huge job that fails everywhere would fill the log with its tasks. */
   GLogLevelFlags level = mh_job_backs_off (attempt->job) ? G_LOG_LEVEL_DEBUG : G_LOG_LEVEL_INFO;
-  mh_core_log (core, level, "task failed job=%s task=%u machine=%s", attempt->job->spec->id,
-               attempt->index, attempt->machine->name);
-  mh_task_failure_record_failure (core, attempt->machine, attempt->job);
+  mh_runtime_log (cluster->runtime, level, "task failed job=%s task=%u machine=%s",
+                  attempt->job->spec->id, attempt->index, attempt->machine->name);
+  mh_task_failure_record_failure (cluster, attempt->machine, attempt->job);
 }
 
 static void
-note_refused (MhCore *core, const MhAttempt *attempt, const char *why)
+note_refused (MhCluster *cluster, const MhAttempt *attempt, const char *why)
 {
-  mh_info (core, "task refused job=%s task=%u machine=%s reason=%s", attempt->job->spec->id,
-           attempt->index, attempt->machine->name, why);
-  attempt->machine->no_start_before_us = core->now.mono_us + REFUSED_HOLD_US;
+  mh_log_info (cluster->runtime, "task refused job=%s task=%u machine=%s reason=%s",
+               attempt->job->spec->id, attempt->index, attempt->machine->name, why);
+  attempt->machine->no_start_before_us = mh_runtime_now_us (cluster->runtime) + REFUSED_HOLD_US;
 }
 
 static void
-note_gang_broken (MhCore *core, const MhAttempt *attempt, const char *why)
+note_gang_broken (MhCluster *cluster, const MhAttempt *attempt, const char *why)
 {
-  mh_info (core, "gang attempt ended job=%s task=%u machine=%s reason=%s", attempt->job->spec->id,
-           attempt->index, attempt->machine->name, why);
+  mh_log_info (cluster->runtime, "gang attempt ended job=%s task=%u machine=%s reason=%s",
+               attempt->job->spec->id, attempt->index, attempt->machine->name, why);
 }
 
 static void
-note_job_unknown (MhCore *core, const MhAttempt *attempt)
+note_job_unknown (MhCluster *cluster, const MhAttempt *attempt)
 {
-  mh_info (core, "job not known to worker yet job=%s task=%u machine=%s", attempt->job->spec->id,
-           attempt->index, attempt->machine->name);
-  attempt->job->placement.retry_after_us = core->now.mono_us + UNKNOWN_JOB_RETRY_US;
+  mh_log_info (cluster->runtime, "job not known to worker yet job=%s task=%u machine=%s",
+               attempt->job->spec->id, attempt->index, attempt->machine->name);
+  attempt->job->placement.retry_after_us
+      = mh_runtime_now_us (cluster->runtime) + UNKNOWN_JOB_RETRY_US;
 }
 
 static void
-attempt_ended (MhCore *core, MhAttempt *attempt, MhCause cause)
+attempt_ended (MhCluster *cluster, MhAttempt *attempt, MhCause cause)
 {
   switch (cause)
     {
     case MH_CAUSE_DONE:
-      note_done (core, attempt);
+      note_done (cluster, attempt);
       break;
     case MH_CAUSE_ERROR:
-      note_failed (core, attempt);
+      note_failed (cluster, attempt);
       break;
     case MH_CAUSE_NO_ROOM:
-      note_refused (core, attempt, "no-room");
+      note_refused (cluster, attempt, "no-room");
       break;
     case MH_CAUSE_BUSY:
-      note_refused (core, attempt, "other-attempt-there");
+      note_refused (cluster, attempt, "other-attempt-there");
       break;
     case MH_CAUSE_PEERS:
-      note_gang_broken (core, attempt, "other-task-gone");
+      note_gang_broken (cluster, attempt, "other-task-gone");
       break;
     case MH_CAUSE_INCOMPLETE:
-      note_gang_broken (core, attempt, "incomplete-in-time");
+      note_gang_broken (cluster, attempt, "incomplete-in-time");
       break;
     case MH_CAUSE_UNKNOWN:
-      note_job_unknown (core, attempt);
+      note_job_unknown (cluster, attempt);
       break;
     default:
       break;
     }
-  mh_attempt_proven_over (core, attempt, cause == MH_CAUSE_DONE);
+  mh_attempt_proven_over (cluster, attempt, cause == MH_CAUSE_DONE);
 }
 
 /* ---- what is shown ---- */
@@ -101,9 +102,9 @@
    tasks: what is shown is left of a job that was over before, and whose user repeats himself. Such
    a repetition once cost a leader its lead. */
 static const MhTask *
-find_task (const MhCore *core, const MhReportTask *shown)
+find_task (const MhCluster *cluster, const MhReportTask *shown)
 {
-  const MhJob *job = g_hash_table_lookup (core->jobs, shown->job);
+  const MhJob *job = g_hash_table_lookup (cluster->core->jobs, shown->job);
   if (job == NULL || !job->accepted || shown->index >= job->spec->tasks)
     return NULL;
   return &job->tasks[shown->index];
@@ -118,36 +119,36 @@
 }
 
 static void
-read_shown_attempt (MhCore *core, MhAttempt *attempt, const MhReportTask *shown)
+read_shown_attempt (MhCluster *cluster, MhAttempt *attempt, const MhReportTask *shown)
 {
   const MhJob *job = attempt->job;
-  mh_attempt_note_shown (core, attempt, shown->phase);
+  mh_attempt_note_shown (cluster, attempt, shown->phase);
   if (proves_image (shown))
     mh_machine_add_image (attempt->machine, job->image, job->spec->image_gb);
   if (shown->phase == MH_TASK_ENDED)
-    attempt_ended (core, attempt, shown->cause);
+    attempt_ended (cluster, attempt, shown->cause);
 }
 
 static void
-read_shown_task (MhCore *core, MhMachine *machine, const MhReportTask *shown)
+read_shown_task (MhCluster *cluster, MhMachine *machine, const MhReportTask *shown)
 {
   /* What it may do is not known: it is left alone. */
-  if (g_hash_table_contains (core->unreadable, shown->job))
+  if (g_hash_table_contains (cluster->core->unreadable, shown->job))
     {
       machine->heartbeat.unreadable_tasks++;
       return;
     }
-  const MhTask *task = find_task (core, shown);
+  const MhTask *task = find_task (cluster, shown);
   if (task && shown->attempt > task->attempt)
     {
       /* Each attempt is written before it is sent: memory must be behind the records. */
-      mh_leader_lost (core, "a worker runs an attempt that is not on record here");
+      mh_leader_lost (cluster->core, "a worker runs an attempt that is not on record here");
       return;
     }
   MhAttempt *attempt = task ? task->live : NULL;
   bool is_ours = attempt && attempt->machine == machine && attempt->attempt == shown->attempt;
   if (is_ours)
-    read_shown_attempt (core, attempt, shown);
+    read_shown_attempt (cluster, attempt, shown);
   /* One that has just ended is to be cleared at the worker. */
   if (!is_ours || shown->phase == MH_TASK_ENDED)
     add_orphan (machine, shown);
@@ -158,13 +159,13 @@
 /* Whether the attempt, which is not shown, can neither be on the machine any more nor come to it.
  */
 static bool
-is_proven_gone (const MhCore *core, const MhAttempt *attempt, MhMessageSource source)
+is_proven_gone (const MhCluster *cluster, const MhAttempt *attempt, MhMessageSource source)
 {
   const MhMachine *machine = attempt->machine;
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   /* Starts of earlier leaders are fenced by a token of this leadership. */
   if (mh_attempt_is_from_record (attempt))
-    return heartbeat->token >= mh_fencing_token (core, NULL);
+    return heartbeat->token >= mh_fencing_token (cluster, NULL);
   if (!mh_attempt_start_was_sent (attempt))
     return false;
   if (attempt->start_session < heartbeat->session)
@@ -180,27 +181,28 @@
 }
 
 static void
-end_attempts_proven_gone (MhCore *core, MhMachine *machine, MhMessageSource source)
+end_attempts_proven_gone (MhCluster *cluster, MhMachine *machine, MhMessageSource source)
 {
   for (guint i = machine->attempts->len; i-- > 0;)
     {
       MhAttempt *attempt = mh_machine_attempt (machine, i);
-      if (attempt->shown_now || !is_proven_gone (core, attempt, source))
+      if (attempt->shown_now || !is_proven_gone (cluster, attempt, source))
         continue;
-      mh_info (core, "attempt proven gone job=%s task=%u attempt=%u machine=%s",
-               attempt->job->spec->id, attempt->index, attempt->attempt, machine->name);
-      mh_attempt_proven_over (core, attempt, false);
+      mh_log_info (cluster->runtime, "attempt proven gone job=%s task=%u attempt=%u machine=%s",
+                   attempt->job->spec->id, attempt->index, attempt->attempt, machine->name);
+      mh_attempt_proven_over (cluster, attempt, false);
     }
 }
 
 void
-mh_reconcile (MhCore *core, MhMachine *machine, const MhReport *report, MhMessageSource source)
+mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhReport *report,
+              MhMessageSource source)
 {
   for (guint i = 0; i < machine->attempts->len; i++)
     mh_machine_attempt (machine, i)->shown_now = false;
   g_array_set_size (machine->orphans, 0);
   machine->heartbeat.unreadable_tasks = 0;
   for (guint i = 0; i < report->tasks->len; i++)
-    read_shown_task (core, machine, &g_array_index (report->tasks, MhReportTask, i));
-  end_attempts_proven_gone (core, machine, source);
+    read_shown_task (cluster, machine, &g_array_index (report->tasks, MhReportTask, i));
+  end_attempts_proven_gone (cluster, machine, source);
 }
--- a/src/cluster/reconcile.h
+++ b/src/cluster/reconcile.h
@@ -5,6 +5,7 @@
    can still be on its way. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
@@ -22,7 +23,7 @@
 
 /**
  * mh_reconcile:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: the machine, whose heartbeat is up to date
  * @report: what its worker shows, newer than all before it
  * @source: how it came
@@ -31,4 +32,5 @@
  * is not on record here.
  */
 void
-mh_reconcile (MhCore *core, MhMachine *machine, const MhReport *report, MhMessageSource source);
+mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhReport *report,
+              MhMessageSource source);
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -26,28 +26,29 @@
 #define HOLD_US (5 * MH_SECOND_US)
 
 guint
-mh_task_failure_startable (const MhCore *core, const MhJob *job)
+mh_task_failure_startable (const MhCluster *cluster, const MhJob *job)
 {
   guint pending = mh_job_pending_tasks (job);
   if (!mh_job_backs_off (job))
     return pending;
-  if (core->now.mono_us < job->placement.retry_after_us || job->n_live)
+  if (mh_runtime_now_us (cluster->runtime) < job->placement.retry_after_us || job->n_live)
     return 0;
   return mh_job_is_gang (job) ? pending : MIN (pending, 1);
 }
 
 guint
-mh_task_failure_rentable (const MhCore *core, const MhJob *job)
+mh_task_failure_rentable (const MhCluster *cluster, const MhJob *job)
 {
-  if (mh_job_backs_off (job) && core->now.mono_us < job->placement.retry_after_us + PLACED_BY_US)
+  if (mh_job_backs_off (job)
+      && mh_runtime_now_us (cluster->runtime) < job->placement.retry_after_us + PLACED_BY_US)
     return 0;
-  return mh_task_failure_startable (core, job);
+  return mh_task_failure_startable (cluster, job);
 }
 
 /* ---- jobs ---- */
 
 static bool
-runs_well (const MhCore *core, const MhJob *job)
+runs_well (const MhCluster *cluster, const MhJob *job)
 {
   if (job->n_done)
     return true;
@@ -55,26 +56,26 @@
     {
       const MhAttempt *attempt = job->tasks[i].live;
       if (attempt && attempt->running_since_us
-          && core->now.mono_us - attempt->running_since_us >= HEALTHY_RUN_US)
+          && mh_runtime_now_us (cluster->runtime) - attempt->running_since_us >= HEALTHY_RUN_US)
         return true;
     }
   return false;
 }
 
 static void
-note_failure (const MhCore *core, MhJob *job, const char *machine)
+note_failure (const MhCluster *cluster, MhJob *job, const char *machine)
 {
   MhJobFailures *failures = &job->failures;
   if (failures->machines == NULL)
     failures->machines = g_ptr_array_new_with_free_func (g_free);
   bool known = g_ptr_array_find_with_equal_func (failures->machines, machine, g_str_equal, NULL);
   /* Tasks that were started together on one machine say no more than one of them. */
-  if (known && core->now.mono_us < failures->failed_us + HOLD_US)
+  if (known && mh_runtime_now_us (cluster->runtime) < failures->failed_us + HOLD_US)
     return;
   if (!known && failures->machines->len < FAILING_TRIES)
     g_ptr_array_add (failures->machines, g_strdup (machine));
   failures->tries++;
-  failures->failed_us = core->now.mono_us;
+  failures->failed_us = mh_runtime_now_us (cluster->runtime);
 }
 
 static bool
@@ -84,45 +85,48 @@
 }
 
 static void
-wait_before_retry (MhCore *core, MhJob *job)
+wait_before_retry (MhCluster *cluster, MhJob *job)
 {
   gint64 wait = FIRST_WAIT_US << (job->failures.back_off_level - 1);
-  double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * core->now.jitter;
-  job->placement.retry_after_us = core->now.mono_us + (gint64)((double)wait * factor);
+  double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * mh_runtime_now (cluster->runtime)->jitter;
+  job->placement.retry_after_us
+      = mh_runtime_now_us (cluster->runtime) + (gint64)((double)wait * factor);
 }
 
 /* Tasks that still fetch the image of a job that cannot run keep it from others. */
 static void
-stop_fetching (MhCore *core, MhJob *job)
+stop_fetching (MhCluster *cluster, MhJob *job)
 {
   for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_job_is_gang (job); i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt && attempt->phase == MH_TASK_FETCHING && !mh_attempt_is_stopping (attempt))
-        mh_attempt_stop (core, attempt, 0);
+        mh_attempt_stop (cluster, attempt, 0);
     }
 }
 
 /* Tasks that were started together fail together: only the failure of a later try comes here. */
 static void
-back_off (MhCore *core, MhJob *job)
+back_off (MhCluster *cluster, MhJob *job)
 {
   bool first = !mh_job_backs_off (job);
   job->failures.back_off_level = MIN (job->failures.back_off_level + 1, LAST_LEVEL);
-  wait_before_retry (core, job);
-  mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
-  mh_info (core, "job backs off, fails wherever it starts job=%s next_start_s=%.0f", job->spec->id,
-           (double)(job->placement.retry_after_us - core->now.mono_us) / MH_SECOND_US);
+  wait_before_retry (cluster, job);
+  mh_store_touch (cluster->core, &job->records[0], MH_URGENCY_PROGRESS);
+  mh_log_info (cluster->runtime, "job backs off, fails wherever it starts job=%s next_start_s=%.0f",
+               job->spec->id,
+               (double)(job->placement.retry_after_us - mh_runtime_now_us (cluster->runtime))
+                   / MH_SECOND_US);
   if (first)
-    stop_fetching (core, job);
+    stop_fetching (cluster, job);
 }
 
 void
-mh_task_failure_load_back_off (MhCore *core, MhJob *job, guint level)
+mh_task_failure_load_back_off (MhCluster *cluster, MhJob *job, guint level)
 {
   job->failures.back_off_level = MIN (level, LAST_LEVEL);
   if (mh_job_backs_off (job))
-    wait_before_retry (core, job);
+    wait_before_retry (cluster, job);
 }
 
 /* ---- machines ---- */
@@ -136,14 +140,14 @@
 
 /* Jobs that could be tried nowhere else: where there are several, the machine is at fault. */
 static guint
-jobs_failing_here_alone (const MhCore *core, const MhMachine *machine)
+jobs_failing_here_alone (const MhCluster *cluster, const MhMachine *machine)
 {
   guint jobs = 0;
   const char *last = NULL;
   for (guint i = 0; i < machine->failures.jobs->len; i++)
     {
       const char *id = g_ptr_array_index (machine->failures.jobs, i);
-      const MhJob *job = g_hash_table_lookup (core->jobs, id);
+      const MhJob *job = g_hash_table_lookup (cluster->core->jobs, id);
       if (job == NULL || !fails_here_alone (job) || g_strcmp0 (last, id) == 0)
         continue;
       jobs++;
@@ -153,27 +157,27 @@
 }
 
 static void
-judge_machine (MhCore *core, MhMachine *machine)
+judge_machine (MhCluster *cluster, MhMachine *machine)
 {
   if (machine->failures.consecutive >= FAULTY_FAILURES
-      || jobs_failing_here_alone (core, machine) >= FAULTY_FAILURES)
-    core->cluster->callbacks->release_machine (core, machine, "fails every task");
+      || jobs_failing_here_alone (cluster, machine) >= FAULTY_FAILURES)
+    cluster->callbacks->release_machine (cluster->owner, machine, "fails every task");
 }
 
 static void
-blame_machine (MhCore *core, MhMachine *machine, const MhJob *job)
+blame_machine (MhCluster *cluster, MhMachine *machine, const MhJob *job)
 {
-  machine->no_start_before_us = core->now.mono_us + HOLD_US;
-  if (runs_well (core, job))
+  machine->no_start_before_us = mh_runtime_now_us (cluster->runtime) + HOLD_US;
+  if (runs_well (cluster, job))
     machine->failures.consecutive++;
   else if (machine->failures.jobs->len < MAX_FAILED_JOBS)
     g_ptr_array_add (machine->failures.jobs, g_strdup (job->spec->id));
-  judge_machine (core, machine);
+  judge_machine (cluster, machine);
 }
 
 /* The job runs: what failed on the machine before was the machine's fault. */
 static void
-confirm_blame (MhCore *core, MhMachine *machine, const char *job)
+confirm_blame (MhCluster *cluster, MhMachine *machine, const char *job)
 {
   GPtrArray *jobs = machine->failures.jobs;
   for (guint i = jobs->len; i-- > 0;)
@@ -182,43 +186,44 @@
         g_ptr_array_remove_index (jobs, i);
         machine->failures.consecutive++;
       }
-  judge_machine (core, machine);
+  judge_machine (cluster, machine);
 }
 
 /* ---- what happened ---- */
 
 void
-mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job)
+mh_task_failure_record_failure (MhCluster *cluster, MhMachine *machine, MhJob *job)
 {
   /* Others that were started with the first: nothing more is learnt from them. */
-  if (mh_job_backs_off (job) && core->now.mono_us < job->placement.retry_after_us)
+  if (mh_job_backs_off (job)
+      && mh_runtime_now_us (cluster->runtime) < job->placement.retry_after_us)
     return;
-  if (!runs_well (core, job))
+  if (!runs_well (cluster, job))
     {
-      note_failure (core, job, machine->name);
+      note_failure (cluster, job, machine->name);
       if (fails_everywhere (job))
-        back_off (core, job);
+        back_off (cluster, job);
     }
   if (!fails_everywhere (job) || fails_here_alone (job))
-    blame_machine (core, machine, job);
+    blame_machine (cluster, machine, job);
 }
 
 void
-mh_task_failure_record_success (MhCore *core, MhMachine *machine, MhJob *job)
+mh_task_failure_record_success (MhCluster *cluster, MhMachine *machine, MhJob *job)
 {
   if (mh_job_backs_off (job))
     {
-      mh_info (core, "job runs after back-off job=%s", job->spec->id);
-      mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
+      mh_log_info (cluster->runtime, "job runs after back-off job=%s", job->spec->id);
+      mh_store_touch (cluster->core, &job->records[0], MH_URGENCY_PROGRESS);
     }
   machine->failures.consecutive = 0;
   g_ptr_array_set_size (machine->failures.jobs, 0);
   for (guint i = 0; job->failures.machines && i < job->failures.machines->len; i++)
     {
       const char *name = g_ptr_array_index (job->failures.machines, i);
-      MhMachine *other = mh_cluster_find_machine (core, name);
+      MhMachine *other = mh_cluster_find_machine (cluster, name);
       if (other)
-        confirm_blame (core, other, job->spec->id);
+        confirm_blame (cluster, other, job->spec->id);
     }
   mh_job_failures_clear (&job->failures);
 }
--- a/src/cluster/task-failure.h
+++ b/src/cluster/task-failure.h
@@ -7,11 +7,12 @@
    the job's first record, so that a new leader goes on with it. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
  * mh_task_failure_record_failure:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: where the task failed
  * @job: its job
  *
@@ -19,11 +20,11 @@
  * those of its tasks that still fetch their image.
  */
 void
-mh_task_failure_record_failure (MhCore *core, MhMachine *machine, MhJob *job);
+mh_task_failure_record_failure (MhCluster *cluster, MhMachine *machine, MhJob *job);
 
 /**
  * mh_task_failure_record_success:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: where the task completed
  * @job: its job
  *
@@ -31,33 +32,33 @@
  * and may be given back.
  */
 void
-mh_task_failure_record_success (MhCore *core, MhMachine *machine, MhJob *job);
+mh_task_failure_record_success (MhCluster *cluster, MhMachine *machine, MhJob *job);
 
 /**
  * mh_task_failure_load_back_off:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a job that is being loaded
  * @level: of the back-off in its record; 0: it does not back off
  */
 void
-mh_task_failure_load_back_off (MhCore *core, MhJob *job, guint level);
+mh_task_failure_load_back_off (MhCluster *cluster, MhJob *job, guint level);
 
 /**
  * mh_task_failure_startable:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a job
  *
  * Returns: how many of its pending tasks may be started now
  */
 guint
-mh_task_failure_startable (const MhCore *core, const MhJob *job);
+mh_task_failure_startable (const MhCluster *cluster, const MhJob *job);
 
 /**
  * mh_task_failure_rentable:
- * @core: the controller
+ * @cluster: the cluster
  * @job: a job
  *
  * Returns: for how many of its pending tasks machines may be rented now
  */
 guint
-mh_task_failure_rentable (const MhCore *core, const MhJob *job);
+mh_task_failure_rentable (const MhCluster *cluster, const MhJob *job);
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -66,9 +66,9 @@
 }
 
 static void
-add_stop (const MhCore *core, MhAttempt *attempt, GArray *commands)
+add_stop (const MhCluster *cluster, MhAttempt *attempt, GArray *commands)
 {
-  gint64 now_us = core->now.mono_us;
+  gint64 now_us = mh_runtime_now_us (cluster->runtime);
   /* One that saves longer than it was given is ended by a second command. */
   bool late
       = attempt->stop_sent_us && now_us > attempt->stop_sent_us + attempt->grace_us + LATE_STOP_US;
@@ -85,7 +85,7 @@
 }
 
 static void
-collect_for_attempts (MhCore *core, MhMachine *machine, GArray *commands, Channel channel)
+collect_for_attempts (MhCluster *cluster, MhMachine *machine, GArray *commands, Channel channel)
 {
   for (guint i = 0; i < machine->attempts->len; i++)
     {
@@ -93,7 +93,7 @@
       if (mh_attempt_is_stopping (attempt))
         {
           if (channel == ANSWER_TO_REPORT || attempt->stop_sent_us == 0)
-            add_stop (core, attempt, commands);
+            add_stop (cluster, attempt, commands);
         }
       else if (may_start (attempt)
                && (channel == ANSWER_TO_REPORT || !mh_attempt_start_was_sent (attempt)))
@@ -105,9 +105,9 @@
 
 /* A result must not be cleared before it is on record. */
 static bool
-result_is_unrecorded (const MhCore *core, const MhOrphan *orphan)
+result_is_unrecorded (const MhCluster *cluster, const MhOrphan *orphan)
 {
-  MhJob *job = g_hash_table_lookup (core->jobs, orphan->job);
+  MhJob *job = g_hash_table_lookup (cluster->core->jobs, orphan->job);
   if (job == NULL || orphan->index >= job->spec->tasks
       || job->tasks[orphan->index].state != MH_TASK_DONE)
     return false;
@@ -116,20 +116,20 @@
 }
 
 static void
-stop_orphan (MhCore *core, const MhMachine *machine, const MhOrphan *orphan, GArray *commands)
+stop_orphan (MhCluster *cluster, const MhMachine *machine, const MhOrphan *orphan, GArray *commands)
 {
-  mh_info (core,
-           "stopping orphaned attempt job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s",
-           orphan->job, orphan->index, orphan->attempt, machine->name);
+  mh_log_info (cluster->runtime,
+               "stopping orphaned attempt job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s",
+               orphan->job, orphan->index, orphan->attempt, machine->name);
   add_orphan_command (commands, MH_COMMAND_STOP, orphan);
 }
 
 /* Once cleared an attempt is forgotten at the worker, and a start that is still on its way, or a
    late copy of one that was carried out, would run it again. */
 static void
-collect_for_orphans (MhCore *core, MhMachine *machine, GArray *commands)
+collect_for_orphans (MhCluster *cluster, MhMachine *machine, GArray *commands)
 {
-  guint64 token = mh_fencing_token (core, machine);
+  guint64 token = mh_fencing_token (cluster, machine);
   bool clear_held = false;
   for (guint i = 0; i < machine->orphans->len; i++)
     {
@@ -137,32 +137,32 @@
       const MhUnacknowledgedStart *start
           = mh_fencing_find_start (machine, orphan->job, orphan->index, orphan->attempt);
       if (!orphan->ended)
-        stop_orphan (core, machine, orphan, commands);
+        stop_orphan (cluster, machine, orphan, commands);
       else if (start)
         clear_held |= start->token == token; /* not fenced by a higher one yet */
-      else if (!result_is_unrecorded (core, orphan))
+      else if (!result_is_unrecorded (cluster, orphan))
         add_orphan_command (commands, MH_COMMAND_CLEAR, orphan);
     }
   gint64 *held_since_us = &machine->fencing.clear_held_since_us;
   if (!clear_held)
     *held_since_us = 0;
   else if (*held_since_us == 0)
-    *held_since_us = core->now.mono_us;
+    *held_since_us = mh_runtime_now_us (cluster->runtime);
 }
 
 /* ---- what is told when ---- */
 
 void
-mh_worker_command_collect (MhCore *core, MhMachine *machine, GArray *commands)
+mh_worker_command_collect (MhCluster *cluster, MhMachine *machine, GArray *commands)
 {
-  collect_for_attempts (core, machine, commands, ANSWER_TO_REPORT);
-  collect_for_orphans (core, machine, commands);
+  collect_for_attempts (cluster, machine, commands, ANSWER_TO_REPORT);
+  collect_for_orphans (cluster, machine, commands);
 }
 
 void
-mh_worker_command_collect_unsent (MhCore *core, MhMachine *machine, GArray *commands)
+mh_worker_command_collect_unsent (MhCluster *cluster, MhMachine *machine, GArray *commands)
 {
-  collect_for_attempts (core, machine, commands, DIRECTLY);
+  collect_for_attempts (cluster, machine, commands, DIRECTLY);
 }
 
 void
--- a/src/cluster/worker-command.h
+++ b/src/cluster/worker-command.h
@@ -4,6 +4,7 @@
    is durable too, and when no late copy of the start can run the attempt again (fencing.h). */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
@@ -32,22 +33,22 @@
 
 /**
  * mh_worker_command_collect:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine whose report is being answered
  * @commands: (element-type MhCommand): the answer's commands, to which all that hold are added
  */
 void
-mh_worker_command_collect (MhCore *core, MhMachine *machine, GArray *commands);
+mh_worker_command_collect (MhCluster *cluster, MhMachine *machine, GArray *commands);
 
 /**
  * mh_worker_command_collect_unsent:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: a machine that is told directly
  * @commands: (element-type MhCommand): to which the starts and stops are added that were not said
  * yet
  */
 void
-mh_worker_command_collect_unsent (MhCore *core, MhMachine *machine, GArray *commands);
+mh_worker_command_collect_unsent (MhCluster *cluster, MhMachine *machine, GArray *commands);
 
 /**
  * mh_worker_command_collect_cancelled:
--- a/src/cluster/zone-silence.c
+++ b/src/cluster/zone-silence.c
@@ -25,11 +25,11 @@
 }
 
 MhZone *
-mh_zone_find (const MhCore *core, const GRefString *name)
+mh_zone_find (const MhCluster *cluster, const GRefString *name)
 {
-  for (guint i = 0; i < core->cluster->zones->len; i++)
+  for (guint i = 0; i < cluster->zones->len; i++)
     {
-      MhZone *zone = &g_array_index (core->cluster->zones, MhZone, i);
+      MhZone *zone = &g_array_index (cluster->zones, MhZone, i);
       if (zone->name == name)
         return zone;
     }
@@ -37,69 +37,69 @@
 }
 
 static MhZone *
-find_or_add (MhCore *core, GRefString *name)
+find_or_add (MhCluster *cluster, GRefString *name)
 {
-  MhZone *zone = mh_zone_find (core, name);
+  MhZone *zone = mh_zone_find (cluster, name);
   if (zone)
     return zone;
   MhZone fresh = { .name = g_ref_string_acquire (name) };
-  g_array_append_val (core->cluster->zones, fresh);
-  return &g_array_index (core->cluster->zones, MhZone, core->cluster->zones->len - 1);
+  g_array_append_val (cluster->zones, fresh);
+  return &g_array_index (cluster->zones, MhZone, cluster->zones->len - 1);
 }
 
 void
-mh_zone_note_message (MhCore *core, GRefString *name, bool is_report)
+mh_zone_note_message (MhCluster *cluster, GRefString *name, bool is_report)
 {
-  gint64 now_us = core->now.mono_us;
-  MhZone *zone = find_or_add (core, name);
+  gint64 now_us = mh_runtime_now_us (cluster->runtime);
+  MhZone *zone = find_or_add (cluster, name);
   if (now_us < zone->partitioned_until_us)
-    mh_info (core, "zone heard from again zone=%s", zone->name);
+    mh_log_info (cluster->runtime, "zone heard from again zone=%s", zone->name);
   zone->last_message_us = now_us;
   zone->partitioned_until_us = 0;
   if (!is_report)
     return;
   zone->last_report_us = now_us;
-  core->leader.vain_hand_overs = 0;
+  cluster->core->leader.vain_hand_overs = 0;
 }
 
 bool
-mh_zone_any_heard (const MhCore *core)
+mh_zone_any_heard (const MhCluster *cluster)
 {
-  return core->cluster->zones->len > 0;
+  return cluster->zones->len > 0;
 }
 
 bool
-mh_zone_is_partitioned (const MhCore *core, const GRefString *name)
+mh_zone_is_partitioned (const MhCluster *cluster, const GRefString *name)
 {
-  const MhZone *zone = mh_zone_find (core, name);
-  return zone && core->now.mono_us < zone->partitioned_until_us;
+  const MhZone *zone = mh_zone_find (cluster, name);
+  return zone && mh_runtime_now_us (cluster->runtime) < zone->partitioned_until_us;
 }
 
 /* Reports come from a zone as often as it has machines. When several should have come and none has,
    the zone is cut off. */
 static bool
-is_silent (const MhCore *core, const MhZone *zone)
+is_silent (const MhCluster *cluster, const MhZone *zone)
 {
-  gint64 report_us = core->settings->report_us;
+  gint64 report_us = cluster->settings->report_us;
   gint64 expected_us
       = MAX (report_us * 4 / 5, MISSED_REPORTS * report_us / MAX (zone->machines, 1));
   return zone->machines >= MH_LEAST_MACHINES_OF_ZONE
-         && mh_cluster_silence_us (core, zone->last_message_us)
+         && mh_cluster_silence_us (cluster, zone->last_message_us)
                 >= MAX (LEAST_SILENCE_US, expected_us);
 }
 
 void
-mh_zone_check_all (MhCore *core)
+mh_zone_check_all (MhCluster *cluster)
 {
-  gint64 now_us = core->now.mono_us;
-  for (guint i = 0; i < core->cluster->zones->len; i++)
+  gint64 now_us = mh_runtime_now_us (cluster->runtime);
+  for (guint i = 0; i < cluster->zones->len; i++)
     {
-      MhZone *zone = &g_array_index (core->cluster->zones, MhZone, i);
-      if (!is_silent (core, zone))
+      MhZone *zone = &g_array_index (cluster->zones, MhZone, i);
+      if (!is_silent (cluster, zone))
         continue;
       if (now_us >= zone->partitioned_until_us)
-        mh_info (core, "zone silent, taken for partitioned zone=%s machines=%u", zone->name,
-                 zone->machines);
+        mh_log_info (cluster->runtime, "zone silent, taken for partitioned zone=%s machines=%u",
+                     zone->name, zone->machines);
       zone->partitioned_until_us = now_us + STAYS_PARTITIONED_US;
     }
 }
--- a/src/cluster/zone-silence.h
+++ b/src/cluster/zone-silence.h
@@ -36,49 +36,49 @@
 
 /**
  * mh_zone_find:
- * @core: the controller
+ * @cluster: the cluster
  * @name: (nullable): an interned name
  *
  * Returns: (transfer none) (nullable): the zone; %NULL: nothing has been heard from it
  */
 MhZone *
-mh_zone_find (const MhCore *core, const GRefString *name);
+mh_zone_find (const MhCluster *cluster, const GRefString *name);
 
 /**
  * mh_zone_note_message:
- * @core: the controller
+ * @cluster: the cluster
  * @name: an interned name
  * @is_report: the worker sent it by itself
  *
  * A worker in the zone was heard.
  */
 void
-mh_zone_note_message (MhCore *core, GRefString *name, bool is_report);
+mh_zone_note_message (MhCluster *cluster, GRefString *name, bool is_report);
 
 /**
  * mh_zone_any_heard:
- * @core: the controller
+ * @cluster: the cluster
  *
  * Returns: %TRUE if any worker has been heard in this leadership
  */
 bool
-mh_zone_any_heard (const MhCore *core);
+mh_zone_any_heard (const MhCluster *cluster);
 
 /**
  * mh_zone_is_partitioned:
- * @core: the controller
+ * @cluster: the cluster
  * @name: (nullable): an interned name
  *
  * Returns: %TRUE if the zone is taken for cut off
  */
 bool
-mh_zone_is_partitioned (const MhCore *core, const GRefString *name);
+mh_zone_is_partitioned (const MhCluster *cluster, const GRefString *name);
 
 /**
  * mh_zone_check_all:
- * @core: the controller
+ * @cluster: the cluster
  *
  * Finds the zones that are partitioned; their numbers of machines must be up to date.
  */
 void
-mh_zone_check_all (MhCore *core);
+mh_zone_check_all (MhCluster *cluster);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -145,11 +145,12 @@
   double n = spec->shape == MH_SHAPE_ARRAY ? 1 : spec->tasks;
   if (spec->cpus * n > team->cpus_max + 1e-9 || spec->gpus * n > team->gpus_max + 1e-9)
     return 422;
-  if (mh_cluster_types (core) == NULL)
+  if (mh_cluster_types (core->cluster) == NULL)
     return 503;
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
-    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core), i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (mh_cluster_types (core), spec)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core->cluster), i)))
+      return spec->shape == MH_SHAPE_GANG
+                     && !mh_gang_is_feasible (mh_cluster_types (core->cluster), spec)
                  ? 422
                  : 0;
   return 422;
@@ -160,12 +161,12 @@
 static void
 keep_known_types (const MhCore *core, MhJobSpec *spec)
 {
-  if (spec->types == NULL || mh_cluster_types (core) == NULL)
+  if (spec->types == NULL || mh_cluster_types (core->cluster) == NULL)
     return;
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core->cluster), i);
       if (g_strv_contains ((const char *const *)spec->types, t->name))
         g_strv_builder_add (known, t->name);
     }
@@ -229,7 +230,7 @@
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancellation = MH_CANCELLATION_REQUESTED;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
-      mh_attempt_stop_job (core, job);
+      mh_attempt_stop_job (core->cluster, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
   g_array_append_val (job->waiters, w);
@@ -347,7 +348,7 @@
 {
   enter (core, now);
   if (core->leader.phase >= MH_PHASE_LOAD)
-    mh_heartbeat_receive (core, id, report);
+    mh_heartbeat_receive (core->cluster, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
@@ -394,7 +395,7 @@
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
       mh_gang_reconcile (core);
-      mh_cluster_step (core);
+      mh_cluster_step (core->cluster);
       mh_placement_run (core->placement, core);
       mh_scale_step (core);
       mh_release_step (core);
@@ -410,18 +411,49 @@
   mh_core_step (core);
 }
 
+/* ---- what the cluster tells the layers above it ---- */
+
+static void
+release_machine (gpointer owner, MhMachine *machine, const char *reason)
+{
+  MhCore *core = owner;
+  mh_release_machine (core, machine, reason);
+}
+
 static void
-note_capacity_changed (MhCore *core, bool urgent)
+capacity_changed (gpointer owner, bool urgent)
 {
+  MhCore *core = owner;
   mh_placement_request_pass (core->placement, urgent);
 }
 
+static void
+gang_loaded (gpointer owner, MhJob *job)
+{
+  MhCore *core = owner;
+  mh_gang_restore (core, job);
+}
+
+static void
+gang_task_over (gpointer owner, MhJob *job, bool done)
+{
+  MhCore *core = owner;
+  mh_gang_task_ended (core, job, done);
+}
+
+static void
+gang_stop (gpointer owner, MhJob *job, gint64 grace_us)
+{
+  MhCore *core = owner;
+  mh_gang_stop (core, job, grace_us);
+}
+
 static const MhClusterCallbacks cluster_callbacks = {
-  .release_machine = mh_release_machine,
-  .capacity_changed = note_capacity_changed,
-  .gang_loaded = mh_gang_restore,
-  .gang_task_over = mh_gang_task_ended,
-  .gang_stop = mh_gang_stop,
+  .release_machine = release_machine,
+  .capacity_changed = capacity_changed,
+  .gang_loaded = gang_loaded,
+  .gang_task_over = gang_task_over,
+  .gang_stop = gang_stop,
 };
 
 static gint64
@@ -446,13 +478,13 @@
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
+  core->cluster = mh_cluster_new (core, core->runtime, core->calls, &cluster_callbacks, core);
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
   core->runtime_estimator = mh_runtime_estimator_new ();
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   mh_leader_start (core);
-  if (mh_heartbeat_keep_alive_us (core) <= 0)
+  if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
         "cancel_s leaves no room beside the workers' lease_s: without the state service no "
@@ -466,7 +498,7 @@
   if (core == NULL)
     return;
   mh_store_clear (core);
-  mh_cluster_clear (core);
+  mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -339,7 +339,8 @@
       /* Their reports were refused for a while: that nothing was heard meanwhile says nothing of
          the workers. After an outage of a minute a whole fleet was once given back as silent. */
       if (paused
-          && core->now.mono_us >= core->leader.confirmed_us + mh_heartbeat_keep_alive_us (core))
+          && core->now.mono_us
+                 >= core->leader.confirmed_us + mh_heartbeat_keep_alive_us (core->cluster))
         mh_runtime_mark_resumed (core->runtime);
       core->leader.valid_until_us = lease_end (core, sent);
       core->leader.confirmed_us = sent;
@@ -391,7 +392,7 @@
   refuse_waiters (core);
   mh_call_queue_forget_all (core->calls);
   mh_store_clear (core);
-  mh_cluster_clear (core);
+  mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
@@ -425,7 +426,7 @@
   core->leader.rebuild_until_us
       = core->now.mono_us + 2 * core->settings->report_us + 2 * MH_SECOND_US;
   core->leader.usable_us = core->now.mono_us;
-  mh_cluster_records_loaded (core);
+  mh_cluster_records_loaded (core->cluster);
   mh_info (core, "%u unfinished jobs loaded; waiting for the workers' reports",
            g_hash_table_size (core->jobs));
   mh_scale_start (core);
@@ -439,9 +440,9 @@
   gpointer value;
   if (core->now.mono_us >= core->leader.rebuild_until_us)
     return true;
-  if (mh_cluster_types (core) == NULL || !core->scale.listed)
+  if (mh_cluster_types (core->cluster) == NULL || !core->scale.listed)
     return false;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -101,7 +101,7 @@
     job->placement.unplaced_since_us = now_us;
   job->placement.starved = is_starved (job, now_us);
   gint64 run_us = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
-  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
+  gint64 fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core->cluster));
   MhStartTarget target
       = mh_objective_latest_start (core->settings, job, fetch_us + run_us, run_us, now_us);
   job->placement.latest_start_us = target.at_us;
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -33,7 +33,7 @@
   return is_live (machine) && !mh_machine_is_draining (machine)
          && !machine->heartbeat.ignored_answers && machine->notice_until_us < 0
          && pass->now_us >= machine->no_start_before_us
-         && !mh_failure_is_report_overdue (pass->core, machine);
+         && !mh_failure_is_report_overdue (pass->cluster, machine);
 }
 
 static void
@@ -68,10 +68,9 @@
 static void
 collect_usable_machines (MhPlacementPass *pass)
 {
-  MhCore *core = pass->core;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (pass->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhMachine *machine = value;
@@ -79,7 +78,7 @@
       add_arrival (pass, machine);
       /* A machine that may be cut off is no live one: a partitioned zone leaves the count. */
       if (!is_live (machine)
-          || mh_cluster_is_silent (core, machine,
+          || mh_cluster_is_silent (pass->cluster, machine,
                                    pass->settings->report_us * SILENT_REPORT_HALVES / 2))
         continue;
       machine->zone_index = zone_index (pass, machine->zone);
@@ -190,11 +189,11 @@
   MhCandidate candidate = { .machine = machine,
                             .zone = cycle->zone_of[machine->zone_index],
                             .image_wait_us = mh_machine_image_wait_us (
-                                cycle->pass->core, machine, cycle->job->image, spec->image_gb) };
+                                cycle->pass->cluster, machine, cycle->job->image, spec->image_gb) };
   candidate.cost = mh_score_cost (spec, &candidate, cycle->start_slack_us);
   if (cycle->is_service)
     candidate.replicas_on_machine = mh_score_replicas_on_machine (
-        machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->core));
+        machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->cluster));
   g_array_append_val (cycle->candidates, candidate);
   g_array_index (cycle->zones, MhZoneCount, candidate.zone).feasible = true;
 }
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -78,7 +78,7 @@
     {
       const MhAttempt *attempt = job->tasks[i].live;
       if (attempt == NULL || !mh_attempt_start_was_sent (attempt)
-          || mh_direct_command_can_send (core, attempt->machine))
+          || mh_direct_command_can_send (core->cluster, attempt->machine))
         continue;
       mh_info (core,
                "gang's machine cannot be told at once, work since the last checkpoint may be lost "
@@ -99,7 +99,8 @@
     {
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt)
-        mh_attempt_send_stop (core, attempt, saves ? grace_us + core->settings->gang_peer_us : 0);
+        mh_attempt_send_stop (core->cluster, attempt,
+                              saves ? grace_us + core->settings->gang_peer_us : 0);
     }
   settle_later (core, job);
 }
@@ -113,9 +114,9 @@
   mh_job_gang_apply (&job->gang, MH_GANG_EVENT_COMPLETED, core->now.mono_us);
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_proven_over (core, job->tasks[i].live, true);
+      mh_attempt_proven_over (core->cluster, job->tasks[i].live, true);
     else if (job->tasks[i].state != MH_TASK_DONE)
-      mh_attempt_task_done (core, job, i);
+      mh_attempt_task_done (core->cluster, job, i);
 }
 
 /* The attempt is over: what is left of it would wait for the others, or notice that one is gone. */
@@ -128,9 +129,9 @@
       if (attempt == NULL)
         continue;
       if (!mh_attempt_start_was_sent (attempt) && !mh_attempt_is_from_record (attempt))
-        mh_attempt_proven_over (core, attempt, false);
+        mh_attempt_proven_over (core->cluster, attempt, false);
       else if (!mh_attempt_is_stopping (attempt))
-        mh_attempt_send_stop (core, attempt, 0);
+        mh_attempt_send_stop (core->cluster, attempt, 0);
     }
   if (job->n_live == 0)
     mh_job_gang_apply (&job->gang, MH_GANG_EVENT_GONE, core->now.mono_us);
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -193,7 +193,7 @@
   job->gang.held_tasks = 0;
   job->gang.held_zone = NULL;
   if (job->n_live || job->gang.state == MH_GANG_STATE_ENDING
-      || !mh_quota_fits (pass->settings, mh_cluster_team_use (pass->core, spec->team), job,
+      || !mh_quota_fits (pass->settings, mh_cluster_team_use (pass->cluster, spec->team), job,
                          spec->cpus * spec->tasks, spec->gpus * spec->tasks))
     return MH_GANG_PENDING;
   MhGangSites sites;
--- a/src/placement/gang-site.c
+++ b/src/placement/gang-site.c
@@ -70,7 +70,7 @@
       == 0)
     return;
   site.image_wait_us
-      = mh_machine_image_wait_us (sites->pass->core, machine, sites->job->image, spec->image_gb);
+      = mh_machine_image_wait_us (sites->pass->cluster, machine, sites->job->image, spec->image_gb);
   g_array_append_val (sites->sites, site);
   if (!g_ptr_array_find (sites->zones, machine->zone, NULL))
     g_ptr_array_add (sites->zones, machine->zone);
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -4,6 +4,7 @@
    else. They hold nothing beyond the pass. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 #include "placement/infeasible.h"
 #include "placement/topology-spread.h"
@@ -29,6 +30,7 @@
 /**
  * MhPlacementPass:
  * @core: the controller
+ * @cluster: its machines
  * @settings: its settings
  * @types: (element-type MhMachineType): the machine types
  * @now_us: the present, by the steady clock
@@ -49,6 +51,7 @@
 typedef struct
 {
   MhCore *core;
+  MhCluster *cluster;
   const MhSettings *settings;
   const GPtrArray *types;
   gint64 now_us;
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -44,7 +44,7 @@
 mh_placement_start_task (MhCore *core, MhJob *job, guint index, guint32 attempt_number,
                          MhMachine *machine, guint urgency)
 {
-  MhAttempt *attempt = mh_attempt_new (core, job, index, attempt_number, machine);
+  MhAttempt *attempt = mh_attempt_new (core->cluster, job, index, attempt_number, machine);
   MhRecord *record = mh_job_record (job, index);
   mh_store_touch (core, record, urgency);
   attempt->need_rev = record->rev;
@@ -64,7 +64,7 @@
       cycle->is_service ? MH_URGENCY_USER : MH_URGENCY_START);
   attempt->of_starved_job = job->placement.starved;
   candidate->replicas_on_machine = mh_score_replicas_on_machine (
-      candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->core));
+      candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->cluster));
   g_array_index (cycle->zones, MhZoneCount, candidate->zone).count++;
   cycle->pass->starts++;
 }
@@ -113,7 +113,7 @@
 static bool
 quota_allows_task (const MhPlacementPass *pass, const MhJob *job)
 {
-  const MhUse *use = mh_cluster_team_use (pass->core, job->spec->team);
+  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
 }
 
@@ -123,7 +123,7 @@
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  guint startable = mh_task_failure_startable (pass->core, job);
+  guint startable = mh_task_failure_startable (pass->cluster, job);
   while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < STARTS_PER_PASS)
     {
       /* Not past a task that was passed over: it once was forgotten with that, and a replica never
@@ -230,7 +230,7 @@
       mh_core_wake_at (pass->core, job->placement.retry_after_us);
       return;
     }
-  if (mh_task_failure_startable (pass->core, job) == 0 || !counts_are_known (pass, job)
+  if (mh_task_failure_startable (pass->cluster, job) == 0 || !counts_are_known (pass, job)
       || !quota_allows_task (pass, job))
     return;
   if (mh_job_is_gang (job))
@@ -258,8 +258,9 @@
   gint64 now = core->now.mono_us;
   MhPlacementPass pass
       = { .core = core,
+          .cluster = core->cluster,
           .settings = core->settings,
-          .types = mh_cluster_types (core),
+          .types = mh_cluster_types (core->cluster),
           .now_us = now,
           .is_rebuilt = core->leader.rebuilt,
           .may_preempt = now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
@@ -275,7 +276,7 @@
 mh_placement_run (MhPlacement *placement, MhCore *core)
 {
   gint64 now = core->now.mono_us, next = next_pass_us (placement);
-  if (now < next || mh_cluster_types (core) == NULL)
+  if (now < next || mh_cluster_types (core->cluster) == NULL)
     {
       mh_core_wake_at (core, MAX (next, now + MIN_WAKE_UP_US));
       return;
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -78,7 +78,7 @@
         continue;
       MhResources available = mh_victims_capacity (cycle->job, machine, &preemptible);
       if (!mh_victims_suffice (&available, spec, 1)
-          || mh_machine_image_wait_us (cycle->pass->core, machine, cycle->job->image,
+          || mh_machine_image_wait_us (cycle->pass->cluster, machine, cycle->job->image,
                                        spec->image_gb)
                  > image_wait_us)
         continue;
@@ -107,7 +107,7 @@
   MhResources available = mh_victims_capacity (cycle->job, site->machine, &preemptible);
   if (!mh_victims_suffice (&preemptible, spec, 1))
     return false;
-  site->image_wait_us = mh_machine_image_wait_us (cycle->pass->core, site->machine,
+  site->image_wait_us = mh_machine_image_wait_us (cycle->pass->cluster, site->machine,
                                                   cycle->job->image, spec->image_gb);
   if (site->image_wait_us > max_wait_us)
     return false;
@@ -139,7 +139,7 @@
       MhAttempt *victim = g_ptr_array_index (victims, i);
       mh_info (core, "task stopped to make room job=%s task=%u machine=%s for_job=%s",
                victim->job->spec->id, victim->index, victim->machine->name, preemptor->spec->id);
-      mh_attempt_stop (core, victim, mh_job_grace_us (victim->job));
+      mh_attempt_stop (core->cluster, victim, mh_job_grace_us (victim->job));
     }
 }
 
@@ -185,7 +185,7 @@
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  const MhUse *use = mh_cluster_team_use (pass->core, job->spec->team);
+  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   if (!mh_preemption_is_allowed (pass, job, cycle->start_slack_us))
     return;
   double cpus = 0;
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -36,10 +36,10 @@
     }
   else if (strcmp (machine, "?") != 0)
     {
-      MhMachine *m = mh_cluster_find_machine (core, machine);
+      MhMachine *m = mh_cluster_find_machine (core->cluster, machine);
       if (m == NULL)
-        m = mh_cluster_add_machine (core, machine, NULL, NULL, false);
-      mh_attempt_new_from_record (core, job, index, attempt, m);
+        m = mh_cluster_add_machine (core->cluster, machine, NULL, NULL, false);
+      mh_attempt_new_from_record (core->cluster, job, index, attempt, m);
     }
 }
 
@@ -53,7 +53,7 @@
   MhJob *job = g_hash_table_lookup (core->jobs, id);
   for (guint i = 0; job && i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_discard (core, job->tasks[i].live);
+      mh_attempt_discard (core->cluster, job->tasks[i].live);
   g_hash_table_remove (core->jobs, id);
 }
 
@@ -103,7 +103,7 @@
       job = mh_job_new (spec, old ? fits : per_record, core->settings->value_bytes, at, &core->now);
       job->unchunked_records = old;
       job->accepted = true;
-      mh_task_failure_load_back_off (core, job, mh_record_read_back_off (e->value));
+      mh_task_failure_load_back_off (core->cluster, job, mh_record_read_back_off (e->value));
       job->cancellation = cancelled ? MH_CANCELLATION_DURABLE : MH_CANCELLATION_NONE;
       g_hash_table_insert (core->jobs, job->spec->id, job);
     }
--- a/src/storage/rechunk.c
+++ b/src/storage/rechunk.c
@@ -47,7 +47,7 @@
     }
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_machine_schedule_commands (core, job->tasks[i].live->machine);
+      mh_machine_schedule_commands (core->cluster, job->tasks[i].live->machine);
 }
 
 static bool
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -205,7 +205,7 @@
   guint end = MIN ((r->chunk + 1) * job->chunk, job->spec->tasks);
   for (guint i = r->chunk * job->chunk; i < end; i++)
     if (job->tasks[i].live && !mh_attempt_start_was_sent (job->tasks[i].live))
-      mh_machine_schedule_commands (core, job->tasks[i].live->machine);
+      mh_machine_schedule_commands (core->cluster, job->tasks[i].live->machine);
 }
 
 static void
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -84,14 +84,14 @@
       t->zones = g_strdupv ((char **)(const char *[]){ "a", "b", "c", "d", NULL });
       g_ptr_array_add (types, t);
     }
-  mh_cluster_set_types (core, types);
+  mh_cluster_set_types (core->cluster, types);
   for (guint i = 0; i < MACHINES; i++)
     {
       g_autofree char *name = g_strdup_printf ("vm-%03u", i);
       g_autofree char *type = g_strdup_printf ("type-%u", pick (f, 3));
       const char *zone = zones[pick (f, 4)];
       MhMachine *m = f->fleet[i]
-          = mh_cluster_add_machine (core, name, type, zone, pick (f, 3) == 0);
+          = mh_cluster_add_machine (core->cluster, name, type, zone, pick (f, 3) == 0);
       m->heartbeat.reported = pick (f, 10) > 0;
       if (m->heartbeat.reported)
         mh_machine_change_state (m, MH_MACHINE_EVENT_REPORTED);
@@ -115,10 +115,10 @@
       for (guint k = 0; k < job->spec->tasks; k++)
         {
           g_autofree char *name = g_strdup_printf ("vm-%03u", pick (f, MACHINES));
-          MhMachine *m = mh_cluster_find_machine (core, name);
+          MhMachine *m = mh_cluster_find_machine (core->cluster, name);
           if (m->usage.cpus + job->spec->cpus <= m->type->cpus
               && m->usage.mem_gb + job->spec->mem_gb <= m->type->mem_gb && pick (f, 3))
-            mh_attempt_new (core, job, k, 1, m)->phase = MH_TASK_RUNNING;
+            mh_attempt_new (core->cluster, job, k, 1, m)->phase = MH_TASK_RUNNING;
         }
     }
   while (f->jobs < JOBS)
@@ -137,10 +137,10 @@
 {
   const MhJobSpec *s = job->spec;
   bool service = s->shape == MH_SHAPE_SERVICE;
-  double wait = (double)mh_machine_image_wait_us (f->core, m, job->image, s->image_gb);
+  double wait = (double)mh_machine_image_wait_us (f->core->cluster, m, job->image, s->image_gb);
   /* Within a guarantee and without an aim: soon. */
   double patience = 3e6, unit = mh_machine_hourly_price (m) / m->type->cpus;
-  guint most = MAX (1, mh_cluster_service_replicas (f->core) / 24);
+  guint most = MAX (1, mh_cluster_service_replicas (f->core->cluster) / 24);
   memset (key, 0, 6 * sizeof *key);
   if (!service)
     key[0] = unit * (wait + (double)s->estimate_us + 1e6) * (wait > patience ? 1000 : 1);
@@ -234,7 +234,7 @@
         }
       if (best == NULL)
         return;
-      mh_attempt_new (f->core, job, task, 1, best);
+      mh_attempt_new (f->core->cluster, job, task, 1, best);
       if (service)
         {
           /* Its own start is seen by the next of the service; nothing else has changed meanwhile.
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -98,9 +98,9 @@
   g_autoptr (MhValue) stored = LOAD (production_job);
   MhJobSpec *s = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
   MhJob *job = mh_job_new (s, chunk, settings->value_bytes, at, &now);
-  MhMachine *m = mh_cluster_add_machine (core, "vm-000231", "g8", "b", true);
+  MhMachine *m = mh_cluster_add_machine (core->cluster, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
-    mh_attempt_new (core, job, i * 15, 2 + i, m);
+    mh_attempt_new (core->cluster, job, i * 15, 2 + i, m);
   job->tasks[1] = (MhTask){ .attempt = 4, .state = MH_TASK_DONE };
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
   job->cancellation = MH_CANCELLATION_REQUESTED;
@@ -113,7 +113,7 @@
   const char *names[] = { "vm-000231", "vm-000232", NULL };
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_release);
   for (guint i = 0; i < 3; i++)
-    mh_attempt_discard (core, job->tasks[(gsize)i * 15].live);
+    mh_attempt_discard (core->cluster, job->tasks[(gsize)i * 15].live);
   mh_job_free (job);
 }
 
@@ -167,8 +167,10 @@
   settings->cancel_us = 60 * MH_SECOND_US;
   fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   fixture->core = mh_core_new (settings, &fixture->now);
-  fixture->machines[0] = mh_cluster_add_machine (fixture->core, "vm-000231", "g8", "b", false);
-  fixture->machines[1] = mh_cluster_add_machine (fixture->core, "vm-000232", "g8", "b", false);
+  fixture->machines[0]
+      = mh_cluster_add_machine (fixture->core->cluster, "vm-000231", "g8", "b", false);
+  fixture->machines[1]
+      = mh_cluster_add_machine (fixture->core->cluster, "vm-000232", "g8", "b", false);
 }
 
 static void
@@ -204,8 +206,8 @@
   MhTask *task = &loading->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *on = mh_cluster_find_machine (loading->fixture->core, machine);
-      mh_attempt_new (loading->fixture->core, loading->job, index, attempt, on);
+      MhMachine *on = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
+      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, on);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
@@ -223,7 +225,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_discard (fixture->core, job->tasks[i].live);
+      mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
   mh_job_free (job);
 }
 
@@ -247,7 +249,7 @@
   ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40"), production_gang);
 
   for (guint i = 0; i < 4; i++)
-    mh_attempt_discard (fixture->core, job->tasks[i].live);
+    mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
   load_tasks (fixture, job, done);
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (job->tasks[i].state, ==, MH_TASK_DONE);
