--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -41,10 +41,11 @@
 static bool
 may_rent (const MhCore *core)
 {
-  return core->leader.rebuilt && mh_cluster_types (core->cluster) && core->scale.listed
-         && !core->scale.renting
-         && (core->leader.own_epoch == 1
-             || core->now.mono_us - core->leader.since_us > core->settings->list_lag_us);
+  return mh_recovery_is_complete (core->recovery) && mh_cluster_types (core->cluster)
+         && core->scale.listed && !core->scale.renting
+         && (mh_election_epoch (core->election) == 1
+             || core->now.mono_us - mh_election_elected_us (core->election)
+                    > core->settings->list_lag_us);
 }
 
 static void
@@ -61,7 +62,7 @@
     return "its next try: it fails wherever it starts";
   if (core->now.mono_us < job->placement.retry_after_us)
     return "its next try";
-  if (job->n_unreported && !core->leader.rebuilt)
+  if (job->n_unreported && !mh_recovery_is_complete (core->recovery))
     return "reports of the machines that it may be on";
   if (!mh_quota_fits (core->settings, mh_cluster_team_use (core->cluster, job->spec->team), job,
                       job->spec->cpus, job->spec->gpus))
@@ -144,6 +145,6 @@
     core->scale.lost_cpus = 0;
   if (may_rent (core))
     plan_and_rent (core);
-  if (core->leader.rebuilt)
+  if (mh_recovery_is_complete (core->recovery))
     mh_consolidate (core, waiting);
 }
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -23,7 +23,7 @@
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
-   core: jobs, records and leadership, until they are objects too; for nothing else
+   core: jobs and records, until they are objects too; for nothing else
    callbacks, owner: the layers above, and what they are called with
    machines: name -> MhMachine, which owns its name
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
@@ -34,6 +34,7 @@
    checked_us: monotonic time at which all machines were last checked
    zones: of zone-silence.c
    silence: as of the last check of all machines
+   fruitless_transfers: of leadership, because no worker was heard; none has been since
    probe_bucket, direct_bucket: rates of questions and of direct commands
    boot_statistics: name of a type -> statistics of boot-time.c */
 struct MhCluster
@@ -41,6 +42,7 @@
   MhCore *core;
   MhRuntime *runtime;
   MhCallQueue *calls;
+  MhElection *election;
   const MhSettings *settings;
   const MhClusterCallbacks *callbacks;
   gpointer owner;
@@ -54,6 +56,7 @@
   gint64 checked_us;
   GArray *zones;
   MhSilenceThresholds silence;
+  guint fruitless_transfers;
   MhBucket probe_bucket, direct_bucket;
   GHashTable *boot_statistics;
 };
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -22,7 +22,7 @@
 }
 
 MhCluster *
-mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls,
+mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls, MhElection *election,
                 const MhClusterCallbacks *callbacks, gpointer owner)
 {
   g_return_val_if_fail (runtime != NULL && calls != NULL && callbacks != NULL, NULL);
@@ -30,6 +30,7 @@
   cluster->core = core;
   cluster->runtime = runtime;
   cluster->calls = calls;
+  cluster->election = election;
   cluster->settings = mh_runtime_settings (runtime);
   cluster->callbacks = callbacks;
   cluster->owner = owner;
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -6,19 +6,21 @@
 #pragma once
 
 #include "cluster/cluster-types.h"
+#include "election/election.h"
 
 /**
  * mh_cluster_new:
- * @core: (not transferred): jobs, records and leadership, until they are objects too
+ * @core: (not transferred): jobs and records, until they are objects too
  * @runtime: (not transferred): must outlive the cluster
  * @calls: (not transferred): must outlive the cluster
+ * @election: (not transferred): must outlive the cluster
  * @callbacks: (not transferred): must outlive the cluster
  * @owner: passed to the callbacks
  *
  * Returns: (transfer full): a cluster without machines; free with mh_cluster_free()
  */
 MhCluster *
-mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls,
+mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls, MhElection *election,
                 const MhClusterCallbacks *callbacks, gpointer owner);
 
 /**
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -109,8 +109,8 @@
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (report->token < cluster->core->leader.own_epoch
-          && mh_runtime_is_leader (cluster->runtime))
+      if (report->token < mh_election_epoch (cluster->election)
+          && mh_election_is_leader (cluster->election))
         mh_direct_command_send_token (cluster, machine);
     }
   else if (worker_has_begun_anew (machine, report))
@@ -218,7 +218,7 @@
 {
   const MhSilenceThresholds *silence = &cluster->silence;
   gint64 unheard_us = mh_cluster_silence_us (
-      cluster, MAX (cluster->core->leader.since_us, machine->discovered_us));
+      cluster, MAX (mh_election_elected_us (cluster->election), machine->discovered_us));
   if (mh_runtime_now_us (cluster->runtime) - machine->heartbeat.unverified_us > SECOND_REPORT_US)
     start_probing (cluster, machine);
   if (unheard_us > silence->unheard_us
@@ -341,7 +341,7 @@
                       MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return limit_us << MIN (cluster->core->leader.vain_hand_overs, MAX_DOUBLINGS);
+  return limit_us << MIN (cluster->fruitless_transfers, MAX_DOUBLINGS);
 }
 
 void
@@ -357,10 +357,10 @@
     }
   if (machines < MH_LEAST_MACHINES_OF_ZONE || cluster->settings->members->len == 0)
     return;
-  gint64 unheard_us
-      = mh_cluster_silence_us (cluster, MAX (last_report_us, cluster->core->leader.since_us));
+  gint64 unheard_us = mh_cluster_silence_us (
+      cluster, MAX (last_report_us, mh_election_elected_us (cluster->election)));
   if (unheard_us <= max_unheard_us (cluster, machines, last_report_us > 0))
     return;
-  cluster->core->leader.vain_hand_overs++;
-  mh_leader_hand_over (cluster->core, "no worker is heard any more");
+  cluster->fruitless_transfers++;
+  mh_election_transfer_leadership (cluster->election, MH_LOSS_NO_HEARTBEATS);
 }
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -16,7 +16,7 @@
 guint64
 mh_fencing_token (const MhCluster *cluster, const MhMachine *machine)
 {
-  return cluster->core->leader.own_epoch + (machine ? machine->fencing.raises : 0);
+  return mh_election_epoch (cluster->election) + (machine ? machine->fencing.raises : 0);
 }
 
 MhUnacknowledgedStart *
@@ -100,9 +100,9 @@
                 || clear_waits_long (cluster, machine) || mh_fencing_has_lost_start (machine);
   if (!wanted || !would_fence_a_start (cluster, machine))
     return;
-  if (fencing->raises + 2 >= MH_EPOCHS_EACH)
+  if (fencing->raises + 2 >= MH_EPOCHS_PER_LEADERSHIP)
     {
-      mh_leader_lost (cluster->core, "the epochs of this leadership are used up");
+      mh_election_step_down (cluster->election, MH_LOSS_TOKENS_EXHAUSTED);
       return;
     }
   fencing->raises++;
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -102,7 +102,7 @@
     return false;
   if (report->token > mh_fencing_token (cluster, machine))
     {
-      mh_leader_lost (cluster->core, "a worker has seen a higher token");
+      mh_election_step_down (cluster->election, MH_LOSS_HIGHER_TOKEN);
       return false;
     }
   take_in (cluster, machine, report, MH_MESSAGE_ANSWER);
@@ -208,9 +208,9 @@
 static bool
 may_keep_alive (const MhCluster *cluster)
 {
-  return cluster->core->leader.phase == MH_PHASE_LEAD && !cluster->core->leader.lost
-         && mh_runtime_now_us (cluster->runtime)
-                < cluster->core->leader.confirmed_us + mh_heartbeat_keep_alive_us (cluster);
+  return mh_election_state (cluster->election) == MH_LEADERSHIP_LEADING
+         && mh_runtime_now_us (cluster->runtime) < mh_election_last_renewal_us (cluster->election)
+                                                       + mh_heartbeat_keep_alive_us (cluster);
 }
 
 static void
@@ -221,8 +221,8 @@
   action->body = body;
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
-  if (status == STATUS_OK && mh_runtime_is_leader (cluster->runtime))
-    action->lease_until_us = mh_runtime_lease_until_us (cluster->runtime);
+  if (status == STATUS_OK && mh_election_is_leader (cluster->election))
+    action->lease_until_us = mh_election_lease_until_us (cluster->election);
 }
 
 /* One that this leadership knew is known no more when it has been given back. */
@@ -231,8 +231,8 @@
 {
   guint64 first_token = mh_fencing_token (cluster, NULL);
   bool was_ours = machine == NULL && report->token > first_token
-                  && report->token < first_token + MH_EPOCHS_EACH;
-  return cluster->core->leader.phase == MH_PHASE_LEAD
+                  && report->token < first_token + MH_EPOCHS_PER_LEADERSHIP;
+  return mh_election_has_loaded (cluster->election)
          && (was_ours || mh_cluster_was_released (cluster, report->machine));
 }
 
@@ -244,9 +244,9 @@
   if (!is_newer (machine, report))
     return false;
   check_answer_received (cluster, machine, report);
-  bool valid = mh_runtime_is_leader (cluster->runtime);
+  bool valid = mh_election_is_leader (cluster->election);
   take_in (cluster, machine, report, MH_MESSAGE_REPORT);
-  if (!valid || cluster->core->leader.lost)
+  if (!valid || mh_election_is_stepping_down (cluster->election))
     return false;
   mh_worker_command_collect (cluster, machine, commands);
   machine->heartbeat.answer_pending = true;
@@ -294,8 +294,8 @@
 static bool
 may_answer (const MhCluster *cluster)
 {
-  return cluster->core->leader.phase == MH_PHASE_LEAD
-         && (mh_runtime_is_leader (cluster->runtime) || may_keep_alive (cluster));
+  return mh_election_has_loaded (cluster->election)
+         && (mh_election_is_leader (cluster->election) || may_keep_alive (cluster));
 }
 
 void
@@ -305,7 +305,7 @@
   bool released = is_of_released_machine (cluster, machine, report);
   if (!released && report->token > mh_fencing_token (cluster, machine))
     {
-      mh_leader_lost (cluster->core, "a worker has seen a higher token");
+      mh_election_step_down (cluster->election, MH_LOSS_HIGHER_TOKEN);
       answer_report (cluster, request_id, STATUS_MISDIRECTED, mh_wire_write_redirect (NULL));
     }
   else if (released || !may_answer (cluster))
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -142,7 +142,7 @@
   if (task && shown->attempt > task->attempt)
     {
       /* Each attempt is written before it is sent: memory must be behind the records. */
-      mh_leader_lost (cluster->core, "a worker runs an attempt that is not on record here");
+      mh_election_step_down (cluster->election, MH_LOSS_UNKNOWN_ATTEMPT);
       return;
     }
   MhAttempt *attempt = task ? task->live : NULL;
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -42,6 +42,7 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
+#include "cluster/recovery.h"
 #include "storage/record-writer.h"
 
 struct MhCore
@@ -51,31 +52,8 @@
   MhRuntime *runtime;
   MhCallQueue *calls;
 
-  struct
-  {
-    MhPhase phase;
-    char *node;    /* who leads, as far as known */
-    guint64 epoch; /* that node's */
-    guint64 key_version;
-    guint64 own_epoch; /* while leading: the first of MH_EPOCHS_EACH */
-    guint64 own_version;
-    guint64 lease_id;
-    gint64 valid_until_us; /* of the lease, by the steady clock */
-    gint64 confirmed_us;   /* a renewal that was answered was sent then */
-    gint64 renew_us;
-    bool renewing, busy;
-    gint64 retry_us;
-    gint64 since_us;               /* leading since */
-    gint64 usable_us;              /* when a usable leader was last known */
-    gint64 unreached_us, tried_us; /* users' requests have not reached it since; the last one */
-    const char *lost;              /* why, until the next step */
-    bool hands_over;               /* ... and another one shall lead */
-    gint64 shy_until_us;
-    guint vain_hand_overs; /* because no worker was heard, and none has been since */
-    bool rebuilt;          /* every machine that should has reported, or has had the time */
-    gint64 rebuild_until_us;
-    gint64 announced_us;
-  } leader;
+  MhElection *election;
+  MhRecovery *recovery;
 
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -262,7 +262,7 @@
           .settings = core->settings,
           .types = mh_cluster_types (core->cluster),
           .now_us = now,
-          .is_rebuilt = core->leader.rebuilt,
+          .is_rebuilt = mh_recovery_is_complete (core->recovery),
           .may_preempt = now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
           .last_preemption_us = placement->last_preemption_us };
   mh_placement_pass_init (&pass);
