--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -33,8 +33,9 @@
    service_replicas: attempts of services, on all machines
    checked_us: monotonic time at which all machines were last checked
    zones: of zone-silence.c
+   fruitless_transfers: of leadership, because no worker was heard; none has reported since. They
+   outlast a leadership
    silence: as of the last check of all machines
-   fruitless_transfers: of leadership, because no worker was heard; none has been since
    probe_bucket, direct_bucket: rates of questions and of direct commands
    boot_statistics: name of a type -> statistics of boot-time.c */
 struct MhCluster
@@ -55,8 +56,8 @@
   guint service_replicas;
   gint64 checked_us;
   GArray *zones;
-  MhSilenceThresholds silence;
   guint fruitless_transfers;
+  MhSilenceThresholds silence;
   MhBucket probe_bucket, direct_bucket;
   GHashTable *boot_statistics;
 };
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -114,7 +114,7 @@
         mh_direct_command_send_token (cluster, machine);
     }
   else if (worker_has_begun_anew (machine, report))
-    release (cluster, machine, "its worker has begun anew");
+    release (cluster, machine, "worker_restarted");
 }
 
 static void
@@ -181,7 +181,7 @@
 check_in_partition (MhCluster *cluster, MhMachine *machine)
 {
   if (mh_cluster_is_silent (cluster, machine, cluster->settings->worker_lease_us + LEASE_SPARE_US))
-    release (cluster, machine, "silent with all of its zone");
+    release (cluster, machine, "silent_zone");
 }
 
 static bool
@@ -202,11 +202,11 @@
   gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
   guint ignored_answers = machine->heartbeat.ignored_answers;
   if (reports_are_lost (cluster, machine))
-    release (cluster, machine, "its reports do not come");
+    release (cluster, machine, "heartbeats_missing");
   else if (is_believed_unreachable (cluster, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
-    release (cluster, machine, "nothing reaches it");
+    release (cluster, machine, "unreachable");
   else if (has_failed (cluster, machine))
-    release (cluster, machine, machine->probe.failures ? "silent, and gives no answer" : "silent");
+    release (cluster, machine, machine->probe.failures ? "silent_no_answer" : "silent");
   else if (ignored_answers || mh_cluster_is_silent (cluster, machine, suspect_us))
     start_probing (cluster, machine);
 }
@@ -224,7 +224,7 @@
   if (unheard_us > silence->unheard_us
       || (is_believed_unreachable (cluster, machine) && others_are_heard (cluster, machine)
           && unheard_us > silence->report_us))
-    release (cluster, machine, "silent since the change of leader");
+    release (cluster, machine, "silent_since_failover");
 }
 
 void
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -161,7 +161,7 @@
 {
   if (machine->failures.consecutive >= FAULTY_FAILURES
       || jobs_failing_here_alone (cluster, machine) >= FAULTY_FAILURES)
-    cluster->callbacks->release_machine (cluster->owner, machine, "fails every task");
+    cluster->callbacks->release_machine (cluster->owner, machine, "fails_every_task");
 }
 
 static void
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -117,10 +117,11 @@
   user_cancel (u);
   WAIT (simulation, 10, told_cancelled, u);
   simulation->cloud->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
-  for (guint i = 0; i < 150 && !simulation_logged (simulation, "given back: idle"); i++)
+  for (guint i = 0; i < 150 && !simulation_logged (simulation, "releasing machine reason=idle");
+       i++)
     simulation_run (simulation, 0.1);
   simulation_run (simulation, 0.5);
-  g_assert_true (simulation_logged (simulation, "given back: idle"));
+  g_assert_true (simulation_logged (simulation, "releasing machine reason=idle"));
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 60, all_run, next);
@@ -165,7 +166,7 @@
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   simulation_run (simulation, 40);
   g_assert_nonnull (simulation_leader (simulation));
-  g_assert_false (simulation_logged (simulation, "silent since the change"));
+  g_assert_false (simulation_logged (simulation, "reason=silent_since_failover"));
   finish (simulation);
 }
 
@@ -329,7 +330,7 @@
   m->sequence = m->token = 0;
   m->lease_from_us = simulation->clock->now_us;
   WAIT (simulation, 7, is_gone, m);
-  g_assert_true (simulation_logged (simulation, "begun anew"));
+  g_assert_true (simulation_logged (simulation, "reason=worker_restarted"));
   WAIT (simulation, 15, all_run, u);
   finish (simulation);
 }
