--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -240,7 +240,7 @@
   GPtrArray *types = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
   add_type (types, "small", 4, 0.4);
   add_type (types, "large", 32, 3.3);
-  mh_cluster_set_types (core, types);
+  mh_cluster_set_types (core->cluster, types);
   fixture->context = (MhAutoscalerContext){
     .core = core, .runtime = core->runtime, .calls = core->calls, .settings = fixture->settings
   };
@@ -281,7 +281,7 @@
 static MhMachine *
 add_machine (Fixture *fixture, const char *name, const char *zone)
 {
-  MhMachine *machine = mh_cluster_add_machine (fixture->core, name, "small", zone, false);
+  MhMachine *machine = mh_cluster_add_machine (fixture->core->cluster, name, "small", zone, false);
   machine->heartbeat.reported = true;
   mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
   machine->boot.rented_us = START_US - 1000 * MH_SECOND_US;
@@ -315,7 +315,7 @@
   g_autoptr (GRefString) zone = g_ref_string_new_intern ("a");
   g_autoptr (GArray) estimates = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate));
   MhCapacityEstimate estimate = mh_capacity_estimate_for_type (
-      g_ptr_array_index (mh_cluster_types (fixture->core), 0), zone, false);
+      g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0), zone, false);
   estimate.to_create = true;
   for (guint i = 0; i < count; i++)
     g_array_append_val (estimates, estimate);
@@ -326,8 +326,9 @@
 static bool
 small_is_refused (const Fixture *fixture, const char *zone)
 {
-  return mh_scale_out_is_refused (
-      fixture->scale_out, g_ptr_array_index (mh_cluster_types (fixture->core), 0), zone, false);
+  return mh_scale_out_is_refused (fixture->scale_out,
+                                  g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0),
+                                  zone, false);
 }
 
 /* Tasks would be laid out where memory, kind or zone do not suit them. */
@@ -338,7 +339,7 @@
   MhJob *job = add_job (fixture, 10, 1);
   g_autoptr (GRefString) zone = g_ref_string_new_intern ("a");
   g_autoptr (GRefString) other = g_ref_string_new_intern ("b");
-  const MhMachineType *small = g_ptr_array_index (mh_cluster_types (fixture->core), 0);
+  const MhMachineType *small = g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0);
   MhCapacityEstimate estimate = mh_capacity_estimate_for_type (small, zone, true);
   g_assert_false (mh_capacity_estimate_suits (&estimate, job, NULL)); /* no spot job */
   estimate.spot = false;
@@ -423,8 +424,8 @@
   g_assert_false (small_is_refused (fixture, "a"));
   reply (fixture, 200, body);
   g_assert_false (mh_scale_out_is_busy (fixture->scale_out));
-  g_assert_nonnull (mh_cluster_find_machine (fixture->core, "vm-1"));
-  g_assert_nonnull (mh_cluster_find_machine (fixture->core, "vm-2"));
+  g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
+  g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-2"));
   g_assert_false (small_is_refused (fixture, "a"));
   g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost), ==, 2);
 }
@@ -438,7 +439,7 @@
   g_autoptr (MhValue) body = created_machines (names);
   request_machines (fixture, 2);
   reply (fixture, 200, body);
-  g_assert_nonnull (mh_cluster_find_machine (fixture->core, "vm-1"));
+  g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_true (small_is_refused (fixture, "a"));
 }
 
@@ -478,10 +479,10 @@
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
   step_scale_in (fixture);
   reply (fixture, 200, NULL); /* the record */
-  g_assert_true (mh_cluster_find_machine (fixture->core, "vm-1") == machine);
+  g_assert_true (mh_cluster_find_machine (fixture->core->cluster, "vm-1") == machine);
   reply (fixture, 200, NULL); /* the cloud */
-  g_assert_null (mh_cluster_find_machine (fixture->core, "vm-1"));
-  g_assert_true (mh_cluster_was_released (fixture->core, "vm-1"));
+  g_assert_null (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
+  g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
 
@@ -496,10 +497,10 @@
   reply (fixture, 409, NULL); /* it is there: the first copy was carried out */
   reply (fixture, 0, NULL);   /* the cloud: not known */
   reply (fixture, 503, NULL);
-  g_assert_nonnull (mh_cluster_find_machine (fixture->core, "vm-1"));
+  g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
   reply (fixture, 200, NULL);
-  g_assert_null (mh_cluster_find_machine (fixture->core, "vm-1"));
+  g_assert_null (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
 
@@ -515,7 +516,7 @@
   step_scale_in (fixture);
   reply (fixture, 409, body);
   reply (fixture, 200, NULL); /* of no call */
-  g_assert_nonnull (mh_cluster_find_machine (fixture->core, "vm-1"));
+  g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   mh_call_queue_forget_all (fixture->core->calls);
   mh_scale_in_reset (fixture->scale_in);
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
@@ -533,12 +534,13 @@
   mh_scale_in_load (fixture->scale_in, &entry);
   mh_value_unref (entry.value);
   g_assert_true (mh_machine_is_releasing (known));
-  g_assert_true (mh_machine_is_releasing (mh_cluster_find_machine (fixture->core, "vm-2")));
+  g_assert_true (
+      mh_machine_is_releasing (mh_cluster_find_machine (fixture->core->cluster, "vm-2")));
   step_scale_in (fixture);
   reply (fixture, 200, NULL);
   reply (fixture, 200, NULL);
-  g_assert_true (mh_cluster_was_released (fixture->core, "vm-1"));
-  g_assert_true (mh_cluster_was_released (fixture->core, "vm-2"));
+  g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-1"));
+  g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-2"));
 }
 
 /* A machine would be released while it is paid for anyway, or just before its next task. */
