--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -100,7 +100,7 @@
 mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_USER, id);
-  mh_job_answer (job, &a->answer);
+  mh_job_fill_answer (job, &a->answer);
   a->answer.status = status;
 }
 
@@ -131,7 +131,7 @@
 {
   /* One that does not fit would be refused by the state service time and again, and end each
      leadership. */
-  if (mh_job_chunk (spec, core->settings->value_bytes) == 0)
+  if (mh_job_tasks_per_record (spec, core->settings->value_bytes) == 0)
     return 400;
   const MhTeam *team = mh_settings_team (core->settings, spec->team);
   if (team == NULL)
@@ -142,8 +142,10 @@
   if (mh_cluster_types (core) == NULL)
     return 503;
   for (guint i = 0; i < mh_cluster_types (core)->len; i++)
-    if (mh_place_type_fits (spec, g_ptr_array_index (mh_cluster_types (core), i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_possible (core, spec) ? 422 : 0;
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core), i)))
+      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (mh_cluster_types (core), spec)
+                 ? 422
+                 : 0;
   return 422;
 }
 
@@ -211,15 +213,15 @@
 static void
 cancel (MhCore *core, guint64 id, MhJob *job)
 {
-  if (job->final || job->cancel_durable)
+  if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
     {
       mh_core_answer_job (core, id, job, 200);
       return;
     }
-  if (!job->cancelled && !job->finished)
+  if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
-      job->cancelled = true;
+      job->cancellation = MH_CANCELLATION_REQUESTED;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
       mh_attempt_stop_job (core, job);
     }
@@ -375,9 +377,9 @@
   if (mh_election_is_serving (core->election))
     {
       mh_core_update_recovery (core);
-      mh_gang_step (core);
+      mh_gang_reconcile (core);
       mh_cluster_step (core);
-      mh_place_step (core);
+      mh_placement_run (core->placement, core);
       mh_scale_step (core);
       mh_release_step (core);
       mh_store_step (core);
@@ -395,15 +397,14 @@
 static void
 note_capacity_changed (MhCore *core, bool urgent)
 {
-  core->place_wanted = true;
-  core->place_urgent |= urgent;
+  mh_placement_request_pass (core->placement, urgent);
 }
 
 static const MhClusterCallbacks cluster_callbacks = {
   .release_machine = mh_release_machine,
   .capacity_changed = note_capacity_changed,
-  .gang_loaded = mh_gang_loaded,
-  .gang_task_over = mh_gang_task_over,
+  .gang_loaded = mh_gang_restore,
+  .gang_task_over = mh_gang_task_ended,
   .gang_stop = mh_gang_stop,
 };
 
@@ -424,8 +425,9 @@
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
-  core->gangs = mh_gang_table ();
-  core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  core->gang_attempts = mh_gang_attempts_new ();
+  core->placement = mh_placement_new ();
+  core->runtime_estimator = mh_runtime_estimator_new ();
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
@@ -442,7 +444,7 @@
     return;
   mh_store_clear (core);
   mh_cluster_clear (core);
-  mh_gang_clear (core);
+  mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
   mh_call_queue_forget_all (core->calls);
@@ -453,8 +455,9 @@
   g_hash_table_unref (core->unreadable);
   g_hash_table_unref (core->finals);
   g_clear_pointer (&core->cluster, mh_cluster_free);
-  g_hash_table_unref (core->gangs);
-  g_hash_table_unref (core->class_stats);
+  mh_gang_attempts_free (core->gang_attempts);
+  mh_placement_free (core->placement);
+  mh_runtime_estimator_free (core->runtime_estimator);
   g_hash_table_unref (core->scale.refused);
   mh_recovery_free (core->recovery);
   mh_election_free (core->election);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -15,7 +15,7 @@
 {
   MhCore *core = owner;
   mh_recovery_begin (core->recovery, mh_runtime_now_us (core->runtime), core->settings->report_us);
-  core->place_wanted = true;
+  mh_placement_request_pass (core->placement, false);
   mh_cluster_records_loaded (core);
   mh_log_info (core->runtime,
                "records loaded, waiting for the workers' reports: unfinished_jobs=%u",
@@ -45,7 +45,7 @@
   MhCore *core = owner;
   mh_store_clear (core);
   mh_cluster_clear (core);
-  mh_gang_clear (core);
+  mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
@@ -102,7 +102,7 @@
   if (mh_recovery_is_complete (core->recovery)
       || !mh_recovery_update (core->recovery, now_us, all_machines_reported (core)))
     return;
-  core->place_wanted = true;
+  mh_placement_request_pass (core->placement, false);
   mh_log_info (core->runtime, "recovery complete: seconds_since_election=%.1f",
                (double)(now_us - mh_election_elected_us (core->election)) / MH_SECOND_US);
 }
--- a/src/protocol/value.h
+++ b/src/protocol/value.h
@@ -29,15 +29,15 @@
 void
 mh_value_set_text (MhValue *map, const char *key, const char *text); /* NULL: left out */
 void
-mh_value_set_uint (MhValue *map, const char *key, guint64 n);
+mh_value_set_uint (MhValue *map, const char *key, guint64 number);
 void
-mh_value_set_number (MhValue *map, const char *key, double d);
+mh_value_set_number (MhValue *map, const char *key, double number);
 void
-mh_value_set_bool (MhValue *map, const char *key, bool b);
+mh_value_set_bool (MhValue *map, const char *key, bool boolean);
 void
 mh_value_push (MhValue *list, MhValue *owned);
 MhValue *
-mh_value_uint (guint64 n);
+mh_value_uint (guint64 number);
 MhValue *
 mh_value_text (const char *text);
 MhValue *
