--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -105,7 +105,7 @@
       if (m)
         mh_fleet_gone (core, m);
     }
-  mh_store_drop (core, p->key);
+  mh_record_writer_delete (core->record_writer, p->key);
   core->release.under_way--;
 }
 
@@ -163,7 +163,8 @@
 void
 mh_release_load (MhCore *core, const MhEntry *e)
 {
-  char **names = mh_record_read_release (e->value);
+  g_autoptr (GError) error = NULL;
+  char **names = mh_record_read_release (e->value, &error);
   for (char **name = names; name && *name; name++)
     {
       MhMachine *m = mh_fleet_machine (core, *name);
@@ -174,7 +175,8 @@
   if (names)
     want (core, names, g_strdup (e->key));
   else
-    mh_core_log (core, G_LOG_LEVEL_CRITICAL, "record %s cannot be read", e->key);
+    mh_core_log (core, G_LOG_LEVEL_CRITICAL, "record cannot be read: key=%s reason=\"%s\"", e->key,
+                 error->message);
 }
 
 /* ---- idle machines ---- */
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -165,7 +165,7 @@
       else if (job->n_done == job->spec->tasks)
         {
           job->finished = true;
-          mh_store_touch (core, &job->records[0], MH_URGENCY_START);
+          mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_START);
         }
     }
 }
@@ -333,8 +333,8 @@
   if (over && !job->finished)
     {
       job->finished = true;
-      mh_store_touch (core, &job->records[0],
-                      job->cancelled ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
+      mh_record_writer_touch (core->record_writer, &job->records[0],
+                              job->cancelled ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
     }
 }
 
@@ -394,7 +394,8 @@
   /* An attempt that is over without a result is written too: else a new leader would look for proof
      of it once more, on a machine that may have been given back long ago. */
   if (!job->cancelled)
-    mh_store_touch (core, mh_job_record (job, a->index), MH_URGENCY_PROGRESS);
+    mh_record_writer_touch (core->record_writer, mh_job_record (job, a->index),
+                            MH_URGENCY_PROGRESS);
   if (mh_gang_is (job))
     mh_gang_task_over (core, job, done);
   /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
@@ -409,7 +410,7 @@
 {
   job->tasks[index].state = MH_TASK_DONE;
   job->n_done++;
-  mh_store_touch (core, mh_job_record (job, index), MH_URGENCY_START);
+  mh_record_writer_touch (core->record_writer, mh_job_record (job, index), MH_URGENCY_START);
   job_check_over (core, job);
 }
 
@@ -556,7 +557,7 @@
 observe_task (MhCore *core, MhMachine *m, const MhReportTask *t)
 {
   /* What it may do is not known: it is left alone. */
-  if (g_hash_table_contains (core->unreadable, t->job))
+  if (mh_record_loader_is_unreadable (core->record_loader, t->job))
     {
       m->unknown++;
       return;
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -119,7 +119,7 @@
   bool first = !mh_fault_backs_off (job);
   job->faults.level = MIN (job->faults.level + 1, LAST_LEVEL);
   wait_before_retry (core, job);
-  mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
   mh_info (core, "job %s: fails wherever it starts; next start in %.0f s", job->spec->id,
            (double)(job->retry_us - core->now.mono_us) / MH_SECOND_US);
   if (first)
@@ -218,7 +218,7 @@
   if (mh_fault_backs_off (job))
     {
       mh_info (core, "job %s: runs after all", job->spec->id);
-      mh_store_touch (core, &job->records[0], MH_URGENCY_PROGRESS);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
     }
   machine->failures = 0;
   g_ptr_array_set_size (machine->failed_jobs, 0);
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -100,7 +100,7 @@
 may_start (const MhAttempt *a)
 {
   const MhRecord *r = mh_job_record (a->job, a->index);
-  return !a->seen && !a->stopping && !a->loaded && r->durable >= a->need_rev
+  return !a->seen && !a->stopping && !a->loaded && mh_record_is_durable (r, a->need_rev)
          && !mh_job_over (a->job) && !a->machine->releasing
          && (!mh_gang_is (a->job) || mh_gang_on_record (a));
 }
@@ -162,7 +162,7 @@
       if (job && s->index < job->spec->tasks && job->tasks[s->index].state == MH_TASK_DONE)
         {
           const MhRecord *r = mh_job_record (job, s->index);
-          if (job->finished || r->durable < r->rev)
+          if (job->finished || mh_record_has_unwritten_changes (r))
             continue;
         }
       add_command (commands, MH_COMMAND_CLEAR, s->job, s->index, s->attempt, 0);
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -27,6 +27,7 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
+#include "storage/record-state.h"
 #include "storage/record-writer.h"
 
 typedef struct
@@ -68,20 +69,15 @@
     gint64 announced_us;
   } leader;
 
+  /* storage */
+  MhRecordWriter *record_writer;
+  MhRecordLoader *record_loader;
+  MhJobLookup *job_lookup;
+
   /* leader's memory */
-  GHashTable *jobs;       /* id -> MhJob */
-  GHashTable *unreadable; /* ids of jobs whose records are not understood: nothing is guessed */
-  GHashTable *finals;     /* id -> MhUserAnswer, a bounded cache */
+  GHashTable *jobs;   /* id -> MhJob */
+  GHashTable *finals; /* id -> MhUserAnswer, a bounded cache */
   GQueue finals_order;
-  GQueue dirty[MH_URGENCIES]; /* MhRecord */
-  GQueue garbage;             /* keys to drop */
-  struct
-  {
-    bool durable, writing;
-  } limits; /* that the state service takes fewer changes is on record, so that no later leader has
-               to find out */
-  guint txns; /* in flight */
-  guint64 rev;
   GHashTable *machines;    /* name -> MhMachine */
   GHashTable *returned;    /* names of machines that are gone */
   GQueue returned_order;   /* Returned */
@@ -100,7 +96,6 @@
   bool place_wanted, place_urgent;
   gint64 placed_us, preempted_us;
   GHashTable *forwards; /* request id -> job id */
-  GHashTable *lookups;  /* job id -> reads under way for its users; not owned */
 
   struct
   {
@@ -122,6 +117,11 @@
 
 void
 mh_core_step (MhCore *core);
+/* The objects of src/storage, and what they tell; see core-storage.c. */
+void
+mh_core_storage_init (MhCore *core);
+void
+mh_core_storage_free (MhCore *core);
 /* For modules that still take the whole core; see src/runtime. */
 typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
 void
--- /dev/null
+++ b/src/controller/core-storage.c
@@ -0,0 +1,124 @@
+/* Connects src/storage with the layers above it: what follows from a record that was written or
+ * read. */
+#include "controller/core-private.h"
+
+/* ---- the writer ---- */
+
+static void
+job_accepted (gpointer owner, MhJob *job)
+{
+  MhCore *core = owner;
+  core->place_wanted = true;
+  core->place_urgent |= job->spec->shape == MH_SHAPE_SERVICE;
+}
+
+static void
+job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+{
+  mh_core_final (owner, job->spec->id, answer);
+}
+
+/* What was waiting for the record to be durable may be sent now. */
+static void
+attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
+{
+  for (guint i = first_task; i < end_task; i++)
+    if (job->tasks[i].live && !job->tasks[i].live->start_sent)
+      mh_fleet_send_commands (owner, job->tasks[i].live->machine);
+}
+
+static void
+job_rechunked (gpointer owner, MhJob *job)
+{
+  for (guint i = 0; i < job->spec->tasks; i++)
+    if (job->tasks[i].live)
+      mh_fleet_send_commands (owner, job->tasks[i].live->machine);
+}
+
+static void
+leadership_lost (gpointer owner, const char *reason)
+{
+  mh_leader_lost (owner, reason);
+}
+
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  return attempt->machine->name;
+}
+
+static const MhRecordWriterCallbacks writer_callbacks = { .job_accepted = job_accepted,
+                                                          .job_over = job_over,
+                                                          .attempts_recorded = attempts_recorded,
+                                                          .job_rechunked = job_rechunked,
+                                                          .leadership_lost = leadership_lost,
+                                                          .machine_name = machine_name };
+
+/* ---- the loader ---- */
+
+static void
+attempt_found (gpointer owner, MhJob *job, guint index, guint32 attempt, const char *machine)
+{
+  MhMachine *found = mh_fleet_machine (owner, machine);
+  if (found == NULL)
+    found = mh_fleet_add (owner, machine, NULL, NULL, false);
+  mh_fleet_attempt_new (owner, job, index, attempt, found)->loaded = true;
+}
+
+static void
+back_off_found (gpointer owner, MhJob *job, guint level)
+{
+  mh_fault_load (owner, job, level);
+}
+
+static void
+release_found (gpointer owner, const MhEntry *entry)
+{
+  mh_release_load (owner, entry);
+}
+
+static void
+job_unreadable (gpointer owner, MhJob *job)
+{
+  for (guint i = 0; i < job->spec->tasks; i++)
+    if (job->tasks[i].live)
+      mh_fleet_attempt_forget (owner, job->tasks[i].live);
+}
+
+static void
+loaded (gpointer owner)
+{
+  mh_leader_loaded (owner);
+}
+
+static const MhRecordLoaderCallbacks loader_callbacks = { .attempt_found = attempt_found,
+                                                          .back_off_found = back_off_found,
+                                                          .release_found = release_found,
+                                                          .job_unreadable = job_unreadable,
+                                                          .loaded = loaded };
+
+/* ---- questions ---- */
+
+static void
+final_read (gpointer owner, const char *job, const MhUserAnswer *answer)
+{
+  mh_core_final (owner, job, answer);
+}
+
+void
+mh_core_storage_init (MhCore *core)
+{
+  core->record_writer
+      = mh_record_writer_new (core->runtime, core->calls, core->jobs, &writer_callbacks, core);
+  core->record_loader = mh_record_loader_new (core->runtime, core->calls, core->jobs,
+                                              core->record_writer, &loader_callbacks, core);
+  core->job_lookup = mh_job_lookup_new (core->runtime, core->calls, core->jobs, final_read, core);
+}
+
+void
+mh_core_storage_free (MhCore *core)
+{
+  mh_job_lookup_free (core->job_lookup);
+  mh_record_loader_free (core->record_loader);
+  mh_record_writer_free (core->record_writer);
+}
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -194,7 +194,7 @@
       if (status == 422)
         {
           /* An accepted job is never refused later, whatever the settings have become. */
-          mh_lookup_job (core, id, spec->id, MH_USER_SUBMIT, true);
+          mh_job_lookup_ask (core->job_lookup, id, spec->id, MH_USER_SUBMIT, MH_LOOKUP_LEADER);
           mh_job_spec_free (spec);
           return;
         }
@@ -206,7 +206,7 @@
         }
       job = mh_job_new (spec, 0, core->settings->value_bytes, core->now.wall_us, &core->now);
       g_hash_table_insert (core->jobs, job->spec->id, job);
-      mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
     }
   else
     mh_job_spec_free (spec);
@@ -226,7 +226,7 @@
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancelled = true;
-      mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
       mh_fleet_stop_job (core, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
@@ -258,7 +258,7 @@
     forward (core, id, job_id);
   else if (!forwarded && core->leader.phase < MH_PHASE_LOAD
            && (verb == MH_USER_STATUS || (spec && judge (core, spec) == 422)))
-    mh_lookup_job (core, id, job_id, verb, false);
+    mh_job_lookup_ask (core->job_lookup, id, job_id, verb, MH_LOOKUP_LEADERLESS);
   else
     mh_core_answer (core, id, 503, 1);
 }
@@ -278,7 +278,7 @@
     }
 
   MhJob *job = g_hash_table_lookup (core->jobs, job_id);
-  if (g_hash_table_contains (core->unreadable, job_id))
+  if (mh_record_loader_is_unreadable (core->record_loader, job_id))
     {
       mh_job_spec_free (spec);
       mh_core_answer (core, id, 503, 1);
@@ -290,7 +290,7 @@
   /* Perhaps one that was over long ago and is submitted again: its final record tells, however long
      the write that would find out has to wait. */
   else if (job == NULL || !job->accepted)
-    mh_lookup_job (core, id, job_id, verb, true);
+    mh_job_lookup_ask (core->job_lookup, id, job_id, verb, MH_LOOKUP_LEADER);
   else if (verb == MH_USER_STATUS)
     mh_core_answer_job (core, id, job, 200);
   else
@@ -395,7 +395,7 @@
       mh_place_step (core);
       mh_scale_step (core);
       mh_release_step (core);
-      mh_store_step (core);
+      mh_record_writer_step (core->record_writer);
     }
   mh_call_queue_flush (core->calls);
 }
@@ -425,9 +425,7 @@
   mh_runtime_set_lease_source (core->runtime, lease_until_us, core);
   core->calls = mh_call_queue_new (core->runtime);
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
-  core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_fleet_free_machine);
   core->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
@@ -438,6 +436,7 @@
   core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->boot_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  mh_core_storage_init (core);
   mh_command_init (core);
   mh_failure_init (core);
   mh_leader_start (core);
@@ -454,18 +453,17 @@
 {
   if (core == NULL)
     return;
-  mh_store_clear (core);
+  mh_record_writer_clear (core->record_writer);
   mh_fleet_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   mh_call_queue_forget_all (core->calls);
   g_queue_clear_full (&core->finals_order, g_free);
+  mh_core_storage_free (core);
   g_clear_pointer (&core->types, g_ptr_array_unref);
   g_hash_table_unref (core->forwards);
-  g_hash_table_unref (core->lookups);
   g_hash_table_unref (core->machines);
   g_hash_table_unref (core->jobs);
-  g_hash_table_unref (core->unreadable);
   g_hash_table_unref (core->finals);
   g_hash_table_unref (core->team_use);
   g_hash_table_unref (core->returned);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -197,7 +197,8 @@
   core->scale.rentals = 0;
   mh_info (core, "leading with epoch %" G_GUINT64_FORMAT "; loading records",
            core->leader.own_epoch);
-  mh_load_records (core);
+  mh_record_writer_begin (core->record_writer, core->leader.own_epoch, core->leader.own_version);
+  mh_record_loader_start (core->record_loader);
 }
 
 static void
@@ -389,12 +390,12 @@
   core->leader.lost = NULL;
   refuse_waiters (core);
   mh_call_queue_forget_all (core->calls);
-  mh_store_clear (core);
+  mh_record_writer_clear (core->record_writer);
   mh_fleet_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
-  g_hash_table_remove_all (core->unreadable);
+  mh_record_loader_clear (core->record_loader);
   core->leader.phase = MH_PHASE_FOLLOW;
   core->leader.renewing = false;
   core->leader.valid_until_us = 0;
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -36,7 +36,6 @@
     {
       job->records[i].job = job;
       job->records[i].chunk = i;
-      job->records[i].again = MH_URGENCY_PROGRESS;
     }
   job->waiters = g_array_new (FALSE, FALSE, sizeof (MhWaiter));
   return job;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -21,20 +21,79 @@
   guint8 state;
 } MhTask;
 
-/* A record in the state service: chunk 0 carries the job itself. */
+/**
+ * MhUrgency:
+ * @MH_URGENCY_USER: a user or a service waits
+ * @MH_URGENCY_START: a start, or the end of a job
+ * @MH_URGENCY_PROGRESS: anything else
+ *
+ * How soon a record must be written, the most urgent first.
+ */
+typedef enum
+{
+  MH_URGENCY_USER,
+  MH_URGENCY_START,
+  MH_URGENCY_PROGRESS
+} MhUrgency;
+#define MH_URGENCIES 3
+
+/**
+ * MhRecordState:
+ * @MH_RECORD_CLEAN: nothing of it waits to be written
+ * @MH_RECORD_QUEUED: waits to be written
+ * @MH_RECORD_REFUSED: the store refused it as malformed; waits, and is not written again for a
+ * while
+ * @MH_RECORD_WRITING: a transaction with it is under way
+ * @MH_RECORD_REWRITTEN: ... and memory has changed since
+ * @MH_RECORD_WRITING_QUEUED: ... and it waits to be written once more
+ * @MH_RECORD_IN_DOUBT: a submission met an earlier job with the same id; a read under way decides
+ *
+ * Between memory and the store; see storage/record-state.h.
+ */
+typedef enum
+{
+  MH_RECORD_CLEAN,
+  MH_RECORD_QUEUED,
+  MH_RECORD_REFUSED,
+  MH_RECORD_WRITING,
+  MH_RECORD_REWRITTEN,
+  MH_RECORD_WRITING_QUEUED,
+  MH_RECORD_IN_DOUBT
+} MhRecordState;
+#define MH_RECORD_STATES 7
+
+/**
+ * MhRecord:
+ * @job: that it belongs to, and that owns it
+ * @chunk: which part of the job's tasks it tells of; 0 carries the job itself, too
+ * @state: between memory and the store
+ * @urgency: in which queue it waits, while it does
+ * @requeue_urgency: how soon what changed while it was being written must be written
+ * @write_alone: was refused as malformed with others; is to be written by itself
+ * @version: of its key in the store; 0: does not exist yet
+ * @revision: of the last change in memory
+ * @durable_revision: what memory held then is stored
+ * @rechunked_revision: what memory held then is stored, but while the job is being re-chunked it
+ * counts only after that; 0: nothing is
+ * @refused_until_us: not written before that steady time, in microseconds
+ * @queue_link: its place in the queue
+ *
+ * A record of a job in the key-value store.
+ */
 struct MhRecord
 {
   MhJob *job;
   guint chunk;
-  guint64 version;       /* 0: does not exist yet */
-  guint64 rev;           /* of memory */
-  guint64 durable;       /* of the state service */
-  guint64 rechunked_rev; /* ... while the job is being re-chunked, and counts only after that */
-  guint urgency;         /* in which queue, while queued */
-  guint again;           /* ... once it is written */
-  bool queued, writing;
-  bool alone;              /* was refused with others: is to be written by itself */
-  gint64 refused_until_us; /* was refused by itself; not written before */
+  MhRecordState state;
+  MhUrgency urgency;
+  MhUrgency requeue_urgency;
+  bool write_alone;
+  guint64 version;
+  guint64 revision;
+  guint64 durable_revision;
+  guint64 rechunked_revision;
+  gint64 refused_until_us;
+  GList queue_link;
 };
 
 typedef struct
@@ -74,7 +133,7 @@
   gint64 gathering_us;   /* a task waits for the others since; 0: none was seen to */
   guint held;            /* tasks for which room is held, in this pass, */
   const char *held_zone; /* in the only zone that it may come to; interned, NULL: any */
-  /* re-chunked in smaller records: see store.c */
+  /* re-chunked in smaller records: see storage/rechunk.h */
   guint unchunked_records; /* that are being replaced; 0: none are */
   bool starved;            /* nothing of it has begun for long */
 };
--- a/src/placement/gang-scheduling.c
+++ b/src/placement/gang-scheduling.c
@@ -60,7 +60,7 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *other = job->tasks[i].live;
-      if (other->loaded || mh_job_record (a->job, i)->durable < other->need_rev)
+      if (other->loaded || !mh_record_is_durable (mh_job_record (a->job, i), other->need_rev))
         return false;
     }
   return true;
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -389,8 +389,8 @@
 {
   MhAttempt *a = mh_fleet_attempt_new (core, job, index, attempt, m);
   MhRecord *r = mh_job_record (job, index);
-  mh_store_touch (core, r, urgency);
-  a->need_rev = r->rev;
+  mh_record_writer_touch (core->record_writer, r, urgency);
+  a->need_rev = mh_record_revision (r);
   mh_debug (core, "task %s/%u: attempt %u on %s (%s%s)", job->spec->id, index, a->attempt, m->name,
             m->zone, mh_fleet_cached (m, job->image) ? ", image there" : "");
   return a;
--- /dev/null
+++ b/src/storage/batch.c
@@ -0,0 +1,162 @@
+#include "storage/batch.h"
+
+#include "storage/rechunk.h"
+
+/* Below the 64 KiB that one transaction may have, counted in JSON. */
+#define MAX_TRANSACTION_BYTES ((gsize)57344)
+/* Of a change and its conditions, beside the value. */
+#define CHANGE_OVERHEAD_BYTES 300u
+/* Records that are removed with a job's final one at most; the rest is removed later. */
+#define MAX_DELETED_WITH_FINAL 6u
+/* Changes for the final record and in place of the first one. */
+#define CHANGES_OF_FINAL 2u
+
+struct MhBatch
+{
+  MhTransaction *transaction;
+  GArray *writes; /* MhRecordWrite */
+  const MhSettings *settings;
+  MhMachineNameFunc machine_name;
+  guint max_changes;
+  gsize bytes;       /* an upper bound of what the records take */
+  bool is_exclusive; /* the record in it must be written alone */
+};
+
+MhBatch *
+mh_batch_new (MhTransaction *transaction, GArray *writes, const MhSettings *settings,
+              MhMachineNameFunc machine_name, guint max_changes)
+{
+  MhBatch *batch = g_new0 (MhBatch, 1);
+  batch->transaction = transaction;
+  batch->writes = writes;
+  batch->settings = settings;
+  batch->machine_name = machine_name;
+  batch->max_changes = max_changes;
+  return batch;
+}
+
+void
+mh_batch_free (MhBatch *batch)
+{
+  g_free (batch);
+}
+
+guint
+mh_batch_deleted_with_final (const MhJob *job, const MhSettings *settings)
+{
+  if (job->records[0].write_alone)
+    return 0;
+  guint room = settings->txn_ops - CHANGES_OF_FINAL;
+  return MIN (job->n_records - 1, MIN (MAX_DELETED_WITH_FINAL, room));
+}
+
+bool
+mh_batch_is_full (const MhBatch *batch)
+{
+  return batch->is_exclusive || mh_transaction_changes (batch->transaction) >= batch->max_changes;
+}
+
+static bool
+replaces_layout (const MhRecord *record)
+{
+  return mh_rechunk_is_pending (record->job) && !record->job->finished && record->chunk == 0;
+}
+
+static guint
+changes_needed (const MhBatch *batch, const MhRecord *record)
+{
+  if (record->job->finished)
+    return CHANGES_OF_FINAL + mh_batch_deleted_with_final (record->job, batch->settings);
+  if (replaces_layout (record))
+    return mh_rechunk_together (record->job, batch->settings->txn_ops);
+  return 1;
+}
+
+/* The condition for what is stored now, under `key`. */
+static void
+add_write (MhBatch *batch, MhRecord *record, const char *key, const MhValue *value)
+{
+  const MhJob *job = record->job;
+  batch->bytes += mh_value_json_size (value) + CHANGE_OVERHEAD_BYTES;
+  mh_transaction_add_condition (batch->transaction, key, record->version);
+  MhRecordWrite write = { .record = record,
+                          .revision = record->revision,
+                          .is_final = job->finished,
+                          .cancelled = job->cancelled };
+  g_array_append_val (batch->writes, write);
+}
+
+static void
+add_replaced_records (MhBatch *batch, MhJob *job)
+{
+  guint together = mh_rechunk_together (job, batch->settings->txn_ops);
+  for (guint i = 1; i < together; i++)
+    {
+      MhRecord *record = &job->records[i];
+      const char *tag = mh_transaction_tag (batch->transaction);
+      g_autoptr (MhValue) value = mh_record_write (record, tag, batch->machine_name);
+      g_autofree char *key = mh_record_key (job->spec->id, i);
+      add_write (batch, record, key, value);
+      mh_transaction_put (batch->transaction, key, value);
+    }
+}
+
+/* A submission must not meet the final record of an earlier one with the same id. */
+static void
+add_running (MhBatch *batch, MhRecord *record, MhValue *value)
+{
+  MhJob *job = record->job;
+  g_autofree char *key = mh_record_key (job->spec->id, record->chunk);
+  add_write (batch, record, key, value);
+  mh_transaction_put_tagged (batch->transaction, key, value);
+  if (record->chunk == 0 && record->version == 0)
+    {
+      g_autofree char *final_key = mh_record_final_key (job->spec->id);
+      mh_transaction_add_condition (batch->transaction, final_key, 0);
+    }
+  if (replaces_layout (record))
+    add_replaced_records (batch, job);
+}
+
+/* The final record takes the place of the first one, and of as many others as fit. */
+static void
+add_final (MhBatch *batch, MhRecord *record, MhValue *value)
+{
+  const MhJob *job = record->job;
+  g_autofree char *key = mh_record_key (job->spec->id, 0);
+  g_autofree char *final_key = mh_record_final_key (job->spec->id);
+  add_write (batch, record, key, value);
+  mh_transaction_put_tagged (batch->transaction, final_key, value);
+  mh_transaction_add_condition (batch->transaction, final_key, 0);
+  if (record->version)
+    mh_transaction_delete (batch->transaction, key);
+  guint deleted = mh_batch_deleted_with_final (job, batch->settings);
+  for (guint i = 1; i <= deleted; i++)
+    if (job->records[i].version)
+      {
+        g_autofree char *chunk_key = mh_record_key (job->spec->id, i);
+        mh_transaction_delete (batch->transaction, chunk_key);
+      }
+}
+
+bool
+mh_batch_add (MhBatch *batch, MhRecord *record)
+{
+  guint changes = mh_transaction_changes (batch->transaction);
+  if (changes
+      && (record->write_alone || changes + changes_needed (batch, record) > batch->max_changes))
+    return false;
+  const MhJob *job = record->job;
+  const char *tag = mh_transaction_tag (batch->transaction);
+  g_autoptr (MhValue) value = job->finished ? mh_record_write_final (job, tag)
+                                            : mh_record_write (record, tag, batch->machine_name);
+  gsize bytes = batch->bytes + mh_value_json_size (value) + CHANGE_OVERHEAD_BYTES;
+  if (changes && bytes > MAX_TRANSACTION_BYTES)
+    return false;
+  if (job->finished)
+    add_final (batch, record, value);
+  else
+    add_running (batch, record, value);
+  batch->is_exclusive |= record->write_alone;
+  return true;
+}
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -1,195 +1,275 @@
-/* Reload: a new leader reads every unfinished job, and which machines are being given back. */
-#include "controller/core-private.h"
+#include "storage/load.h"
+
+#include "storage/rechunk.h"
 
 #include <string.h>
 
 #define CALL_TIMEOUT_US (2 * MH_SECOND_US)
 #define PAGE_ENTRIES 400u
+/* After a page that was not read. */
+#define PAUSE_US 50000
+#define PAUSE_SPREAD_US 50000
+
+struct MhRecordLoader
+{
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  GHashTable *jobs; /* id -> MhJob; not owned */
+  MhRecordWriter *writer;
+  const MhRecordLoaderCallbacks *callbacks;
+  gpointer owner;
+  GHashTable *unreadable; /* set of job ids */
+};
+
+/* What is read, in this order: a job before its further records. */
+static const char *const prefixes[]
+    = { MH_RECORD_JOBS, MH_RECORD_CHUNKS, MH_RECORD_RELEASES, MH_RECORD_LIMITS };
 
 typedef struct
 {
-  const char *prefix;
-  char *after;
+  guint prefix; /* index in prefixes */
+  char *after;  /* last key of the page before; NULL: the first page */
 } Page;
 
+MhRecordLoader *
+mh_record_loader_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
+                      MhRecordWriter *writer, const MhRecordLoaderCallbacks *callbacks,
+                      gpointer owner)
+{
+  g_return_val_if_fail (runtime && calls && jobs && writer && callbacks, NULL);
+  MhRecordLoader *loader = g_new0 (MhRecordLoader, 1);
+  loader->runtime = runtime;
+  loader->calls = calls;
+  loader->jobs = jobs;
+  loader->writer = writer;
+  loader->callbacks = callbacks;
+  loader->owner = owner;
+  loader->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  return loader;
+}
+
+void
+mh_record_loader_free (MhRecordLoader *loader)
+{
+  if (loader == NULL)
+    return;
+  g_hash_table_unref (loader->unreadable);
+  g_free (loader);
+}
+
+void
+mh_record_loader_clear (MhRecordLoader *loader)
+{
+  g_return_if_fail (loader);
+  g_hash_table_remove_all (loader->unreadable);
+}
+
+bool
+mh_record_loader_is_unreadable (const MhRecordLoader *loader, const char *job)
+{
+  g_return_val_if_fail (loader && job, false);
+  return g_hash_table_contains (loader->unreadable, job);
+}
+
+/* ---- one record ---- */
+
 static void
-page_free (gpointer data)
+leave_job_alone (MhRecordLoader *loader, const char *key, const char *id, const GError *error)
 {
-  g_free (((Page *)data)->after);
-  g_free (data);
+  mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
+                  "record cannot be read; its job is left alone: key=%s job=%s reason=\"%s\"", key,
+                  id, error->message);
+  g_hash_table_add (loader->unreadable, g_strdup (id));
+  MhJob *job = g_hash_table_lookup (loader->jobs, id);
+  if (job == NULL)
+    return;
+  loader->callbacks->job_unreadable (loader->owner, job);
+  mh_record_writer_remove_job (loader->writer, job);
 }
 
+typedef struct
+{
+  MhRecordLoader *loader;
+  MhJob *job;
+} TaskReader;
+
+/* What is known of a task is read wherever it stands, first found first taken: see rechunk.h. */
 static void
 load_task (gpointer data, guint index, guint32 attempt, const char *machine)
 {
-  gpointer *pair = data;
-  MhCore *core = pair[0];
-  MhJob *job = pair[1];
+  const TaskReader *reader = data;
+  MhJob *job = reader->job;
   if (index >= job->spec->tasks || job->tasks[index].attempt)
     return;
-  MhTask *t = &job->tasks[index];
-  t->attempt = attempt;
+  MhTask *task = &job->tasks[index];
+  task->attempt = attempt;
   if (machine == NULL)
     {
-      t->state = MH_TASK_DONE;
+      task->state = MH_TASK_DONE;
       job->n_done++;
     }
-  else if (strcmp (machine, "?") != 0)
+  else if (strcmp (machine, MH_RECORD_NO_MACHINE) != 0)
+    reader->loader->callbacks->attempt_found (reader->loader->owner, job, index, attempt, machine);
+}
+
+static void
+load_tasks (MhRecordLoader *loader, MhJob *job, guint chunk, const MhEntry *entry)
+{
+  g_autoptr (GError) error = NULL;
+  TaskReader reader = { .loader = loader, .job = job };
+  job->records[chunk].version = entry->version;
+  if (!mh_record_read_tasks (entry->value, load_task, &reader, &error))
     {
-      MhMachine *m = mh_fleet_machine (core, machine);
-      if (m == NULL)
-        m = mh_fleet_add (core, machine, NULL, NULL, false);
-      mh_fleet_attempt_new (core, job, index, attempt, m)->loaded = true;
+      g_autofree char *id = g_strdup (job->spec->id);
+      leave_job_alone (loader, entry->key, id, error);
     }
 }
 
-/* A job whose record is not understood is neither unknown nor without tasks: its users are told to
-   come again, and what runs of it is left alone. */
+static MhJob *
+add_job (MhRecordLoader *loader, MhStoredJob *stored)
+{
+  guint value_bytes = mh_runtime_settings (loader->runtime)->value_bytes;
+  guint fits = mh_job_chunk (stored->spec, value_bytes);
+  bool too_large = fits && stored->chunk > fits;
+  guint old_records = (stored->spec->tasks + stored->chunk - 1) / stored->chunk;
+  MhJob *job
+      = mh_job_new (g_steal_pointer (&stored->spec), too_large ? fits : stored->chunk, value_bytes,
+                    stored->submitted_wall_us, mh_runtime_now (loader->runtime));
+  job->unchunked_records = too_large ? old_records : 0;
+  job->accepted = true;
+  loader->callbacks->back_off_found (loader->owner, job, stored->back_off_level);
+  job->cancelled = job->cancel_durable = stored->cancelled;
+  g_hash_table_insert (loader->jobs, job->spec->id, job);
+  return job;
+}
+
 static void
-not_understood (MhCore *core, const char *key, const char *id)
+load_job (MhRecordLoader *loader, const MhEntry *entry)
 {
-  mh_core_log (core, G_LOG_LEVEL_CRITICAL, "record %s cannot be read; its job is left alone", key);
-  g_hash_table_add (core->unreadable, g_strdup (id));
-  MhJob *job = g_hash_table_lookup (core->jobs, id);
-  for (guint i = 0; job && i < job->spec->tasks; i++)
-    if (job->tasks[i].live)
-      mh_fleet_attempt_forget (core, job->tasks[i].live);
-  g_hash_table_remove (core->jobs, id);
+  g_autoptr (GError) error = NULL;
+  g_auto (MhStoredJob) stored = {};
+  const char *id = entry->key + strlen (MH_RECORD_JOBS);
+  if (mh_record_read_job (entry->value, id, &stored, &error))
+    load_tasks (loader, add_job (loader, &stored), 0, entry);
+  else
+    leave_job_alone (loader, entry->key, id, error);
+}
+
+/* One whose job is over, or was laid out in fewer records meanwhile, is of no use any more. */
+static void
+load_chunk (MhRecordLoader *loader, const MhEntry *entry)
+{
+  g_auto (GStrv) parts = g_strsplit (entry->key, "/", 3);
+  if (parts[0] && parts[1] && mh_record_loader_is_unreadable (loader, parts[1]))
+    return;
+  MhJob *job = g_strv_length (parts) == 3 ? g_hash_table_lookup (loader->jobs, parts[1]) : NULL;
+  guint64 chunk = job ? g_ascii_strtoull (parts[2], NULL, 10) : 0;
+  if (job == NULL || chunk == 0 || chunk >= job->n_records)
+    mh_record_writer_delete (loader->writer, entry->key);
+  else
+    load_tasks (loader, job, (guint)chunk, entry);
 }
 
 /* An earlier leader found that the limits announced as next hold. Those of settings that were
    changed since are not known to. */
 static void
-load_limits (MhCore *core, const MhEntry *e)
+load_limits (MhRecordLoader *loader, const MhEntry *entry)
 {
+  g_autoptr (GError) error = NULL;
   double write_rps;
-  if (!mh_record_read_limits (e->value, &write_rps))
-    mh_core_log (core, G_LOG_LEVEL_CRITICAL, "record %s cannot be read", e->key);
-  else if (write_rps <= core->settings->next_write_rps)
+  if (!mh_record_read_limits (entry->value, &write_rps, &error))
+    mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
+                    "record cannot be read: key=%s reason=\"%s\"", entry->key, error->message);
+  else if (write_rps <= mh_runtime_settings (loader->runtime)->next_write_rps)
     {
-      core->limits.durable = true;
-      mh_call_queue_lower_write_rate (core->calls);
+      mh_record_writer_limits_loaded (loader->writer);
+      mh_call_queue_lower_write_rate (loader->calls);
     }
 }
 
 static void
-load_entry (MhCore *core, const MhEntry *e)
+load_entry (MhRecordLoader *loader, const MhEntry *entry)
 {
-  MhJob *job;
-  guint chunk = 0;
-  if (g_str_has_prefix (e->key, MH_RECORD_RELEASES))
-    {
-      mh_release_load (core, e);
-      return;
-    }
-  if (strcmp (e->key, MH_RECORD_LIMITS) == 0)
-    {
-      load_limits (core, e);
-      return;
-    }
-  if (g_str_has_prefix (e->key, "j/"))
-    {
-      gint64 at;
-      guint per_record;
-      bool cancelled;
-      MhJobSpec *spec = mh_record_read_job (e->value, e->key + 2, &at, &per_record, &cancelled);
-      if (spec == NULL)
-        {
-          not_understood (core, e->key, e->key + 2);
-          return;
-        }
-      guint fits = mh_job_chunk (spec, core->settings->value_bytes);
-      guint old = per_record > fits && fits ? (spec->tasks + per_record - 1) / per_record : 0;
-      job = mh_job_new (spec, old ? fits : per_record, core->settings->value_bytes, at, &core->now);
-      job->unchunked_records = old;
-      job->accepted = true;
-      mh_fault_load (core, job, mh_record_read_back_off (e->value));
-      job->cancelled = job->cancel_durable = cancelled;
-      g_hash_table_insert (core->jobs, job->spec->id, job);
-    }
+  if (g_str_has_prefix (entry->key, MH_RECORD_RELEASES))
+    loader->callbacks->release_found (loader->owner, entry);
+  else if (strcmp (entry->key, MH_RECORD_LIMITS) == 0)
+    load_limits (loader, entry);
+  else if (g_str_has_prefix (entry->key, MH_RECORD_JOBS))
+    load_job (loader, entry);
   else
-    {
-      g_auto (GStrv) parts = g_strsplit (e->key, "/", 3);
-      if (parts[0] && parts[1] && g_hash_table_contains (core->unreadable, parts[1]))
-        return;
-      job = g_strv_length (parts) == 3 ? g_hash_table_lookup (core->jobs, parts[1]) : NULL;
-      guint64 n = job ? g_ascii_strtoull (parts[2], NULL, 10) : 0;
-      if (job == NULL || n == 0 || n >= job->n_records)
-        {
-          mh_store_drop (core, e->key);
-          return;
-        }
-      chunk = (guint)n;
-    }
-  job->records[chunk].version = e->version;
-  gpointer pair[] = { core, job };
-  if (!mh_record_read_tasks (e->value, load_task, pair))
-    not_understood (core, e->key, job->spec->id);
+    load_chunk (loader, entry);
+}
+
+/* ---- pages ---- */
+
+static void
+page_free (gpointer data)
+{
+  g_free (((Page *)data)->after);
+  g_free (data);
 }
 
 static void
-load_page (MhCore *core, const char *prefix, char *after);
+take_page (gpointer owner, gpointer data, const MhReply *reply);
 
-/* What is read, in this order: a job before its further records. */
-static const char *const prefixes[] = { "j/", "t/", MH_RECORD_RELEASES, MH_RECORD_LIMITS, NULL };
+static void
+read_page (MhRecordLoader *loader, guint prefix, const char *after)
+{
+  Page *page = g_new0 (Page, 1);
+  page->prefix = prefix;
+  page->after = g_strdup (after);
+  const MhCallOptions options = { .class = MH_CALL_SAFETY,
+                                  .timeout_us = CALL_TIMEOUT_US,
+                                  .func = take_page,
+                                  .owner = loader,
+                                  .data = page,
+                                  .free_data = page_free };
+  mh_call_queue_add (loader->calls, mh_wire_list (prefixes[prefix], after, PAGE_ENTRIES), &options);
+}
 
-static const char *
-prefix_after (const char *prefix)
+static void
+finish_loading (MhRecordLoader *loader)
 {
-  guint i = 0;
-  while (strcmp (prefixes[i], prefix) != 0)
-    i++;
-  return prefixes[i + 1];
+  GHashTableIter it;
+  gpointer job;
+  g_hash_table_iter_init (&it, loader->jobs);
+  while (g_hash_table_iter_next (&it, NULL, &job))
+    if (mh_rechunk_is_pending (job))
+      mh_record_writer_rechunk (loader->writer, job);
+  loader->callbacks->loaded (loader->owner);
 }
 
 static void
-load_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
+take_page (gpointer owner, gpointer data, const MhReply *reply)
 {
-  Page *page = data;
-  const char *prefix;
+  MhRecordLoader *loader = owner;
+  const Page *page = data;
   bool more;
   guint64 revision;
   g_autoptr (GPtrArray) entries
-      = status == 200 ? mh_wire_read_entries (body, &more, &revision) : NULL;
+      = reply->status == 200 ? mh_wire_read_entries (reply->body, &more, &revision) : NULL;
   if (entries == NULL)
     {
-      mh_call_queue_pause_store (core->calls, 50000, 50000);
-      load_page (core, page->prefix, g_strdup (page->after));
+      mh_call_queue_pause_store (loader->calls, PAUSE_US, PAUSE_SPREAD_US);
+      read_page (loader, page->prefix, page->after);
       return;
     }
   for (guint i = 0; i < entries->len; i++)
-    load_entry (core, g_ptr_array_index (entries, i));
+    load_entry (loader, g_ptr_array_index (entries, i));
   if (more && entries->len)
     {
-      MhEntry *last = g_ptr_array_index (entries, entries->len - 1);
-      load_page (core, page->prefix, g_strdup (last->key));
+      const MhEntry *last = g_ptr_array_index (entries, entries->len - 1);
+      read_page (loader, page->prefix, last->key);
     }
-  else if ((prefix = prefix_after (page->prefix)))
-    load_page (core, prefix, NULL);
+  else if (page->prefix + 1 < G_N_ELEMENTS (prefixes))
+    read_page (loader, page->prefix + 1, NULL);
   else
-    {
-      GHashTableIter it;
-      gpointer job;
-      g_hash_table_iter_init (&it, core->jobs);
-      while (g_hash_table_iter_next (&it, NULL, &job))
-        if (((MhJob *)job)->unchunked_records)
-          mh_rechunk_begin (core, job);
-      mh_leader_loaded (core);
-    }
-}
-
-static void
-load_page (MhCore *core, const char *prefix, char *after)
-{
-  Page *page = g_new0 (Page, 1);
-  page->prefix = prefix;
-  page->after = after;
-  mh_core_call (core, MH_CALL_SAFETY, mh_wire_list (prefix, after, PAGE_ENTRIES), 0,
-                CALL_TIMEOUT_US, load_reply, page, page_free);
+    finish_loading (loader);
 }
 
 void
-mh_load_records (MhCore *core)
+mh_record_loader_start (MhRecordLoader *loader)
 {
-  load_page (core, prefixes[0], NULL);
+  g_return_if_fail (loader);
+  read_page (loader, 0, NULL);
 }
--- a/src/storage/rechunk.c
+++ b/src/storage/rechunk.c
@@ -1,55 +1,36 @@
-/* Re-chunking.
+#include "storage/rechunk.h"
 
-   A job that was written in larger records than are taken now, or will be from some unknown moment,
-   is written in smaller ones before anything else of it is. The new records that replace no old one
-   go first. Nobody looks at those: the first record still tells of the old layout. Then the first
-   one and those in the place of old ones go in one transaction, and from then on the new layout
-   holds. Until then nothing of the job counts as on record that was not before: no start is
-   ordered, no result cleared, no cancellation confirmed. What is known of a task is read wherever
-   it stands, first found first taken, so that a leader that ends in between leaves nothing that
-   misleads. */
-#include "controller/core-private.h"
+/* Counts as written, and is below every revision that is given from then on. */
+#define REVISION_OF_EMPTY_RECORD 1u
+
+bool
+mh_rechunk_is_pending (const MhJob *job)
+{
+  return job->unchunked_records > 0;
+}
 
-/* Those that go together with the first; more old ones than a transaction takes are replaced one by
-   one, from the last. */
 guint
-mh_rechunk_companions (const MhCore *core, const MhJob *job)
+mh_rechunk_together (const MhJob *job, guint max_changes)
 {
-  return MIN (job->unchunked_records, core->settings->txn_ops);
+  return MIN (job->unchunked_records, max_changes);
 }
 
 bool
-mh_rechunk_may_write (const MhCore *core, const MhRecord *r)
+mh_rechunk_may_write (const MhRecord *record, guint max_changes)
 {
-  const MhJob *job = r->job;
-  guint first = mh_rechunk_companions (core, job);
-  if (r->rechunked_rev || (r->chunk && r->chunk < first))
+  const MhJob *job = record->job;
+  guint together = mh_rechunk_together (job, max_changes);
+  if (record->rechunked_revision || (record->chunk && record->chunk < together))
     return false;
   /* One in the place of an old one: what that held must be in the others, and durable. */
-  for (guint i = r->chunk < job->unchunked_records ? MAX (r->chunk + 1, first) : job->n_records;
-       i < job->n_records; i++)
-    if (job->records[i].rechunked_rev == 0)
+  bool replaces = record->chunk < job->unchunked_records;
+  guint first_before = replaces ? MAX (record->chunk + 1, together) : job->n_records;
+  for (guint i = first_before; i < job->n_records; i++)
+    if (job->records[i].rechunked_revision == 0)
       return false;
   return true;
 }
 
-void
-mh_rechunk_finished (MhCore *core, MhJob *job)
-{
-  mh_info (core, "job %s: re-chunked into %u records", job->spec->id, job->n_records);
-  job->unchunked_records = 0;
-  for (guint i = 0; i < job->n_records; i++)
-    {
-      MhRecord *r = &job->records[i];
-      r->durable = MAX (r->durable, r->rechunked_rev);
-      if (r->rev > r->durable && !r->writing)
-        mh_store_enqueue (core, r, MH_URGENCY_START);
-    }
-  for (guint i = 0; i < job->spec->tasks; i++)
-    if (job->tasks[i].live)
-      mh_fleet_send_commands (core, job->tasks[i].live->machine);
-}
-
 static bool
 has_attempts (const MhJob *job, guint chunk)
 {
@@ -60,12 +41,22 @@
   return false;
 }
 
+bool
+mh_rechunk_prepare (MhRecord *record)
+{
+  if (record->chunk < record->job->unchunked_records || has_attempts (record->job, record->chunk))
+    return true;
+  record->rechunked_revision = REVISION_OF_EMPTY_RECORD;
+  return false;
+}
+
 void
-mh_rechunk_begin (MhCore *core, MhJob *job)
+mh_rechunk_finish (MhJob *job)
 {
+  job->unchunked_records = 0;
   for (guint i = 0; i < job->n_records; i++)
-    if (i < job->unchunked_records || has_attempts (job, i))
-      mh_store_touch (core, &job->records[i], MH_URGENCY_START);
-    else
-      job->records[i].rechunked_rev = 1; /* below every rev that is given from now on */
+    {
+      MhRecord *record = &job->records[i];
+      record->durable_revision = MAX (record->durable_revision, record->rechunked_revision);
+    }
 }
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -1,192 +1,271 @@
-/* The stored form of jobs, of leadership and of machines that are being given back. Keys: leader,
-   epoch, j/ID (job and its first tasks), t/ID/CHUNK (further tasks), f/ID (the final state, kept
-   for ever), r/EPOCH/N (names of machines), limits (what the state service was found to take; the
-   version before this one never reads it). Short names, since values are limited. */
-#include "controller/core-private.h"
+/* Field names are short, since the size of values is limited. The table of keys and fields is in
+   README.md. */
+#include "storage/record.h"
+
+#include "protocol/wire.h"
 
 #include <string.h>
 
 /* Tasks in a record that does not say so: it is of the first version. */
-#define FIRST_CHUNK 64
+#define CHUNK_OF_FIRST_VERSION 64u
+
+G_DEFINE_QUARK (mh - storage - error - quark, mh_storage_error)
 
 char *
 mh_record_key (const char *job, guint chunk)
 {
-  return chunk ? g_strdup_printf ("t/%s/%05u", job, chunk) : g_strconcat ("j/", job, NULL);
+  return chunk ? g_strdup_printf (MH_RECORD_CHUNKS "%s/%05u", job, chunk)
+               : g_strconcat (MH_RECORD_JOBS, job, NULL);
+}
+
+char *
+mh_record_final_key (const char *job)
+{
+  return g_strconcat (MH_RECORD_FINALS, job, NULL);
+}
+
+static bool
+fail_missing (GError **error, const char *field, const char *expected)
+{
+  g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_MISSING_FIELD,
+               "field '%s' is missing or is no %s", field, expected);
+  return false;
+}
+
+static bool
+fail_invalid (GError **error, const char *field, const char *problem)
+{
+  g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_INVALID_FIELD, "field '%s' %s", field,
+               problem);
+  return false;
+}
+
+/* ---- running jobs ---- */
+
+/* A pending task that ran before keeps its attempt number, which must not be used again. */
+static MhValue *
+write_task (const MhTask *task, guint index, MhMachineNameFunc machine_name)
+{
+  MhValue *item = mh_value_list ();
+  mh_value_push (item, mh_value_uint (index));
+  mh_value_push (item, mh_value_uint (task->attempt));
+  if (task->state == MH_TASK_LIVE)
+    mh_value_push (item, mh_value_text (machine_name (task->live)));
+  else if (task->state == MH_TASK_PENDING)
+    mh_value_push (item, mh_value_text (MH_RECORD_NO_MACHINE));
+  return item;
+}
+
+static void
+write_job (MhValue *map, const MhJob *job)
+{
+  mh_value_set (map, "s", mh_wire_write_submission (job->spec));
+  mh_value_set_uint (map, "at", (guint64)MAX (job->submitted_wall_us, 0));
+  mh_value_set_uint (map, "c", job->chunk);
+  if (job->cancelled)
+    mh_value_set_bool (map, "x", true);
+  if (job->faults.level > 0)
+    mh_value_set_uint (map, "e", job->faults.level);
 }
 
 MhValue *
-mh_record_write (const MhRecord *r, const char *tag)
+mh_record_write (const MhRecord *record, const char *tag, MhMachineNameFunc machine_name)
 {
-  MhJob *job = r->job;
-  MhValue *m = mh_value_map ();
-  mh_value_set_text (m, "w", tag);
-  if (r->chunk == 0)
-    {
-      mh_value_set (m, "s", mh_wire_write_submission (job->spec));
-      mh_value_set_uint (m, "at", (guint64)MAX (job->submitted_wall_us, 0));
-      mh_value_set_uint (m, "c", job->chunk);
-      if (job->cancelled)
-        mh_value_set_bool (m, "x", true);
-      if (mh_fault_backs_off (job))
-        mh_value_set_uint (m, "e", job->faults.level);
-    }
+  const MhJob *job = record->job;
+  MhValue *map = mh_value_map ();
+  mh_value_set_text (map, "w", tag);
+  if (record->chunk == 0)
+    write_job (map, job);
   MhValue *list = mh_value_list ();
-  guint first = r->chunk * job->chunk;
+  guint first = record->chunk * job->chunk;
   guint end = MIN (first + job->chunk, job->spec->tasks);
   for (guint i = first; i < end; i++)
-    {
-      const MhTask *t = &job->tasks[i];
-      if (t->attempt == 0)
-        continue;
-      MhValue *item = mh_value_list ();
-      mh_value_push (item, mh_value_uint (i));
-      mh_value_push (item, mh_value_uint (t->attempt));
-      /* A pending task that ran before keeps "?": its attempt number must not be used again. */
-      if (t->state == MH_TASK_LIVE)
-        mh_value_push (item, mh_value_text (t->live->machine->name));
-      else if (t->state == MH_TASK_PENDING)
-        mh_value_push (item, mh_value_text ("?"));
-      mh_value_push (list, item);
-    }
-  mh_value_set (m, "t", list);
-  return m;
+    if (job->tasks[i].attempt)
+      mh_value_push (list, write_task (&job->tasks[i], i, machine_name));
+  mh_value_set (map, "t", list);
+  return map;
 }
 
-MhValue *
-mh_record_write_final (const MhJob *job, const char *tag)
+char *
+mh_record_read_tag (const MhValue *value)
 {
-  MhValue *m = mh_value_map ();
-  mh_value_set_text (m, "w", tag);
-  mh_value_set_uint (m, "state", job->cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE);
-  mh_value_set_uint (m, "done", job->n_done);
-  return m;
+  return mh_value_get_text (value, "w");
 }
 
-bool
-mh_record_read_final (const MhValue *v, MhUserAnswer *a)
+void
+mh_stored_job_clear (MhStoredJob *stored)
 {
-  guint64 state, done;
-  if (!mh_value_get_uint (v, "state", &state) || !mh_value_get_uint (v, "done", &done)
-      || (state != MH_JOB_DONE && state != MH_JOB_CANCELLED))
-    return false;
-  *a = (MhUserAnswer){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
+  g_clear_pointer (&stored->spec, mh_job_spec_free);
+}
+
+static bool
+read_chunk (const MhValue *value, guint *chunk, GError **error)
+{
+  guint64 tasks = CHUNK_OF_FIRST_VERSION;
+  mh_value_get_uint (value, "c", &tasks);
+  if (tasks < 1 || tasks > MH_MAX_TASKS)
+    return fail_invalid (error, "c", "is out of range");
+  *chunk = (guint)tasks;
   return true;
 }
 
-char *
-mh_record_read_tag (const MhValue *v)
+bool
+mh_record_read_job (const MhValue *value, const char *id, MhStoredJob *stored, GError **error)
 {
-  return mh_value_get_text (v, "w");
+  guint64 submitted_wall_us, level;
+  *stored = (MhStoredJob){};
+  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (mh_value_get (value, "s"));
+  if (spec == NULL)
+    return fail_missing (error, "s", "description of a job");
+  if (strcmp (spec->id, id) != 0)
+    {
+      g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_WRONG_JOB, "field 's' is of job '%s'",
+                   spec->id);
+      return false;
+    }
+  if (!mh_value_get_uint (value, "at", &submitted_wall_us))
+    return fail_missing (error, "at", "number");
+  if (!read_chunk (value, &stored->chunk, error))
+    return false;
+  stored->submitted_wall_us = (gint64)submitted_wall_us;
+  mh_value_get_bool (value, "x", &stored->cancelled);
+  if (mh_value_get_uint (value, "e", &level))
+    stored->back_off_level = (guint)MIN (level, G_MAXUINT);
+  stored->spec = g_steal_pointer (&spec);
+  return true;
 }
 
-MhValue *
-mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id)
+static bool
+read_task (const MhValue *item, MhRecordTaskFunc func, gpointer data, GError **error)
 {
-  MhValue *m = mh_value_map ();
-  mh_value_set_uint (m, "claim", lease_id);
-  mh_value_set_text (m, "node", node);
-  mh_value_set_uint (m, "epoch", epoch);
-  return m;
+  guint64 index, attempt;
+  if (mh_value_size (item) < 2 || !mh_value_as_uint (mh_value_at (item, 0), &index)
+      || !mh_value_as_uint (mh_value_at (item, 1), &attempt))
+    return fail_invalid (error, "t", "has an item that is not index and attempt");
+  if (index >= MH_MAX_TASKS)
+    return fail_invalid (error, "t", "has an index that is out of range");
+  if (attempt > G_MAXUINT32)
+    return fail_invalid (error, "t", "has an attempt that is out of range");
+  g_autofree char *machine = NULL;
+  if (mh_value_size (item) > 2)
+    {
+      machine = mh_value_as_text (mh_value_at (item, 2));
+      if (machine == NULL)
+        return fail_invalid (error, "t", "has a machine that is no text");
+    }
+  func (data, (guint)index, (guint32)attempt, machine);
+  return true;
 }
 
-MhValue *
-mh_record_write_epoch (guint64 epoch)
+bool
+mh_record_read_tasks (const MhValue *value, MhRecordTaskFunc func, gpointer data, GError **error)
 {
-  MhValue *m = mh_value_map ();
-  mh_value_set_uint (m, "epoch", epoch);
-  return m;
+  const MhValue *list = mh_value_get (value, "t");
+  if (list == NULL)
+    return fail_missing (error, "t", "list");
+  for (gsize i = 0; i < mh_value_size (list); i++)
+    if (!read_task (mh_value_at (list, i), func, data, error))
+      return false;
+  return true;
 }
 
+/* ---- final states ---- */
+
 MhValue *
-mh_record_write_limits (double write_rps)
+mh_record_write_final (const MhJob *job, const char *tag)
 {
-  MhValue *m = mh_value_map ();
-  mh_value_set_number (m, "write_rps", write_rps);
-  return m;
+  MhValue *map = mh_value_map ();
+  mh_value_set_text (map, "w", tag);
+  mh_value_set_uint (map, "state", job->cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE);
+  mh_value_set_uint (map, "done", job->n_done);
+  return map;
 }
 
 bool
-mh_record_read_limits (const MhValue *v, double *write_rps)
+mh_record_read_final (const MhValue *value, MhUserAnswer *answer, GError **error)
 {
-  return mh_value_get_number (v, "write_rps", write_rps) && *write_rps > 0;
+  guint64 state, done;
+  if (!mh_value_get_uint (value, "state", &state))
+    return fail_missing (error, "state", "number");
+  if (!mh_value_get_uint (value, "done", &done))
+    return fail_missing (error, "done", "number");
+  if (state != MH_JOB_DONE && state != MH_JOB_CANCELLED)
+    return fail_invalid (error, "state", "is not a final state");
+  *answer = (MhUserAnswer){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
+  return true;
 }
 
+/* ---- leadership ---- */
+
 MhValue *
-mh_record_write_release (char **machines)
+mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id)
 {
-  MhValue *m = mh_value_map ();
-  mh_value_set_names (m, "m", machines);
-  return m;
+  MhValue *map = mh_value_map ();
+  mh_value_set_uint (map, "claim", lease_id);
+  mh_value_set_text (map, "node", node);
+  mh_value_set_uint (map, "epoch", epoch);
+  return map;
 }
 
-char **
-mh_record_read_release (const MhValue *v)
+bool
+mh_record_read_leader (const MhValue *value, char **node, guint64 *epoch, guint64 *lease_id)
 {
-  char **names = NULL;
-  return mh_value_get_names (v, "m", &names) ? names : NULL;
+  if (!mh_value_get_uint (value, "claim", lease_id))
+    *lease_id = 0;
+  if (!mh_record_read_epoch (value, epoch))
+    return false;
+  *node = mh_value_get_text (value, "node");
+  return *node != NULL;
 }
 
-bool
-mh_record_read_epoch (const MhValue *v, guint64 *epoch)
+MhValue *
+mh_record_write_epoch (guint64 epoch)
 {
-  return mh_value_get_uint (v, "epoch", epoch);
+  MhValue *map = mh_value_map ();
+  mh_value_set_uint (map, "epoch", epoch);
+  return map;
 }
 
 bool
-mh_record_read_leader (const MhValue *v, char **node, guint64 *epoch, guint64 *lease_id)
+mh_record_read_epoch (const MhValue *value, guint64 *epoch)
 {
-  if (!mh_value_get_uint (v, "claim", lease_id))
-    *lease_id = 0;
-  if (!mh_record_read_epoch (v, epoch))
-    return false;
-  *node = mh_value_get_text (v, "node");
-  return *node != NULL;
+  return mh_value_get_uint (value, "epoch", epoch);
 }
 
-MhJobSpec *
-mh_record_read_job (const MhValue *v, const char *id, gint64 *submitted_wall_us, guint *chunk,
-                    bool *cancelled)
+/* ---- machines that are being given back; limits ---- */
+
+MhValue *
+mh_record_write_release (char **machines)
 {
-  guint64 at, tasks = FIRST_CHUNK;
-  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (mh_value_get (v, "s"));
-  if (spec == NULL || strcmp (spec->id, id) != 0 || !mh_value_get_uint (v, "at", &at))
-    return NULL;
-  mh_value_get_uint (v, "c", &tasks);
-  if (tasks < 1 || tasks > MH_MAX_TASKS)
-    return NULL;
-  *chunk = (guint)tasks;
-  *submitted_wall_us = (gint64)at;
-  *cancelled = false;
-  mh_value_get_bool (v, "x", cancelled);
-  return g_steal_pointer (&spec);
+  MhValue *map = mh_value_map ();
+  mh_value_set_names (map, "m", machines);
+  return map;
+}
+
+char **
+mh_record_read_release (const MhValue *value, GError **error)
+{
+  char **names = NULL;
+  if (mh_value_get_names (value, "m", &names) && names)
+    return names;
+  fail_missing (error, "m", "list of names");
+  return NULL;
 }
 
-guint
-mh_record_read_back_off (const MhValue *v)
+MhValue *
+mh_record_write_limits (double write_rps)
 {
-  guint64 level;
-  return mh_value_get_uint (v, "e", &level) ? (guint)MIN (level, G_MAXUINT) : 0;
+  MhValue *map = mh_value_map ();
+  mh_value_set_number (map, "write_rps", write_rps);
+  return map;
 }
 
 bool
-mh_record_read_tasks (const MhValue *v, MhRecordTaskFunc each, gpointer data)
+mh_record_read_limits (const MhValue *value, double *write_rps, GError **error)
 {
-  const MhValue *list = mh_value_get (v, "t");
-  if (list == NULL)
-    return false;
-  for (gsize i = 0; i < mh_value_size (list); i++)
-    {
-      const MhValue *item = mh_value_at (list, i);
-      guint64 index, attempt;
-      if (mh_value_size (item) < 2 || !mh_value_as_uint (mh_value_at (item, 0), &index)
-          || !mh_value_as_uint (mh_value_at (item, 1), &attempt) || index >= MH_MAX_TASKS
-          || attempt > G_MAXUINT32)
-        return false;
-      g_autofree char *machine = NULL;
-      if (mh_value_size (item) > 2 && (machine = mh_value_as_text (mh_value_at (item, 2))) == NULL)
-        return false;
-      each (data, (guint)index, (guint32)attempt, machine);
-    }
+  if (!mh_value_get_number (value, "write_rps", write_rps))
+    return fail_missing (error, "write_rps", "number");
+  if (!(*write_rps > 0))
+    return fail_invalid (error, "write_rps", "is not above 0");
   return true;
 }
--- /dev/null
+++ b/src/storage/transaction.c
@@ -0,0 +1,258 @@
+#include "storage/transaction.h"
+
+#include "storage/record.h"
+
+#include <string.h>
+
+#define CALL_TIMEOUT_US MH_SECOND_US
+
+struct MhTransaction
+{
+  MhCallQueue *calls;
+  const MhTransactionCallbacks *callbacks;
+  gpointer data;
+  GDestroyNotify free_data;
+  char *tag;
+  char *tagged_key;      /* NULL: no record is in it */
+  GPtrArray *keys;       /* char *, of conditions and changes */
+  GArray *conditions;    /* MhCondition */
+  GArray *changes;       /* MhChange */
+  GPtrArray *values;     /* MhValue, of changes */
+  MhRequest *request;    /* NULL: not sent yet */
+  bool has_unknown_copy; /* that may have been, or may yet be, applied */
+};
+
+MhTransactionOutcome
+mh_transaction_read_outcome (const MhReply *reply, guint64 *version)
+{
+  switch (reply->status)
+    {
+    case 200:
+      return mh_wire_read_revision (reply->body, version) ? MH_TRANSACTION_APPLIED
+                                                          : MH_TRANSACTION_UNKNOWN;
+    case 409:
+      return MH_TRANSACTION_CONFLICT;
+    case 400:
+      return MH_TRANSACTION_MALFORMED;
+    case 429:
+      return MH_TRANSACTION_THROTTLED;
+    case 503:
+      return MH_TRANSACTION_UNAVAILABLE;
+    default:
+      return MH_TRANSACTION_UNKNOWN;
+    }
+}
+
+/* ---- what is in it ---- */
+
+MhTransaction *
+mh_transaction_new (MhCallQueue *calls, const char *tag, const MhTransactionCallbacks *callbacks,
+                    gpointer data, GDestroyNotify free_data)
+{
+  g_return_val_if_fail (calls && tag && callbacks, NULL);
+  MhTransaction *transaction = g_rc_box_new0 (MhTransaction);
+  transaction->calls = calls;
+  transaction->callbacks = callbacks;
+  transaction->data = data;
+  transaction->free_data = free_data;
+  transaction->tag = g_strdup (tag);
+  transaction->keys = g_ptr_array_new_with_free_func (g_free);
+  transaction->conditions = g_array_new (FALSE, FALSE, sizeof (MhCondition));
+  transaction->changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
+  transaction->values = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
+  return transaction;
+}
+
+static void
+transaction_clear (gpointer data)
+{
+  MhTransaction *transaction = data;
+  if (transaction->free_data)
+    transaction->free_data (transaction->data);
+  g_free (transaction->tag);
+  g_free (transaction->tagged_key);
+  g_ptr_array_unref (transaction->keys);
+  g_array_unref (transaction->conditions);
+  g_array_unref (transaction->changes);
+  g_ptr_array_unref (transaction->values);
+  mh_request_free (transaction->request);
+}
+
+void
+mh_transaction_unref (MhTransaction *transaction)
+{
+  g_rc_box_release_full (transaction, transaction_clear);
+}
+
+const char *
+mh_transaction_tag (const MhTransaction *transaction)
+{
+  return transaction->tag;
+}
+
+guint
+mh_transaction_changes (const MhTransaction *transaction)
+{
+  return transaction->changes->len;
+}
+
+static const char *
+keep_key (MhTransaction *transaction, const char *key)
+{
+  char *copy = g_strdup (key);
+  g_ptr_array_add (transaction->keys, copy);
+  return copy;
+}
+
+void
+mh_transaction_add_condition (MhTransaction *transaction, const char *key, guint64 version)
+{
+  g_return_if_fail (transaction->request == NULL);
+  MhCondition condition = { .key = keep_key (transaction, key), .version = version };
+  g_array_append_val (transaction->conditions, condition);
+}
+
+void
+mh_transaction_put (MhTransaction *transaction, const char *key, MhValue *value)
+{
+  g_return_if_fail (transaction->request == NULL && value);
+  g_ptr_array_add (transaction->values, cbor_incref (value));
+  MhChange change = { .key = keep_key (transaction, key), .value = value };
+  g_array_append_val (transaction->changes, change);
+}
+
+void
+mh_transaction_put_tagged (MhTransaction *transaction, const char *key, MhValue *value)
+{
+  mh_transaction_put (transaction, key, value);
+  if (transaction->tagged_key == NULL)
+    transaction->tagged_key = g_strdup (key);
+}
+
+void
+mh_transaction_delete (MhTransaction *transaction, const char *key)
+{
+  g_return_if_fail (transaction->request == NULL);
+  MhChange change = { .key = keep_key (transaction, key) };
+  g_array_append_val (transaction->changes, change);
+}
+
+/* ---- calls; each holds the transaction ---- */
+
+static void
+release_after_call (gpointer data)
+{
+  mh_transaction_unref (data);
+}
+
+static void
+call (MhTransaction *transaction, MhRequest *request, MhCallClass class, guint changes,
+      MhReplyFunc func)
+{
+  const MhCallOptions options = { .class = class,
+                                  .changes = changes,
+                                  .timeout_us = CALL_TIMEOUT_US,
+                                  .func = func,
+                                  .data = g_rc_box_acquire (transaction),
+                                  .free_data = release_after_call };
+  mh_call_queue_add (transaction->calls, request, &options);
+}
+
+static void
+take_reply (gpointer owner, gpointer data, const MhReply *reply);
+
+static void
+send_copy (MhTransaction *transaction)
+{
+  call (transaction, mh_request_copy (transaction->request),
+        transaction->callbacks->call_class (transaction->data), transaction->changes->len,
+        take_reply);
+}
+
+void
+mh_transaction_send (MhTransaction *transaction)
+{
+  g_return_if_fail (transaction->request == NULL && transaction->changes->len > 0);
+  transaction->request
+      = mh_wire_txn ((MhCondition *)transaction->conditions->data, transaction->conditions->len,
+                     (MhChange *)transaction->changes->data, transaction->changes->len);
+  send_copy (transaction);
+}
+
+static void
+read_tagged_record (MhTransaction *transaction);
+
+/* True: the record carries the tag of the transaction. */
+static bool
+carries_tag (const MhTransaction *transaction, const MhValue *body, guint64 *version)
+{
+  MhEntry *entry = mh_wire_read_entry (body);
+  if (entry == NULL)
+    return false;
+  g_autofree char *tag = mh_record_read_tag (entry->value);
+  *version = entry->version;
+  mh_entry_free (entry);
+  return g_strcmp0 (tag, transaction->tag) == 0;
+}
+
+static void
+take_tagged_record (gpointer owner, gpointer data, const MhReply *reply)
+{
+  (void)owner;
+  MhTransaction *transaction = data;
+  guint64 version = 0;
+  if (reply->status == 200 && carries_tag (transaction, reply->body, &version))
+    transaction->callbacks->applied (transaction->data, version);
+  else if (reply->status == 200 || reply->status == 404)
+    transaction->callbacks->unaccounted (transaction->data);
+  else
+    read_tagged_record (transaction);
+}
+
+static void
+read_tagged_record (MhTransaction *transaction)
+{
+  call (transaction, mh_wire_get (transaction->tagged_key), MH_CALL_SAFETY, 0, take_tagged_record);
+}
+
+static void
+take_conflict (MhTransaction *transaction, const MhReply *reply)
+{
+  g_auto (GStrv) failed_keys = mh_wire_read_failed (reply->body);
+  bool other_leads
+      = failed_keys && g_strv_contains ((const char *const *)failed_keys, MH_RECORD_LEADER);
+  bool in_doubt = transaction->has_unknown_copy && !other_leads && transaction->tagged_key
+                  && !transaction->callbacks->conflict_is_final (transaction->data, failed_keys);
+  if (in_doubt)
+    read_tagged_record (transaction);
+  else
+    transaction->callbacks->conflict (transaction->data, failed_keys);
+}
+
+static void
+take_reply (gpointer owner, gpointer data, const MhReply *reply)
+{
+  (void)owner;
+  MhTransaction *transaction = data;
+  guint64 version;
+  MhTransactionOutcome outcome = mh_transaction_read_outcome (reply, &version);
+  switch (outcome)
+    {
+    case MH_TRANSACTION_APPLIED:
+      transaction->callbacks->applied (transaction->data, version);
+      break;
+    case MH_TRANSACTION_CONFLICT:
+      take_conflict (transaction, reply);
+      break;
+    case MH_TRANSACTION_MALFORMED:
+      transaction->callbacks->malformed (transaction->data, transaction->has_unknown_copy);
+      break;
+    case MH_TRANSACTION_UNKNOWN:
+    case MH_TRANSACTION_THROTTLED:
+    case MH_TRANSACTION_UNAVAILABLE:
+      transaction->has_unknown_copy |= outcome == MH_TRANSACTION_UNKNOWN;
+      mh_call_queue_store_failed (transaction->calls, reply->status);
+      send_copy (transaction);
+      break;
+    }
+}
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -242,7 +242,7 @@
         sim_start_node (sim, i);
       WAIT (sim, 10, told_cancelled, cancelled);
       WAIT (sim, 120, told_done, u);
-      g_assert_true (sim_logged (sim, "re-chunked into"));
+      g_assert_true (sim_logged (sim, "job re-chunked"));
       g_assert_false (sim_logged (sim, "refused by the state service"));
       g_assert_cmpuint (sim->world->writes_malformed, ==, 0);
       g_assert_cmpuint (sim->world->starts, ==, 322);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -26,6 +26,12 @@
 }
 #define ASSERT_WRITTEN(value, fixture) assert_written ((value), (fixture), sizeof (fixture))
 
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  return attempt->machine->name;
+}
+
 static void
 count_task (gpointer data, guint index, guint32 attempt, const char *machine)
 {
@@ -52,18 +58,19 @@
 static void
 test_records_are_read (void)
 {
-  gint64 at;
-  guint chunk, counts[3] = {};
-  bool cancelled;
+  guint counts[3] = {};
+  g_auto (MhStoredJob) stored = {};
+  g_autoptr (GError) error = NULL;
   g_autoptr (MhValue) job = LOAD (production_job), tasks = LOAD (production_tasks);
-  g_autoptr (MhJobSpec) s = mh_record_read_job (job, "j-000412", &at, &chunk, &cancelled);
-  g_assert_nonnull (s);
-  g_assert_cmpuint (s->tasks, ==, 40);
-  g_assert_cmpint (s->deadline_us, ==, 900 * MH_SECOND_US);
-  g_assert_cmpuint (chunk, ==, 32);
-  g_assert_true (cancelled);
-  g_assert_true (mh_record_read_tasks (job, count_task, counts));
-  g_assert_true (mh_record_read_tasks (tasks, count_task, counts));
+  g_assert_true (mh_record_read_job (job, "j-000412", &stored, &error));
+  g_assert_no_error (error);
+  g_assert_nonnull (stored.spec);
+  g_assert_cmpuint (stored.spec->tasks, ==, 40);
+  g_assert_cmpint (stored.spec->deadline_us, ==, 900 * MH_SECOND_US);
+  g_assert_cmpuint (stored.chunk, ==, 32);
+  g_assert_true (stored.cancelled);
+  g_assert_true (mh_record_read_tasks (job, count_task, counts, &error));
+  g_assert_true (mh_record_read_tasks (tasks, count_task, counts, &error));
   g_assert_cmpuint (counts[0], ==, 1);
   g_assert_cmpuint (counts[1], ==, 1);
   g_assert_cmpuint (counts[2], ==, 3);
@@ -73,22 +80,20 @@
   g_autofree char *node = NULL;
   g_autoptr (MhValue) final = LOAD (production_final), leader = LOAD (production_leader);
   g_autoptr (MhValue) last = LOAD (production_epoch), release = LOAD (production_release);
-  g_assert_true (mh_record_read_final (final, &a));
+  g_assert_true (mh_record_read_final (final, &a, &error));
   g_assert_cmpint (a.state, ==, MH_JOB_CANCELLED);
   g_assert_true (mh_record_read_leader (leader, &node, &epoch, &lease_id));
   g_assert_cmpstr (node, ==, "worker-1");
   g_assert_true (mh_record_read_epoch (last, &epoch));
   g_assert_cmpuint (epoch, ==, 2000000);
-  g_auto (GStrv) names = mh_record_read_release (release);
+  g_auto (GStrv) names = mh_record_read_release (release, &error);
   g_assert_cmpuint (g_strv_length (names), ==, 2);
 }
 
 static void
 test_records_are_the_same (void)
 {
-  gint64 at;
-  guint chunk;
-  bool cancelled;
+  g_auto (MhStoredJob) read = {};
   g_autoptr (MhSettings) settings = mh_settings_new ();
   settings->value_bytes = 32768;
   settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
@@ -96,8 +101,9 @@
   MhNow now = { .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   g_autoptr (MhCore) core = mh_core_new (settings, &now);
   g_autoptr (MhValue) stored = LOAD (production_job);
-  MhJobSpec *s = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
-  MhJob *job = mh_job_new (s, chunk, settings->value_bytes, at, &now);
+  g_assert_true (mh_record_read_job (stored, "j-000412", &read, NULL));
+  MhJob *job = mh_job_new (g_steal_pointer (&read.spec), read.chunk, settings->value_bytes,
+                           read.submitted_wall_us, &now);
   MhMachine *m = mh_fleet_add (core, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
     mh_fleet_attempt_new (core, job, i * 15, 2 + i, m);
@@ -105,8 +111,8 @@
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
   job->cancelled = true;
   job->n_done = 1;
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17"), production_job);
-  ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17"), production_tasks);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17", machine_name), production_job);
+  ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17", machine_name), production_tasks);
   ASSERT_WRITTEN (mh_record_write_final (job, "5.18"), production_final);
   ASSERT_WRITTEN (mh_record_write_leader ("worker-1", 1000001, 7), production_leader);
   ASSERT_WRITTEN (mh_record_write_epoch (2000000), production_epoch);
@@ -183,12 +189,13 @@
 static MhJob *
 fixture_job (const Fixture *fixture, MhValue *stored, const char *id, bool *cancelled)
 {
-  gint64 submitted_us;
-  guint chunk;
-  MhJobSpec *spec = mh_record_read_job (stored, id, &submitted_us, &chunk, cancelled);
-  g_assert_nonnull (spec);
-  g_assert_cmpint (submitted_us, ==, fixture->now.wall_us);
-  return mh_job_new (spec, chunk, fixture->settings->value_bytes, submitted_us, &fixture->now);
+  g_auto (MhStoredJob) read = {};
+  g_assert_true (mh_record_read_job (stored, id, &read, NULL));
+  g_assert_nonnull (read.spec);
+  g_assert_cmpint (read.submitted_wall_us, ==, fixture->now.wall_us);
+  *cancelled = read.cancelled;
+  return mh_job_new (g_steal_pointer (&read.spec), read.chunk, fixture->settings->value_bytes,
+                     read.submitted_wall_us, &fixture->now);
 }
 
 typedef struct
@@ -215,7 +222,7 @@
 load_tasks (Fixture *fixture, MhJob *job, const MhValue *stored)
 {
   Loading loading = { .fixture = fixture, .job = job };
-  g_assert_true (mh_record_read_tasks (stored, load_stored_task, &loading));
+  g_assert_true (mh_record_read_tasks (stored, load_stored_task, &loading, NULL));
 }
 
 static void
@@ -244,7 +251,7 @@
   g_assert_cmpuint (job->n_live, ==, 4);
   g_assert_cmpuint (job->tasks[3].attempt, ==, 3);
   g_assert_true (job->tasks[3].live->machine == fixture->machines[1]);
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40"), production_gang);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40", machine_name), production_gang);
 
   for (guint i = 0; i < 4; i++)
     mh_fleet_attempt_forget (fixture->core, job->tasks[i].live);
@@ -252,9 +259,10 @@
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (job->tasks[i].state, ==, MH_TASK_DONE);
   job->n_done = 4;
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.41"), production_gang_done);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.41", machine_name),
+                  production_gang_done);
   ASSERT_WRITTEN (mh_record_write_final (job, "1000001.42"), production_gang_final);
-  g_assert_true (mh_record_read_final (final, &answer));
+  g_assert_true (mh_record_read_final (final, &answer, NULL));
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_cmpuint (answer.done, ==, 4);
   forget_job (fixture, job);
@@ -274,8 +282,10 @@
   g_assert_nonnull (job->tasks[59].live);
   g_assert_cmpuint (job->tasks[30].attempt, ==, 5);
   g_assert_cmpuint (job->tasks[31].state, ==, MH_TASK_DONE);
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.43"), production_rechunked_0);
-  ASSERT_WRITTEN (mh_record_write (&job->records[1], "1000001.43"), production_rechunked_1);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.43", machine_name),
+                  production_rechunked_0);
+  ASSERT_WRITTEN (mh_record_write (&job->records[1], "1000001.43", machine_name),
+                  production_rechunked_1);
   g_autofree char *key = mh_record_key ("j-000501", 1);
   g_assert_cmpstr (key, ==, "t/j-000501/00001");
   forget_job (fixture, job);
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -322,7 +322,7 @@
 rechunked (Sim *sim, gpointer unused)
 {
   (void)unused;
-  return sim_logged (sim, "re-chunked into") || sim_logged (sim, "laid out anew");
+  return sim_logged (sim, "job re-chunked") || sim_logged (sim, "laid out anew");
 }
 
 /* A job of more records than a transaction takes changes, or of fewer. The leaders of both versions
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -181,7 +181,7 @@
                        g_ptr_array_unref);
       g_clear_pointer (&(GPtrArray *){ mh_wire_read_events (v, &number) }, g_ptr_array_unref);
       mh_wire_read_lease (v, &number);
-      mh_record_read_final (v, &a);
+      mh_record_read_final (v, &a, NULL);
       mh_value_json_size (v);
     }
   g_assert_cmpuint (loaded, >, 100);
@@ -316,6 +316,12 @@
 }
 
 /* The largest record must fit the smallest values that a deployment offers. */
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  return attempt->machine->name;
+}
+
 static void
 test_record_size (gconstpointer data)
 {
@@ -341,16 +347,15 @@
     job->tasks[i] = (MhTask){ .live = &attempt, .attempt = 4000000000u, .state = MH_TASK_LIVE };
   for (guint i = 0; i < job->n_records; i++)
     {
-      g_autoptr (MhValue) v = mh_record_write (&job->records[i], "18446744073709551615.1");
+      g_autoptr (MhValue) v
+          = mh_record_write (&job->records[i], "18446744073709551615.1", machine_name);
       g_assert_cmpuint (mh_value_json_size (v), <, value_bytes);
       if (i == 0)
         {
-          gint64 at;
-          guint chunk;
-          bool cancelled;
-          g_autoptr (MhJobSpec) read = mh_record_read_job (v, spec->id, &at, &chunk, &cancelled);
-          g_assert_nonnull (read);
-          g_assert_cmpuint (chunk, ==, job->chunk);
+          g_auto (MhStoredJob) read = {};
+          g_assert_true (mh_record_read_job (v, spec->id, &read, NULL));
+          g_assert_nonnull (read.spec);
+          g_assert_cmpuint (read.chunk, ==, job->chunk);
         }
     }
   mh_job_free (job);
