--- /dev/null
+++ b/tests/test-record-writer.c
@@ -0,0 +1,796 @@
+/* The record writer and its transactions, with scripted replies of the key-value store. */
+#include "storage/record-state.h"
+#include "storage/record-writer.h"
+#include "storage/transaction.h"
+
+#include "protocol/wire.h"
+
+#include <string.h>
+
+#define EPOCH 1000001u
+#define LEADER_VERSION 17u
+#define JOB "j-000001"
+#define OTHER_JOB "j-000002"
+#define WAITER 41u
+
+/* ---- a writer between a runtime and a script ---- */
+
+typedef struct
+{
+  MhSettings *settings;
+  MhNow now;
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  GHashTable *jobs;
+  MhRecordWriter *writer;
+  GQueue requests; /* MhAction that are calls, not replied to */
+  MhUserAnswer answer;
+  guint n_answers, n_accepted, n_over, n_recorded, n_rechunked;
+  const char *lost_reason;
+} Fixture;
+
+static void
+on_job_accepted (gpointer owner, MhJob *job)
+{
+  (void)job;
+  ((Fixture *)owner)->n_accepted++;
+}
+
+static void
+on_job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+{
+  (void)job;
+  g_assert_cmpuint (answer->status, ==, 200);
+  ((Fixture *)owner)->n_over++;
+}
+
+static void
+on_attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
+{
+  g_assert_cmpuint (first_task, <, end_task);
+  g_assert_cmpuint (end_task, <=, job->spec->tasks);
+  ((Fixture *)owner)->n_recorded++;
+}
+
+static void
+on_job_rechunked (gpointer owner, MhJob *job)
+{
+  (void)job;
+  ((Fixture *)owner)->n_rechunked++;
+}
+
+static void
+on_leadership_lost (gpointer owner, const char *reason)
+{
+  ((Fixture *)owner)->lost_reason = reason;
+}
+
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  (void)attempt;
+  return "vm-000231";
+}
+
+static const MhRecordWriterCallbacks callbacks = { .job_accepted = on_job_accepted,
+                                                   .job_over = on_job_over,
+                                                   .attempts_recorded = on_attempts_recorded,
+                                                   .job_rechunked = on_job_rechunked,
+                                                   .leadership_lost = on_leadership_lost,
+                                                   .machine_name = machine_name };
+
+static void
+set_up (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhSettings *settings = fixture->settings = mh_settings_new ();
+  settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
+  settings->value_bytes = 2048;
+  settings->txn_ops = settings->batch = 16;
+  fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
+  fixture->runtime = mh_runtime_new (settings, &fixture->now);
+  fixture->calls = mh_call_queue_new (fixture->runtime);
+  fixture->jobs
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
+  fixture->writer
+      = mh_record_writer_new (fixture->runtime, fixture->calls, fixture->jobs, &callbacks, fixture);
+  mh_record_writer_begin (fixture->writer, EPOCH, LEADER_VERSION);
+  g_queue_init (&fixture->requests);
+}
+
+static void
+tear_down (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  g_queue_clear_full (&fixture->requests, (GDestroyNotify)mh_action_free);
+  mh_call_queue_free (fixture->calls);
+  mh_record_writer_free (fixture->writer);
+  g_hash_table_unref (fixture->jobs);
+  mh_runtime_free (fixture->runtime);
+  mh_settings_free (fixture->settings);
+}
+
+static void
+take_actions (Fixture *fixture)
+{
+  for (MhAction *action; (action = mh_runtime_pop_action (fixture->runtime));)
+    {
+      if (action->kind == MH_ACTION_CALL)
+        {
+          g_queue_push_tail (&fixture->requests, action);
+          continue;
+        }
+      if (action->kind == MH_ACTION_ANSWER_USER)
+        {
+          fixture->n_answers++;
+          fixture->answer = action->answer;
+        }
+      mh_action_free (action);
+    }
+}
+
+/* A step, some time later. */
+static void
+step_after (Fixture *fixture, gint64 delay_us)
+{
+  fixture->now.mono_us += delay_us;
+  mh_runtime_begin_input (fixture->runtime, &fixture->now);
+  mh_runtime_reset_wake_up (fixture->runtime);
+  mh_record_writer_step (fixture->writer);
+  mh_call_queue_flush (fixture->calls);
+  take_actions (fixture);
+}
+
+/* To the oldest request; then a step a second later. */
+static void
+reply (Fixture *fixture, guint status, MhValue *body)
+{
+  MhAction *action = g_queue_pop_head (&fixture->requests);
+  g_assert_nonnull (action);
+  mh_call_queue_complete (fixture->calls, action->id, &(MhReply){ .status = status, .body = body });
+  mh_action_free (action);
+  mh_value_unref (body);
+  take_actions (fixture);
+  step_after (fixture, MH_SECOND_US);
+}
+
+static MhValue *
+revision (guint64 version)
+{
+  MhValue *body = mh_value_map ();
+  mh_value_set_uint (body, "ledger", version);
+  return body;
+}
+
+static MhValue *
+failed (const char *key)
+{
+  const char *keys[] = { key, NULL };
+  MhValue *body = mh_value_map ();
+  mh_value_set_names (body, "failed", (char **)keys);
+  return body;
+}
+
+static MhValue *
+entry (const char *key, MhValue *value, guint64 version)
+{
+  MhValue *body = mh_value_map ();
+  mh_value_set_text (body, "key", key);
+  mh_value_set (body, "v", value);
+  mh_value_set_uint (body, "stamp", version);
+  return body;
+}
+
+static MhValue *
+final_value (void)
+{
+  MhValue *value = mh_value_map ();
+  mh_value_set_uint (value, "state", MH_JOB_DONE);
+  mh_value_set_uint (value, "done", 3);
+  return value;
+}
+
+static MhJob *
+add_job (Fixture *fixture, const char *id, guint tasks)
+{
+  MhJobSpec *spec = g_new0 (MhJobSpec, 1);
+  spec->id = g_strdup (id);
+  spec->class_name = g_strdup ("class");
+  spec->team = g_strdup ("team");
+  spec->image = g_strdup ("image");
+  spec->tasks = tasks;
+  spec->cpus = spec->mem_gb = 1;
+  spec->deadline_us = -1;
+  MhJob *job
+      = mh_job_new (spec, 0, fixture->settings->value_bytes, fixture->now.wall_us, &fixture->now);
+  g_hash_table_insert (fixture->jobs, job->spec->id, job);
+  return job;
+}
+
+static MhJob *
+submit (Fixture *fixture, const char *id)
+{
+  MhJob *job = add_job (fixture, id, 1);
+  MhWaiter waiter = { .id = WAITER, .verb = MH_USER_SUBMIT };
+  g_array_append_val (job->waiters, waiter);
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_USER);
+  return job;
+}
+
+static MhJob *
+submit_accepted (Fixture *fixture, const char *id)
+{
+  MhJob *job = submit (fixture, id);
+  step_after (fixture, 0);
+  reply (fixture, 200, revision (20));
+  g_assert_true (job->accepted);
+  return job;
+}
+
+/* ---- what a request holds ---- */
+
+static const MhRequest *
+next_request (const Fixture *fixture)
+{
+  const MhAction *action = g_queue_peek_head ((GQueue *)&fixture->requests);
+  g_assert_nonnull (action);
+  return action->request;
+}
+
+static void
+assert_item (const MhValue *list, gsize index, const char *field, const char *key)
+{
+  g_autofree char *text = mh_value_get_text (mh_value_at (list, index), field);
+  g_assert_cmpstr (text, ==, key);
+}
+
+static void
+assert_condition (const Fixture *fixture, gsize index, const char *key, guint64 version)
+{
+  guint64 found;
+  const MhValue *list = mh_value_get (next_request (fixture)->body, "if");
+  assert_item (list, index, "key", key);
+  g_assert_true (mh_value_get_uint (mh_value_at (list, index), "stamp", &found));
+  g_assert_cmpuint (found, ==, version);
+}
+
+static void
+assert_change (const Fixture *fixture, gsize index, const char *kind, const char *key)
+{
+  assert_item (mh_value_get (next_request (fixture)->body, "apply"), index, kind, key);
+}
+
+static gsize
+count_changes (const Fixture *fixture)
+{
+  return mh_value_size (mh_value_get (next_request (fixture)->body, "apply"));
+}
+
+static char *
+sent_tag (const Fixture *fixture)
+{
+  const MhValue *list = mh_value_get (next_request (fixture)->body, "apply");
+  return mh_record_read_tag (mh_value_get (mh_value_at (list, 0), "v"));
+}
+
+static void
+assert_reads (const Fixture *fixture, const char *path)
+{
+  g_assert_cmpstr (next_request (fixture)->method, ==, "GET");
+  g_assert_cmpstr (next_request (fixture)->path, ==, path);
+}
+
+/* ---- states ---- */
+
+/* A transition that is missing would lose a write; one too many would let a record be written twice
+   at once, under conditions that both cannot hold. */
+static void
+test_transitions (void)
+{
+  static const struct
+  {
+    MhRecordState state;
+    MhRecordEvent event;
+    MhRecordState next;
+  } allowed[] = {
+    { MH_RECORD_CLEAN, MH_RECORD_CHANGED, MH_RECORD_QUEUED },
+    { MH_RECORD_CLEAN, MH_RECORD_REQUEUED, MH_RECORD_QUEUED },
+    { MH_RECORD_CLEAN, MH_RECORD_SENT_ALONG, MH_RECORD_WRITING },
+    { MH_RECORD_CLEAN, MH_RECORD_DISCARDED, MH_RECORD_CLEAN },
+    { MH_RECORD_QUEUED, MH_RECORD_CHANGED, MH_RECORD_QUEUED },
+    { MH_RECORD_QUEUED, MH_RECORD_REQUEUED, MH_RECORD_QUEUED },
+    { MH_RECORD_QUEUED, MH_RECORD_SENT, MH_RECORD_WRITING },
+    { MH_RECORD_QUEUED, MH_RECORD_SENT_ALONG, MH_RECORD_WRITING_QUEUED },
+    { MH_RECORD_QUEUED, MH_RECORD_DISCARDED, MH_RECORD_CLEAN },
+    { MH_RECORD_REFUSED, MH_RECORD_CHANGED, MH_RECORD_REFUSED },
+    { MH_RECORD_REFUSED, MH_RECORD_REQUEUED, MH_RECORD_REFUSED },
+    { MH_RECORD_REFUSED, MH_RECORD_SENT, MH_RECORD_WRITING },
+    { MH_RECORD_REFUSED, MH_RECORD_SENT_ALONG, MH_RECORD_WRITING_QUEUED },
+    { MH_RECORD_REFUSED, MH_RECORD_DISCARDED, MH_RECORD_CLEAN },
+    { MH_RECORD_WRITING, MH_RECORD_CHANGED, MH_RECORD_REWRITTEN },
+    { MH_RECORD_WRITING, MH_RECORD_WRITTEN, MH_RECORD_CLEAN },
+    { MH_RECORD_WRITING, MH_RECORD_STAGED, MH_RECORD_CLEAN },
+    { MH_RECORD_WRITING, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_WRITING, MH_RECORD_REJECTED, MH_RECORD_REFUSED },
+    { MH_RECORD_WRITING, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
+    { MH_RECORD_WRITING, MH_RECORD_DISCARDED, MH_RECORD_WRITING },
+    { MH_RECORD_REWRITTEN, MH_RECORD_CHANGED, MH_RECORD_REWRITTEN },
+    { MH_RECORD_REWRITTEN, MH_RECORD_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_REWRITTEN, MH_RECORD_STAGED, MH_RECORD_CLEAN },
+    { MH_RECORD_REWRITTEN, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_REWRITTEN, MH_RECORD_REJECTED, MH_RECORD_REFUSED },
+    { MH_RECORD_REWRITTEN, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
+    { MH_RECORD_REWRITTEN, MH_RECORD_DISCARDED, MH_RECORD_REWRITTEN },
+    { MH_RECORD_WRITING_QUEUED, MH_RECORD_CHANGED, MH_RECORD_WRITING_QUEUED },
+    { MH_RECORD_WRITING_QUEUED, MH_RECORD_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_WRITING_QUEUED, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_WRITING_QUEUED, MH_RECORD_REJECTED, MH_RECORD_REFUSED },
+    { MH_RECORD_WRITING_QUEUED, MH_RECORD_DISCARDED, MH_RECORD_WRITING },
+    { MH_RECORD_IN_DOUBT, MH_RECORD_CHANGED, MH_RECORD_IN_DOUBT },
+    { MH_RECORD_IN_DOUBT, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
+    { MH_RECORD_IN_DOUBT, MH_RECORD_DISCARDED, MH_RECORD_IN_DOUBT },
+  };
+  guint possible = 0;
+  for (guint state = 0; state < MH_RECORD_STATES; state++)
+    for (guint event = 0; event < MH_RECORD_EVENTS; event++)
+      {
+        MhRecordState next = MH_RECORD_STATES;
+        guint i = 0;
+        while (i < G_N_ELEMENTS (allowed)
+               && (allowed[i].state != state || allowed[i].event != event))
+          i++;
+        bool expected = i < G_N_ELEMENTS (allowed);
+        g_assert_cmpint (mh_record_state_next (state, event, &next), ==, expected);
+        g_assert_cmpint (next, ==, expected ? allowed[i].next : MH_RECORD_STATES);
+        possible += expected;
+      }
+  g_assert_cmpuint (possible, ==, G_N_ELEMENTS (allowed));
+}
+
+/* A record that waits in no queue, or in two, would never be written or be written for ever. */
+static void
+test_state_kinds (void)
+{
+  static const bool queued[MH_RECORD_STATES] = {
+    [MH_RECORD_QUEUED] = true, [MH_RECORD_REFUSED] = true, [MH_RECORD_WRITING_QUEUED] = true
+  };
+  static const bool writing[MH_RECORD_STATES] = { [MH_RECORD_WRITING] = true,
+                                                  [MH_RECORD_REWRITTEN] = true,
+                                                  [MH_RECORD_WRITING_QUEUED] = true,
+                                                  [MH_RECORD_IN_DOUBT] = true };
+  for (guint state = 0; state < MH_RECORD_STATES; state++)
+    {
+      g_assert_cmpint (mh_record_state_is_queued (state), ==, queued[state]);
+      g_assert_cmpint (mh_record_state_is_writing (state), ==, writing[state]);
+    }
+}
+
+/* A 200 that is not understood, taken as applied, would give records a version that they do not
+   have. */
+static void
+test_outcomes (void)
+{
+  static const struct
+  {
+    guint status;
+    MhTransactionOutcome outcome;
+  } expected[] = { { 0, MH_TRANSACTION_UNKNOWN },    { 400, MH_TRANSACTION_MALFORMED },
+                   { 409, MH_TRANSACTION_CONFLICT }, { 429, MH_TRANSACTION_THROTTLED },
+                   { 500, MH_TRANSACTION_UNKNOWN },  { 503, MH_TRANSACTION_UNAVAILABLE },
+                   { 200, MH_TRANSACTION_UNKNOWN } };
+  g_autoptr (MhValue) empty = mh_value_map (), applied = revision (7);
+  guint64 version = 0;
+  for (guint i = 0; i < G_N_ELEMENTS (expected); i++)
+    {
+      const MhReply without = { .status = expected[i].status, .body = empty };
+      g_assert_cmpint (mh_transaction_read_outcome (&without, &version), ==, expected[i].outcome);
+    }
+  const MhReply with = { .status = 200, .body = applied };
+  g_assert_cmpint (mh_transaction_read_outcome (&with, &version), ==, MH_TRANSACTION_APPLIED);
+  g_assert_cmpuint (version, ==, 7);
+}
+
+/* ---- writing ---- */
+
+/* A user who is told too early may be told something else by the next leader. */
+static void
+test_accepted_when_durable (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit (fixture, JOB);
+  step_after (fixture, 0);
+  assert_condition (fixture, 0, "leader", LEADER_VERSION);
+  assert_condition (fixture, 1, "j/" JOB, 0);
+  assert_condition (fixture, 2, "f/" JOB, 0);
+  assert_change (fixture, 0, "put", "j/" JOB);
+  g_autofree char *tag = sent_tag (fixture);
+  g_assert_cmpstr (tag, ==, "1000001.2");
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
+  g_assert_cmpuint (fixture->n_answers, ==, 0);
+
+  reply (fixture, 200, revision (20));
+  g_assert_cmpuint (fixture->n_answers, ==, 1);
+  g_assert_cmpuint (fixture->answer.status, ==, 201);
+  g_assert_cmpuint (fixture->n_accepted, ==, 1);
+  g_assert_cmpuint (fixture->n_recorded, ==, 1);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_CLEAN);
+  g_assert_true (mh_record_is_durable (&job->records[0], mh_record_revision (&job->records[0])));
+}
+
+/* A change that comes during a write is not in it, and would be lost. */
+static void
+test_change_while_writing (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit (fixture, JOB);
+  step_after (fixture, 0);
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REWRITTEN);
+  step_after (fixture, MH_SECOND_US);
+  g_assert_cmpuint (fixture->requests.length, ==, 1);
+
+  reply (fixture, 200, revision (20));
+  g_assert_true (mh_record_has_unwritten_changes (&job->records[0]));
+  assert_condition (fixture, 1, "j/" JOB, 20);
+  reply (fixture, 200, revision (21));
+  g_assert_false (mh_record_has_unwritten_changes (&job->records[0]));
+  g_assert_cmpuint (fixture->n_accepted, ==, 1);
+}
+
+/* Progress of many tasks would hold up what a user waits for. */
+static void
+test_urgent_first (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit_accepted (fixture, JOB);
+  MhJob *other = add_job (fixture, OTHER_JOB, 1);
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_touch (fixture->writer, &other->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_touch (fixture->writer, &other->records[0], MH_URGENCY_USER);
+  step_after (fixture, MH_SECOND_US);
+  assert_change (fixture, 0, "put", "j/" OTHER_JOB);
+  assert_change (fixture, 1, "put", "j/" JOB);
+}
+
+/* Records of a job that is over, left behind, would start it again under the next leader. */
+static void
+test_final_removes_records (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = add_job (fixture, JOB, 100);
+  for (guint i = 0; i < job->n_records; i++)
+    mh_record_writer_touch (fixture->writer, &job->records[i], MH_URGENCY_START);
+  step_after (fixture, 0);
+  reply (fixture, 200, revision (20));
+  mh_record_writer_touch (fixture->writer, &job->records[1], MH_URGENCY_START);
+  step_after (fixture, 0);
+  job->n_done = 100;
+  job->finished = true;
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  step_after (fixture, MH_SECOND_US);
+  g_assert_cmpuint (fixture->requests.length, ==, 1); /* waits for the record that is on its way */
+  assert_change (fixture, 0, "put", "t/" JOB "/00001");
+  reply (fixture, 200, revision (21));
+
+  assert_condition (fixture, 1, "j/" JOB, 20);
+  assert_condition (fixture, 2, "f/" JOB, 0);
+  assert_change (fixture, 0, "put", "f/" JOB);
+  assert_change (fixture, 1, "drop", "j/" JOB);
+  assert_change (fixture, 2, "drop", "t/" JOB "/00001");
+  g_assert_cmpuint (count_changes (fixture), ==, 1 + job->n_records);
+  reply (fixture, 200, revision (22));
+  g_assert_cmpuint (fixture->n_over, ==, 1);
+  g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
+  g_assert_cmpuint (fixture->requests.length, ==, 0);
+}
+
+/* Each later leader would have to be refused to find the lower rate out. */
+static void
+test_limits_are_stored_once (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  fixture->settings->next_write_rps = 50;
+  mh_call_queue_lower_write_rate (fixture->calls);
+  submit (fixture, JOB);
+  step_after (fixture, MH_SECOND_US);
+  assert_change (fixture, 0, "put", "limits");
+  assert_change (fixture, 1, "put", "j/" JOB);
+  reply (fixture, 200, revision (20));
+  submit (fixture, OTHER_JOB);
+  step_after (fixture, 0);
+  g_assert_cmpuint (count_changes (fixture), ==, 1);
+}
+
+/* ---- unknown outcomes ---- */
+
+/* The copy without an answer was applied: taken for a conflict, it would end the leadership. */
+static void
+test_unanswered_copy_applied (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit (fixture, JOB);
+  step_after (fixture, 0);
+  g_autofree char *tag = sent_tag (fixture);
+  reply (fixture, 0, NULL);
+  g_autofree char *copy_tag = sent_tag (fixture);
+  g_assert_cmpstr (copy_tag, ==, tag);
+  reply (fixture, 409, failed ("j/" JOB));
+  assert_reads (fixture, "/kv/j/" JOB);
+  reply (fixture, 503, NULL);
+  assert_reads (fixture, "/kv/j/" JOB);
+  reply (fixture, 200, entry ("j/" JOB, mh_record_write (&job->records[0], tag, machine_name), 30));
+  g_assert_true (job->accepted);
+  g_assert_cmpuint (job->records[0].version, ==, 30);
+  g_assert_cmpuint (fixture->answer.status, ==, 201);
+  g_assert_null (fixture->lost_reason);
+}
+
+/* Somebody else's record, or none, under the key: what was written is not known. */
+static void
+test_unanswered_copy_unaccounted (Fixture *fixture, gconstpointer status)
+{
+  MhJob *job = submit (fixture, JOB);
+  step_after (fixture, 0);
+  reply (fixture, 0, NULL);
+  reply (fixture, 409, failed ("j/" JOB));
+  MhValue *body = entry ("j/" JOB, mh_record_write (&job->records[0], "9.9", machine_name), 30);
+  reply (fixture, GPOINTER_TO_UINT (status), body);
+  g_assert_nonnull (strstr (fixture->lost_reason, "cannot be accounted for"));
+  g_assert_false (job->accepted);
+  g_assert_cmpuint (fixture->n_answers, ==, 0);
+}
+
+/* What was certainly not executed needs no read of the tag. */
+static void
+test_throttled_is_not_unknown (Fixture *fixture, gconstpointer status)
+{
+  submit (fixture, JOB);
+  step_after (fixture, 0);
+  reply (fixture, GPOINTER_TO_UINT (status), NULL);
+  reply (fixture, 409, failed ("j/" JOB));
+  assert_reads (fixture, "/kv/f/" JOB);
+}
+
+/* ---- conflicts ---- */
+
+/* A user who repeats a submission of a job that is over is told its end, and nothing runs again. */
+static void
+test_repeated_submission (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit (fixture, JOB);
+  step_after (fixture, 0);
+  reply (fixture, 0, NULL);
+  reply (fixture, 409, failed ("f/" JOB));
+  assert_reads (fixture, "/kv/f/" JOB);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_IN_DOUBT);
+  reply (fixture, 0, NULL);
+  assert_reads (fixture, "/kv/f/" JOB);
+  reply (fixture, 200, entry ("f/" JOB, final_value (), 5));
+  g_assert_cmpuint (fixture->answer.status, ==, 200);
+  g_assert_cmpuint (fixture->answer.done, ==, 3);
+  g_assert_cmpuint (fixture->n_over, ==, 1);
+  g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
+  g_assert_null (fixture->lost_reason);
+}
+
+/* A conflict that no final record explains: somebody else writes. */
+static void
+test_submission_without_final (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  submit (fixture, JOB);
+  step_after (fixture, 0);
+  reply (fixture, 409, failed ("j/" JOB));
+  reply (fixture, 404, NULL);
+  g_assert_cmpuint (fixture->answer.status, ==, 503);
+  g_assert_cmpuint (fixture->n_over, ==, 0);
+  g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
+  g_assert_nonnull (strstr (fixture->lost_reason, "not what it was written as"));
+}
+
+/* Two leaders would write the same records in turn. */
+static void
+test_other_leader (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  submit (fixture, JOB);
+  step_after (fixture, 0);
+  reply (fixture, 0, NULL);
+  reply (fixture, 409, failed ("leader"));
+  g_assert_cmpstr (fixture->lost_reason, ==, "another controller leads");
+  g_assert_cmpuint (fixture->n_answers, ==, 0);
+}
+
+/* Nobody but the leader changes the record of an accepted job. */
+static void
+test_changed_by_somebody_else (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit_accepted (fixture, JOB);
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  step_after (fixture, 0);
+  reply (fixture, 409, failed ("j/" JOB));
+  g_assert_cmpstr (fixture->lost_reason, ==, "a record was changed by somebody else");
+}
+
+/* ---- malformed ---- */
+
+/* One record that is too large must not hold up those that were sent with it. */
+static void
+test_malformed_is_tried_alone (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  submit (fixture, JOB);
+  MhJob *other = submit (fixture, OTHER_JOB);
+  step_after (fixture, 0);
+  g_assert_cmpuint (count_changes (fixture), ==, 2);
+  reply (fixture, 400, NULL);
+  g_assert_cmpuint (fixture->requests.length, ==, 2);
+  g_assert_cmpuint (count_changes (fixture), ==, 1);
+  reply (fixture, 400, NULL);
+  g_assert_cmpuint (fixture->answer.status, ==, 503);
+  g_assert_cmpuint (fixture->answer.retry_after_s, ==, 30);
+  g_assert_null (g_hash_table_lookup (fixture->jobs, JOB));
+  reply (fixture, 200, revision (20));
+  g_assert_true (other->accepted);
+  g_assert_null (fixture->lost_reason);
+}
+
+/* A record that is refused again and again must neither end the leadership nor be sent at once. */
+static void
+test_refused_waits (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit_accepted (fixture, JOB);
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  step_after (fixture, 0);
+  reply (fixture, 400, NULL);
+  reply (fixture, 400, NULL);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REFUSED);
+  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_USER);
+  step_after (fixture, 28 * MH_SECOND_US);
+  g_assert_cmpuint (fixture->requests.length, ==, 0);
+  step_after (fixture, 2 * MH_SECOND_US);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
+  reply (fixture, 200, revision (21));
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_CLEAN);
+  g_assert_null (fixture->lost_reason);
+}
+
+/* An earlier copy may have been applied: its user may have a job that must not be forgotten. */
+static void
+test_malformed_after_unknown_copy (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = submit (fixture, JOB);
+  job->records[0].write_alone = true;
+  step_after (fixture, 0);
+  reply (fixture, 0, NULL);
+  reply (fixture, 400, NULL);
+  g_assert_true (g_hash_table_lookup (fixture->jobs, JOB) == job);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REFUSED);
+}
+
+/* ---- re-chunking ---- */
+
+/* The first record tells of the new layout only when all of it is stored: a leader that ended in
+   between would leave tasks that nobody knows of. */
+static void
+test_rechunk_order (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  MhJob *job = add_job (fixture, JOB, 75);
+  g_assert_cmpuint (job->n_records, ==, 3);
+  job->accepted = true;
+  job->unchunked_records = 2;
+  for (guint i = 0; i < 75; i++)
+    job->tasks[i] = (MhTask){ .attempt = 1, .state = MH_TASK_DONE };
+  for (guint i = 0; i < 2; i++)
+    job->records[i].version = 5;
+  mh_record_writer_rechunk (fixture->writer, job);
+  step_after (fixture, 0);
+  g_assert_cmpuint (count_changes (fixture), ==, 1);
+  assert_change (fixture, 0, "put", "t/" JOB "/00002");
+  reply (fixture, 200, revision (20));
+  g_assert_cmpuint (job->records[2].durable_revision, ==, 0);
+
+  g_assert_cmpuint (count_changes (fixture), ==, 2);
+  assert_change (fixture, 0, "put", "j/" JOB);
+  assert_change (fixture, 1, "put", "t/" JOB "/00001");
+  g_assert_cmpint (job->records[1].state, ==, MH_RECORD_WRITING_QUEUED);
+  g_assert_cmpuint (fixture->n_rechunked, ==, 0);
+  reply (fixture, 200, revision (21));
+  g_assert_cmpuint (fixture->n_rechunked, ==, 1);
+  g_assert_cmpuint (job->unchunked_records, ==, 0);
+  g_assert_cmpuint (job->records[2].durable_revision, >, 0);
+}
+
+/* ---- what cannot be read ---- */
+
+static void
+set_nothing (MhValue *map)
+{
+  (void)map;
+}
+
+static void
+set_time (MhValue *map)
+{
+  mh_value_set_uint (map, "at", 1);
+}
+
+static void
+set_no_chunk (MhValue *map)
+{
+  set_time (map);
+  mh_value_set_uint (map, "c", 0);
+}
+
+/* An operator must see which field of which record another version, or damage, has made unreadable.
+ */
+static void
+test_unreadable_job (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  static const struct
+  {
+    const char *id;
+    void (*set) (MhValue *map);
+    MhStorageError code;
+    const char *field;
+  } cases[] = { { JOB, set_nothing, MH_STORAGE_ERROR_MISSING_FIELD, "'at'" },
+                { JOB, set_no_chunk, MH_STORAGE_ERROR_INVALID_FIELD, "'c'" },
+                { OTHER_JOB, set_time, MH_STORAGE_ERROR_WRONG_JOB, "'s'" } };
+  MhJob *job = add_job (fixture, JOB, 1);
+  for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
+    {
+      g_autoptr (GError) error = NULL;
+      g_auto (MhStoredJob) stored = {};
+      g_autoptr (MhValue) value = mh_value_map ();
+      mh_value_set (value, "s", mh_wire_write_submission (job->spec));
+      cases[i].set (value);
+      g_assert_false (mh_record_read_job (value, cases[i].id, &stored, &error));
+      g_assert_error (error, MH_STORAGE_ERROR, (gint)cases[i].code);
+      g_assert_nonnull (strstr (error->message, cases[i].field));
+      g_assert_null (stored.spec);
+    }
+  g_autoptr (GError) error = NULL;
+  g_auto (MhStoredJob) stored = {};
+  g_autoptr (MhValue) empty = mh_value_map ();
+  g_assert_false (mh_record_read_job (empty, JOB, &stored, &error));
+  g_assert_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_MISSING_FIELD);
+}
+
+#define ADD(path, data, test) g_test_add (path, Fixture, data, set_up, test, tear_down)
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/storage/record-state/transitions", test_transitions);
+  g_test_add_func ("/storage/record-state/kinds", test_state_kinds);
+  g_test_add_func ("/storage/transaction/outcomes", test_outcomes);
+  ADD ("/storage/writer/accepted-when-durable", NULL, test_accepted_when_durable);
+  ADD ("/storage/writer/change-while-writing", NULL, test_change_while_writing);
+  ADD ("/storage/writer/urgent-first", NULL, test_urgent_first);
+  ADD ("/storage/writer/final-removes-records", NULL, test_final_removes_records);
+  ADD ("/storage/writer/limits-are-stored-once", NULL, test_limits_are_stored_once);
+  ADD ("/storage/unknown/applied", NULL, test_unanswered_copy_applied);
+  ADD ("/storage/unknown/other-tag", GUINT_TO_POINTER (200), test_unanswered_copy_unaccounted);
+  ADD ("/storage/unknown/no-record", GUINT_TO_POINTER (404), test_unanswered_copy_unaccounted);
+  ADD ("/storage/unknown/throttled-is-known", GUINT_TO_POINTER (429),
+       test_throttled_is_not_unknown);
+  ADD ("/storage/unknown/unavailable-is-known", GUINT_TO_POINTER (503),
+       test_throttled_is_not_unknown);
+  ADD ("/storage/conflict/repeated-submission", NULL, test_repeated_submission);
+  ADD ("/storage/conflict/submission-without-final", NULL, test_submission_without_final);
+  ADD ("/storage/conflict/other-leader", NULL, test_other_leader);
+  ADD ("/storage/conflict/changed-by-somebody-else", NULL, test_changed_by_somebody_else);
+  ADD ("/storage/malformed/tried-alone", NULL, test_malformed_is_tried_alone);
+  ADD ("/storage/malformed/refused-waits", NULL, test_refused_waits);
+  ADD ("/storage/malformed/after-unknown-copy", NULL, test_malformed_after_unknown_copy);
+  ADD ("/storage/rechunk/order", NULL, test_rechunk_order);
+  ADD ("/storage/record/unreadable-job", NULL, test_unreadable_job);
+  return g_test_run ();
+}
