--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -58,25 +58,24 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (!m->releasing && m->reported && m->zone)
+      if (!mh_machine_is_releasing (m) && m->heartbeat.reported && m->zone)
         (*zone_load (plan, m->zone))++;
     }
   for (guint i = 0; i < plan->rooms->len; i++)
     (*zone_load (plan, g_array_index (plan->rooms, MhRoom, i).zone))++;
-  for (guint i = 0; i < core->types->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       for (char **zone = t->zones; zone && *zone; zone++)
         for (int spot = 0; spot < 2; spot++)
           {
             g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
             /* What comes up in a zone that is cut off is of no use until that is over. */
-            if (mh_rental_refused (core, t, *zone, spot)
-                || mh_failure_zone_partitioned (core, name))
+            if (mh_rental_refused (core, t, *zone, spot) || mh_zone_is_partitioned (core, name))
               continue;
             Kind k = { .type = t,
                        .zone = g_ref_string_acquire (name),
@@ -143,13 +142,14 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (m->reported || m->releasing || m->type == NULL || m->zone == NULL)
+      if (m->heartbeat.reported || mh_machine_is_releasing (m) || m->type == NULL
+          || m->zone == NULL)
         continue;
-      if (m->late_age_us)
+      if (m->boot.late_age_us)
         continue; /* perhaps it never comes */
       MhRoom r = mh_room_new (m->type, g_ref_string_acquire (m->zone), m->spot);
       g_array_append_val (rooms, r);
@@ -176,11 +176,11 @@
   gint64 now = core->now.mono_us;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, core->machines);
+  g_hash_table_iter_init (&it, mh_cluster_machines (core));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *m = value;
-      if (m->releasing || !m->reported || m->notice_until_us >= 0)
+      if (mh_machine_is_releasing (m) || !m->heartbeat.reported || m->notice_until_us >= 0)
         continue;
       for (guint i = 0; i < m->attempts->len; i++)
         {
@@ -189,8 +189,8 @@
           if (s->shape == MH_SHAPE_SERVICE)
             continue;
           gint64 whole = a->job->run_us;
-          gint64 left = a->running_us ? whole - (now - a->running_us)
-                                      : whole + a->job->fetch_us - (now - a->placed_us);
+          gint64 left = a->running_since_us ? whole - (now - a->running_since_us)
+                                            : whole + a->job->fetch_us - (now - a->placed_us);
           /* One that has outrun its estimate goes on for a part of it. */
           Ending e = { .at_us = now + MAX (left, whole / 4), .cpus = s->cpus };
           g_array_append_val (endings, e);
@@ -226,9 +226,9 @@
   if (s->shape != MH_SHAPE_ARRAY)
     return 0;
   gint64 soonest = G_MAXINT64;
-  for (guint i = 0; i < core->types->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       if (mh_place_type_fits (s, t))
         soonest = MIN (soonest, t->boot_us);
     }
@@ -309,7 +309,7 @@
   Assignment assignment = { .job = job, .zone = mh_place_only_zone (job), .left = n };
   /* What is held for a gang is there already, and the rest has to come beside it. One that is being
      stopped will find its own room again. */
-  if (mh_gang_is (job))
+  if (mh_job_is_gang (job))
     {
       if (job->n_live || n < job->spec->tasks)
         return;
@@ -355,7 +355,7 @@
   /* A hundred jobs that come at once are on record only seconds later, and machines take long to
      come. But what is not on record has not been placed either: once there are machines, those jobs
      may find room on them, and machines were rented for each beside free ones. */
-  MhQueueScope scope = core->zones->len ? MH_QUEUE_ACCEPTED : MH_QUEUE_ALL;
+  MhQueueScope scope = mh_zone_any_heard (core) ? MH_QUEUE_ACCEPTED : MH_QUEUE_ALL;
   g_autoptr (GPtrArray) queue = mh_queue_jobs (core, scope);
   if (queue->len == 0)
     return;
@@ -375,7 +375,7 @@
           g_hash_table_insert (asked, s->team, use);
         }
       /* Machines once were rented for all tasks of jobs that fail everywhere, and stood idle. */
-      guint n = mh_place_quota_room (core, job, use, mh_fault_rentable (core, job));
+      guint n = mh_place_quota_room (core, job, use, mh_task_failure_rentable (core, job));
       use->cpus += s->cpus * n;
       use->gpus += s->gpus * n;
       if (n > 0)
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -3,15 +3,18 @@
 #pragma once
 
 #include "controller/core.h"
-#include "cluster/boot-time.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster.h"
+#include "cluster/direct-command.h"
+#include "cluster/heartbeat.h"
+#include "cluster/image-wait.h"
 #include "base/token-bucket.h"
-#include "runtime/call-queue.h"
-#include "cluster/worker-command.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/zone-silence.h"
 #include "placement/gang-scheduling.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
@@ -27,6 +30,7 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
+#include "runtime/call-queue.h"
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
 
@@ -78,20 +82,10 @@
   GHashTable *jobs;   /* id -> MhJob */
   GHashTable *finals; /* id -> MhUserAnswer, a bounded cache */
   GQueue finals_order;
-  GHashTable *machines;    /* name -> MhMachine */
-  GHashTable *returned;    /* names of machines that are gone */
-  GQueue returned_order;   /* Returned */
-  GPtrArray *commands_due; /* MhMachine, not owned */
-  GArray *zones;           /* MhZone */
-  MhPatience patience;
-  guint replicas; /* of services, on all machines */
-  gint64 swept_us;
-  MhBucket probe_bucket, direct_bucket;
-  GPtrArray *types;        /* MhMachineType; NULL until known */
-  GHashTable *team_use;    /* team -> MhUse */
-  GHashTable *class_stats; /* class -> MhClassStat */
-  GHashTable *boot_stats;  /* type -> MhBootStat */
-  GHashTable *gangs;       /* ids of those that a task's end has consequences for */
+  MhCluster *cluster;
+  GHashTable *class_stats;        /* class -> MhClassStat */
+  gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
+  GHashTable *gangs;              /* ids of those that a task's end has consequences for */
   gint64 gangs_looked_us;
   bool place_wanted, place_urgent;
   gint64 placed_us, preempted_us;
--- a/src/controller/core-storage.c
+++ b/src/controller/core-storage.c
@@ -23,8 +23,8 @@
 attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
 {
   for (guint i = first_task; i < end_task; i++)
-    if (job->tasks[i].live && !job->tasks[i].live->start_sent)
-      mh_fleet_send_commands (owner, job->tasks[i].live->machine);
+    if (job->tasks[i].live && !mh_attempt_start_was_sent (job->tasks[i].live))
+      mh_machine_schedule_commands (owner, job->tasks[i].live->machine);
 }
 
 static void
@@ -32,7 +32,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_fleet_send_commands (owner, job->tasks[i].live->machine);
+      mh_machine_schedule_commands (owner, job->tasks[i].live->machine);
 }
 
 static void
@@ -59,16 +59,16 @@
 static void
 attempt_found (gpointer owner, MhJob *job, guint index, guint32 attempt, const char *machine)
 {
-  MhMachine *found = mh_fleet_machine (owner, machine);
+  MhMachine *found = mh_cluster_find_machine (owner, machine);
   if (found == NULL)
-    found = mh_fleet_add (owner, machine, NULL, NULL, false);
-  mh_fleet_attempt_new (owner, job, index, attempt, found)->loaded = true;
+    found = mh_cluster_add_machine (owner, machine, NULL, NULL, false);
+  mh_attempt_new_from_record (owner, job, index, attempt, found);
 }
 
 static void
 back_off_found (gpointer owner, MhJob *job, guint level)
 {
-  mh_fault_load (owner, job, level);
+  mh_task_failure_load_back_off (owner, job, level);
 }
 
 static void
@@ -82,7 +82,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_fleet_attempt_forget (owner, job->tasks[i].live);
+      mh_attempt_discard (owner, job->tasks[i].live);
 }
 
 static void
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -145,10 +145,10 @@
   double n = spec->shape == MH_SHAPE_ARRAY ? 1 : spec->tasks;
   if (spec->cpus * n > team->cpus_max + 1e-9 || spec->gpus * n > team->gpus_max + 1e-9)
     return 422;
-  if (core->types == NULL)
+  if (mh_cluster_types (core) == NULL)
     return 503;
-  for (guint i = 0; i < core->types->len; i++)
-    if (mh_place_type_fits (spec, g_ptr_array_index (core->types, i)))
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+    if (mh_place_type_fits (spec, g_ptr_array_index (mh_cluster_types (core), i)))
       return spec->shape == MH_SHAPE_GANG && !mh_gang_possible (core, spec) ? 422 : 0;
   return 422;
 }
@@ -158,12 +158,12 @@
 static void
 keep_known_types (const MhCore *core, MhJobSpec *spec)
 {
-  if (spec->types == NULL || core->types == NULL)
+  if (spec->types == NULL || mh_cluster_types (core) == NULL)
     return;
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
-  for (guint i = 0; i < core->types->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (core->types, i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
       if (g_strv_contains ((const char *const *)spec->types, t->name))
         g_strv_builder_add (known, t->name);
     }
@@ -227,7 +227,7 @@
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancelled = true;
       mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
-      mh_fleet_stop_job (core, job);
+      mh_attempt_stop_job (core, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
   g_array_append_val (job->waiters, w);
@@ -345,7 +345,7 @@
 {
   enter (core, now);
   if (core->leader.phase >= MH_PHASE_LOAD)
-    mh_fleet_report (core, id, report);
+    mh_heartbeat_receive (core, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
@@ -391,7 +391,8 @@
   mh_leader_step (core);
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
-      mh_fleet_step (core);
+      mh_gang_step (core);
+      mh_cluster_step (core);
       mh_place_step (core);
       mh_scale_step (core);
       mh_release_step (core);
@@ -407,6 +408,21 @@
   mh_core_step (core);
 }
 
+static void
+note_capacity_changed (MhCore *core, bool urgent)
+{
+  core->place_wanted = true;
+  core->place_urgent |= urgent;
+}
+
+static const MhClusterCallbacks cluster_callbacks = {
+  .release_machine = mh_release_machine,
+  .capacity_changed = note_capacity_changed,
+  .gang_loaded = mh_gang_loaded,
+  .gang_task_over = mh_gang_task_over,
+  .gang_stop = mh_gang_stop,
+};
+
 static gint64
 lease_until_us (gconstpointer owner, gint64 now_us)
 {
@@ -426,21 +442,14 @@
   core->calls = mh_call_queue_new (core->runtime);
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
+  mh_core_storage_init (core);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, mh_fleet_free_machine);
-  core->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  core->returned = g_hash_table_new (g_str_hash, g_str_equal);
+  core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
   core->gangs = mh_gang_table ();
-  core->commands_due = g_ptr_array_new ();
-  core->zones = g_array_new (FALSE, TRUE, sizeof (MhZone));
   core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->boot_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  mh_core_storage_init (core);
-  mh_command_init (core);
-  mh_failure_init (core);
   mh_leader_start (core);
-  if (mh_fleet_keep_alive_us (core) <= 0)
+  if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
         "cancel_s leaves no room beside the workers' lease_s: without the state service no "
@@ -454,24 +463,19 @@
   if (core == NULL)
     return;
   mh_record_writer_clear (core->record_writer);
-  mh_fleet_clear (core);
+  mh_cluster_clear (core);
+  mh_gang_clear (core);
   mh_scale_clear (core);
   mh_release_clear (core);
   mh_call_queue_forget_all (core->calls);
   g_queue_clear_full (&core->finals_order, g_free);
   mh_core_storage_free (core);
-  g_clear_pointer (&core->types, g_ptr_array_unref);
   g_hash_table_unref (core->forwards);
-  g_hash_table_unref (core->machines);
   g_hash_table_unref (core->jobs);
   g_hash_table_unref (core->finals);
-  g_hash_table_unref (core->team_use);
-  g_hash_table_unref (core->returned);
+  g_clear_pointer (&core->cluster, mh_cluster_free);
   g_hash_table_unref (core->gangs);
-  g_ptr_array_unref (core->commands_due);
-  g_array_unref (core->zones);
   g_hash_table_unref (core->class_stats);
-  g_hash_table_unref (core->boot_stats);
   g_hash_table_unref (core->scale.refused);
   g_free (core->leader.node);
   mh_call_queue_free (core->calls);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -64,8 +64,8 @@
   mh_value_set_uint (map, "c", job->chunk);
   if (job->cancelled)
     mh_value_set_bool (map, "x", true);
-  if (job->faults.level > 0)
-    mh_value_set_uint (map, "e", job->faults.level);
+  if (mh_job_backs_off (job))
+    mh_value_set_uint (map, "e", job->failures.back_off_level);
 }
 
 MhValue *
--- a/tests/test-boots.c
+++ b/tests/test-boot-time.c
@@ -29,7 +29,7 @@
   SimUser *user = wants_four_machines (sim);
   sim_run (sim, 14);
   g_assert_cmpuint (sim->world->machines->len, <=, 5);
-  g_assert_true (sim_logged (sim, "has not joined"));
+  g_assert_true (sim_logged (sim, "machine late to join"));
   sim_run (sim, 15);
   g_assert_cmpuint (world_running (sim->world, "j-000001"), ==, TASKS);
   WAIT (sim, 200, told_done, user);
@@ -90,9 +90,9 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/boots/slow", test_slow_boots);
-  g_test_add_func ("/boots/never-joins", test_never_joins);
-  g_test_add_func ("/boots/joins-late", test_joins_late);
-  g_test_add_func ("/boots/fast-and-usual", test_fast_boots_and_usual_ones);
+  g_test_add_func ("/boot-time/slow", test_slow_boots);
+  g_test_add_func ("/boot-time/never-joins", test_never_joins);
+  g_test_add_func ("/boot-time/joins-late", test_joins_late);
+  g_test_add_func ("/boot-time/fast-and-usual", test_fast_boots_and_usual_ones);
   return g_test_run ();
 }
