--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -16,7 +16,7 @@
 guint64
 mh_fencing_token (const MhCore *core, const MhMachine *machine)
 {
-  return core->leader.own_epoch + (machine ? machine->fencing.raises : 0);
+  return mh_election_epoch (core->election) + (machine ? machine->fencing.raises : 0);
 }
 
 MhUnacknowledgedStart *
@@ -98,9 +98,9 @@
                 || clear_waits_long (core, machine) || mh_fencing_has_lost_start (machine);
   if (!wanted || !would_fence_a_start (core, machine))
     return;
-  if (fencing->raises + 2 >= MH_EPOCHS_EACH)
+  if (fencing->raises + 2 >= MH_EPOCHS_PER_LEADERSHIP)
     {
-      mh_leader_lost (core, "the epochs of this leadership are used up");
+      mh_election_step_down (core->election, MH_LOSS_TOKENS_EXHAUSTED);
       return;
     }
   fencing->raises++;
--- a/src/controller/core-storage.c
+++ b/src/controller/core-storage.c
@@ -36,9 +36,10 @@
 }
 
 static void
-leadership_lost (gpointer owner, const char *reason)
+leadership_lost (gpointer owner, MhLossReason reason)
 {
-  mh_leader_lost (owner, reason);
+  MhCore *core = owner;
+  mh_election_step_down (core->election, reason);
 }
 
 static const char *
@@ -88,7 +89,8 @@
 static void
 loaded (gpointer owner)
 {
-  mh_leader_loaded (owner);
+  MhCore *core = owner;
+  mh_election_records_loaded (core->election);
 }
 
 static const MhRecordLoaderCallbacks loader_callbacks = { .attempt_found = attempt_found,
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -7,6 +7,7 @@
 
 #include "storage/record.h"
 
+#include "election/election.h"
 #include "runtime/call-queue.h"
 
 typedef struct MhRecordWriter MhRecordWriter;
@@ -29,7 +30,7 @@
   void (*job_over) (gpointer owner, const MhJob *job, const MhUserAnswer *answer);
   void (*attempts_recorded) (gpointer owner, MhJob *job, guint first_task, guint end_task);
   void (*job_rechunked) (gpointer owner, MhJob *job);
-  void (*leadership_lost) (gpointer owner, const char *reason);
+  void (*leadership_lost) (gpointer owner, MhLossReason reason);
   MhMachineNameFunc machine_name;
 } MhRecordWriterCallbacks;
 
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -24,7 +24,7 @@
 }
 
 static void
-end_leadership (MhRecordWriter *writer, const char *reason)
+end_leadership (MhRecordWriter *writer, MhLossReason reason)
 {
   writer->callbacks->leadership_lost (writer->owner, reason);
 }
@@ -230,7 +230,7 @@
     writer->callbacks->job_over (writer->owner, job, &answer);
   mh_record_writer_remove_job (writer, job);
   if (!is_final)
-    end_leadership (writer, "a record is not what it was written as");
+    end_leadership (writer, MH_LOSS_RECORD_DIFFERS);
 }
 
 static void
@@ -294,7 +294,7 @@
     {
       if (strcmp (*key, MH_RECORD_LEADER) == 0)
         {
-          end_leadership (writer, "another controller leads");
+          end_leadership (writer, MH_LOSS_ANOTHER_LEADER);
           return;
         }
       explained = is_repeated_submission (writer, *key);
@@ -302,7 +302,7 @@
         break;
     }
   if (!explained)
-    end_leadership (writer, "a record was changed by somebody else");
+    end_leadership (writer, MH_LOSS_RECORD_CHANGED);
   for (guint i = 0; i < written->writes->len; i++)
     {
       MhRecord *record = write_at (written, i)->record;
@@ -315,7 +315,7 @@
 take_unaccounted (gpointer data)
 {
   const MhWrittenBatch *written = data;
-  end_leadership (written->writer, "an unanswered write cannot be accounted for");
+  end_leadership (written->writer, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
 }
 
 /* ---- malformed ---- */
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -26,7 +26,7 @@
   GQueue requests; /* MhAction that are calls, not replied to */
   MhUserAnswer answer;
   guint n_answers, n_accepted, n_over, n_recorded, n_rechunked;
-  const char *lost_reason;
+  MhLossReason lost_reason;
 } Fixture;
 
 static void
@@ -60,7 +60,7 @@
 }
 
 static void
-on_leadership_lost (gpointer owner, const char *reason)
+on_leadership_lost (gpointer owner, MhLossReason reason)
 {
   ((Fixture *)owner)->lost_reason = reason;
 }
@@ -522,7 +522,7 @@
   g_assert_true (job->accepted);
   g_assert_cmpuint (job->records[0].version, ==, 30);
   g_assert_cmpuint (fixture->answer.status, ==, 201);
-  g_assert_null (fixture->lost_reason);
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
 /* Somebody else's record, or none, under the key: what was written is not known. */
@@ -535,7 +535,7 @@
   reply (fixture, 409, failed ("j/" JOB));
   MhValue *body = entry ("j/" JOB, mh_record_write (&job->records[0], "9.9", machine_name), 30);
   reply (fixture, GPOINTER_TO_UINT (status), body);
-  g_assert_nonnull (strstr (fixture->lost_reason, "cannot be accounted for"));
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
   g_assert_false (job->accepted);
   g_assert_cmpuint (fixture->n_answers, ==, 0);
 }
@@ -571,7 +571,7 @@
   g_assert_cmpuint (fixture->answer.done, ==, 3);
   g_assert_cmpuint (fixture->n_over, ==, 1);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
-  g_assert_null (fixture->lost_reason);
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
 /* A conflict that no final record explains: somebody else writes. */
@@ -586,7 +586,7 @@
   g_assert_cmpuint (fixture->answer.status, ==, 503);
   g_assert_cmpuint (fixture->n_over, ==, 0);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
-  g_assert_nonnull (strstr (fixture->lost_reason, "not what it was written as"));
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_DIFFERS);
 }
 
 /* Two leaders would write the same records in turn. */
@@ -598,7 +598,7 @@
   step_after (fixture, 0);
   reply (fixture, 0, NULL);
   reply (fixture, 409, failed ("leader"));
-  g_assert_cmpstr (fixture->lost_reason, ==, "another controller leads");
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_ANOTHER_LEADER);
   g_assert_cmpuint (fixture->n_answers, ==, 0);
 }
 
@@ -611,7 +611,7 @@
   mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, 0);
   reply (fixture, 409, failed ("j/" JOB));
-  g_assert_cmpstr (fixture->lost_reason, ==, "a record was changed by somebody else");
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_CHANGED);
 }
 
 /* ---- malformed ---- */
@@ -634,7 +634,7 @@
   g_assert_null (g_hash_table_lookup (fixture->jobs, JOB));
   reply (fixture, 200, revision (20));
   g_assert_true (other->accepted);
-  g_assert_null (fixture->lost_reason);
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
 /* A record that is refused again and again must neither end the leadership nor be sent at once. */
@@ -655,7 +655,7 @@
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
   reply (fixture, 200, revision (21));
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_CLEAN);
-  g_assert_null (fixture->lost_reason);
+  g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
 /* An earlier copy may have been applied: its user may have a job that must not be forgotten. */
