--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -27,7 +27,7 @@
 {
   mh_boot_time_joined (core, machine);
   for (guint i = 0; i < machine->attempts->len; i++)
-    mh_machine_attempt (machine, i)->job->n_unheard--;
+    mh_machine_attempt (machine, i)->job->n_unreported--;
   machine->idle_since_us = core->now.mono_us;
   core->cluster->callbacks->capacity_changed (core, false);
   mh_info (core, "machine joined machine=%s type=%s zone=%s spot=%s tasks=%u", machine->name,
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -15,7 +15,8 @@
 note_done (MhCore *core, const MhAttempt *attempt)
 {
   if (attempt->running_since_us && !mh_attempt_is_from_record (attempt))
-    mh_queue_learn (core, attempt->job->spec, core->now.mono_us - attempt->running_since_us);
+    mh_runtime_estimator_observe (core->runtime_estimator, attempt->job->spec,
+                                  core->now.mono_us - attempt->running_since_us);
   mh_task_failure_record_success (core, attempt->machine, attempt->job);
 }
 
@@ -49,7 +50,7 @@
 {
   mh_info (core, "job not known to worker yet job=%s task=%u machine=%s", attempt->job->spec->id,
            attempt->index, attempt->machine->name);
-  attempt->job->retry_us = core->now.mono_us + UNKNOWN_JOB_RETRY_US;
+  attempt->job->placement.retry_after_us = core->now.mono_us + UNKNOWN_JOB_RETRY_US;
 }
 
 static void
--- a/src/controller/core-storage.c
+++ b/src/controller/core-storage.c
@@ -8,8 +8,7 @@
 job_accepted (gpointer owner, MhJob *job)
 {
   MhCore *core = owner;
-  core->place_wanted = true;
-  core->place_urgent |= job->spec->shape == MH_SHAPE_SERVICE;
+  mh_placement_request_pass (core->placement, job->spec->shape == MH_SHAPE_SERVICE);
 }
 
 static void
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -444,7 +444,7 @@
   mh_call_queue_forget_all (core->calls);
   mh_record_writer_clear (core->record_writer);
   mh_cluster_clear (core);
-  mh_gang_clear (core);
+  mh_gang_attempts_clear (core->gang_attempts);
   mh_scale_clear (core);
   mh_release_clear (core);
   g_hash_table_remove_all (core->jobs);
@@ -474,7 +474,7 @@
   MhCore *core = election->core;
   election->state = MH_LEADERSHIP_LEADING;
   mh_recovery_begin (core->recovery, core->now.mono_us, core->settings->report_us);
-  core->place_wanted = true;
+  mh_placement_request_pass (core->placement, false);
   election->usable_us = core->now.mono_us;
   mh_cluster_records_loaded (core);
   mh_info (core, "%u unfinished jobs loaded; waiting for the workers' reports",
--- a/src/storage/batch.c
+++ b/src/storage/batch.c
@@ -59,13 +59,14 @@
 static bool
 replaces_layout (const MhRecord *record)
 {
-  return mh_rechunk_is_pending (record->job) && !record->job->finished && record->chunk == 0;
+  return mh_rechunk_is_pending (record->job) && !mh_job_is_finished (record->job)
+         && record->chunk == 0;
 }
 
 static guint
 changes_needed (const MhBatch *batch, const MhRecord *record)
 {
-  if (record->job->finished)
+  if (mh_job_is_finished (record->job))
     return CHANGES_OF_FINAL + mh_batch_deleted_with_final (record->job, batch->settings);
   if (replaces_layout (record))
     return mh_rechunk_together (record->job, batch->settings->txn_ops);
@@ -81,8 +82,8 @@
   mh_transaction_add_condition (batch->transaction, key, record->version);
   MhRecordWrite write = { .record = record,
                           .revision = record->revision,
-                          .is_final = job->finished,
-                          .cancelled = job->cancelled };
+                          .is_final = mh_job_is_finished (job),
+                          .cancelled = mh_job_is_cancelled (job) };
   g_array_append_val (batch->writes, write);
 }
 
@@ -148,12 +149,13 @@
     return false;
   const MhJob *job = record->job;
   const char *tag = mh_transaction_tag (batch->transaction);
-  g_autoptr (MhValue) value = job->finished ? mh_record_write_final (job, tag)
-                                            : mh_record_write (record, tag, batch->machine_name);
+  g_autoptr (MhValue) value = mh_job_is_finished (job)
+                                  ? mh_record_write_final (job, tag)
+                                  : mh_record_write (record, tag, batch->machine_name);
   gsize bytes = batch->bytes + mh_value_json_size (value) + CHANGE_OVERHEAD_BYTES;
   if (changes && bytes > MAX_TRANSACTION_BYTES)
     return false;
-  if (job->finished)
+  if (mh_job_is_finished (job))
     add_final (batch, record, value);
   else
     add_running (batch, record, value);
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -129,7 +129,7 @@
 add_job (MhRecordLoader *loader, MhStoredJob *stored)
 {
   guint value_bytes = mh_runtime_settings (loader->runtime)->value_bytes;
-  guint fits = mh_job_chunk (stored->spec, value_bytes);
+  guint fits = mh_job_tasks_per_record (stored->spec, value_bytes);
   bool too_large = fits && stored->chunk > fits;
   guint old_records = (stored->spec->tasks + stored->chunk - 1) / stored->chunk;
   MhJob *job
@@ -138,7 +138,7 @@
   job->unchunked_records = too_large ? old_records : 0;
   job->accepted = true;
   loader->callbacks->back_off_found (loader->owner, job, stored->back_off_level);
-  job->cancelled = job->cancel_durable = stored->cancelled;
+  job->cancellation = stored->cancelled ? MH_CANCELLATION_DURABLE : MH_CANCELLATION_NONE;
   g_hash_table_insert (loader->jobs, job->spec->id, job);
   return job;
 }
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -152,7 +152,7 @@
 {
   if (mh_record_state_is_writing (record->state))
     return false;
-  if (record->job->finished)
+  if (mh_job_is_finished (record->job))
     return may_write_final (record);
   if (mh_runtime_now_us (writer->runtime) < record->refused_until_us)
     return false;
@@ -183,7 +183,7 @@
 static Taken
 take_record (MhRecordWriter *writer, MhBatch *batch, GArray *writes, MhRecord *record)
 {
-  if (record->job->finished && record->chunk != 0)
+  if (mh_job_is_finished (record->job) && record->chunk != 0)
     {
       /* The final record ends it. */
       mh_record_writer_apply (writer, record, MH_RECORD_DISCARDED, record->urgency);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -62,7 +62,7 @@
   mh_value_set (map, "s", mh_wire_write_submission (job->spec));
   mh_value_set_uint (map, "at", (guint64)MAX (job->submitted_wall_us, 0));
   mh_value_set_uint (map, "c", job->chunk);
-  if (job->cancelled)
+  if (mh_job_is_cancelled (job))
     mh_value_set_bool (map, "x", true);
   if (mh_job_backs_off (job))
     mh_value_set_uint (map, "e", job->failures.back_off_level);
@@ -176,7 +176,7 @@
 {
   MhValue *map = mh_value_map ();
   mh_value_set_text (map, "w", tag);
-  mh_value_set_uint (map, "state", job->cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE);
+  mh_value_set_uint (map, "state", mh_job_is_cancelled (job) ? MH_JOB_CANCELLED : MH_JOB_DONE);
   mh_value_set_uint (map, "done", job->n_done);
   return map;
 }
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -37,7 +37,7 @@
   for (guint i = 0; i < written->writes->len; i++)
     {
       const MhJob *job = write_at (written, i)->record->job;
-      if (job->cancelled && !job->cancel_durable)
+      if (mh_job_is_cancelled (job) && !mh_job_is_cancel_durable (job))
         return MH_CALL_SAFETY;
     }
   return MH_CALL_WORK;
@@ -48,7 +48,8 @@
 static bool
 may_be_told (const MhJob *job, MhUserVerb verb)
 {
-  return verb == MH_USER_SUBMIT ? job->accepted : job->cancel_durable || job->final;
+  return verb == MH_USER_SUBMIT ? job->accepted
+                                : mh_job_is_cancel_durable (job) || mh_job_is_final (job);
 }
 
 static void
@@ -64,7 +65,7 @@
         }
       g_array_remove_index (job->waiters, i);
       MhAction *action = mh_runtime_act (writer->runtime, MH_ACTION_ANSWER_USER, waiter.id);
-      mh_job_answer (job, &action->answer);
+      mh_job_fill_answer (job, &action->answer);
       action->answer.status = waiter.verb == MH_USER_SUBMIT ? 201 : 200;
     }
 }
@@ -115,7 +116,7 @@
 finish_job (MhRecordWriter *writer, MhJob *job, bool cancelled)
 {
   MhUserAnswer answer = { .status = 200 };
-  job->final = true;
+  job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
   guint deleted = mh_batch_deleted_with_final (job, mh_runtime_settings (writer->runtime));
   for (guint i = deleted + 1; i < job->n_records; i++)
@@ -124,7 +125,7 @@
   answer_waiters (writer, job);
   mh_log_info (writer->runtime, "job over: job=%s state=%s", job->spec->id,
                cancelled ? "cancelled" : "done");
-  mh_job_answer (job, &answer);
+  mh_job_fill_answer (job, &answer);
   writer->callbacks->job_over (writer->owner, job, &answer);
   mh_record_writer_remove_job (writer, job);
 }
@@ -172,7 +173,8 @@
   if (record->chunk == 0)
     {
       accept_job (writer, job);
-      job->cancel_durable |= write->cancelled;
+      if (write->cancelled)
+        job->cancellation = MH_CANCELLATION_DURABLE;
       answer_waiters (writer, job);
     }
   if (mh_record_has_unwritten_changes (record))
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -465,7 +465,7 @@
   mh_record_writer_touch (fixture->writer, &job->records[1], MH_URGENCY_START);
   step_after (fixture, 0);
   job->n_done = 100;
-  job->finished = true;
+  job->completion = MH_COMPLETION_UNWRITTEN;
   mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1); /* waits for the record that is on its way */
