--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -1,5 +1,6 @@
 #include "storage/lookup.h"
 
+#include "election/leader-record.h"
 #include "storage/record.h"
 
 #define CALL_TIMEOUT_US MH_SECOND_US
@@ -129,7 +130,7 @@
     case READ_FINAL:
       return mh_record_final_key (job);
     default:
-      return g_strdup (MH_RECORD_LEADER);
+      return g_strdup (MH_LEADER_KEY);
     }
 }
 
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -1,5 +1,6 @@
 #include "storage/record-writer-private.h"
 
+#include "election/leader-record.h"
 #include "storage/rechunk.h"
 
 #define MAX_IN_FLIGHT 3u
@@ -262,7 +263,7 @@
   g_autoptr (MhBatch) batch
       = mh_batch_new (transaction, written->writes, mh_runtime_settings (writer->runtime),
                       writer->callbacks->machine_name, max_changes);
-  mh_transaction_add_condition (transaction, MH_RECORD_LEADER, writer->leader_version);
+  mh_transaction_add_condition (transaction, MH_LEADER_KEY, writer->leader_version);
   written->has_limits = add_limits (writer, transaction);
   take_records (writer, batch, written->writes);
   delete_keys (writer, transaction, batch);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -195,43 +195,6 @@
   return true;
 }
 
-/* ---- leadership ---- */
-
-MhValue *
-mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id)
-{
-  MhValue *map = mh_value_map ();
-  mh_value_set_uint (map, "claim", lease_id);
-  mh_value_set_text (map, "node", node);
-  mh_value_set_uint (map, "epoch", epoch);
-  return map;
-}
-
-bool
-mh_record_read_leader (const MhValue *value, char **node, guint64 *epoch, guint64 *lease_id)
-{
-  if (!mh_value_get_uint (value, "claim", lease_id))
-    *lease_id = 0;
-  if (!mh_record_read_epoch (value, epoch))
-    return false;
-  *node = mh_value_get_text (value, "node");
-  return *node != NULL;
-}
-
-MhValue *
-mh_record_write_epoch (guint64 epoch)
-{
-  MhValue *map = mh_value_map ();
-  mh_value_set_uint (map, "epoch", epoch);
-  return map;
-}
-
-bool
-mh_record_read_epoch (const MhValue *value, guint64 *epoch)
-{
-  return mh_value_get_uint (value, "epoch", epoch);
-}
-
 /* ---- machines that are being given back; limits ---- */
 
 MhValue *
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -8,7 +8,6 @@
 #include "protocol/value.h"
 
 /* Keys. A job's running records are j/ID and t/ID/CHUNK; its final one is f/ID. */
-#define MH_RECORD_LEADER "leader"
 #define MH_RECORD_JOBS "j/"
 #define MH_RECORD_CHUNKS "t/"
 #define MH_RECORD_FINALS "f/"
@@ -178,48 +177,6 @@
 bool
 mh_record_read_tasks (const MhValue *value, MhRecordTaskFunc func, gpointer data, GError **error);
 
-/**
- * mh_record_write_leader:
- * @node: name of this controller
- * @epoch: of its leadership
- * @lease_id: of its lease, which tells an earlier life of the same node from this one
- *
- * Returns: (transfer full): the value of the leader's key
- */
-MhValue *
-mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id);
-
-/**
- * mh_record_read_leader:
- * @value: of the leader's key
- * @node: (out) (transfer full): who leads
- * @epoch: (out): of the leadership
- * @lease_id: (out): 0: not said
- *
- * Returns: %FALSE if @value is not understood
- */
-bool
-mh_record_read_leader (const MhValue *value, char **node, guint64 *epoch, guint64 *lease_id);
-
-/**
- * mh_record_write_epoch:
- * @epoch: the last one that the leadership may use
- *
- * Returns: (transfer full): the value of the epoch's key
- */
-MhValue *
-mh_record_write_epoch (guint64 epoch);
-
-/**
- * mh_record_read_epoch:
- * @value: of the epoch's key, or of the leader's
- * @epoch: (out): that it tells
- *
- * Returns: %FALSE if @value is not understood
- */
-bool
-mh_record_read_epoch (const MhValue *value, guint64 *epoch);
-
 /**
  * mh_record_write_release:
  * @machines: names, NULL-terminated
--- a/src/storage/transaction.c
+++ b/src/storage/transaction.c
@@ -1,5 +1,6 @@
 #include "storage/transaction.h"
 
+#include "election/leader-record.h"
 #include "storage/record.h"
 
 #include <string.h>
@@ -220,7 +221,7 @@
 {
   g_auto (GStrv) failed_keys = mh_wire_read_failed (reply->body);
   bool other_leads
-      = failed_keys && g_strv_contains ((const char *const *)failed_keys, MH_RECORD_LEADER);
+      = failed_keys && g_strv_contains ((const char *const *)failed_keys, MH_LEADER_KEY);
   bool in_doubt = transaction->has_unknown_copy && !other_leads && transaction->tagged_key
                   && !transaction->callbacks->conflict_is_final (transaction->data, failed_keys);
   if (in_doubt)
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -1,6 +1,7 @@
 /* What follows from the outcome of the writer's transactions. */
 #include "storage/record-writer-private.h"
 
+#include "election/leader-record.h"
 #include "storage/rechunk.h"
 
 #include <string.h>
@@ -294,7 +295,7 @@
   bool explained = false;
   for (char **key = failed_keys; key && *key; key++)
     {
-      if (strcmp (*key, MH_RECORD_LEADER) == 0)
+      if (strcmp (*key, MH_LEADER_KEY) == 0)
         {
           end_leadership (writer, MH_LOSS_ANOTHER_LEADER);
           return;
