--- /dev/null
+++ b/tests/test-boot-time.c
@@ -0,0 +1,98 @@
+/* Machines that are slow to join, or never do. */
+#include "steps.h"
+
+#include <string.h>
+
+#define TASKS 16u
+
+/* Four machines of four cpus are wanted for as long as the test looks. */
+static User *
+wants_four_machines (Simulation *simulation)
+{
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
+  spec->types = g_strsplit ("small", ",", 1);
+  spec->estimate_us = 300 * MH_SECOND_US;
+  User *user = simulation_submit (simulation, spec, 120);
+  WAIT (simulation, 20, accepted, user);
+  simulation_run (simulation, 3);
+  g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4);
+  return user;
+}
+
+/* All boots take four times what they should. Those on their way are counted on: all once were
+   rented a second time. */
+static void
+test_slow_boots (void)
+{
+  Simulation *simulation = simulation_new (61);
+  simulation->cloud->boot_us = 18 * MH_SECOND_US;
+  User *user = wants_four_machines (simulation);
+  simulation_run (simulation, 14);
+  g_assert_cmpuint (simulation->cloud->machines->len, <=, 5);
+  g_assert_true (simulation_logged (simulation, "machine late to join"));
+  simulation_run (simulation, 15);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
+  WAIT (simulation, 200, told_done, user);
+  finish (simulation);
+}
+
+/* One of them never joins: another takes its place, and it is given back soon. */
+static void
+test_never_joins (void)
+{
+  Simulation *simulation = simulation_new (62);
+  wants_four_machines (simulation);
+  Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
+  machine->up_us = G_MAXINT64;
+  simulation_run (simulation, 25);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
+  g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
+  g_assert_true (machine->gone);
+  g_assert_true (simulation_logged (simulation, "never came up"));
+  finish (simulation);
+}
+
+/* One joins after another was rented in its place: it is used, since it is there. */
+static void
+test_joins_late (void)
+{
+  Simulation *simulation = simulation_new (63);
+  wants_four_machines (simulation);
+  Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
+  machine->up_us = simulation->clock->now_us + 10 * MH_SECOND_US;
+  simulation_run (simulation, 20);
+  g_assert_true (machine->up);
+  g_assert_false (machine->gone);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
+  finish (simulation);
+}
+
+/* Boots were fast for a while, and then are as usual: those on their way are still counted on. */
+static void
+test_fast_boots_and_usual_ones (void)
+{
+  Simulation *simulation = simulation_new (64);
+  simulation->cloud->boot_us = MH_SECOND_US / 5;
+  User *user = wants_four_machines (simulation);
+  simulation_run (simulation, 3);
+  guint rented = simulation->cloud->machines->len;
+  simulation->cloud->boot_us = 6 * MH_SECOND_US;
+  User *more = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
+  WAIT (simulation, 30, all_run, more);
+  g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
+  simulation_run (simulation, 10);
+  g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
+  WAIT (simulation, 200, told_done, user);
+  finish (simulation);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/boot-time/slow", test_slow_boots);
+  g_test_add_func ("/boot-time/never-joins", test_never_joins);
+  g_test_add_func ("/boot-time/joins-late", test_joins_late);
+  g_test_add_func ("/boot-time/fast-and-usual", test_fast_boots_and_usual_ones);
+  return g_test_run ();
+}
