--- a/src/main.c
+++ b/src/main.c
@@ -1,7 +1,7 @@
 /* The program: arguments, settings, start. */
 #include "server/log-output.h"
 #include "server/server.h"
-#include "settings/settings.h"
+#include "settings/settings-loader.h"
 
 #include <errno.h>
 #include <stdbool.h>
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -1,10 +1,11 @@
 /* Types shared by the core, the wire format and the shell. Times are whole microseconds. */
 #pragma once
 
+#include "base/time-units.h"
+
 #include <glib.h>
 #include <stdbool.h>
 
-#define MH_SECOND_US ((gint64)1000000)
 #define MH_MAX_TASKS 100000u
 #define MH_MAX_BODY ((gsize)65536)
 
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -264,7 +264,8 @@
   g_autoptr (GSocketAddress) peer_bind = mh_socket_address_parse (settings->peer_bind);
   if (front == NULL || peer_bind == NULL)
     {
-      g_set_error_literal (error, MH_SETTINGS_ERROR, 0, "front or peer_bind is not an IP address");
+      g_set_error_literal (error, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_INVALID,
+                           "front or peer_bind is not an IP address");
       return false;
     }
   if (!mh_http_server_listen (server->http_server, front, settings->max_connections, error))
--- a/tests/stand-in/simulation-settings.c
+++ b/tests/stand-in/simulation-settings.c
@@ -1,5 +1,6 @@
 #include "stand-in/simulation-settings.h"
 
+#include "settings/settings-check.h"
 #include "stand-in/simulation.h"
 
 static void
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -1,11 +1,11 @@
 /* The real program, three times over, against the stand-ins on loopback. Nothing here depends on
    how fast things happen: each step waits for what it needs. */
+#include "settings/settings-loader.h"
 #include "stand-in/environment.h"
 
 #include <gio/gio.h>
 #include <glib/gstdio.h>
 #include <libsoup/soup.h>
-#include <stdio.h>
 #include <string.h>
 #include <sys/socket.h>
 
@@ -491,8 +491,8 @@
 {
   g_autoptr (GBytes) body = first_report ();
   g_autofree char *answer = send_report (0, body);
-  guint status = 0;
-  g_assert_cmpint (sscanf (answer, "HTTP/1.1 %u ", &status), ==, 1);
+  g_assert_true (g_str_has_prefix (answer, "HTTP/1.1 "));
+  guint64 status = g_ascii_strtoull (answer + strlen ("HTTP/1.1 "), NULL, 10);
   g_assert_true (status == 200 || status == 421 || status == 503);
   return strstr (answer, "\r\nConnection: close\r\n") != NULL;
 }
--- /dev/null
+++ b/tests/test-server.c
@@ -0,0 +1,351 @@
+/* The modules of the server layer, each by itself on loopback. */
+#include "server/http-client.h"
+#include "server/log-output.h"
+#include "server/peer-connection.h"
+#include "server/socket-address.h"
+
+#include <libsoup/soup.h>
+#include <stdlib.h>
+#include <string.h>
+
+/* An address that is read wrongly would listen elsewhere, or nowhere. */
+static void
+test_socket_address (void)
+{
+  static const char *const refused[]
+      = { "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:", "node-0:80", ":80" };
+  g_autoptr (GSocketAddress) address = mh_socket_address_parse ("10.0.0.1:8080");
+  g_assert_cmpuint (g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (address)), ==, 8080);
+  for (guint i = 0; i < G_N_ELEMENTS (refused); i++)
+    g_assert_null (mh_socket_address_parse (refused[i]));
+}
+
+/* ---- HTTP client ---- */
+
+typedef struct
+{
+  SoupServer *server;
+  char *endpoint;
+  MhHttpClient *client;
+  guint replies;
+  guint64 id;
+  guint status;
+  bool has_body;
+} ClientFixture;
+
+static void
+on_reply (guint64 id, guint status, const MhValue *body, gpointer data)
+{
+  ClientFixture *fixture = data;
+  fixture->replies++;
+  fixture->id = id;
+  fixture->status = status;
+  fixture->has_body = body != NULL;
+}
+
+static void
+serve (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
+       gpointer data)
+{
+  (void)server;
+  (void)query;
+  (void)data;
+  if (strcmp (path, "/silent") == 0)
+    {
+      soup_server_message_pause (message);
+      return;
+    }
+  soup_server_message_set_status (message, SOUP_STATUS_OK, NULL);
+  if (strcmp (path, "/number") == 0)
+    soup_server_message_set_response (message, "application/cbor", SOUP_MEMORY_STATIC, "\x01", 1);
+  else if (strcmp (path, "/malformed") == 0)
+    soup_server_message_set_response (message, "application/cbor", SOUP_MEMORY_STATIC, "\x81", 1);
+}
+
+static void
+client_set_up (ClientFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  g_autoptr (GError) error = NULL;
+  fixture->server = soup_server_new (NULL, NULL);
+  soup_server_add_handler (fixture->server, NULL, serve, NULL, NULL);
+  soup_server_listen_local (fixture->server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
+  g_assert_no_error (error);
+  GSList *uris = soup_server_get_uris (fixture->server);
+  fixture->endpoint = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
+  g_slist_free_full (uris, (GDestroyNotify)g_uri_unref);
+  const MhHttpEndpoints endpoints = { fixture->endpoint, fixture->endpoint };
+  fixture->client = mh_http_client_new (&endpoints, on_reply, fixture);
+}
+
+static void
+client_tear_down (ClientFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  mh_http_client_free (fixture->client);
+  soup_server_disconnect (fixture->server);
+  g_object_unref (fixture->server);
+  g_free (fixture->endpoint);
+}
+
+/* Sends one call to a worker and waits for its reply. */
+static void
+call (ClientFixture *fixture, guint64 id, const char *endpoint, const char *path, gint64 timeout_us)
+{
+  MhRequest request = {
+    .target = MH_TARGET_WORKER, .method = "GET", .endpoint = (char *)endpoint, .path = (char *)path
+  };
+  guint replies = fixture->replies;
+  mh_http_client_send (fixture->client, id, &request, timeout_us);
+  while (fixture->replies == replies)
+    g_main_context_iteration (NULL, TRUE);
+  g_assert_cmpuint (fixture->replies, ==, replies + 1);
+  g_assert_cmpuint (fixture->id, ==, id);
+}
+
+/* A reply that is lost would leave its call pending for ever; one that is not understood must not
+   pass for an empty one. */
+static void
+test_client_replies (ClientFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  call (fixture, 1, fixture->endpoint, "/empty", 10 * MH_SECOND_US);
+  g_assert_cmpuint (fixture->status, ==, 200);
+  g_assert_false (fixture->has_body);
+  call (fixture, 2, fixture->endpoint, "/number", 10 * MH_SECOND_US);
+  g_assert_cmpuint (fixture->status, ==, 200);
+  g_assert_true (fixture->has_body);
+  call (fixture, 3, fixture->endpoint, "/malformed", 10 * MH_SECOND_US);
+  g_assert_cmpuint (fixture->status, ==, 0);
+  g_assert_false (fixture->has_body);
+}
+
+/* Without a reply of status 0 the controller would wait for a worker that is gone. */
+static void
+test_client_without_answer (ClientFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  call (fixture, 1, fixture->endpoint, "/silent", MH_SECOND_US / 10);
+  g_assert_cmpuint (fixture->status, ==, 0);
+  call (fixture, 2, "127.0.0.1:1", "/number", 10 * MH_SECOND_US);
+  g_assert_cmpuint (fixture->status, ==, 0);
+  call (fixture, 3, "not an address", "/number", 10 * MH_SECOND_US);
+  g_assert_cmpuint (fixture->status, ==, 0);
+}
+
+/* After so many calls to workers a session is replaced; none of the calls may be lost with it. */
+static void
+test_client_many_workers (ClientFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  for (guint i = 1; i <= 70; i++)
+    {
+      call (fixture, i, fixture->endpoint, "/number", 10 * MH_SECOND_US);
+      g_assert_cmpuint (fixture->status, ==, 200);
+    }
+}
+
+/* ---- connections between controllers ---- */
+
+typedef struct
+{
+  GSocketListener *listener;
+  MhPeerConnection *connected, *accepted; /* NULL: closed */
+  GSocketConnection *socket;              /* the accepted one's */
+  guint announcements, closed;
+  guint64 epoch;
+  bool close_at_message;
+} PeerFixture;
+
+static void
+on_message (MhPeerConnection *connection, const MhPeerMessage *message, gpointer data)
+{
+  PeerFixture *fixture = data;
+  g_assert_cmpint (message->kind, ==, MH_PEER_ANNOUNCEMENT);
+  g_assert_cmpstr (message->job, ==, "node-1");
+  fixture->announcements++;
+  fixture->epoch = message->id;
+  if (fixture->close_at_message)
+    mh_peer_connection_close (connection);
+}
+
+static void
+on_closed (MhPeerConnection *connection, gpointer data)
+{
+  PeerFixture *fixture = data;
+  g_assert_true (connection == fixture->connected || connection == fixture->accepted);
+  if (connection == fixture->connected)
+    fixture->connected = NULL;
+  else
+    fixture->accepted = NULL;
+  fixture->closed++;
+}
+
+static const MhPeerHandlers handlers = { .message = on_message, .closed = on_closed };
+
+static void
+iterate_until_closed (PeerFixture *fixture, guint closed)
+{
+  while (fixture->closed < closed)
+    g_main_context_iteration (NULL, TRUE);
+}
+
+static void
+peer_set_up (PeerFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  g_autoptr (GError) error = NULL;
+  fixture->listener = g_socket_listener_new ();
+  guint16 port = g_socket_listener_add_any_inet_port (fixture->listener, NULL, &error);
+  g_assert_no_error (error);
+  g_autofree char *text = g_strdup_printf ("127.0.0.1:%u", port);
+  g_autoptr (GSocketAddress) address = mh_socket_address_parse (text);
+  fixture->connected = mh_peer_connection_connect ("node-0", address, &handlers, fixture);
+  g_assert_cmpstr (mh_peer_connection_get_node (fixture->connected), ==, "node-0");
+}
+
+static void
+on_accepted (GObject *source, GAsyncResult *result, gpointer data)
+{
+  PeerFixture *fixture = data;
+  g_autoptr (GError) error = NULL;
+  fixture->socket
+      = g_socket_listener_accept_finish (G_SOCKET_LISTENER (source), result, NULL, &error);
+  g_assert_no_error (error);
+}
+
+static void
+accept_peer (PeerFixture *fixture)
+{
+  g_socket_listener_accept_async (fixture->listener, NULL, on_accepted, fixture);
+  while (fixture->socket == NULL)
+    g_main_context_iteration (NULL, TRUE);
+  fixture->accepted = mh_peer_connection_accept (fixture->socket, &handlers, fixture);
+  g_assert_null (mh_peer_connection_get_node (fixture->accepted));
+}
+
+static void
+peer_tear_down (PeerFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  if (fixture->connected)
+    mh_peer_connection_close (fixture->connected);
+  if (fixture->accepted)
+    mh_peer_connection_close (fixture->accepted);
+  while (g_main_context_iteration (NULL, FALSE))
+    ;
+  g_clear_object (&fixture->socket);
+  g_object_unref (fixture->listener);
+}
+
+/* What is sent before the connection stands would be lost, or come out of order. */
+static void
+test_peer_messages (PeerFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  for (guint64 epoch = 1; epoch <= 3; epoch++)
+    mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", epoch));
+  g_assert_true (mh_peer_connection_has_queued_output (fixture->connected));
+  accept_peer (fixture);
+  while (fixture->announcements < 3)
+    g_main_context_iteration (NULL, TRUE);
+  g_assert_cmpuint (fixture->epoch, ==, 3);
+  g_assert_false (mh_peer_connection_has_queued_output (fixture->connected));
+  g_assert_cmpuint (fixture->closed, ==, 0);
+}
+
+/* A handler that closes its connection must not get what had arrived behind the message. */
+static void
+test_peer_closed_by_handler (PeerFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  fixture->close_at_message = true;
+  mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", 1));
+  mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", 2));
+  accept_peer (fixture);
+  iterate_until_closed (fixture, 1);
+  g_assert_null (fixture->accepted);
+  g_assert_cmpuint (fixture->announcements, ==, 1);
+}
+
+/* A damaged record must end the connection, as no later one can be found in the stream. */
+static void
+test_peer_malformed (PeerFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  g_autoptr (GError) error = NULL;
+  accept_peer (fixture);
+  GOutputStream *output = g_io_stream_get_output_stream (G_IO_STREAM (fixture->socket));
+  guint8 record[64];
+  memset (record, 0xff, sizeof record);
+  g_assert_true (g_output_stream_write_all (output, record, sizeof record, NULL, NULL, &error));
+  iterate_until_closed (fixture, 1);
+  g_assert_null (fixture->connected);
+  g_assert_cmpuint (fixture->announcements, ==, 0);
+}
+
+/* Users' requests that were passed on over a connection that is gone would wait for their time to
+ * end. */
+static void
+test_peer_closed_by_other_side (PeerFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  accept_peer (fixture);
+  mh_peer_connection_close (fixture->accepted);
+  g_clear_object (&fixture->socket);
+  iterate_until_closed (fixture, 2);
+  g_assert_null (fixture->connected);
+}
+
+/* ---- log ---- */
+
+/* Runs in a process of its own. */
+static void
+test_log_lines (void)
+{
+  if (g_test_subprocess ())
+    {
+      mh_log_output_install ();
+      mh_log_output_write (G_LOG_LEVEL_WARNING, "node-0", "first 100%");
+      mh_log_output_write (G_LOG_LEVEL_INFO, "node-0", "second");
+      mh_log_output_write (G_LOG_LEVEL_DEBUG, "node-0", "third");
+      g_log_structured ("other", G_LOG_LEVEL_DEBUG, "MESSAGE", "fourth");
+      exit (0);
+    }
+  static const struct
+  {
+    const char *level, *lines;
+  } rows[] = { { "", "error: first 100%\n" },
+               { "info", "error: first 100%\ninfo: second\n" },
+               { "debug", "error: first 100%\ninfo: second\ndebug: third\n" } };
+  for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
+    {
+      g_setenv ("LOG_LEVEL", rows[i].level, TRUE);
+      g_test_trap_subprocess (NULL, 0, G_TEST_SUBPROCESS_DEFAULT);
+      g_test_trap_assert_passed ();
+      g_test_trap_assert_stderr (rows[i].lines);
+    }
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/server/socket-address", test_socket_address);
+  g_test_add ("/server/http-client/replies", ClientFixture, NULL, client_set_up,
+              test_client_replies, client_tear_down);
+  g_test_add ("/server/http-client/without-answer", ClientFixture, NULL, client_set_up,
+              test_client_without_answer, client_tear_down);
+  g_test_add ("/server/http-client/many-workers", ClientFixture, NULL, client_set_up,
+              test_client_many_workers, client_tear_down);
+  g_test_add ("/server/peer-connection/messages-before-it-stands", PeerFixture, NULL, peer_set_up,
+              test_peer_messages, peer_tear_down);
+  g_test_add ("/server/peer-connection/closed-by-its-handler", PeerFixture, NULL, peer_set_up,
+              test_peer_closed_by_handler, peer_tear_down);
+  g_test_add ("/server/peer-connection/malformed-record", PeerFixture, NULL, peer_set_up,
+              test_peer_malformed, peer_tear_down);
+  g_test_add ("/server/peer-connection/closed-by-the-other-side", PeerFixture, NULL, peer_set_up,
+              test_peer_closed_by_other_side, peer_tear_down);
+  g_test_add_func ("/server/log-lines", test_log_lines);
+  return g_test_run ();
+}
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -1,10 +1,10 @@
-#include "settings/settings.h"
+#include "settings/settings-loader.h"
 
 #include <glib/gstdio.h>
 #include <math.h>
 #include <string.h>
 
-static const char *const good
+static const char *const valid_file
     = "node_name = \"w-0\"\nfront = \"10.0.0.1:8080\"\npeer_bind = \"10.0.0.1:8081\"\n"
       "colour = \"unknown fields are ignored\"\n"
       "[[members]]\nnode_name = \"w-1\"\nendpoint = \"10.0.0.2:8081\"\n"
@@ -16,44 +16,45 @@
       "[settings.state]\nrps = 250\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 16\n"
       "[settings.cloud]\nrps = 3.0\nlist_lag_s = 5.0\n";
 
+/* Writes the two files and loads them; no operator's file when its text is NULL. */
 static MhSettings *
-load (const char *platform, const char *operator_text, char **problem)
+load (const char *platform, const char *operator_text, GError **error)
 {
   g_autofree char *dir = g_dir_make_tmp ("minthill-XXXXXX", NULL);
-  g_autofree char *a = g_build_filename (dir, "a.toml", NULL);
-  g_autofree char *b = g_build_filename (dir, "b.hcl", NULL);
-  g_autoptr (GError) error = NULL;
-  g_file_set_contents (a, platform, -1, NULL);
+  g_autofree char *platform_path = g_build_filename (dir, "a.toml", NULL);
+  g_autofree char *operator_path = g_build_filename (dir, "b.hcl", NULL);
+  g_file_set_contents (platform_path, platform, -1, NULL);
   if (operator_text)
-    g_file_set_contents (b, operator_text, -1, NULL);
-  MhSettings *s = mh_settings_load (a, operator_text ? b : NULL, &error);
-  *problem = error ? g_strdup (error->message) : NULL;
-  g_assert_true ((s == NULL) == (error != NULL));
-  g_unlink (a);
-  g_unlink (b);
+    g_file_set_contents (operator_path, operator_text, -1, NULL);
+  MhSettings *settings
+      = mh_settings_load (platform_path, operator_text ? operator_path : NULL, error);
+  g_assert_true ((settings == NULL) == (*error != NULL));
+  g_unlink (platform_path);
+  g_unlink (operator_path);
   g_rmdir (dir);
-  return s;
+  return settings;
 }
 
+/* A value that is read from the wrong field or in the wrong unit would be taken silently. */
 static void
-test_good (void)
+test_values_of_both_files (void)
 {
-  g_autofree char *problem = NULL;
-  g_autoptr (MhSettings) s = load (good,
-                                   "lease_s = 2.5\nmax_skew = 3\nbatch = 4\n"
-                                   "spread \"quote-live\" {\n  max_skew = 2\n"
-                                   "  when_unsatisfiable = \"ScheduleAnyway\"\n}\n",
-                                   &problem);
-  g_assert_nonnull (s);
-  g_assert_cmpint (s->report_us, ==, 3 * MH_SECOND_US);
-  g_assert_cmpuint (s->value_bytes, ==, 8192);
-  g_assert_cmpuint (s->teams->len, ==, 1);
-  g_assert_cmpfloat (mh_settings_team (s, "desk")->cpus_max, ==, 24);
-  g_assert_cmpint (s->lease_us, ==, 2500000);
-  g_assert_cmpuint (s->batch, ==, 4);
-  g_assert_cmpuint (s->max_skew, ==, 3);
-  g_assert_cmpuint (s->spread->len, ==, 1);
-  const MhSpreadRule *rule = g_ptr_array_index (s->spread, 0);
+  g_autoptr (GError) error = NULL;
+  g_autoptr (MhSettings) settings = load (valid_file,
+                                          "lease_s = 2.5\nmax_skew = 3\nbatch = 4\n"
+                                          "spread \"quote-live\" {\n  max_skew = 2\n"
+                                          "  when_unsatisfiable = \"ScheduleAnyway\"\n}\n",
+                                          &error);
+  g_assert_nonnull (settings);
+  g_assert_cmpint (settings->report_us, ==, 3 * MH_SECOND_US);
+  g_assert_cmpuint (settings->value_bytes, ==, 8192);
+  g_assert_cmpuint (settings->teams->len, ==, 1);
+  g_assert_cmpfloat (mh_settings_team (settings, "desk")->cpus_max, ==, 24);
+  g_assert_cmpint (settings->lease_us, ==, 2500000);
+  g_assert_cmpuint (settings->batch, ==, 4);
+  g_assert_cmpuint (settings->max_skew, ==, 3);
+  g_assert_cmpuint (settings->spread->len, ==, 1);
+  const MhSpreadRule *rule = g_ptr_array_index (settings->spread, 0);
   g_assert_cmpuint (rule->max_skew, ==, 2);
   g_assert_true (rule->soft);
 }
@@ -63,101 +64,134 @@
 static void
 test_team_without_limit (void)
 {
-  g_autofree char *problem = NULL, *wrong = NULL;
+  g_autoptr (GError) error = NULL;
+  g_autoptr (GError) refused = NULL;
   g_autofree char *guests
-      = g_strconcat (good, "[[settings.teams]]\nname = \"guest\"\n",
+      = g_strconcat (valid_file, "[[settings.teams]]\nname = \"guest\"\n",
                      "[[settings.teams]]\nname = \"other\"\ncpus = 0.0\ncpus_max = 0.0\n", NULL);
   g_autofree char *negative
-      = g_strconcat (good, "[[settings.teams]]\nname = \"guest\"\ncpus_max = -1.0\n", NULL);
-  g_autoptr (MhSettings) s = load (guests, NULL, &problem);
-  g_assert_nonnull (s);
-  g_assert_cmpfloat (mh_settings_team (s, "guest")->cpus, ==, 0);
-  g_assert_true (isinf (mh_settings_team (s, "guest")->cpus_max));
-  g_assert_true (isinf (mh_settings_team (s, "other")->cpus_max));
-  g_assert_cmpfloat (mh_settings_team (s, "desk")->cpus_max, ==, 24);
-  g_assert_null (load (negative, NULL, &wrong));
-  g_assert_nonnull (strstr (wrong, "guest"));
+      = g_strconcat (valid_file, "[[settings.teams]]\nname = \"guest\"\ncpus_max = -1.0\n", NULL);
+  g_autoptr (MhSettings) settings = load (guests, NULL, &error);
+  g_assert_nonnull (settings);
+  g_assert_cmpfloat (mh_settings_team (settings, "guest")->cpus, ==, 0);
+  g_assert_true (isinf (mh_settings_team (settings, "guest")->cpus_max));
+  g_assert_true (isinf (mh_settings_team (settings, "other")->cpus_max));
+  g_assert_cmpfloat (mh_settings_team (settings, "desk")->cpus_max, ==, 24);
+  g_assert_null (load (negative, NULL, &refused));
+  g_assert_nonnull (strstr (refused->message, "guest"));
 }
 
-/* The limits that come next: sizes keep to the lower ones from the start; none, or some of them,
-   leave what there is. */
+/* Without this, values that the key-value store refuses later are written now. The limits that come
+   next: sizes keep to the lower ones from the start; none, or some of them, leave what there is. */
 static void
-test_next (void)
+test_next_limits (void)
 {
-  g_autofree char *problem = NULL, *other = NULL, *wrong = NULL;
-  g_autofree char *all = g_strconcat (good,
+  g_autoptr (GError) error = NULL;
+  g_autoptr (GError) refused = NULL;
+  g_autofree char *all = g_strconcat (valid_file,
                                       "[settings.state.next]\nwrite_rps = 15.0\n"
                                       "value_kb = 2.0\ntxn_ops = 5\n",
                                       NULL);
-  g_autofree char *part = g_strconcat (good, "[settings.state.next]\nvalue_kb = 64\n", NULL);
-  g_autofree char *bad = g_strconcat (good, "[settings.state.next]\ntxn_ops = 1\n", NULL);
-  g_autoptr (MhSettings) s = load (all, NULL, &problem);
-  g_assert_nonnull (s);
-  g_assert_cmpuint (s->value_bytes, ==, 2048);
-  g_assert_cmpuint (s->txn_ops, ==, 5);
-  g_assert_cmpuint (s->batch, ==, 5);
-  g_assert_cmpfloat (s->state_write_rps, ==, 20);
-  g_assert_cmpfloat (s->next_write_rps, ==, 15);
-  g_assert_cmpint (s->gang_wait_us, ==, 50 * MH_SECOND_US); /* not named: as before gangs */
-  g_autoptr (MhSettings) p = load (part, NULL, &other);
-  g_assert_nonnull (p);
-  g_assert_cmpuint (p->value_bytes, ==, 8192);
-  g_assert_cmpuint (p->txn_ops, ==, 16);
-  g_assert_null (load (bad, NULL, &wrong));
+  g_autofree char *part = g_strconcat (valid_file, "[settings.state.next]\nvalue_kb = 64\n", NULL);
+  g_autofree char *bad = g_strconcat (valid_file, "[settings.state.next]\ntxn_ops = 1\n", NULL);
+  g_autoptr (MhSettings) settings = load (all, NULL, &error);
+  g_assert_nonnull (settings);
+  g_assert_cmpuint (settings->value_bytes, ==, 2048);
+  g_assert_cmpuint (settings->txn_ops, ==, 5);
+  g_assert_cmpuint (settings->batch, ==, 5);
+  g_assert_cmpfloat (settings->state_write_rps, ==, 20);
+  g_assert_cmpfloat (settings->next_write_rps, ==, 15);
+  g_assert_cmpint (settings->gang_wait_us, ==, 50 * MH_SECOND_US); /* not named: as before gangs */
+  g_autoptr (MhSettings) partly = load (part, NULL, &error);
+  g_assert_nonnull (partly);
+  g_assert_cmpuint (partly->value_bytes, ==, 8192);
+  g_assert_cmpuint (partly->txn_ops, ==, 16);
+  g_assert_null (load (bad, NULL, &refused));
 }
 
+/* A file that names no more than it has to must not change how services are spread. */
 static void
 test_defaults (void)
 {
-  g_autofree char *problem = NULL;
-  g_autoptr (MhSettings) s = load (good, NULL, &problem);
-  g_assert_cmpuint (s->max_skew, ==, 1);
-  g_assert_false (s->soft);
-  g_assert_cmpuint (s->batch, ==, 16);
+  g_autoptr (GError) error = NULL;
+  g_autoptr (MhSettings) settings = load (valid_file, NULL, &error);
+  g_assert_cmpuint (settings->max_skew, ==, 1);
+  g_assert_false (settings->soft);
+  g_assert_cmpuint (settings->batch, ==, 16);
 }
 
+/* A controller would start with settings that cannot work, or its operator would not be told in one
+   line what is wrong. */
 static void
-test_bad (void)
+test_refused_values (void)
 {
   static const struct
   {
     const char *cut, *put, *operator_text, *says;
+    int code; /* MhSettingsError */
   } rows[] = {
-    { "node_name = \"w-0\"", "", NULL, "node_name" },
-    { "10.0.0.1:8080", "10.0.0.1", NULL, "front" },
-    { "10.0.0.1:8081", "10.0.0.1:99999", NULL, "peer_bind" },
-    { "report_s = 3.0", "", NULL, "report_s" },
-    { "rps = 250", "rps = -1", NULL, "state.rps" },
-    { "txn_ops = 16", "txn_ops = 1", NULL, "txn_ops" },
-    { "[settings]", "[settings", NULL, "line" },
-    { "cpus = 8.0", "cpus = -8.0", NULL, "negative" },
-    { "", "", "max_skew = 0\n", "max_skew" },
-    { "", "", "colour = 1\n", "colour" },
-    { "", "", "when_unsatisfiable = \"Perhaps\"\n", "when_unsatisfiable" },
-    { "", "", "lease_s = 0.1\n", "lease_s" },
-    { "", "", "batch = 1\n", "batch" },
+    { "node_name = \"w-0\"", "", NULL, "node_name", MH_SETTINGS_ERROR_MISSING },
+    { "10.0.0.1:8080", "10.0.0.1", NULL, "front", MH_SETTINGS_ERROR_INVALID },
+    { "10.0.0.1:8081", "10.0.0.1:99999", NULL, "peer_bind", MH_SETTINGS_ERROR_INVALID },
+    { "report_s = 3.0", "", NULL, "report_s", MH_SETTINGS_ERROR_INVALID },
+    { "rps = 250", "rps = -1", NULL, "state.rps", MH_SETTINGS_ERROR_INVALID },
+    { "txn_ops = 16", "txn_ops = 1", NULL, "txn_ops", MH_SETTINGS_ERROR_INVALID },
+    { "[settings]", "[settings", NULL, "line", MH_SETTINGS_ERROR_FILE },
+    { "cpus = 8.0", "cpus = -8.0", NULL, "negative", MH_SETTINGS_ERROR_INVALID },
+    { "", "", "max_skew = 0\n", "max_skew", MH_SETTINGS_ERROR_INVALID },
+    { "", "", "colour = 1\n", "colour", MH_SETTINGS_ERROR_FILE },
+    { "", "", "when_unsatisfiable = \"Perhaps\"\n", "when_unsatisfiable",
+      MH_SETTINGS_ERROR_INVALID },
+    { "", "", "lease_s = 0.1\n", "lease_s", MH_SETTINGS_ERROR_INVALID },
+    { "", "", "batch = 1\n", "batch", MH_SETTINGS_ERROR_INVALID },
   };
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
-      g_autofree char *problem = NULL;
-      g_auto (GStrv) parts = g_strsplit (good, *rows[i].cut ? rows[i].cut : "\001", 2);
+      g_autoptr (GError) error = NULL;
+      g_auto (GStrv) parts = g_strsplit (valid_file, *rows[i].cut ? rows[i].cut : "\001", 2);
       g_autofree char *text
           = parts[1] ? g_strconcat (parts[0], rows[i].put, parts[1], NULL) : g_strdup (parts[0]);
-      g_autoptr (MhSettings) s = load (text, rows[i].operator_text, &problem);
-      g_assert_null (s);
-      g_assert_nonnull (strstr (problem, rows[i].says));
-      g_assert_null (strchr (problem, '\n')); /* one clear line */
+      g_autoptr (MhSettings) settings = load (text, rows[i].operator_text, &error);
+      g_assert_null (settings);
+      g_assert_error (error, MH_SETTINGS_ERROR, rows[i].code);
+      g_assert_nonnull (strstr (error->message, rows[i].says));
+      g_assert_null (strchr (error->message, '\n')); /* one clear line */
     }
 }
 
+/* Operators search their notes for these lines; a file that is not there is the most usual mistake.
+ */
+static void
+test_messages (void)
+{
+  g_autoptr (GError) no_platform = NULL;
+  g_autoptr (GError) no_operator = NULL;
+  g_autoptr (GError) unknown = NULL;
+  g_autofree char *path = NULL;
+  int file = g_file_open_tmp ("minthill-XXXXXX", &path, NULL);
+  g_assert_cmpint (file, >=, 0);
+  g_close (file, NULL);
+  g_file_set_contents (path, valid_file, -1, NULL);
+  g_assert_null (mh_settings_load ("/nonexistent", NULL, &no_platform));
+  g_assert_error (no_platform, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_FILE);
+  g_assert_true (g_str_has_prefix (no_platform->message, "/nonexistent: "));
+  g_assert_null (mh_settings_load (path, "/nonexistent", &no_operator));
+  g_assert_error (no_operator, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_FILE);
+  g_assert_cmpstr (no_operator->message, ==, "operator settings /nonexistent: cannot be read");
+  g_assert_null (load (valid_file, "colour = 1\n", &unknown));
+  g_assert_nonnull (strstr (unknown->message, ": line 1: "));
+  g_unlink (path);
+}
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/settings/good", test_good);
+  g_test_add_func ("/settings/values-of-both-files", test_values_of_both_files);
   g_test_add_func ("/settings/team-without-limit", test_team_without_limit);
-  g_test_add_func ("/settings/next", test_next);
+  g_test_add_func ("/settings/next-limits", test_next_limits);
   g_test_add_func ("/settings/defaults", test_defaults);
-  g_test_add_func ("/settings/bad", test_bad);
+  g_test_add_func ("/settings/refused-values", test_refused_values);
+  g_test_add_func ("/settings/messages", test_messages);
   return g_test_run ();
 }
