--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -46,7 +46,7 @@
       core->cluster->service_replicas += sign;
     }
   if (!machine->heartbeat.reported)
-    attempt->job->n_unheard += sign;
+    attempt->job->n_unreported += sign;
 }
 
 MhAttempt *
@@ -128,8 +128,8 @@
     change_state (attempt,
                   running ? MH_ATTEMPT_EVENT_SHOWN_RUNNING : MH_ATTEMPT_EVENT_SHOWN_WAITING);
   set_running (core, attempt, running);
-  if (phase == MH_TASK_GATHERING && attempt->job->gathering_us == 0)
-    attempt->job->gathering_us = core->now.mono_us;
+  if (phase == MH_TASK_GATHERING)
+    mh_job_gang_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING, core->now.mono_us);
 }
 
 /* ---- the end ---- */
@@ -137,11 +137,12 @@
 void
 mh_attempt_finish_job_if_over (MhCore *core, MhJob *job)
 {
-  bool over = job->cancelled ? job->n_live == 0 : job->n_done == job->spec->tasks;
-  if (!over || job->finished)
+  bool over = mh_job_is_cancelled (job) ? job->n_live == 0 : job->n_done == job->spec->tasks;
+  if (!over || mh_job_is_finished (job))
     return;
-  job->finished = true;
-  mh_store_touch (core, &job->records[0], job->cancelled ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
+  job->completion = MH_COMPLETION_UNWRITTEN;
+  mh_store_touch (core, &job->records[0],
+                  mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
 }
 
 /* Out of all accounts; the attempt itself is left to the caller. */
@@ -182,8 +183,8 @@
   if (done)
     job->n_done++;
   else
-    job->cursor = MIN (job->cursor, attempt->index);
-  if (!job->cancelled)
+    job->placement.first_pending = MIN (job->placement.first_pending, attempt->index);
+  if (!mh_job_is_cancelled (job))
     mh_store_touch (core, mh_job_record (job, attempt->index), MH_URGENCY_PROGRESS);
   if (mh_job_is_gang (job))
     callbacks->gang_task_over (core, job, done);
@@ -218,7 +219,7 @@
 void
 mh_attempt_stop (MhCore *core, MhAttempt *attempt, gint64 grace_us)
 {
-  if (mh_job_is_gang (attempt->job) && !mh_job_over (attempt->job))
+  if (mh_job_is_gang (attempt->job) && !mh_job_is_over (attempt->job))
     core->cluster->callbacks->gang_stop (core, attempt->job, grace_us);
   else if (attempt->start == MH_START_NOT_SENT)
     mh_attempt_proven_over (core, attempt, false);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -107,11 +107,12 @@
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (report->token < core->leader.own_epoch && mh_leader_valid (core))
+      if (report->token < mh_election_epoch (core->election)
+          && mh_election_is_leader (core->election))
         mh_direct_command_send_token (core, machine);
     }
   else if (worker_has_begun_anew (machine, report))
-    release (core, machine, "its worker has begun anew");
+    release (core, machine, "worker_restarted");
 }
 
 static void
@@ -173,7 +174,7 @@
 check_in_partition (MhCore *core, MhMachine *machine)
 {
   if (mh_cluster_is_silent (core, machine, core->settings->worker_lease_us + LEASE_SPARE_US))
-    release (core, machine, "silent with all of its zone");
+    release (core, machine, "silent_zone");
 }
 
 static bool
@@ -194,11 +195,11 @@
   gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
   guint ignored_answers = machine->heartbeat.ignored_answers;
   if (reports_are_lost (core, machine))
-    release (core, machine, "its reports do not come");
+    release (core, machine, "heartbeats_missing");
   else if (is_believed_unreachable (core, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
-    release (core, machine, "nothing reaches it");
+    release (core, machine, "unreachable");
   else if (has_failed (core, machine))
-    release (core, machine, machine->probe.failures ? "silent, and gives no answer" : "silent");
+    release (core, machine, machine->probe.failures ? "silent_no_answer" : "silent");
   else if (ignored_answers || mh_cluster_is_silent (core, machine, suspect_us))
     start_probing (core, machine);
 }
@@ -209,14 +210,14 @@
 check_unheard (MhCore *core, MhMachine *machine)
 {
   const MhSilenceThresholds *silence = &core->cluster->silence;
-  gint64 unheard_us
-      = mh_cluster_silence_us (core, MAX (core->leader.since_us, machine->discovered_us));
+  gint64 unheard_us = mh_cluster_silence_us (
+      core, MAX (mh_election_elected_us (core->election), machine->discovered_us));
   if (core->now.mono_us - machine->heartbeat.unverified_us > SECOND_REPORT_US)
     start_probing (core, machine);
   if (unheard_us > silence->unheard_us
       || (is_believed_unreachable (core, machine) && others_are_heard (core, machine)
           && unheard_us > silence->report_us))
-    release (core, machine, "silent since the change of leader");
+    release (core, machine, "silent_since_failover");
 }
 
 void
@@ -332,7 +333,7 @@
                       MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return limit_us << MIN (core->leader.vain_hand_overs, MAX_DOUBLINGS);
+  return limit_us << MIN (core->cluster->fruitless_transfers, MAX_DOUBLINGS);
 }
 
 void
@@ -348,9 +349,10 @@
     }
   if (machines < MH_LEAST_MACHINES_OF_ZONE || core->settings->members->len == 0)
     return;
-  gint64 unheard_us = mh_cluster_silence_us (core, MAX (last_report_us, core->leader.since_us));
+  gint64 unheard_us
+      = mh_cluster_silence_us (core, MAX (last_report_us, mh_election_elected_us (core->election)));
   if (unheard_us <= max_unheard_us (core, machines, last_report_us > 0))
     return;
-  core->leader.vain_hand_overs++;
-  mh_leader_hand_over (core, "no worker is heard any more");
+  core->cluster->fruitless_transfers++;
+  mh_election_transfer_leadership (core->election, MH_LOSS_NO_HEARTBEATS);
 }
--- a/src/cluster/fencing.h
+++ b/src/cluster/fencing.h
@@ -3,7 +3,7 @@
    A start that was sent directly may be carried out late, as long as the worker is in the session
    that it names and has seen no higher token. Before the end of such an attempt is cleared at the
    worker, the machine's token is raised. The tokens of a leadership begin with its epoch; each
-   leadership has MH_EPOCHS_EACH of them, so that raising one costs no write. */
+   leadership has MH_EPOCHS_PER_LEADERSHIP of them, so that raising one costs no write. */
 #pragma once
 
 #include "cluster/machine.h"
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -7,12 +7,6 @@
 #define FINALS_MEMORY_PART 32
 #define FINAL_BYTES 200
 #define LEAST_FINALS_KEPT 2000u
-/* A node that has had no usable leader for so long is rather cut off by itself. */
-#define READY_US (30 * MH_SECOND_US)
-/* One that cannot reach a leader which the state service says is there sends its users elsewhere
-   after the first, and tries again after the second. */
-#define UNREACHED_US (MH_SECOND_US * 3 / 2)
-#define TRY_AGAIN_US (4 * MH_SECOND_US)
 /* A user waits two seconds for an answer. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
 /* Calls of modules that still take the whole core. */
@@ -106,7 +100,7 @@
 mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_USER, id);
-  mh_job_answer (job, &a->answer);
+  mh_job_fill_answer (job, &a->answer);
   a->answer.status = status;
 }
 
@@ -137,7 +131,7 @@
 {
   /* One that does not fit would be refused by the state service time and again, and end each
      leadership. */
-  if (mh_job_chunk (spec, core->settings->value_bytes) == 0)
+  if (mh_job_tasks_per_record (spec, core->settings->value_bytes) == 0)
     return 400;
   const MhTeam *team = mh_settings_team (core->settings, spec->team);
   if (team == NULL)
@@ -148,8 +142,10 @@
   if (mh_cluster_types (core) == NULL)
     return 503;
   for (guint i = 0; i < mh_cluster_types (core)->len; i++)
-    if (mh_place_type_fits (spec, g_ptr_array_index (mh_cluster_types (core), i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_possible (core, spec) ? 422 : 0;
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core), i)))
+      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (mh_cluster_types (core), spec)
+                 ? 422
+                 : 0;
   return 422;
 }
 
@@ -217,15 +213,15 @@
 static void
 cancel (MhCore *core, guint64 id, MhJob *job)
 {
-  if (job->final || job->cancel_durable)
+  if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
     {
       mh_core_answer_job (core, id, job, 200);
       return;
     }
-  if (!job->cancelled && !job->finished)
+  if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
-      job->cancelled = true;
+      job->cancellation = MH_CANCELLATION_REQUESTED;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
       mh_attempt_stop_job (core, job);
     }
@@ -237,7 +233,7 @@
 forward (MhCore *core, guint64 id, const char *job_id)
 {
   MhAction *a = mh_core_act (core, MH_ACTION_FORWARD, id);
-  a->node = g_strdup (core->leader.node);
+  a->node = g_strdup (mh_election_leader_name (core->election));
   a->timeout_us = FORWARD_TIMEOUT_US;
   g_hash_table_insert (core->forwards, g_memdup2 (&id, sizeof id), g_strdup (job_id));
 }
@@ -250,13 +246,11 @@
                     const MhJobSpec *spec, bool forwarded)
 {
   const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
-  bool other = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
-               && strcmp (core->leader.node, core->settings->node) != 0;
   if (final)
     mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *final;
-  else if (!forwarded && other)
+  else if (!forwarded && mh_election_other_leader (core->election))
     forward (core, id, job_id);
-  else if (!forwarded && core->leader.phase < MH_PHASE_LOAD
+  else if (!forwarded && !mh_election_is_elected (core->election)
            && (verb == MH_USER_STATUS || (spec && judge (core, spec) == 422)))
     mh_lookup_job (core, id, job_id, verb, false);
   else
@@ -269,7 +263,7 @@
 {
   enter (core, now);
   const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
-  if (core->leader.phase != MH_PHASE_LEAD || !mh_leader_valid (core))
+  if (!mh_election_is_serving (core->election))
     {
       user_not_in_charge (core, id, verb, job_id, spec, forwarded);
       mh_job_spec_free (spec);
@@ -321,18 +315,16 @@
   job = value;
   if (answer)
     {
-      core->leader.usable_us = now->mono_us;
-      core->leader.unreached_us = 0;
+      mh_election_note_forward_answered (core->election);
       mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *answer;
       remember_final (core, job, answer);
     }
   else
     {
-      core->leader.tried_us = now->mono_us;
+      const char *leader = mh_election_leader_name (core->election);
       mh_info_limited (core, MH_LOG_PEER, "leader %s: a request that was passed on has no answer",
-                       core->leader.node ? core->leader.node : "unknown");
-      if (core->leader.unreached_us == 0)
-        core->leader.unreached_us = now->mono_us;
+                       leader ? leader : "unknown");
+      mh_election_note_forward_failed (core->election);
       mh_core_answer (core, id, 503, 1);
     }
   mh_core_step (core);
@@ -344,13 +336,13 @@
 mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report)
 {
   enter (core, now);
-  if (core->leader.phase >= MH_PHASE_LOAD)
+  if (mh_election_is_elected (core->election))
     mh_heartbeat_receive (core, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
       a->status = 421;
-      a->body = mh_wire_write_redirect (core->leader.node);
+      a->body = mh_wire_write_redirect (mh_election_leader_name (core->election));
     }
   mh_core_step (core);
 }
@@ -359,7 +351,7 @@
 mh_core_leader_announced (MhCore *core, const MhNow *now, const char *node, guint64 epoch)
 {
   enter (core, now);
-  mh_leader_announced (core, node, epoch);
+  mh_election_leader_announced (core->election, node, epoch);
   mh_core_step (core);
 }
 
@@ -368,34 +360,27 @@
 bool
 mh_core_ready (const MhCore *core)
 {
-  /* Neither an ordinary change of leader nor an outage of the state service must make the load
-     balancer drop the node: every other would be dropped with it, and be taken back late. */
-  gint64 now = core->now.mono_us;
-  bool unreached = core->leader.phase == MH_PHASE_FOLLOW && core->leader.node
-                   && core->leader.unreached_us > 0
-                   && now - core->leader.unreached_us > UNREACHED_US
-                   && now - core->leader.tried_us < TRY_AGAIN_US;
-  return core->leader.usable_us > 0 && now - core->leader.usable_us < READY_US && !unreached;
+  return mh_election_is_ready (core->election);
 }
 
 bool
 mh_core_leads (const MhCore *core)
 {
-  return mh_leader_valid (core);
+  return mh_election_is_leader (core->election);
 }
 
 void
 mh_core_step (MhCore *core)
 {
   mh_runtime_reset_wake_up (core->runtime);
-  mh_leader_step (core);
-  if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
+  mh_election_step (core->election);
+  if (mh_election_is_serving (core->election))
     {
-      mh_gang_step (core);
+      mh_core_update_recovery (core);
+      mh_gang_reconcile (core);
       mh_cluster_step (core);
-      mh_place_step (core);
-      mh_scale_step (core);
-      mh_release_step (core);
+      mh_placement_run (core->placement, core);
+      mh_autoscaler_step (core->autoscaler);
       mh_store_step (core);
     }
   mh_call_queue_flush (core->calls);
@@ -411,26 +396,23 @@
 static void
 note_capacity_changed (MhCore *core, bool urgent)
 {
-  core->place_wanted = true;
-  core->place_urgent |= urgent;
+  mh_placement_request_pass (core->placement, urgent);
+}
+
+static void
+release_machine (MhCore *core, MhMachine *machine, const char *reason)
+{
+  mh_autoscaler_release_machine (core->autoscaler, machine, reason);
 }
 
 static const MhClusterCallbacks cluster_callbacks = {
-  .release_machine = mh_release_machine,
+  .release_machine = release_machine,
   .capacity_changed = note_capacity_changed,
-  .gang_loaded = mh_gang_loaded,
-  .gang_task_over = mh_gang_task_over,
+  .gang_loaded = mh_gang_restore,
+  .gang_task_over = mh_gang_task_ended,
   .gang_stop = mh_gang_stop,
 };
 
-static gint64
-lease_until_us (gconstpointer owner, gint64 now_us)
-{
-  const MhCore *core = owner;
-  (void)now_us;
-  return mh_leader_valid (core) ? core->leader.valid_until_us : 0;
-}
-
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -438,18 +420,20 @@
   core->settings = settings;
   core->now = *now;
   core->runtime = mh_runtime_new (settings, now);
-  mh_runtime_set_lease_source (core->runtime, lease_until_us, core);
   core->calls = mh_call_queue_new (core->runtime);
+  core->election
+      = mh_election_new (core->runtime, core->calls, mh_core_election_callbacks (), core);
+  core->recovery = mh_recovery_new ();
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
-  core->gangs = mh_gang_table ();
-  core->class_stats = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  mh_leader_start (core);
+  core->gang_attempts = mh_gang_attempts_new ();
+  core->placement = mh_placement_new ();
+  core->runtime_estimator = mh_runtime_estimator_new ();
+  core->autoscaler = mh_autoscaler_new (core);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
@@ -465,9 +449,7 @@
     return;
   mh_store_clear (core);
   mh_cluster_clear (core);
-  mh_gang_clear (core);
-  mh_scale_clear (core);
-  mh_release_clear (core);
+  mh_gang_attempts_clear (core->gang_attempts);
   mh_call_queue_forget_all (core->calls);
   g_queue_clear_full (&core->finals_order, g_free);
   g_hash_table_unref (core->forwards);
@@ -476,11 +458,13 @@
   g_hash_table_unref (core->unreadable);
   g_hash_table_unref (core->finals);
   g_clear_pointer (&core->cluster, mh_cluster_free);
-  g_hash_table_unref (core->gangs);
-  g_hash_table_unref (core->class_stats);
-  g_hash_table_unref (core->scale.refused);
-  g_free (core->leader.node);
+  mh_gang_attempts_free (core->gang_attempts);
+  mh_placement_free (core->placement);
+  mh_runtime_estimator_free (core->runtime_estimator);
+  mh_recovery_free (core->recovery);
+  mh_election_free (core->election);
   mh_call_queue_free (core->calls);
+  mh_autoscaler_free (core->autoscaler);
   mh_runtime_free (core->runtime);
   g_free (core);
 }
--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -48,7 +48,7 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
   g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
   g_assert_true (machine->gone);
-  g_assert_true (simulation_logged (simulation, "never came up"));
+  g_assert_true (simulation_logged (simulation, "never_joined"));
   finish (simulation);
 }
 
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -216,7 +216,7 @@
 gives_back_silent (Simulation *simulation, gpointer data)
 {
   (void)data;
-  return simulation_logged (simulation, "given back: silent");
+  return simulation_logged (simulation, "releasing machine reason=silent");
 }
 
 /* Half of the machines fail while there is always as much to do as nearly all can: room for what
