--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -114,7 +114,7 @@
       type->zones = g_strdupv ((char **)(const char *[]){ "a", "b", "c", "d", NULL });
       g_ptr_array_add (types, type);
     }
-  mh_cluster_set_types (core, types);
+  mh_cluster_set_types (core->cluster, types);
 }
 
 static MhMachine *
@@ -123,8 +123,8 @@
   g_autofree char *name = g_strdup_printf ("vm-%03u", index);
   g_autofree char *type = g_strdup_printf ("type-%u", random_below (fixture, TYPES));
   const char *zone = zones[random_below (fixture, ZONES)];
-  MhMachine *machine
-      = mh_cluster_add_machine (fixture->core, name, type, zone, random_below (fixture, 3) == 0);
+  MhMachine *machine = mh_cluster_add_machine (fixture->core->cluster, name, type, zone,
+                                               random_below (fixture, 3) == 0);
   machine->heartbeat.reported = random_below (fixture, 10) > 0;
   if (machine->heartbeat.reported)
     mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
@@ -157,7 +157,7 @@
     {
       MhMachine *machine = fixture->machines[random_below (fixture, MACHINES)];
       if (has_room (machine, job->spec) && random_below (fixture, 3))
-        mh_attempt_new (fixture->core, job, i, 1, machine)->phase = MH_TASK_RUNNING;
+        mh_attempt_new (fixture->core->cluster, job, i, 1, machine)->phase = MH_TASK_RUNNING;
     }
 }
 
@@ -209,14 +209,14 @@
   const MhMachine *machine = fixture->machines[index];
   const MhJobSpec *spec = walk->job->spec;
   double *keys = walk->keys[index];
-  double wait_us
-      = (double)mh_machine_image_wait_us (fixture->core, machine, walk->job->image, spec->image_gb);
+  double wait_us = (double)mh_machine_image_wait_us (fixture->core->cluster, machine,
+                                                     walk->job->image, spec->image_gb);
   double cpu_price = mh_machine_hourly_price (machine) / machine->type->cpus;
   memset (keys, 0, KEYS * sizeof *keys);
   keys[KEY_COST] = cost_of (spec, wait_us, cpu_price);
   if (spec->shape == MH_SHAPE_SERVICE)
     {
-      guint most = MAX (1, mh_cluster_service_replicas (fixture->core) / 24);
+      guint most = MAX (1, mh_cluster_service_replicas (fixture->core->cluster) / 24);
       guint replicas = machine->usage.replicas;
       keys[KEY_ABOVE_PRICE_CAP] = mh_machine_hourly_price (machine) > 2 * walk->lowest_price;
       keys[KEY_REPLICAS] = replicas < most ? most - replicas : replicas + 1;
@@ -363,7 +363,7 @@
       if (best == MACHINES)
         return;
       MhMachine *machine = fixture->machines[best];
-      mh_attempt_new (fixture->core, job, i, 1, machine);
+      mh_attempt_new (fixture->core->cluster, job, i, 1, machine);
       update_keys (fixture, &walk, best);
       g_array_append_val (fixture->live_zones, machine->zone);
       g_ptr_array_add (expected, placed (job, i, machine));
@@ -375,8 +375,8 @@
 {
   MhCore *core = fixture->core;
   GPtrArray *expected = g_ptr_array_new_with_free_func (g_free);
-  g_autoptr (GPtrArray) queue = mh_job_queue_pending (core->job_queue, MH_JOB_QUEUE_ACCEPTED,
-                                                      mh_cluster_types (core), core->now.mono_us);
+  g_autoptr (GPtrArray) queue = mh_job_queue_pending (
+      core->job_queue, MH_JOB_QUEUE_ACCEPTED, mh_cluster_types (core->cluster), core->now.mono_us);
   for (guint i = 0; i < queue->len; i++)
     {
       MhJob *job = g_ptr_array_index (queue, i);
