--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -109,7 +109,7 @@
     return "back_off";
   if (core->now.mono_us < job->retry_us)
     return "retry_delay";
-  if (job->n_unheard && !core->leader.rebuilt)
+  if (job->n_unheard && !mh_recovery_is_complete (core->recovery))
     return "unreported_machines";
   if (!mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
     return "team_quota";
@@ -214,10 +214,12 @@
 may_scale_out (const MhAutoscaler *self)
 {
   const MhCore *core = self->context.core;
-  gint64 leading_us = mh_runtime_now_us (self->context.runtime) - core->leader.since_us;
-  return core->leader.rebuilt && mh_cluster_types (core) && mh_inventory_is_listed (self->inventory)
-         && !mh_scale_out_is_busy (self->scale_out)
-         && (core->leader.own_epoch == 1 || leading_us > self->context.settings->list_lag_us);
+  gint64 leading_us
+      = mh_runtime_now_us (self->context.runtime) - mh_election_elected_us (core->election);
+  return mh_recovery_is_complete (core->recovery) && mh_cluster_types (core)
+         && mh_inventory_is_listed (self->inventory) && !mh_scale_out_is_busy (self->scale_out)
+         && (mh_election_epoch (core->election) == 1
+             || leading_us > self->context.settings->list_lag_us);
 }
 
 static void
@@ -239,7 +241,7 @@
     mh_lost_capacity_clear (self->lost);
   if (may_scale_out (self))
     scale_out (self);
-  if (self->context.core->leader.rebuilt)
+  if (mh_recovery_is_complete (self->context.core->recovery))
     mh_consolidation_step (&self->context, tasks_wait);
 }
 
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -93,7 +93,7 @@
   gint64 age_us = now_us - machine->boot.rented_us;
   if (machine->boot.late_age_us == 0 && age_us > late_at_us (core, machine->type))
     note_late (core, machine, age_us);
-  gint64 leading_us = now_us - core->leader.since_us;
+  gint64 leading_us = now_us - mh_election_elected_us (core->election);
   bool all_reported = leading_us > core->settings->report_us * 2 + FIRST_REPORT_SPARE_US;
   if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us && all_reported)
     core->cluster->callbacks->release_machine (core, machine, "never_joined");
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -99,7 +99,7 @@
     return false;
   if (report->token > mh_fencing_token (core, machine))
     {
-      mh_leader_lost (core, "a worker has seen a higher token");
+      mh_election_step_down (core->election, MH_LOSS_HIGHER_TOKEN);
       return false;
     }
   take_in (core, machine, report, MH_MESSAGE_ANSWER);
@@ -205,8 +205,9 @@
 static bool
 may_keep_alive (const MhCore *core)
 {
-  return core->leader.phase == MH_PHASE_LEAD && !core->leader.lost
-         && core->now.mono_us < core->leader.confirmed_us + mh_heartbeat_keep_alive_us (core);
+  return mh_election_state (core->election) == MH_LEADERSHIP_LEADING
+         && core->now.mono_us
+                < mh_election_last_renewal_us (core->election) + mh_heartbeat_keep_alive_us (core);
 }
 
 static void
@@ -217,8 +218,8 @@
   action->body = body;
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
      process that stood still for so long is asked again. */
-  if (status == STATUS_OK && mh_leader_valid (core))
-    action->lease_until_us = core->leader.valid_until_us;
+  if (status == STATUS_OK && mh_election_is_leader (core->election))
+    action->lease_until_us = mh_election_lease_until_us (core->election);
 }
 
 /* One that this leadership knew is known no more when it has been given back. */
@@ -227,8 +228,8 @@
 {
   guint64 first_token = mh_fencing_token (core, NULL);
   bool was_ours = machine == NULL && report->token > first_token
-                  && report->token < first_token + MH_EPOCHS_EACH;
-  return core->leader.phase == MH_PHASE_LEAD
+                  && report->token < first_token + MH_EPOCHS_PER_LEADERSHIP;
+  return mh_election_has_loaded (core->election)
          && (was_ours || mh_cluster_was_released (core, report->machine));
 }
 
@@ -240,9 +241,9 @@
   if (!is_newer (machine, report))
     return false;
   check_answer_received (core, machine, report);
-  bool valid = mh_leader_valid (core);
+  bool valid = mh_election_is_leader (core->election);
   take_in (core, machine, report, MH_MESSAGE_REPORT);
-  if (!valid || core->leader.lost)
+  if (!valid || mh_election_is_stepping_down (core->election))
     return false;
   mh_worker_command_collect (core, machine, commands);
   machine->heartbeat.answer_pending = true;
@@ -289,7 +290,8 @@
 static bool
 may_answer (const MhCore *core)
 {
-  return core->leader.phase == MH_PHASE_LEAD && (mh_leader_valid (core) || may_keep_alive (core));
+  return mh_election_has_loaded (core->election)
+         && (mh_election_is_leader (core->election) || may_keep_alive (core));
 }
 
 void
@@ -299,7 +301,7 @@
   bool released = is_of_released_machine (core, machine, report);
   if (!released && report->token > mh_fencing_token (core, machine))
     {
-      mh_leader_lost (core, "a worker has seen a higher token");
+      mh_election_step_down (core->election, MH_LOSS_HIGHER_TOKEN);
       answer_report (core, request_id, STATUS_MISDIRECTED, mh_wire_write_redirect (NULL));
     }
   else if (released || !may_answer (core))
