--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -5,6 +5,7 @@
 #include "autoscaler/inventory.h"
 #include "autoscaler/scale-in.h"
 #include "autoscaler/scale-out.h"
+#include "placement/quota.h"
 
 #define STEP_INTERVAL_US (MH_SECOND_US / 2)
 #define SUMMARY_INTERVAL_US (10 * MH_SECOND_US)
@@ -85,18 +86,25 @@
   mh_scale_in_load (self->scale_in, entry);
 }
 
+/* What waits for its own team's quota needs no machine. */
 static guint
-count_waiting_tasks (MhCore *core)
+allowed_tasks (const MhCore *core, const MhJob *job)
 {
-  /* What waits for its own team's quota needs no machine. */
   const MhUse none = { 0 };
+  return mh_quota_allowed_tasks (core->settings, mh_cluster_team_use (core, job->spec->team), job,
+                                 &none, mh_task_failure_startable (core, job));
+}
+
+static guint
+count_waiting_tasks (MhCore *core)
+{
   guint waiting = 0;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, core->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (!mh_job_over (value))
-      waiting += mh_place_quota_room (core, value, &none, mh_task_failure_startable (core, value));
+    if (!mh_job_is_over (value))
+      waiting += allowed_tasks (core, value);
   return waiting;
 }
 
@@ -107,11 +115,12 @@
 {
   if (mh_job_backs_off (job))
     return "back_off";
-  if (core->now.mono_us < job->retry_us)
+  if (core->now.mono_us < job->placement.retry_after_us)
     return "retry_delay";
-  if (job->n_unheard && !mh_recovery_is_complete (core->recovery))
+  if (job->n_unreported && !mh_recovery_is_complete (core->recovery))
     return "unreported_machines";
-  if (!mh_place_quota_fits (core, job, job->spec->cpus, job->spec->gpus))
+  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core, job->spec->team), job,
+                      job->spec->cpus, job->spec->gpus))
     return "team_quota";
   return "no_capacity";
 }
@@ -127,9 +136,11 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhJob *job = value;
-      if (mh_job_over (job) || job->wanted_us == 0 || mh_job_pending (job) == 0)
+      if (mh_job_is_over (job) || job->placement.unplaced_since_us == 0
+          || mh_job_pending_tasks (job) == 0)
         continue;
-      if (longest == NULL || job->wanted_us < longest->wanted_us)
+      if (longest == NULL
+          || job->placement.unplaced_since_us < longest->placement.unplaced_since_us)
         longest = job;
     }
   return longest;
@@ -142,10 +153,10 @@
   const MhJob *job = find_longest_waiting_job (core);
   if (job == NULL)
     return;
-  gint64 waited_us = mh_runtime_now_us (self->context.runtime) - job->wanted_us;
+  gint64 waited_us = mh_runtime_now_us (self->context.runtime) - job->placement.unplaced_since_us;
   mh_log_info (self->context.runtime,
                "longest waiting job job=%s team=%s tasks=%u waited_s=%.0f reason=%s", job->spec->id,
-               job->spec->team, mh_job_pending (job), (double)waited_us / MH_SECOND_US,
+               job->spec->team, mh_job_pending_tasks (job), (double)waited_us / MH_SECOND_US,
                waiting_reason (core, job));
 }
 
--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -1,5 +1,5 @@
 #include "autoscaler/capacity-estimate.h"
-#include "placement/placement.h"
+#include "placement/resources.h"
 
 MhCapacityEstimate
 mh_capacity_estimate_for_type (const MhMachineType *type, const GRefString *zone, bool spot)
@@ -16,16 +16,16 @@
 mh_capacity_estimate_suits (const MhCapacityEstimate *estimate, const MhJob *job, const char *zone)
 {
   return (!estimate->spot || job->spec->spot) && (zone == NULL || zone == estimate->zone)
-         && mh_place_type_fits (job->spec, estimate->type);
+         && mh_job_spec_fits_type (job->spec, estimate->type);
 }
 
 guint
 mh_capacity_estimate_count_tasks (const MhCapacityEstimate *estimate, const MhJobSpec *spec,
                                   guint tasks)
 {
-  tasks = mh_place_times (estimate->free_cpus, spec->cpus, tasks);
-  tasks = mh_place_times (estimate->free_gpus, spec->gpus, tasks);
-  return mh_place_times (estimate->free_mem_gb, spec->mem_gb, tasks);
+  tasks = mh_resource_slots (estimate->free_cpus, spec->cpus, tasks);
+  tasks = mh_resource_slots (estimate->free_gpus, spec->gpus, tasks);
+  return mh_resource_slots (estimate->free_mem_gb, spec->mem_gb, tasks);
 }
 
 void
--- a/src/autoscaler/completion-forecast.c
+++ b/src/autoscaler/completion-forecast.c
@@ -1,6 +1,6 @@
 #include "autoscaler/completion-forecast.h"
 #include "cluster/attempt.h"
-#include "placement/placement.h"
+#include "placement/resources.h"
 
 /* Cpus that are expected to be free from a time on. */
 typedef struct
@@ -45,10 +45,10 @@
 expected_end_us (const MhAttempt *attempt, gint64 now_us)
 {
   const MhJob *job = attempt->job;
-  gint64 run_us = job->run_us;
+  gint64 run_us = job->placement.expected_run_us;
   gint64 left_us = attempt->running_since_us
                        ? run_us - (now_us - attempt->running_since_us)
-                       : run_us + job->fetch_us - (now_us - attempt->placed_us);
+                       : run_us + job->placement.expected_fetch_us - (now_us - attempt->placed_us);
   /* One that has outrun its estimate goes on for a part of it. */
   return now_us + MAX (left_us, run_us / 4);
 }
@@ -110,7 +110,7 @@
   while (reserved < request->tasks)
     {
       guint fitting
-          = mh_place_times (forecast->free_cpus, request->cpus, request->tasks - reserved);
+          = mh_resource_slots (forecast->free_cpus, request->cpus, request->tasks - reserved);
       if (fitting)
         {
           forecast->free_cpus -= request->cpus * fitting;
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -3,6 +3,9 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/completion-forecast.h"
 #include "autoscaler/machine-offer.h"
+#include "placement/filter.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
 
 struct MhDemandPlan
 {
@@ -73,7 +76,7 @@
   for (guint i = 0; i < types->len; i++)
     {
       const MhMachineType *type = g_ptr_array_index (types, i);
-      if (mh_place_type_fits (spec, type))
+      if (mh_job_spec_fits_type (spec, type))
         shortest_us = MIN (shortest_us, type->boot_us);
     }
   return shortest_us;
@@ -89,15 +92,18 @@
   gint64 now_us = plan_now_us (plan);
   gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->core), job->spec);
   /* Estimates are often wrong by half. */
-  gint64 latest_us = job->hopeless ? now_us : job->start_by_us - job->run_us / 2;
+  gint64 latest_us = job->placement.objectives_missed
+                         ? now_us
+                         : job->placement.latest_start_us - job->placement.expected_run_us / 2;
   /* What a new machine cannot bring in time any more does not call for one; only a backlog that
      would outlast its boot does. */
   if (latest_us < now_us + boot_us)
     latest_us = now_us + 2 * boot_us;
-  MhForecastRequest request = { .cpus = job->spec->cpus,
-                                .tasks = tasks,
-                                .latest_us = latest_us,
-                                .hold_us = job->run_us + job->fetch_us / 2 };
+  MhForecastRequest request
+      = { .cpus = job->spec->cpus,
+          .tasks = tasks,
+          .latest_us = latest_us,
+          .hold_us = job->placement.expected_run_us + job->placement.expected_fetch_us / 2 };
   return mh_completion_forecast_reserve (plan->forecast, &request);
 }
 
@@ -115,9 +121,11 @@
     assignment->zone = machine->zone;
   assignment->tasks_left -= tasks;
   if (spec->shape != MH_SHAPE_SERVICE)
-    mh_completion_forecast_add (
-        plan->forecast, plan_now_us (plan) + machine->type->boot_us + job->run_us + job->fetch_us,
-        spec->cpus * tasks);
+    mh_completion_forecast_add (plan->forecast,
+                                plan_now_us (plan) + machine->type->boot_us
+                                    + job->placement.expected_run_us
+                                    + job->placement.expected_fetch_us,
+                                spec->cpus * tasks);
   return tasks;
 }
 
@@ -129,7 +137,7 @@
 {
   if (spec->shape == MH_SHAPE_SERVICE)
     return 0;
-  guint repeated = mh_place_times (MAX (plan->lost_cpus, 0), spec->cpus, tasks);
+  guint repeated = mh_resource_slots (MAX (plan->lost_cpus, 0), spec->cpus, tasks);
   plan->lost_cpus -= spec->cpus * repeated;
   return repeated;
 }
@@ -142,9 +150,9 @@
   const MhJob *job = assignment->job;
   if (job->n_live || assignment->tasks_left < job->spec->tasks)
     return false;
-  assignment->tasks_left -= MIN (assignment->tasks_left, job->held);
-  if (job->held_zone)
-    assignment->zone = job->held_zone;
+  assignment->tasks_left -= MIN (assignment->tasks_left, job->gang.held_tasks);
+  if (job->gang.held_zone)
+    assignment->zone = job->gang.held_zone;
   return true;
 }
 
@@ -164,7 +172,8 @@
 {
   /* Tasks that stay together go to one zone, which their first machine decides: what was created
      for them elsewhere, while some ran, was of no use to them, and they waited on. */
-  Assignment assignment = { .job = job, .zone = mh_place_only_zone (job), .tasks_left = tasks };
+  Assignment assignment
+      = { .job = job, .zone = mh_filter_required_zone (job), .tasks_left = tasks };
   if (mh_job_is_gang (job) && !prepare_gang (&assignment))
     return;
   assign_to_planned_machines (plan, &assignment);
@@ -197,7 +206,8 @@
   const MhJobSpec *spec = job->spec;
   MhUse *use = planned_team_use (plan, spec->team);
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
-  guint tasks = mh_place_quota_room (core, job, use, mh_task_failure_rentable (core, job));
+  guint tasks = mh_quota_allowed_tasks (core->settings, mh_cluster_team_use (core, spec->team), job,
+                                        use, mh_task_failure_rentable (core, job));
   use->cpus += spec->cpus * tasks;
   use->gpus += spec->gpus * tasks;
   if (tasks > 0)
@@ -213,8 +223,9 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       MhJob *job = value;
-      job->run_us = mh_queue_run_us (core, job->spec);
-      job->fetch_us = mh_queue_fetch_us (core, job->spec);
+      job->placement.expected_run_us
+          = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
+      job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
     }
 }
 
@@ -224,7 +235,8 @@
 static GPtrArray *
 jobs_to_plan (MhCore *core)
 {
-  return mh_queue_jobs (core, mh_zone_any_heard (core) ? MH_QUEUE_ACCEPTED : MH_QUEUE_ALL);
+  return mh_job_queue_pending (core,
+                               mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL);
 }
 
 MhDemandPlan *
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -44,7 +44,7 @@
 static bool
 gang_is_durable (const MhJob *job)
 {
-  if (job->ending || job->n_live < job->spec->tasks)
+  if (job->gang.state == MH_GANG_STATE_ENDING || job->n_live < job->spec->tasks)
     return false;
   for (guint i = 0; i < job->spec->tasks; i++)
     {
@@ -61,7 +61,7 @@
   bool unseen
       = attempt->state == MH_ATTEMPT_RECORDED || attempt->state == MH_ATTEMPT_START_IN_FLIGHT;
   return unseen && !mh_attempt_is_from_record (attempt) && is_durable (attempt)
-         && !mh_job_over (attempt->job) && !mh_machine_is_releasing (attempt->machine)
+         && !mh_job_is_over (attempt->job) && !mh_machine_is_releasing (attempt->machine)
          && (!mh_job_is_gang (attempt->job) || gang_is_durable (attempt->job));
 }
 
@@ -112,7 +112,7 @@
       || job->tasks[orphan->index].state != MH_TASK_DONE)
     return false;
   const MhRecord *record = mh_job_record (job, orphan->index);
-  return job->finished || record->durable < record->rev;
+  return mh_job_is_finished (job) || record->durable < record->rev;
 }
 
 static void
@@ -171,7 +171,7 @@
   for (guint i = 0; i < machine->attempts->len; i++)
     {
       const MhAttempt *attempt = mh_machine_attempt (machine, i);
-      if (attempt->job->cancel_durable)
+      if (mh_job_is_cancel_durable (attempt->job))
         add_command (commands, MH_COMMAND_STOP, attempt, 0);
     }
 }
@@ -183,7 +183,7 @@
     {
       if (attempt->stop_sent_us)
         return MH_UNSENT_NONE;
-      return mh_job_over (attempt->job) ? MH_UNSENT_PATIENT : MH_UNSENT_URGENT;
+      return mh_job_is_over (attempt->job) ? MH_UNSENT_PATIENT : MH_UNSENT_URGENT;
     }
   if (mh_attempt_start_was_sent (attempt) || !may_start (attempt))
     return MH_UNSENT_NONE;
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -9,17 +9,29 @@
 #include "cluster/heartbeat.h"
 #include "cluster/image-wait.h"
 #include "base/token-bucket.h"
+#include "runtime/call-queue.h"
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
 #include "cluster/zone-silence.h"
-#include "placement/gang-scheduling.h"
 #include "jobs/job.h"
 #include "election/election.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
+#include "placement/candidate.h"
+#include "placement/filter.h"
+#include "placement/gang-attempt.h"
+#include "placement/gang-placement.h"
+#include "placement/infeasible.h"
 #include "placement/placement.h"
+#include "placement/preemption.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
+#include "placement/score.h"
+#include "placement/victim.h"
 #include "jobs/job-queue.h"
+#include "jobs/objective.h"
+#include "jobs/runtime-estimate.h"
 #include "storage/rechunk.h"
 #include "storage/record.h"
 #include "autoscaler/autoscaler.h"
@@ -28,12 +40,6 @@
 #include "runtime/call-queue.h"
 #include "storage/record-writer.h"
 
-typedef struct
-{
-  double ratio;
-  guint n;
-} MhClassStat;
-
 struct MhCore
 {
   const MhSettings *settings;
@@ -60,12 +66,9 @@
   guint txns; /* in flight */
   guint64 rev;
   MhCluster *cluster;
-  GHashTable *class_stats;        /* class -> MhClassStat */
-  gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
-  GHashTable *gangs;              /* ids of those that a task's end has consequences for */
-  gint64 gangs_looked_us;
-  bool place_wanted, place_urgent;
-  gint64 placed_us, preempted_us;
+  MhRuntimeEstimator *runtime_estimator;
+  MhGangAttempts *gang_attempts;
+  MhPlacement *placement;
   GHashTable *forwards; /* request id -> job id */
   GHashTable *lookups;  /* job id -> reads under way for its users; not owned */
 
