--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -13,9 +13,11 @@
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/recovery.h"
 #include "cluster/zone-silence.h"
 #include "jobs/job.h"
 #include "election/election.h"
+#include "election/leader-record.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
 #include "placement/candidate.h"
@@ -36,7 +38,6 @@
 #include "storage/record.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
-#include "cluster/recovery.h"
 #include "runtime/call-queue.h"
 #include "storage/record-writer.h"
 
@@ -49,7 +50,6 @@
 
   MhElection *election;
   MhRecovery *recovery;
-  guint fruitless_transfers; /* of leadership, because no worker was heard; none has been since */
 
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
@@ -77,6 +77,12 @@
 
 void
 mh_core_step (MhCore *core);
+/* leadership.c: what the controller does as leadership comes and goes. */
+const MhElectionCallbacks *
+mh_core_election_callbacks (void);
+/* leadership.c: notes whether the machines have reported to a new leader. */
+void
+mh_core_update_recovery (MhCore *core);
 /* For modules that still take the whole core; see src/runtime. */
 typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
 void
