--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -215,7 +215,7 @@
 is_leader_condition_refused (const MhReply *reply)
 {
   g_auto (GStrv) failed = reply->status == 409 ? mh_wire_read_failed (reply->body) : NULL;
-  return failed && g_strv_contains ((const char *const *)failed, "leader");
+  return failed && g_strv_contains ((const char *const *)failed, MH_LEADER_KEY);
 }
 
 static void
@@ -252,7 +252,7 @@
 write_record (MhScaleIn *self, ReleaseBatch *batch)
 {
   MhCondition conditions[]
-      = { { "leader", mh_election_key_version (self->context->core->election) },
+      = { { MH_LEADER_KEY, mh_election_key_version (self->context->core->election) },
           { batch->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (batch->machines);
   g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
