--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -279,7 +279,7 @@
   if (n == 0)
     return 0;
   mh_room_take (room, s, n);
-  if (s->one_zone)
+  if (s->single_zone)
     assignment->zone = room->zone;
   assignment->left -= n;
   if (s->shape != MH_SHAPE_SERVICE)
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -12,7 +12,7 @@
 types_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   (void)data;
-  GPtrArray *types = status == 200 ? mh_wire_read_machine_types (body) : NULL;
+  GPtrArray *types = status == 200 ? mh_machine_types_decode (body) : NULL;
   core->scale.types_busy = false;
   core->scale.types_us = core->now.mono_us + (types ? TYPES_US : MH_SECOND_US);
   if (types == NULL)
@@ -59,7 +59,7 @@
 {
   (void)data;
   bool more = false;
-  g_autoptr (GPtrArray) list = status == 200 ? mh_wire_read_machine_list (body, &more) : NULL;
+  g_autoptr (GPtrArray) list = status == 200 ? mh_machine_list_decode (body, &more) : NULL;
   core->scale.list_busy = false;
   core->scale.list_us = core->now.mono_us + MH_SECOND_US;
   if (list == NULL)
@@ -82,8 +82,8 @@
   core->scale.list_busy = true;
   if (after == NULL)
     core->scale.list_pages = 0;
-  mh_core_call (core, core->scale.listed ? MH_RANK_WORK : MH_RANK_RULES, mh_wire_machines (after),
-                0, CLOUD_TIMEOUT_US, list_reply, NULL, NULL);
+  mh_core_call (core, core->scale.listed ? MH_RANK_WORK : MH_RANK_RULES,
+                mh_cloud_request_machine_list (after), 0, CLOUD_TIMEOUT_US, list_reply, NULL, NULL);
 }
 
 void
@@ -94,8 +94,9 @@
     {
       core->scale.types_busy = true;
       /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
-      mh_core_call (core, core->types ? MH_RANK_WORK : MH_RANK_LEASE, mh_wire_machine_types (), 0,
-                    CLOUD_TIMEOUT_US, types_reply, NULL, NULL);
+      mh_core_call (core, core->types ? MH_RANK_WORK : MH_RANK_LEASE,
+                    mh_cloud_request_machine_types (), 0, CLOUD_TIMEOUT_US, types_reply, NULL,
+                    NULL);
     }
   if (!core->scale.list_busy && now >= core->scale.list_us)
     list_page (core, NULL);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -112,8 +112,8 @@
 static void
 call (MhCore *core, Parcel *p)
 {
-  mh_core_call (core, MH_RANK_RULES, mh_wire_release (p->names), 0, CLOUD_TIMEOUT_US, call_reply,
-                g_rc_box_acquire (p), parcel_unref);
+  mh_core_call (core, MH_RANK_RULES, mh_cloud_request_delete_machines (p->names), 0,
+                CLOUD_TIMEOUT_US, call_reply, g_rc_box_acquire (p), parcel_unref);
 }
 
 /* ---- the record ---- */
@@ -125,7 +125,7 @@
 write_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   Parcel *p = data;
-  g_auto (GStrv) failed = status == 409 ? mh_wire_read_failed (body) : NULL;
+  g_auto (GStrv) failed = status == 409 ? mh_kv_failed_conditions_decode (body) : NULL;
   if (failed && g_strv_contains ((const char *const *)failed, "leader"))
     mh_leader_lost (core, "another controller leads");
   /* Refused because it is there: a copy that was not answered has been carried out. */
@@ -143,25 +143,25 @@
 static void
 write_down (MhCore *core, Parcel *p)
 {
-  MhCondition conditions[] = { { "leader", core->leader.own_version }, { p->key, 0 } };
+  MhKvCondition conditions[] = { { "leader", core->leader.own_version }, { p->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (p->names);
-  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
-  MhChange put = { .key = p->key, .value = value };
+  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
+  MhKvChange put = { .key = p->key, .value = value };
   g_array_append_val (changes, put);
   for (char **key = p->old_keys; *key; key++)
     {
-      MhChange drop = { .key = *key };
+      MhKvChange drop = { .key = *key };
       g_array_append_val (changes, drop);
     }
-  mh_core_call (
-      core, MH_RANK_RULES,
-      mh_wire_txn (conditions, G_N_ELEMENTS (conditions), (MhChange *)changes->data, changes->len),
-      changes->len, STATE_TIMEOUT_US, write_reply, g_rc_box_acquire (p), parcel_unref);
+  mh_core_call (core, MH_RANK_RULES,
+                mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions),
+                                           (MhKvChange *)changes->data, changes->len),
+                changes->len, STATE_TIMEOUT_US, write_reply, g_rc_box_acquire (p), parcel_unref);
 }
 
 /* What an earlier leader wrote down. */
 void
-mh_release_load (MhCore *core, const MhEntry *e)
+mh_release_load (MhCore *core, const MhKvEntry *e)
 {
   char **names = mh_record_read_release (e->value);
   for (char **name = names; name && *name; name++)
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -8,7 +8,7 @@
 void
 mh_release_machine (MhCore *core, MhMachine *machine, const char *why);
 void
-mh_release_load (MhCore *core, const MhEntry *entry);
+mh_release_load (MhCore *core, const MhKvEntry *entry);
 void
 mh_release_step (MhCore *core);
 void
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -44,7 +44,7 @@
 mh_boot_joined (MhCore *core, const MhMachine *machine)
 {
   /* Of one that another leader rented, or that was up before, nothing is known. */
-  if (machine->type && machine->rented_here && machine->session <= 1)
+  if (machine->type && machine->rented_here && machine->incarnation <= 1)
     add_sample (stat_of (core, machine->type), (double)(core->now.mono_us - machine->rented_us));
 }
 
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -125,7 +125,7 @@
 probe_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   MhMachine *m = mh_fleet_machine (core, data);
-  g_autoptr (MhReport) r = status == 200 ? mh_wire_read_report (body) : NULL;
+  g_autoptr (MhHeartbeat) r = status == 200 ? mh_heartbeat_decode (body) : NULL;
   if (m == NULL)
     return;
   m->probing = false;
@@ -139,15 +139,15 @@
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (r->token < core->leader.own_epoch && mh_leader_valid (core))
+      if (r->fencing_token < core->leader.own_epoch && mh_leader_valid (core))
         mh_command_send (core, m, true);
     }
   /* The answer to a question is newer than all that was known when it was put. One that counts from
      the beginning comes from a worker that has lost its memory, of the epochs that it has seen too:
      nothing that is still on its way there is fenced any more. */
   else if (m->reported && !m->releasing
-           && (r->session < m->probed_session
-               || (r->session == m->probed_session && r->sequence < m->probed_sequence)))
+           && (r->incarnation < m->probed_incarnation
+               || (r->incarnation == m->probed_incarnation && r->sequence < m->probed_sequence)))
     mh_release_machine (core, m, "its worker has begun anew");
 }
 
@@ -155,10 +155,10 @@
 probe (MhCore *core, MhMachine *m)
 {
   m->probing = true;
-  m->probed_session = m->reported ? m->session : 0;
+  m->probed_incarnation = m->reported ? m->incarnation : 0;
   m->probed_sequence = m->reported ? m->sequence : 0;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_show (m->endpoint), 0, PROBE_TIMEOUT_US, probe_reply,
-                g_strdup (m->name), g_free);
+  mh_core_call (core, MH_RANK_RULES, mh_worker_request_status (m->endpoint), 0, PROBE_TIMEOUT_US,
+                probe_reply, g_strdup (m->name), g_free);
 }
 
 static void
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -205,7 +205,8 @@
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
       const MhJobSpec *s = a->job->spec;
-      if (a->stopping || a->phase != MH_TASK_FETCHING || mh_fleet_cached (m, a->job->image))
+      if (a->stopping || a->phase != MH_TASK_PHASE_FETCHING_IMAGE
+          || mh_fleet_cached (m, a->job->image))
         continue;
       double left
           = MAX (s->image_gb - (double)(core->now.mono_us - a->placed_us) / MH_SECOND_US * rate,
@@ -317,7 +318,7 @@
   a->attempt = t->attempt = attempt;
   a->machine = m;
   a->placed_us = core->now.mono_us;
-  a->phase = MH_TASK_FETCHING;
+  a->phase = MH_TASK_PHASE_FETCHING_IMAGE;
   t->live = a;
   t->state = MH_TASK_LIVE;
   job->n_live++;
@@ -503,7 +504,7 @@
     return m->token >= core->leader.own_epoch;
   if (!a->start_sent)
     return false;
-  if (a->start_session < m->session)
+  if (a->start_incarnation < m->incarnation)
     return true;
   if (!is_report || (!a->seen && !a->stopping))
     return false; /* the start is simply sent again */
@@ -513,47 +514,47 @@
 }
 
 static void
-attempt_ended (MhCore *core, MhAttempt *a, MhCause cause)
+attempt_ended (MhCore *core, MhAttempt *a, MhTaskEndReason cause)
 {
   MhMachine *m = a->machine;
   MhJob *job = a->job;
   switch (cause)
     {
-    case MH_CAUSE_DONE:
+    case MH_TASK_END_COMPLETED:
       if (a->running_us && !a->loaded)
         mh_queue_learn (core, job->spec, core->now.mono_us - a->running_us);
       mh_fault_task_done (core, m, job);
       break;
-    case MH_CAUSE_ERROR:
+    case MH_TASK_END_FAILED:
       /* A huge job that fails everywhere would fill the log with its tasks. */
       mh_core_log (core, mh_fault_backs_off (job) ? G_LOG_LEVEL_DEBUG : G_LOG_LEVEL_INFO,
                    "task %s/%u: failed on %s", job->spec->id, a->index, m->name);
       mh_fault_task_failed (core, m, job);
       break;
-    case MH_CAUSE_NO_ROOM:
-    case MH_CAUSE_BUSY:
+    case MH_TASK_END_INSUFFICIENT_RESOURCES:
+    case MH_TASK_END_OTHER_ATTEMPT:
       mh_info (core, "task %s/%u: %s refused it: %s", job->spec->id, a->index, m->name,
-               cause == MH_CAUSE_BUSY ? "another attempt is there" : "no room");
+               cause == MH_TASK_END_OTHER_ATTEMPT ? "another attempt is there" : "no room");
       m->hold_us = core->now.mono_us + MH_SECOND_US;
       break;
-    case MH_CAUSE_PEERS:
-    case MH_CAUSE_INCOMPLETE:
+    case MH_TASK_END_GANG_MEMBER_LOST:
+    case MH_TASK_END_GANG_INCOMPLETE:
       mh_info (core, "gang %s: task %u on %s: %s", job->spec->id, a->index, m->name,
-               cause == MH_CAUSE_PEERS ? "another task is gone"
-                                       : "the others did not come in time");
+               cause == MH_TASK_END_GANG_MEMBER_LOST ? "another task is gone"
+                                                     : "the others did not come in time");
       break;
-    case MH_CAUSE_UNKNOWN:
+    case MH_TASK_END_UNKNOWN_TASK:
       mh_info (core, "task %s/%u: %s does not know the job yet", job->spec->id, a->index, m->name);
       job->retry_us = core->now.mono_us + 2 * MH_SECOND_US;
       break;
     default:
       break;
     }
-  mh_fleet_attempt_over (core, a, cause == MH_CAUSE_DONE);
+  mh_fleet_attempt_over (core, a, cause == MH_TASK_END_COMPLETED);
 }
 
 static void
-observe_task (MhCore *core, MhMachine *m, const MhReportTask *t)
+observe_task (MhCore *core, MhMachine *m, const MhTaskStatus *t)
 {
   /* What it may do is not known: it is left alone. */
   if (g_hash_table_contains (core->unreadable, t->job))
@@ -576,26 +577,27 @@
     {
       a->seen = a->present = true;
       a->phase = t->phase;
-      set_running (core, a, t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING);
-      if (t->phase == MH_TASK_GATHERING && job->gathering_us == 0)
+      set_running (core, a,
+                   t->phase == MH_TASK_PHASE_RUNNING || t->phase == MH_TASK_PHASE_CHECKPOINTING);
+      if (t->phase == MH_TASK_PHASE_WAITING_FOR_GANG && job->gathering_us == 0)
         job->gathering_us = core->now.mono_us;
       /* One that was stopped while it waited for its image ends without it. */
-      if (t->phase == MH_TASK_GATHERING || t->phase == MH_TASK_RUNNING || t->phase == MH_TASK_SAVING
-          || t->cause == MH_CAUSE_DONE)
+      if (t->phase == MH_TASK_PHASE_WAITING_FOR_GANG || t->phase == MH_TASK_PHASE_RUNNING
+          || t->phase == MH_TASK_PHASE_CHECKPOINTING || t->end_reason == MH_TASK_END_COMPLETED)
         mh_fleet_cache (m, job->image, job->spec->image_gb);
-      if (t->phase != MH_TASK_ENDED)
+      if (t->phase != MH_TASK_PHASE_ENDED)
         return;
-      attempt_ended (core, a, t->cause);
+      attempt_ended (core, a, t->end_reason);
     }
   MhOrphan orphan = { .job = g_strdup (t->job),
                       .index = t->index,
                       .attempt = t->attempt,
-                      .ended = t->phase == MH_TASK_ENDED };
+                      .ended = t->phase == MH_TASK_PHASE_ENDED };
   g_array_append_val (m->orphans, orphan);
 }
 
 static void
-observe (MhCore *core, MhMachine *m, const MhReport *r, bool is_report)
+observe (MhCore *core, MhMachine *m, const MhHeartbeat *r, bool is_report)
 {
   bool first = !m->reported;
   m->reported = true;
@@ -608,9 +610,9 @@
     m->last_report_us = core->now.mono_us;
   if (!is_report)
     mh_fleet_send_commands (core, m);
-  m->session = r->session;
+  m->incarnation = r->incarnation;
   m->sequence = r->sequence;
-  m->token = r->token;
+  m->token = r->fencing_token;
   if (first)
     {
       mh_boot_joined (core, m);
@@ -639,7 +641,7 @@
   g_array_set_size (m->orphans, 0);
   m->unknown = 0;
   for (guint i = 0; i < r->tasks->len; i++)
-    observe_task (core, m, &g_array_index (r->tasks, MhReportTask, i));
+    observe_task (core, m, &g_array_index (r->tasks, MhTaskStatus, i));
   for (guint i = m->attempts->len; i-- > 0;)
     {
       MhAttempt *a = mh_machine_attempt (m, i);
@@ -652,18 +654,18 @@
 }
 
 static bool
-newer (const MhMachine *m, const MhReport *r)
+newer (const MhMachine *m, const MhHeartbeat *r)
 {
-  return !m->reported || r->session > m->session
-         || (r->session == m->session && r->sequence > m->sequence);
+  return !m->reported || r->incarnation > m->incarnation
+         || (r->incarnation == m->incarnation && r->sequence > m->sequence);
 }
 
 bool
-mh_fleet_answered (MhCore *core, MhMachine *m, const MhReport *r)
+mh_fleet_answered (MhCore *core, MhMachine *m, const MhHeartbeat *r)
 {
   if (strcmp (r->machine, m->name) != 0 || !newer (m, r))
     return false;
-  if (r->token > mh_command_token (core, m))
+  if (r->fencing_token > mh_command_token (core, m))
     {
       mh_leader_lost (core, "a worker has seen a higher token");
       return false;
@@ -708,7 +710,7 @@
 
 /* A report of unknown age: at most it tells where to ask. */
 static void
-note_unverified_report (MhCore *core, MhMachine *m, const MhReport *r)
+note_unverified_report (MhCore *core, MhMachine *m, const MhHeartbeat *r)
 {
   if (m == NULL || m->reported || m->releasing)
     return;
@@ -721,10 +723,11 @@
    that what the answer said must show. A machine whose reports arrive while nothing reaches it
    looks alive, and does nothing that it is told. */
 static void
-check_answer_received (MhCore *core, MhMachine *m, const MhReport *r)
+check_answer_received (MhCore *core, MhMachine *m, const MhHeartbeat *r)
 {
   bool asked = m->told && m->token < m->answered_token;
-  bool ignores = m->told && (r->token < m->answered_token || r->session > m->session);
+  bool ignores
+      = m->told && (r->fencing_token < m->answered_token || r->incarnation > m->incarnation);
   for (guint i = 0; i < m->attempts->len && m->told && !ignores; i++)
     {
       const MhAttempt *a = mh_machine_attempt (m, i);
@@ -733,7 +736,7 @@
       bool shown = false;
       for (guint k = 0; k < r->tasks->len && !shown; k++)
         {
-          const MhReportTask *t = &g_array_index (r->tasks, MhReportTask, k);
+          const MhTaskStatus *t = &g_array_index (r->tasks, MhTaskStatus, k);
           shown = t->index == a->index && t->attempt == a->attempt
                   && strcmp (t->job, a->job->spec->id) == 0;
         }
@@ -751,21 +754,21 @@
 }
 
 void
-mh_fleet_report (MhCore *core, guint64 id, const MhReport *r)
+mh_fleet_report (MhCore *core, guint64 id, const MhHeartbeat *r)
 {
   MhMachine *m = mh_fleet_machine (core, r->machine);
   /* One that this leadership knew is known no more when it has been given back. */
-  bool was_ours = m == NULL && r->token > core->leader.own_epoch
-                  && r->token < core->leader.own_epoch + MH_EPOCHS_EACH;
+  bool was_ours = m == NULL && r->fencing_token > core->leader.own_epoch
+                  && r->fencing_token < core->leader.own_epoch + MH_EPOCHS_EACH;
   if (core->leader.phase == MH_PHASE_LEAD && (was_ours || mh_fleet_returned (core, r->machine)))
     {
       answer_report (core, id, 503, NULL);
       return;
     }
-  if (r->token > mh_command_token (core, m))
+  if (r->fencing_token > mh_command_token (core, m))
     {
       mh_leader_lost (core, "a worker has seen a higher token");
-      answer_report (core, id, 421, mh_wire_write_redirect (NULL));
+      answer_report (core, id, 421, mh_redirect_encode (NULL));
       return;
     }
   /* One that has not read the records yet does not know what is cancelled: each of its answers
@@ -782,7 +785,7 @@
   /* Copies of reports come late, also of machines that are long gone and to a leader that has
      heard nothing newer. Only one with an epoch of this leadership was surely sent in it; by
      any other the worker is merely answered, and it reports again when it has seen the epoch. */
-  if (r->token < core->leader.own_epoch)
+  if (r->fencing_token < core->leader.own_epoch)
     note_unverified_report (core, m, r);
   else
     {
@@ -808,8 +811,7 @@
      not be able to say so later. */
   if (!told && m)
     mh_command_collect_cancelled (m, commands);
-  answer_report (core, id, 200,
-                 mh_wire_write_commands (mh_command_token (core, m), NULL, commands));
+  answer_report (core, id, 200, mh_commands_encode (mh_command_token (core, m), NULL, commands));
 }
 
 static void
@@ -824,11 +826,11 @@
         continue;
       gint64 ran = a->running_us ? core->now.mono_us - a->running_us : 0;
       /* Too late to save together: it may still end in time, and loses nothing more if not. */
-      if (mh_gang_is (a->job) && a->running_us && left < s->save_us + MH_SECOND_US)
+      if (mh_gang_is (a->job) && a->running_us && left < s->checkpoint_save_us + MH_SECOND_US)
         continue;
-      if (s->checkpoint_us > 0 && a->running_us)
-        mh_fleet_stop (core, a, MAX (0, MIN (s->save_us, left)));
-      else if (s->shape == MH_SHAPE_SERVICE || s->estimate_us - ran > left)
+      if (s->checkpoint_interval_us > 0 && a->running_us)
+        mh_fleet_stop (core, a, MAX (0, MIN (s->checkpoint_save_us, left)));
+      else if (s->shape == MH_SHAPE_SERVICE || s->estimated_run_us - ran > left)
         mh_fleet_stop (core, a, 0);
     }
 }
--- a/src/cluster/machine-registry.h
+++ b/src/cluster/machine-registry.h
@@ -18,7 +18,7 @@
   guint64 need_rev; /* the record's rev that must be durable before it is sent */
   bool loaded;      /* known from a record: what was sent, nobody here knows */
   bool start_sent;  /* a start may have left this process */
-  guint64 start_session;
+  guint64 start_incarnation;
   guint64 start_sequence; /* report whose response last carried the start; 0: none */
   bool first;             /* of a job that was starved */
   bool seen;              /* reported on the machine */
@@ -31,12 +31,12 @@
 };
 
 /* A start that was sent straight to the worker: it, or a late copy of it, may be carried out at any
-   later time, as long as token and session still match. */
+   later time, as long as token and incarnation still match. */
 typedef struct
 {
   char *job;
   guint index;
-  guint64 attempt, token, session;
+  guint64 attempt, token, incarnation;
   bool answered; /* that it was carried out */
   bool lost;     /* no answer will come */
 } MhUnacknowledgedStart;
@@ -79,10 +79,11 @@
   gint64 late_age_us;    /* had not joined at that age, when it should have; 0: is not late */
   gint64 known_us, rented_us, heard_us, idle_us;
   gint64 probed_us; /* for its report, for the first time since it was silent */
-  guint64 probed_session, probed_sequence; /* of the newest that was known when it was last asked */
-  gint64 unverified_us;                    /* a report of unknown age came */
-  gint64 notice_until_us;                  /* -1: no notice */
-  guint64 session, sequence, token;
+  guint64 probed_incarnation,
+      probed_sequence;    /* of the newest that was known when it was last asked */
+  gint64 unverified_us;   /* a report of unknown age came */
+  gint64 notice_until_us; /* -1: no notice */
+  guint64 incarnation, sequence, token;
   guint fence;            /* how often its token was raised in this leadership */
   gint64 held_us;         /* a clear has waited for that since then; 0: none */
   GPtrArray *attempts;    /* MhAttempt */
@@ -131,7 +132,7 @@
 mh_fleet_cpu_hourly (const MhMachine *machine); /* ... by the cpu */
 /* The worker's answer to a question or a command of this leader; false: nothing newer. */
 bool
-mh_fleet_answered (MhCore *core, MhMachine *machine, const MhReport *report);
+mh_fleet_answered (MhCore *core, MhMachine *machine, const MhHeartbeat *report);
 /* For how long a leader that cannot renew its lease may keep workers' tasks alive. */
 gint64
 mh_fleet_keep_alive_us (const MhCore *core);
@@ -142,7 +143,7 @@
 void
 mh_fleet_stop_job (MhCore *core, MhJob *job);
 void
-mh_fleet_report (MhCore *core, guint64 id, const MhReport *report);
+mh_fleet_report (MhCore *core, guint64 id, const MhHeartbeat *report);
 void
 mh_fleet_step (MhCore *core);
 /* Its release is confirmed: the machine is forgotten but for its name. */
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -107,7 +107,7 @@
   for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_gang_is (job); i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
-      if (attempt && attempt->phase == MH_TASK_FETCHING && !attempt->stopping)
+      if (attempt && attempt->phase == MH_TASK_PHASE_FETCHING_IMAGE && !attempt->stopping)
         mh_fleet_stop (core, attempt, 0);
     }
 }
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -69,7 +69,7 @@
             m->name, mh_command_token (core, m));
 }
 
-/* A late command is carried out only under its own session and an token that the worker has not
+/* A late command is carried out only under its own incarnation and an token that the worker has not
    outgrown. */
 void
 mh_command_forget_fenced (MhMachine *m)
@@ -77,7 +77,7 @@
   for (guint i = 0; i < m->unacknowledged->len;)
     {
       const MhUnacknowledgedStart *l = &g_array_index (m->unacknowledged, MhUnacknowledgedStart, i);
-      if (l->session < m->session || l->token < m->token)
+      if (l->incarnation < m->incarnation || l->token < m->token)
         g_array_remove_index_fast (m->unacknowledged, i);
       else
         i++;
@@ -127,7 +127,7 @@
         {
           add_command (commands, MH_COMMAND_START, job, a->index, a->attempt, 0);
           a->start_sent = true;
-          a->start_session = m->session;
+          a->start_incarnation = m->incarnation;
           if (!direct)
             a->start_sequence = m->sequence;
         }
@@ -226,7 +226,7 @@
 {
   Direct *d = data;
   MhMachine *m = mh_fleet_machine (core, d->machine);
-  g_autoptr (MhReport) r = status == 200 || status == 409 ? mh_wire_read_report (body) : NULL;
+  g_autoptr (MhHeartbeat) r = status == 200 || status == 409 ? mh_heartbeat_decode (body) : NULL;
   if (m == NULL)
     return;
   m->direct--;
@@ -322,14 +322,16 @@
   for (guint i = 0; i < commands->len; i++)
     {
       const MhCommand *o = &g_array_index (commands, MhCommand, i);
-      MhUnacknowledgedStart l
-          = { .index = o->index, .attempt = o->attempt, .token = token, .session = m->session };
+      MhUnacknowledgedStart l = {
+        .index = o->index, .attempt = o->attempt, .token = token, .incarnation = m->incarnation
+      };
       if (o->kind != MH_COMMAND_START)
         continue;
       l.job = g_strdup (o->job);
       g_array_append_val (m->unacknowledged, l);
     }
   m->direct++;
-  mh_core_call (core, MH_RANK_WORK, mh_wire_commands (m->endpoint, token, m->session, commands), 0,
+  mh_core_call (core, MH_RANK_WORK,
+                mh_worker_request_commands (m->endpoint, token, m->incarnation, commands), 0,
                 DIRECT_TIMEOUT_US, direct_reply, d, direct_free);
 }
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -157,7 +157,7 @@
   a->request = g_steal_pointer (&q->request);
   a->timeout_us = q->timeout_us;
   /* Commands, rentals, releases. What is written has its own conditions. */
-  if (a->request->target != MH_TARGET_STATE && a->request->body)
+  if (a->request->target != MH_TARGET_KEY_VALUE_STORE && a->request->body)
     a->until_us = core->leader.valid_until_us;
   queued_free (q);
 }
@@ -176,9 +176,9 @@
   q->timeout_us = timeout_us;
   q->writes = writes;
   g_hash_table_insert (core->calls, g_memdup2 (&q->id, sizeof q->id), call);
-  g_queue_push_tail (request->target == MH_TARGET_STATE   ? &core->state_queue[rank]
-                     : request->target == MH_TARGET_CLOUD ? &core->cloud_queue[rank]
-                                                          : &core->worker_queue,
+  g_queue_push_tail (request->target == MH_TARGET_KEY_VALUE_STORE ? &core->state_queue[rank]
+                     : request->target == MH_TARGET_CLOUD         ? &core->cloud_queue[rank]
+                                                                  : &core->worker_queue,
                      q);
 }
 
@@ -563,7 +563,7 @@
 /* ---- workers ---- */
 
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report)
+mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report)
 {
   enter (core, now);
   if (core->leader.phase >= MH_PHASE_LOAD)
@@ -572,7 +572,7 @@
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
       a->status = 421;
-      a->body = mh_wire_write_redirect (core->leader.node);
+      a->body = mh_redirect_encode (core->leader.node);
     }
   mh_core_step (core);
 }
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -55,7 +55,7 @@
 mh_core_user (MhCore *core, const MhNow *now, guint64 id, MhUserVerb verb, const char *job,
               MhJobSpec *spec, bool forwarded);
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report);
+mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report);
 /* status 0: no answer, so that whether the request was carried out is unknown. */
 void
 mh_core_reply (MhCore *core, const MhNow *now, guint64 id, guint status, const MhValue *body);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -53,7 +53,7 @@
 }
 
 static void
-learn (MhCore *core, const MhEntry *e)
+learn (MhCore *core, const MhKvEntry *e)
 {
   char *node = NULL;
   guint64 epoch = 0, lease_id;
@@ -85,7 +85,7 @@
       campaign (core);
       return;
     }
-  MhEntry *e = status == 200 ? mh_wire_read_entry (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
   if (e == NULL)
     {
       retry (core, 200000);
@@ -93,7 +93,7 @@
     }
   learn (core, e);
   guint64 version = e->version;
-  mh_entry_free (e);
+  mh_kv_entry_free (e);
   /* An earlier life of this very process held the lease: nobody else may take it before its end,
      but this process may, since the earlier life is over. */
   if (self (core))
@@ -106,8 +106,8 @@
 look (MhCore *core)
 {
   core->leader.busy = true;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, look_reply, NULL,
-                NULL);
+  mh_core_call (core, MH_RANK_LEASE, mh_kv_request_get ("leader"), 0, CALL_TIMEOUT_US, look_reply,
+                NULL, NULL);
 }
 
 static void
@@ -115,16 +115,16 @@
 {
   guint64 revision;
   (void)data;
-  g_autoptr (GPtrArray) events = status == 200 ? mh_wire_read_events (body, &revision) : NULL;
+  g_autoptr (GPtrArray) events = status == 200 ? mh_kv_events_decode (body, &revision) : NULL;
   if (events == NULL)
     {
       retry (core, 200000);
       return;
     }
-  const MhEntry *last = NULL;
+  const MhKvEntry *last = NULL;
   for (guint i = 0; i < events->len; i++)
     {
-      const MhEntry *e = g_ptr_array_index (events, i);
+      const MhKvEntry *e = g_ptr_array_index (events, i);
       if (strcmp (e->key, "leader") == 0)
         last = e;
     }
@@ -156,7 +156,7 @@
 {
   core->leader.phase = MH_PHASE_FOLLOW;
   core->leader.busy = true;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_watch ("leader", since, WATCH_US), 0,
+  mh_core_call (core, MH_RANK_LEASE, mh_kv_request_watch ("leader", since, WATCH_US), 0,
                 WATCH_US + CALL_TIMEOUT_US, watch_reply, NULL, NULL);
 }
 
@@ -177,7 +177,7 @@
 {
   core->leader.phase = MH_PHASE_FOLLOW;
   if (core->leader.lease_id)
-    mh_core_call (core, MH_RANK_STRANGER, mh_wire_lease_revoke (core->leader.lease_id), 0,
+    mh_core_call (core, MH_RANK_STRANGER, mh_kv_request_revoke_lease (core->leader.lease_id), 0,
                   CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
   core->leader.lease_id = 0;
   retry (core, again_us);
@@ -204,7 +204,7 @@
 check_won_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   (void)data;
-  MhEntry *e = status == 200 ? mh_wire_read_entry (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
   g_autofree char *node = NULL;
   guint64 epoch, lease_id;
   /* An earlier life of this node, ended in the middle of its election, may have put its name there
@@ -213,7 +213,7 @@
               && strcmp (node, core->settings->node) == 0 && epoch == core->leader.own_epoch
               && lease_id == core->leader.lease_id;
   guint64 version = e ? e->version : 0;
-  mh_entry_free (e);
+  mh_kv_entry_free (e);
   if (mine && core->now.mono_us < core->leader.valid_until_us)
     won (core, version);
   else
@@ -225,7 +225,7 @@
 {
   guint64 version;
   (void)data;
-  if (status == 200 && mh_wire_read_revision (body, &version))
+  if (status == 200 && mh_kv_revision_decode (body, &version))
     {
       if (core->now.mono_us < core->leader.valid_until_us)
         won (core, version);
@@ -234,8 +234,8 @@
     }
   else if (status == 0 || status == 200)
     /* Unknown: it may have been carried out. */
-    mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("leader"), 0, CALL_TIMEOUT_US, check_won_reply,
-                  NULL, NULL);
+    mh_core_call (core, MH_RANK_LEASE, mh_kv_request_get ("leader"), 0, CALL_TIMEOUT_US,
+                  check_won_reply, NULL, NULL);
   else
     give_up_campaign (core, status == 409 ? 20000 : 200000);
 }
@@ -243,15 +243,16 @@
 static void
 take (MhCore *core, guint64 epoch_version)
 {
-  MhCondition conditions[] = { { "leader", core->leader.key_version }, { "epoch", epoch_version } };
+  MhKvCondition conditions[]
+      = { { "leader", core->leader.key_version }, { "epoch", epoch_version } };
   g_autoptr (MhValue) leader = mh_record_write_leader (core->settings->node, core->leader.own_epoch,
                                                        core->leader.lease_id);
   g_autoptr (MhValue) last = mh_record_write_epoch (core->leader.own_epoch + MH_EPOCHS_EACH - 1);
-  MhChange changes[] = { { "leader", leader, core->leader.lease_id }, { "epoch", last, 0 } };
-  mh_core_call (
-      core, MH_RANK_LEASE,
-      mh_wire_txn (conditions, G_N_ELEMENTS (conditions), changes, G_N_ELEMENTS (changes)), 2,
-      CALL_TIMEOUT_US, take_reply, NULL, NULL);
+  MhKvChange changes[] = { { "leader", leader, core->leader.lease_id }, { "epoch", last, 0 } };
+  mh_core_call (core, MH_RANK_LEASE,
+                mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions), changes,
+                                           G_N_ELEMENTS (changes)),
+                2, CALL_TIMEOUT_US, take_reply, NULL, NULL);
 }
 
 static void
@@ -261,10 +262,10 @@
   (void)data;
   if (status == 200)
     {
-      MhEntry *e = mh_wire_read_entry (body);
+      MhKvEntry *e = mh_kv_entry_decode (body);
       bool ok = e && mh_record_read_epoch (e->value, &epoch);
       version = e ? e->version : 0;
-      mh_entry_free (e);
+      mh_kv_entry_free (e);
       if (!ok)
         status = 0;
     }
@@ -293,15 +294,15 @@
 static void
 lease_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
-  if (status != 200 || !mh_wire_read_lease (body, &core->leader.lease_id))
+  if (status != 200 || !mh_kv_lease_decode (body, &core->leader.lease_id))
     {
       give_up_campaign (core, 200000);
       return;
     }
   core->leader.valid_until_us = lease_end (core, ((Sent *)data)->sent_us);
   core->leader.confirmed_us = ((Sent *)data)->sent_us;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply, NULL,
-                NULL);
+  mh_core_call (core, MH_RANK_LEASE, mh_kv_request_get ("epoch"), 0, CALL_TIMEOUT_US, epoch_reply,
+                NULL, NULL);
 }
 
 static void
@@ -318,7 +319,7 @@
   core->leader.phase = MH_PHASE_CAMPAIGN;
   core->leader.busy = true;
   core->leader.lease_id = 0;
-  mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_grant (core->settings->lease_us), 0,
+  mh_core_call (core, MH_RANK_LEASE, mh_kv_request_grant_lease (core->settings->lease_us), 0,
                 CALL_TIMEOUT_US, lease_reply, sent_now (core), g_free);
 }
 
@@ -402,7 +403,7 @@
   if (core->leader.hands_over)
     {
       /* The lease is ended, so that the others need not wait for its end. */
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_revoke (core->leader.lease_id), 0,
+      mh_core_call (core, MH_RANK_LEASE, mh_kv_request_revoke_lease (core->leader.lease_id), 0,
                     CALL_TIMEOUT_US, ignore_reply, NULL, NULL);
       core->leader.shy_until_us = core->now.mono_us + SHY_US;
     }
@@ -495,7 +496,7 @@
   if (!core->leader.renewing && now >= core->leader.renew_us)
     {
       core->leader.renewing = true;
-      mh_core_call (core, MH_RANK_LEASE, mh_wire_lease_renew (core->leader.lease_id), 0,
+      mh_core_call (core, MH_RANK_LEASE, mh_kv_request_renew_lease (core->leader.lease_id), 0,
                     MIN (CALL_TIMEOUT_US, core->settings->lease_us / 3), renew_reply,
                     sent_now (core), g_free);
     }
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -64,7 +64,7 @@
 void
 mh_queue_learn (MhCore *core, const MhJobSpec *s, gint64 ran_us)
 {
-  if (s->estimate_us < MH_SECOND_US)
+  if (s->estimated_run_us < MH_SECOND_US)
     return;
   MhClassStat *stat = g_hash_table_lookup (core->class_stats, s->class_name);
   if (stat == NULL)
@@ -74,13 +74,13 @@
     }
   stat->n++;
   double weight = MAX (1.0 / stat->n, 0.02);
-  stat->ratio += weight * ((double)ran_us / (double)s->estimate_us - stat->ratio);
+  stat->ratio += weight * ((double)ran_us / (double)s->estimated_run_us - stat->ratio);
 }
 
 gint64
 mh_queue_run_us (MhCore *core, const MhJobSpec *s)
 {
-  return (gint64)((double)s->estimate_us * mh_queue_bias (core, s->class_name));
+  return (gint64)((double)s->estimated_run_us * mh_queue_bias (core, s->class_name));
 }
 
 gint64
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -11,7 +11,7 @@
 guint
 mh_job_chunk (const MhJobSpec *spec, guint value_bytes)
 {
-  g_autoptr (MhValue) v = mh_wire_write_submission (spec);
+  g_autoptr (MhValue) v = mh_submission_encode (spec);
   gsize used = mh_value_json_size (v) + RECORD_JSON;
   if (used + LEAST_CHUNK * TASK_JSON > value_bytes)
     return 0;
@@ -77,7 +77,7 @@
 gint64
 mh_job_grace_us (const MhJob *job)
 {
-  return job->spec->checkpoint_us > 0 ? job->spec->save_us : 0;
+  return job->spec->checkpoint_interval_us > 0 ? job->spec->checkpoint_save_us : 0;
 }
 
 /* Only what is durable may be told: an answer that a successor would take back is never given. */
--- a/src/placement/gang-scheduling.c
+++ b/src/placement/gang-scheduling.c
@@ -31,9 +31,9 @@
 bool
 mh_gang_possible (const MhCore *core, const MhJobSpec *s)
 {
-  if (!s->scatter || s->tasks == 1)
+  if (!s->spread_over_zones || s->tasks == 1)
     return true;
-  if (s->one_zone || s->zone)
+  if (s->single_zone || s->zone)
     return false;
   const char *first = NULL;
   for (guint i = 0; core->types && i < core->types->len; i++)
@@ -184,7 +184,7 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *a = job->tasks[i].live;
-      if (a && a->phase == MH_TASK_FETCHING)
+      if (a && a->phase == MH_TASK_PHASE_FETCHING_IMAGE)
         a->machine->hold_us = now + LATE_IMAGE_US;
     }
   mh_gang_stop (core, job, 0);
@@ -311,7 +311,7 @@
 take (Search *f, const char *zone, Room room)
 {
   const MhJobSpec *s = f->job->spec;
-  guint most = s->scatter ? (s->tasks + 1) / 2 : s->tasks;
+  guint most = s->spread_over_zones ? (s->tasks + 1) / 2 : s->tasks;
   g_autofree guint *in_zone = g_new0 (guint, f->zones->len + 1);
   gint64 first = G_MAXINT64,
          apart = (gint64)((double)f->core->settings->gang_wait_us * APART_SHARE);
@@ -355,10 +355,10 @@
   Taken best = { 0 };
   const char *best_zone = NULL;
   bool found = false;
-  guint groups = f->job->spec->one_zone ? f->zones->len : MIN (f->zones->len, 1);
+  guint groups = f->job->spec->single_zone ? f->zones->len : MIN (f->zones->len, 1);
   for (guint i = 0; i < groups; i++)
     {
-      const char *zone = f->job->spec->one_zone ? g_ptr_array_index (f->zones, i) : NULL;
+      const char *zone = f->job->spec->single_zone ? g_ptr_array_index (f->zones, i) : NULL;
       Taken taken = take (f, zone, room);
       if (taken.tasks < f->job->spec->tasks || taken.last_us > wait_us
           || (found && !better (room, &taken, &best)))
@@ -475,7 +475,7 @@
   if (best == NULL)
     return;
   f->job->held = take (f, best, ROOM_NOW).tasks;
-  f->job->held_zone = f->job->spec->one_zone ? best : NULL;
+  f->job->held_zone = f->job->spec->single_zone ? best : NULL;
   promise_taken (f);
 }
 
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -194,7 +194,8 @@
 walk_cost (const MhJobSpec *s, const Candidate *c, gint64 patience)
 {
   if (s->shape != MH_SHAPE_SERVICE)
-    return mh_fleet_cpu_hourly (c->machine) * (double)(c->wait_us + s->estimate_us + MH_SECOND_US)
+    return mh_fleet_cpu_hourly (c->machine)
+           * (double)(c->wait_us + s->estimated_run_us + MH_SECOND_US)
            * (c->wait_us > patience ? TOO_LATE : 1);
   if (c->wait_us <= 0)
     return 0;
@@ -237,7 +238,7 @@
 {
   const MhJobSpec *s = p->job->spec;
   /* Counting walks all tasks of the job; most arrays need no counts. */
-  if (p->job->n_live == 0 || !(p->spread || s->one_zone || s->scatter))
+  if (p->job->n_live == 0 || !(p->spread || s->single_zone || s->spread_over_zones))
     return;
   for (guint i = 0; i < s->tasks; i++)
     if (p->job->tasks[i].live && p->job->tasks[i].live->machine->zone)
@@ -252,7 +253,7 @@
 const char *
 mh_place_only_zone (const MhJob *job)
 {
-  if (job->spec->one_zone)
+  if (job->spec->single_zone)
     for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
       if (job->tasks[i].live)
         {
@@ -310,7 +311,7 @@
 learn_full (Pass *pass, const MhJob *job)
 {
   const MhJobSpec *s = job->spec;
-  if (s->types || s->zone || s->one_zone)
+  if (s->types || s->zone || s->single_zone)
     return;
   Full f = { .cpus = s->cpus, .gpus = s->gpus, .mem_gb = s->mem_gb, .spot = s->spot };
   g_array_append_val (pass->full, f);
@@ -359,10 +360,10 @@
 {
   const MhZoneCount *zones = (const MhZoneCount *)p->zones->data;
   const MhJobSpec *s = p->job->spec;
-  if (s->scatter && zones[zone].count + 1 > (s->tasks + 1) / 2)
+  if (s->spread_over_zones && zones[zone].count + 1 > (s->tasks + 1) / 2)
     return false;
   /* same_place: an earlier task of this very pass may have fixed the zone. */
-  if (s->one_zone)
+  if (s->single_zone)
     for (guint i = 0; i < p->zones->len; i++)
       if (i != zone && zones[i].count)
         return false;
@@ -655,7 +656,7 @@
     return true;
   if (!core->leader.rebuilt)
     return false;
-  if (s->shape != MH_SHAPE_SERVICE && !s->scatter && !s->one_zone)
+  if (s->shape != MH_SHAPE_SERVICE && !s->spread_over_zones && !s->single_zone)
     return true;
   for (guint i = 0; i < s->tasks; i++)
     if (job->tasks[i].live && job->tasks[i].live->machine->zone == NULL)
@@ -785,7 +786,7 @@
       if (preempt_one (p, p->patience) || preempt_one (p, G_MAXINT64))
         continue;
       if (p->pass->preemptions < PREEMPTIONS_PER_PASS && !p->spread && !s->types && !s->zone
-          && !s->one_zone && !s->scatter)
+          && !s->single_zone && !s->spread_over_zones)
         g_ptr_array_add (p->pass->stuck, job);
       return;
     }
--- a/src/protocol/peer.c
+++ b/src/protocol/controller-messages.c
@@ -1,4 +1,4 @@
-#include "protocol/peer.h"
+#include "protocol/controller-messages.h"
 #include "peer_xdr.h"
 #include "protocol/wire.h"
 
@@ -9,7 +9,7 @@
 #define HEAD 4u
 
 void
-mh_peer_message_clear (MhPeerMessage *m)
+mh_controller_message_clear (MhControllerMessage *m)
 {
   g_clear_pointer (&m->job, g_free);
   g_clear_pointer (&m->body, g_bytes_unref);
@@ -33,7 +33,7 @@
 }
 
 GByteArray *
-mh_peer_write_call (guint64 id, MhUserVerb verb, const char *job, GBytes *body)
+mh_controller_request_encode (guint64 id, MhUserVerb verb, const char *job, GBytes *body)
 {
   gsize size = 0;
   const char *data = body ? g_bytes_get_data (body, &size) : NULL;
@@ -48,7 +48,7 @@
 }
 
 GByteArray *
-mh_peer_write_answer (guint64 id, const MhUserAnswer *a)
+mh_controller_response_encode (guint64 id, const MhUserAnswer *a)
 {
   peer_message m = { .kind = PEER_ANSWER };
   m.peer_message_u.answer = (peer_answer){ .id = id,
@@ -61,7 +61,7 @@
 }
 
 GByteArray *
-mh_peer_write_announcement (const char *node, guint64 epoch)
+mh_controller_announcement_encode (const char *node, guint64 epoch)
 {
   peer_message m = { .kind = PEER_ANNOUNCEMENT };
   m.peer_message_u.announcement = (peer_announcement){ .node = (char *)node, .epoch = epoch };
@@ -69,15 +69,15 @@
 }
 
 static bool
-take (const peer_message *x, MhPeerMessage *m)
+take (const peer_message *x, MhControllerMessage *m)
 {
   memset (m, 0, sizeof *m);
   if (x->kind == PEER_CALL)
     {
       const peer_call *call = &x->peer_message_u.call;
-      if (call->verb < PEER_SUBMIT || call->verb > PEER_CANCEL || !mh_wire_job_id_valid (call->job))
+      if (call->verb < PEER_SUBMIT || call->verb > PEER_CANCEL || !mh_job_id_is_valid (call->job))
         return false;
-      m->kind = MH_PEER_CALL;
+      m->kind = MH_CONTROLLER_REQUEST;
       m->id = call->id;
       m->verb = (MhUserVerb)call->verb;
       m->job = g_strdup (call->job);
@@ -86,7 +86,7 @@
     }
   if (x->kind == PEER_ANNOUNCEMENT)
     {
-      m->kind = MH_PEER_ANNOUNCEMENT;
+      m->kind = MH_CONTROLLER_ANNOUNCEMENT;
       m->id = x->peer_message_u.announcement.epoch;
       m->job = g_strdup (x->peer_message_u.announcement.node);
       return *m->job != '\0';
@@ -94,7 +94,7 @@
   const peer_answer *a = &x->peer_message_u.answer;
   if (x->kind != PEER_ANSWER || a->state > MH_JOB_CANCELLED || a->status < 200 || a->status > 599)
     return false;
-  m->kind = MH_PEER_ANSWER;
+  m->kind = MH_CONTROLLER_RESPONSE;
   m->id = a->id;
   m->answer = (MhUserAnswer){ .status = a->status,
                               .retry_after_s = a->retry_after_s,
@@ -104,18 +104,18 @@
   return true;
 }
 
-MhPeerRead
-mh_peer_read (GByteArray *buffer, MhPeerMessage *message)
+MhControllerReadResult
+mh_controller_message_read (GByteArray *buffer, MhControllerMessage *message)
 {
   guint32 size;
   if (buffer->len < HEAD)
-    return MH_PEER_MORE;
+    return MH_CONTROLLER_READ_INCOMPLETE;
   memcpy (&size, buffer->data, HEAD);
   size = GUINT32_FROM_BE (size);
   if (size > RECORD_MAX)
-    return MH_PEER_BAD;
+    return MH_CONTROLLER_READ_MALFORMED;
   if (buffer->len < HEAD + size)
-    return MH_PEER_MORE;
+    return MH_CONTROLLER_READ_INCOMPLETE;
   XDR xdr;
   peer_message x;
   memset (&x, 0, sizeof x);
@@ -124,5 +124,5 @@
   xdr_free ((xdrproc_t)xdr_peer_message, (char *)&x);
   xdr_destroy (&xdr);
   g_byte_array_remove_range (buffer, 0, HEAD + size);
-  return ok ? MH_PEER_READ : MH_PEER_BAD;
+  return ok ? MH_CONTROLLER_READ_MESSAGE : MH_CONTROLLER_READ_MALFORMED;
 }
--- a/src/protocol/types.c
+++ b/src/protocol/types.c
@@ -17,21 +17,21 @@
 static void
 report_task_clear (gpointer data)
 {
-  g_free (((MhReportTask *)data)->job);
+  g_free (((MhTaskStatus *)data)->job);
 }
 
-MhReport *
-mh_report_new (void)
+MhHeartbeat *
+mh_heartbeat_new (void)
 {
-  MhReport *r = g_new0 (MhReport, 1);
-  r->tasks = g_array_new (FALSE, FALSE, sizeof (MhReportTask));
+  MhHeartbeat *r = g_new0 (MhHeartbeat, 1);
+  r->tasks = g_array_new (FALSE, FALSE, sizeof (MhTaskStatus));
   g_array_set_clear_func (r->tasks, report_task_clear);
   r->notice_us = -1;
   return r;
 }
 
 void
-mh_report_free (MhReport *r)
+mh_heartbeat_free (MhHeartbeat *r)
 {
   if (r == NULL)
     return;
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -44,8 +44,8 @@
   MhPriority priority;
   guint tasks;
   double cpus, gpus, mem_gb, image_gb;
-  bool one_zone, scatter, spot;
-  gint64 estimate_us, checkpoint_us, save_us;
+  bool single_zone, spread_over_zones, spot;
+  gint64 estimated_run_us, checkpoint_interval_us, checkpoint_save_us;
   gint64 deadline_us; /* -1: none */
 } MhJobSpec;
 
@@ -55,25 +55,25 @@
 
 typedef enum
 {
-  MH_TASK_FETCHING,
-  MH_TASK_GATHERING, /* of a gang: has its image, and waits for the others */
-  MH_TASK_RUNNING,
-  MH_TASK_SAVING,
-  MH_TASK_ENDED
+  MH_TASK_PHASE_FETCHING_IMAGE,
+  MH_TASK_PHASE_WAITING_FOR_GANG, /* of a gang: has its image, and waits for the others */
+  MH_TASK_PHASE_RUNNING,
+  MH_TASK_PHASE_CHECKPOINTING,
+  MH_TASK_PHASE_ENDED
 } MhTaskPhase;
 
 typedef enum
 {
-  MH_CAUSE_NONE,
-  MH_CAUSE_DONE,
-  MH_CAUSE_STOPPED,
-  MH_CAUSE_ERROR,
-  MH_CAUSE_NO_ROOM,
-  MH_CAUSE_BUSY,
-  MH_CAUSE_UNKNOWN,
-  MH_CAUSE_PEERS,     /* of a gang: another task is gone */
-  MH_CAUSE_INCOMPLETE /* of a gang: the others did not come in time */
-} MhCause;
+  MH_TASK_END_NONE,
+  MH_TASK_END_COMPLETED,
+  MH_TASK_END_STOPPED,
+  MH_TASK_END_FAILED,
+  MH_TASK_END_INSUFFICIENT_RESOURCES,
+  MH_TASK_END_OTHER_ATTEMPT,
+  MH_TASK_END_UNKNOWN_TASK,
+  MH_TASK_END_GANG_MEMBER_LOST, /* of a gang: another task is gone */
+  MH_TASK_END_GANG_INCOMPLETE   /* of a gang: the others did not come in time */
+} MhTaskEndReason;
 
 /* One task in a worker's report. */
 typedef struct
@@ -82,23 +82,23 @@
   guint index;
   guint64 attempt;
   MhTaskPhase phase;
-  MhCause cause;
-} MhReportTask;
+  MhTaskEndReason end_reason;
+} MhTaskStatus;
 
 typedef struct
 {
   char *machine, *endpoint, *type, *zone;
   bool spot;
-  guint64 session, sequence, token;
+  guint64 incarnation, sequence, fencing_token;
   gint64 notice_us; /* -1: none */
-  GArray *tasks;    /* of MhReportTask */
-} MhReport;
+  GArray *tasks;    /* of MhTaskStatus */
+} MhHeartbeat;
 
-MhReport *
-mh_report_new (void);
+MhHeartbeat *
+mh_heartbeat_new (void);
 void
-mh_report_free (MhReport *report);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhReport, mh_report_free)
+mh_heartbeat_free (MhHeartbeat *report);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhHeartbeat, mh_heartbeat_free)
 
 typedef enum
 {
--- a/src/protocol/wire-cloud.c
+++ b/src/protocol/wire-cloud.c
@@ -20,7 +20,7 @@
 }
 
 GPtrArray *
-mh_wire_read_machine_types (const MhValue *b)
+mh_machine_types_decode (const MhValue *b)
 {
   MhValue *list = mh_value_get (b, "racks");
   if (list == NULL || !cbor_isa_array (list))
@@ -52,7 +52,7 @@
 }
 
 GPtrArray *
-mh_wire_read_machine_list (const MhValue *b, bool *more)
+mh_machine_list_decode (const MhValue *b, bool *more)
 {
   MhValue *list = mh_value_get (b, "boxes");
   *more = false;
@@ -81,7 +81,7 @@
 }
 
 char **
-mh_wire_read_rented (const MhValue *b)
+mh_created_machines_decode (const MhValue *b)
 {
   char **names = NULL;
   return mh_value_get_names (b, "boxes", &names) ? names : NULL;
@@ -108,13 +108,13 @@
 }
 
 MhRequest *
-mh_wire_machine_types (void)
+mh_cloud_request_machine_types (void)
 {
   return mh_request_new (MH_TARGET_CLOUD, "GET", g_strdup ("/machine_types"), NULL);
 }
 
 MhRequest *
-mh_wire_machines (const char *after)
+mh_cloud_request_machine_list (const char *after)
 {
   return mh_request_new (MH_TARGET_CLOUD, "GET",
                          after ? g_strdup_printf ("/machines?since=%s&limit=500", after)
@@ -123,14 +123,15 @@
 }
 
 MhRequest *
-mh_wire_rent (const char *name, const char *type, const char *zone, bool spot, guint count)
+mh_cloud_request_create_machines (const char *name, const char *type, const char *zone, bool spot,
+                                  guint count)
 {
   return mh_request_new (MH_TARGET_CLOUD, "POST", g_strdup ("/machines"),
                          write_rental (name, type, zone, spot, count));
 }
 
 MhRequest *
-mh_wire_release (char **machines)
+mh_cloud_request_delete_machines (char **machines)
 {
   return mh_request_new (MH_TARGET_CLOUD, "POST", g_strdup ("/machines/release"),
                          write_release (machines));
--- a/src/protocol/wire-state.c
+++ b/src/protocol/wire-state.c
@@ -2,7 +2,7 @@
 #include "protocol/wire-private.h"
 
 void
-mh_entry_free (MhEntry *e)
+mh_kv_entry_free (MhKvEntry *e)
 {
   if (e == NULL)
     return;
@@ -14,18 +14,18 @@
 static GPtrArray *
 entries_new (void)
 {
-  return g_ptr_array_new_with_free_func ((GDestroyNotify)mh_entry_free);
+  return g_ptr_array_new_with_free_func ((GDestroyNotify)mh_kv_entry_free);
 }
 
-MhEntry *
-mh_wire_read_entry (const MhValue *b)
+MhKvEntry *
+mh_kv_entry_decode (const MhValue *b)
 {
-  MhEntry *e = g_new0 (MhEntry, 1);
+  MhKvEntry *e = g_new0 (MhKvEntry, 1);
   MhValue *value = mh_value_get (b, "v");
   e->key = mh_value_get_text (b, "key");
   if (e->key == NULL || value == NULL || !mh_value_get_uint (b, "stamp", &e->version))
     {
-      mh_entry_free (e);
+      mh_kv_entry_free (e);
       return NULL;
     }
   e->value = cbor_incref (value);
@@ -33,7 +33,7 @@
 }
 
 GPtrArray *
-mh_wire_read_entries (const MhValue *b, bool *more, guint64 *revision)
+mh_kv_list_decode (const MhValue *b, bool *more, guint64 *revision)
 {
   MhValue *list = mh_value_get (b, "entries");
   *more = false;
@@ -45,7 +45,7 @@
   g_autoptr (GPtrArray) entries = entries_new ();
   for (gsize i = 0; i < mh_value_size (list); i++)
     {
-      MhEntry *e = mh_wire_read_entry (mh_value_at (list, i));
+      MhKvEntry *e = mh_kv_entry_decode (mh_value_at (list, i));
       if (e == NULL)
         return NULL;
       g_ptr_array_add (entries, e);
@@ -54,7 +54,7 @@
 }
 
 GPtrArray *
-mh_wire_read_events (const MhValue *b, guint64 *revision)
+mh_kv_events_decode (const MhValue *b, guint64 *revision)
 {
   MhValue *list = mh_value_get (b, "news");
   if (list == NULL || !cbor_isa_array (list) || !mh_value_get_uint (b, "ledger", revision))
@@ -63,7 +63,7 @@
   for (gsize i = 0; i < mh_value_size (list); i++)
     {
       const MhValue *n = mh_value_at (list, i);
-      MhEntry *e = g_new0 (MhEntry, 1);
+      MhKvEntry *e = g_new0 (MhKvEntry, 1);
       g_ptr_array_add (entries, e);
       MhValue *value = mh_value_get (n, "v");
       e->key = mh_value_get_text (n, "put");
@@ -78,20 +78,20 @@
 }
 
 bool
-mh_wire_read_revision (const MhValue *b, guint64 *revision)
+mh_kv_revision_decode (const MhValue *b, guint64 *revision)
 {
   return mh_value_get_uint (b, "ledger", revision);
 }
 
 char **
-mh_wire_read_failed (const MhValue *b)
+mh_kv_failed_conditions_decode (const MhValue *b)
 {
   char **names = NULL;
   return mh_value_get_names (b, "failed", &names) ? names : NULL;
 }
 
 bool
-mh_wire_read_lease (const MhValue *b, guint64 *lease_id)
+mh_kv_lease_decode (const MhValue *b, guint64 *lease_id)
 {
   return mh_value_get_uint (b, "claim", lease_id);
 }
@@ -105,7 +105,7 @@
 }
 
 static MhValue *
-write_txn (const MhCondition *conditions, guint n_conditions, const MhChange *changes,
+write_txn (const MhKvCondition *conditions, guint n_conditions, const MhKvChange *changes,
            guint n_changes)
 {
   MhValue *m = mh_value_map ();
@@ -138,53 +138,54 @@
 }
 
 MhRequest *
-mh_wire_get (const char *key)
+mh_kv_request_get (const char *key)
 {
-  return mh_request_new (MH_TARGET_STATE, "GET", g_strconcat ("/kv/", key, NULL), NULL);
+  return mh_request_new (MH_TARGET_KEY_VALUE_STORE, "GET", g_strconcat ("/kv/", key, NULL), NULL);
 }
 
 MhRequest *
-mh_wire_list (const char *prefix, const char *after, guint limit)
+mh_kv_request_list (const char *prefix, const char *after, guint limit)
 {
   return mh_request_new (
-      MH_TARGET_STATE, "GET",
+      MH_TARGET_KEY_VALUE_STORE, "GET",
       after ? g_strdup_printf ("/kv?starts=%s&since=%s&limit=%u", prefix, after, limit)
             : g_strdup_printf ("/kv?starts=%s&limit=%u", prefix, limit),
       NULL);
 }
 
 MhRequest *
-mh_wire_txn (const MhCondition *conditions, guint n_conditions, const MhChange *changes,
-             guint n_changes)
+mh_kv_request_transaction (const MhKvCondition *conditions, guint n_conditions,
+                           const MhKvChange *changes, guint n_changes)
 {
-  return mh_request_new (MH_TARGET_STATE, "POST", g_strdup ("/multi"),
+  return mh_request_new (MH_TARGET_KEY_VALUE_STORE, "POST", g_strdup ("/multi"),
                          write_txn (conditions, n_conditions, changes, n_changes));
 }
 
 MhRequest *
-mh_wire_lease_grant (gint64 life_us)
+mh_kv_request_grant_lease (gint64 life_us)
 {
-  return mh_request_new (MH_TARGET_STATE, "POST", g_strdup ("/grants"), write_grant (life_us));
+  return mh_request_new (MH_TARGET_KEY_VALUE_STORE, "POST", g_strdup ("/grants"),
+                         write_grant (life_us));
 }
 
 MhRequest *
-mh_wire_lease_renew (guint64 lease_id)
+mh_kv_request_renew_lease (guint64 lease_id)
 {
-  return mh_request_new (MH_TARGET_STATE, "POST",
+  return mh_request_new (MH_TARGET_KEY_VALUE_STORE, "POST",
                          g_strdup_printf ("/grants/%" G_GUINT64_FORMAT "/extend", lease_id), NULL);
 }
 
 MhRequest *
-mh_wire_lease_revoke (guint64 lease_id)
+mh_kv_request_revoke_lease (guint64 lease_id)
 {
-  return mh_request_new (MH_TARGET_STATE, "DELETE",
+  return mh_request_new (MH_TARGET_KEY_VALUE_STORE, "DELETE",
                          g_strdup_printf ("/grants/%" G_GUINT64_FORMAT, lease_id), NULL);
 }
 
 MhRequest *
-mh_wire_watch (const char *prefix, guint64 since, gint64 hold_us)
+mh_kv_request_watch (const char *prefix, guint64 since, gint64 hold_us)
 {
-  return mh_request_new (MH_TARGET_STATE, "GET",
+  return mh_request_new (MH_TARGET_KEY_VALUE_STORE, "GET",
                          g_strdup_printf ("/watch?starts=%s&since=%" G_GUINT64_FORMAT
                                           "&hold_ms=%" G_GINT64_FORMAT,
                                           prefix, since, hold_us / 1000),
--- a/src/protocol/wire.c
+++ b/src/protocol/wire.c
@@ -94,18 +94,20 @@
                                     { "urgent", MH_PRIORITY_HIGH },
                                     { "critical", MH_PRIORITY_CRITICAL },
                                     {} };
-static const MhWireWord phases[]
-    = { { "pulling", MH_TASK_FETCHING }, { "gathering", MH_TASK_GATHERING },
-        { "running", MH_TASK_RUNNING },  { "saving", MH_TASK_SAVING },
-        { "ended", MH_TASK_ENDED },      {} };
-static const MhWireWord causes[] = { { "done", MH_CAUSE_DONE },
-                                     { "stopped", MH_CAUSE_STOPPED },
-                                     { "error", MH_CAUSE_ERROR },
-                                     { "full", MH_CAUSE_NO_ROOM },
-                                     { "in_use", MH_CAUSE_BUSY },
-                                     { "no_such", MH_CAUSE_UNKNOWN },
-                                     { "peers", MH_CAUSE_PEERS },
-                                     { "incomplete", MH_CAUSE_INCOMPLETE },
+static const MhWireWord phases[] = { { "pulling", MH_TASK_PHASE_FETCHING_IMAGE },
+                                     { "gathering", MH_TASK_PHASE_WAITING_FOR_GANG },
+                                     { "running", MH_TASK_PHASE_RUNNING },
+                                     { "saving", MH_TASK_PHASE_CHECKPOINTING },
+                                     { "ended", MH_TASK_PHASE_ENDED },
+                                     {} };
+static const MhWireWord causes[] = { { "done", MH_TASK_END_COMPLETED },
+                                     { "stopped", MH_TASK_END_STOPPED },
+                                     { "error", MH_TASK_END_FAILED },
+                                     { "full", MH_TASK_END_INSUFFICIENT_RESOURCES },
+                                     { "in_use", MH_TASK_END_OTHER_ATTEMPT },
+                                     { "no_such", MH_TASK_END_UNKNOWN_TASK },
+                                     { "peers", MH_TASK_END_GANG_MEMBER_LOST },
+                                     { "incomplete", MH_TASK_END_GANG_INCOMPLETE },
                                      {} };
 static const char *const job_states[] = { "pending", "running", "done", "aborted" };
 static const char *const verbs[] = { "run", "kill", "clear" };
@@ -129,14 +131,14 @@
 
 static const RouteRule routes[] = {
   { MH_ROUTE_READY, "GET", "ready", NULL, 1 },
-  { MH_ROUTE_REPORT, "POST", "hello", NULL, 1 },
+  { MH_ROUTE_HEARTBEAT, "POST", "hello", NULL, 1 },
   { MH_ROUTE_SUBMIT, "POST", "submissions", NULL, 1 },
   { MH_ROUTE_STATUS, "GET", "submissions", NULL, 2 },
   { MH_ROUTE_CANCEL, "POST", "submissions", "withdraw", 3 },
 };
 
 MhRoute
-mh_wire_route (const char *path, const char **method, char **job)
+mh_route_find (const char *path, const char **method, char **job)
 {
   g_auto (GStrv) parts = g_strsplit (path, "/", 5);
   guint n = g_strv_length (parts);
@@ -157,7 +159,7 @@
 /* ---- users ---- */
 
 bool
-mh_wire_job_id_valid (const char *id)
+mh_job_id_is_valid (const char *id)
 {
   if (strncmp (id, "j-", 2) != 0)
     return false;
@@ -166,7 +168,7 @@
 }
 
 MhJobSpec *
-mh_wire_read_submission (const MhValue *b)
+mh_submission_decode (const MhValue *b)
 {
   g_autoptr (MhJobSpec) s = g_new0 (MhJobSpec, 1);
   guint64 tasks;
@@ -177,7 +179,7 @@
   s->class_name = mh_wire_read_name (b, "workload");
   s->team = mh_wire_read_name (b, "desk");
   s->image = mh_wire_read_name (b, "build");
-  if (!s->id || !mh_wire_job_id_valid (s->id) || !s->class_name || !s->team || !s->image)
+  if (!s->id || !mh_job_id_is_valid (s->id) || !s->class_name || !s->team || !s->image)
     return NULL;
   if (!mh_wire_read_word (b, "shape", shapes, &shape)
       || !mh_wire_read_word (b, "rank", ranks, &rank) || !mh_value_get_uint (b, "legs", &tasks)
@@ -195,13 +197,13 @@
     return NULL;
   if (mh_value_get (b, "hall") && !(s->zone = mh_wire_read_name (b, "hall")))
     return NULL;
-  if (!mh_wire_read_flag (b, "same_place", &s->one_zone)
-      || !mh_wire_read_flag (b, "scatter", &s->scatter)
+  if (!mh_wire_read_flag (b, "same_place", &s->single_zone)
+      || !mh_wire_read_flag (b, "scatter", &s->spread_over_zones)
       || !mh_wire_read_flag (b, "standby", &s->spot))
     return NULL;
-  if (!mh_wire_read_duration (b, "runtime_s", &s->estimate_us)
-      || !mh_wire_read_duration (b, "snapshot_s", &s->checkpoint_us)
-      || !mh_wire_read_duration (b, "flush_s", &s->save_us))
+  if (!mh_wire_read_duration (b, "runtime_s", &s->estimated_run_us)
+      || !mh_wire_read_duration (b, "snapshot_s", &s->checkpoint_interval_us)
+      || !mh_wire_read_duration (b, "flush_s", &s->checkpoint_save_us))
     return NULL;
   s->deadline_us = -1;
   if (mh_value_get (b, "due_s") && !mh_wire_read_duration (b, "due_s", &s->deadline_us))
@@ -210,7 +212,7 @@
 }
 
 MhValue *
-mh_wire_write_submission (const MhJobSpec *s)
+mh_submission_encode (const MhJobSpec *s)
 {
   MhValue *m = mh_value_map ();
   mh_value_set_text (m, "id", s->id);
@@ -227,19 +229,19 @@
   if (s->types)
     mh_value_set_names (m, "racks", s->types);
   mh_value_set_text (m, "hall", s->zone);
-  mh_value_set_bool (m, "same_place", s->one_zone);
-  mh_value_set_bool (m, "scatter", s->scatter);
+  mh_value_set_bool (m, "same_place", s->single_zone);
+  mh_value_set_bool (m, "scatter", s->spread_over_zones);
   mh_value_set_bool (m, "standby", s->spot);
-  mh_value_set_number (m, "runtime_s", (double)s->estimate_us / MH_SECOND_US);
-  mh_value_set_number (m, "snapshot_s", (double)s->checkpoint_us / MH_SECOND_US);
-  mh_value_set_number (m, "flush_s", (double)s->save_us / MH_SECOND_US);
+  mh_value_set_number (m, "runtime_s", (double)s->estimated_run_us / MH_SECOND_US);
+  mh_value_set_number (m, "snapshot_s", (double)s->checkpoint_interval_us / MH_SECOND_US);
+  mh_value_set_number (m, "flush_s", (double)s->checkpoint_save_us / MH_SECOND_US);
   if (s->deadline_us >= 0)
     mh_value_set_number (m, "due_s", (double)s->deadline_us / MH_SECOND_US);
   return m;
 }
 
 MhValue *
-mh_wire_write_status (const char *id, const MhUserAnswer *a, bool counts)
+mh_job_status_encode (const char *id, const MhUserAnswer *a, bool counts)
 {
   MhValue *m = mh_value_map ();
   mh_value_set_text (m, "id", id);
@@ -264,17 +266,17 @@
   if (slash == NULL || !g_ascii_string_to_unsigned (slash + 1, 10, 0, MH_MAX_TASKS - 1, &n, NULL))
     return false;
   *slash = '\0';
-  if (!mh_wire_job_id_valid (text))
+  if (!mh_job_id_is_valid (text))
     return false;
   *job = g_steal_pointer (&text);
   *index = (guint)n;
   return true;
 }
 
-MhReport *
-mh_wire_read_report (const MhValue *b)
+MhHeartbeat *
+mh_heartbeat_decode (const MhValue *b)
 {
-  g_autoptr (MhReport) r = mh_report_new ();
+  g_autoptr (MhHeartbeat) r = mh_heartbeat_new ();
   if (b == NULL || !cbor_isa_map (b))
     return NULL;
   r->machine = mh_wire_read_name (b, "box");
@@ -283,8 +285,9 @@
   r->zone = mh_wire_read_name (b, "hall");
   if (!r->machine || !r->endpoint || !r->type || !r->zone
       || !mh_wire_read_flag (b, "standby", &r->spot)
-      || !mh_value_get_uint (b, "tenure", &r->session)
-      || !mh_value_get_uint (b, "tick", &r->sequence) || !mh_value_get_uint (b, "epoch", &r->token))
+      || !mh_value_get_uint (b, "tenure", &r->incarnation)
+      || !mh_value_get_uint (b, "tick", &r->sequence)
+      || !mh_value_get_uint (b, "epoch", &r->fencing_token))
     return NULL;
   if (mh_value_get (b, "warning_s") && !mh_wire_read_duration (b, "warning_s", &r->notice_us))
     {
@@ -299,22 +302,22 @@
   for (gsize i = 0; i < mh_value_size (legs); i++)
     {
       const MhValue *leg = mh_value_at (legs, i);
-      MhReportTask t = {};
-      int phase, cause = MH_CAUSE_NONE;
+      MhTaskStatus t = {};
+      int phase, cause = MH_TASK_END_NONE;
       if (!mh_value_get_uint (leg, "try", &t.attempt)
           || !mh_wire_read_word (leg, "status", phases, &phase)
-          || (phase == MH_TASK_ENDED && !mh_wire_read_word (leg, "cause", causes, &cause))
+          || (phase == MH_TASK_PHASE_ENDED && !mh_wire_read_word (leg, "cause", causes, &cause))
           || !read_leg (leg, &t.job, &t.index))
         return NULL;
       t.phase = (MhTaskPhase)phase;
-      t.cause = (MhCause)cause;
+      t.end_reason = (MhTaskEndReason)cause;
       g_array_append_val (r->tasks, t);
     }
   return g_steal_pointer (&r);
 }
 
 MhValue *
-mh_wire_write_commands (guint64 token, const guint64 *session, GArray *commands)
+mh_commands_encode (guint64 token, const guint64 *session, GArray *commands)
 {
   MhValue *m = mh_value_map ();
   mh_value_set_uint (m, "epoch", token);
@@ -338,7 +341,7 @@
 }
 
 MhValue *
-mh_wire_write_redirect (const char *node)
+mh_redirect_encode (const char *node)
 {
   MhValue *m = mh_value_map ();
   mh_value_set_text (m, "dispatcher", node);
@@ -346,16 +349,16 @@
 }
 
 MhRequest *
-mh_wire_commands (const char *endpoint, guint64 token, guint64 session, GArray *commands)
+mh_worker_request_commands (const char *endpoint, guint64 token, guint64 session, GArray *commands)
 {
   MhRequest *r = mh_request_new (MH_TARGET_WORKER, "POST", g_strdup ("/commands"),
-                                 mh_wire_write_commands (token, &session, commands));
+                                 mh_commands_encode (token, &session, commands));
   r->endpoint = g_strdup (endpoint);
   return r;
 }
 
 MhRequest *
-mh_wire_show (const char *endpoint)
+mh_worker_request_status (const char *endpoint)
 {
   MhRequest *r = mh_request_new (MH_TARGET_WORKER, "GET", g_strdup ("/show"), NULL);
   r->endpoint = g_strdup (endpoint);
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -10,7 +10,7 @@
 {
   MH_ROUTE_NONE,
   MH_ROUTE_READY,
-  MH_ROUTE_REPORT,
+  MH_ROUTE_HEARTBEAT,
   MH_ROUTE_SUBMIT,
   MH_ROUTE_STATUS,
   MH_ROUTE_CANCEL
@@ -18,33 +18,33 @@
 
 /* `method`: the only one that is allowed; `job`: owned, STATUS and CANCEL only. */
 MhRoute
-mh_wire_route (const char *path, const char **method, char **job);
+mh_route_find (const char *path, const char **method, char **job);
 
 /* users */
 bool
-mh_wire_job_id_valid (const char *id);
+mh_job_id_is_valid (const char *id);
 MhJobSpec *
-mh_wire_read_submission (const MhValue *body);
+mh_submission_decode (const MhValue *body);
 MhValue *
-mh_wire_write_submission (const MhJobSpec *spec);
+mh_submission_encode (const MhJobSpec *spec);
 MhValue *
-mh_wire_write_status (const char *id, const MhUserAnswer *answer, bool counts);
+mh_job_status_encode (const char *id, const MhUserAnswer *answer, bool counts);
 
 /* workers */
-MhReport *
-mh_wire_read_report (const MhValue *body);
+MhHeartbeat *
+mh_heartbeat_decode (const MhValue *body);
 MhValue *
-mh_wire_write_commands (guint64 epoch, const guint64 *session, GArray *commands);
+mh_commands_encode (guint64 epoch, const guint64 *session, GArray *commands);
 MhValue *
-mh_wire_write_redirect (const char *node);
+mh_redirect_encode (const char *node);
 
 /* cloud */
 GPtrArray *
-mh_wire_read_machine_types (const MhValue *body);
+mh_machine_types_decode (const MhValue *body);
 GPtrArray *
-mh_wire_read_machine_list (const MhValue *body, bool *more);
+mh_machine_list_decode (const MhValue *body, bool *more);
 char **
-mh_wire_read_rented (const MhValue *body);
+mh_created_machines_decode (const MhValue *body);
 
 /* state service */
 typedef struct
@@ -52,40 +52,40 @@
   char *key;
   MhValue *value; /* NULL: dropped */
   guint64 version;
-} MhEntry;
+} MhKvEntry;
 
 void
-mh_entry_free (MhEntry *entry);
+mh_kv_entry_free (MhKvEntry *entry);
 typedef struct
 {
   const char *key;
   guint64 version;
-} MhCondition;
+} MhKvCondition;
 typedef struct
 {
   const char *key;
   MhValue *value;   /* NULL: drop */
   guint64 lease_id; /* 0: none */
-} MhChange;
+} MhKvChange;
 
-MhEntry *
-mh_wire_read_entry (const MhValue *body);
+MhKvEntry *
+mh_kv_entry_decode (const MhValue *body);
 GPtrArray *
-mh_wire_read_entries (const MhValue *body, bool *more, guint64 *revision);
+mh_kv_list_decode (const MhValue *body, bool *more, guint64 *revision);
 GPtrArray *
-mh_wire_read_events (const MhValue *body, guint64 *revision);
+mh_kv_events_decode (const MhValue *body, guint64 *revision);
 bool
-mh_wire_read_revision (const MhValue *body, guint64 *revision);
+mh_kv_revision_decode (const MhValue *body, guint64 *revision);
 char **
-mh_wire_read_failed (const MhValue *body);
+mh_kv_failed_conditions_decode (const MhValue *body);
 bool
-mh_wire_read_lease (const MhValue *body, guint64 *lease_id);
+mh_kv_lease_decode (const MhValue *body, guint64 *lease_id);
 
 /* ---- requests: who is asked, and for what ---- */
 
 typedef enum
 {
-  MH_TARGET_STATE,
+  MH_TARGET_KEY_VALUE_STORE,
   MH_TARGET_CLOUD,
   MH_TARGET_WORKER
 } MhTarget;
@@ -105,29 +105,30 @@
 mh_request_copy (const MhRequest *request);
 
 MhRequest *
-mh_wire_get (const char *key);
+mh_kv_request_get (const char *key);
 MhRequest *
-mh_wire_list (const char *prefix, const char *after, guint limit);
+mh_kv_request_list (const char *prefix, const char *after, guint limit);
 MhRequest *
-mh_wire_txn (const MhCondition *conditions, guint n_conditions, const MhChange *changes,
-             guint n_changes);
+mh_kv_request_transaction (const MhKvCondition *conditions, guint n_conditions,
+                           const MhKvChange *changes, guint n_changes);
 MhRequest *
-mh_wire_lease_grant (gint64 life_us);
+mh_kv_request_grant_lease (gint64 life_us);
 MhRequest *
-mh_wire_lease_renew (guint64 lease_id);
+mh_kv_request_renew_lease (guint64 lease_id);
 MhRequest *
-mh_wire_lease_revoke (guint64 lease_id);
+mh_kv_request_revoke_lease (guint64 lease_id);
 MhRequest *
-mh_wire_watch (const char *prefix, guint64 since, gint64 hold_us);
+mh_kv_request_watch (const char *prefix, guint64 since, gint64 hold_us);
 MhRequest *
-mh_wire_machine_types (void);
+mh_cloud_request_machine_types (void);
 MhRequest *
-mh_wire_machines (const char *after);
+mh_cloud_request_machine_list (const char *after);
 MhRequest *
-mh_wire_rent (const char *name, const char *type, const char *zone, bool spot, guint count);
+mh_cloud_request_create_machines (const char *name, const char *type, const char *zone, bool spot,
+                                  guint count);
 MhRequest *
-mh_wire_release (char **machines);
+mh_cloud_request_delete_machines (char **machines);
 MhRequest *
-mh_wire_commands (const char *endpoint, guint64 epoch, guint64 session, GArray *commands);
+mh_worker_request_commands (const char *endpoint, guint64 epoch, guint64 session, GArray *commands);
 MhRequest *
-mh_wire_show (const char *endpoint);
+mh_worker_request_status (const char *endpoint);
--- a/src/server/shell.c
+++ b/src/server/shell.c
@@ -2,7 +2,7 @@
 
 #include "controller/core.h"
 #include "server/front.h"
-#include "protocol/peer.h"
+#include "protocol/controller-messages.h"
 
 #include <libsoup/soup.h>
 #include <netinet/in.h>
@@ -140,7 +140,7 @@
 {
   g_autoptr (MhValue) body = NULL;
   if (a->status == 200 || a->status == 201)
-    body = mh_wire_write_status (job, a, verb == MH_USER_STATUS);
+    body = mh_job_status_encode (job, a, verb == MH_USER_STATUS);
   else if (a->retry_after_s)
     {
       g_autofree char *after = g_strdup_printf ("%u", a->retry_after_s);
@@ -276,11 +276,11 @@
 }
 
 static void
-peer_message (Peer *p, MhPeerMessage *m)
+peer_message (Peer *p, MhControllerMessage *m)
 {
   Shell *shell = p->shell;
   MhNow t = now (shell);
-  if (m->kind == MH_PEER_ANSWER)
+  if (m->kind == MH_CONTROLLER_RESPONSE)
     {
       Request *r = g_hash_table_lookup (shell->requests, &m->id);
       if (r && r->forwarded == p)
@@ -289,7 +289,7 @@
           mh_core_forwarded (shell->core, &t, r->id, &m->answer);
         }
     }
-  else if (m->kind == MH_PEER_ANNOUNCEMENT)
+  else if (m->kind == MH_CONTROLLER_ANNOUNCEMENT)
     mh_core_leader_announced (shell->core, &t, m->job, m->id);
   else
     {
@@ -299,12 +299,12 @@
           gsize size;
           const void *data = g_bytes_get_data (m->body, &size);
           g_autoptr (MhValue) body = mh_value_load (data, size);
-          spec = mh_wire_read_submission (body);
+          spec = mh_submission_decode (body);
           if (spec == NULL || strcmp (spec->id, m->job) != 0)
             {
               MhUserAnswer a = { .status = 400 };
               mh_job_spec_free (spec);
-              peer_send (p, mh_peer_write_answer (m->id, &a));
+              peer_send (p, mh_controller_response_encode (m->id, &a));
               return;
             }
         }
@@ -336,17 +336,18 @@
     }
   g_byte_array_append (p->in, p->chunk, (guint)n);
   p->reading = true; /* keeps the peer while its messages are handled */
-  MhPeerMessage m;
-  MhPeerRead read;
-  while (!p->closed && (read = mh_peer_read (p->in, &m)) == MH_PEER_READ)
+  MhControllerMessage m;
+  MhControllerReadResult read;
+  while (!p->closed
+         && (read = mh_controller_message_read (p->in, &m)) == MH_CONTROLLER_READ_MESSAGE)
     {
       peer_message (p, &m);
-      mh_peer_message_clear (&m);
+      mh_controller_message_clear (&m);
     }
   p->reading = false;
   if (p->closed)
     peer_settle (p);
-  else if (read == MH_PEER_BAD)
+  else if (read == MH_CONTROLLER_READ_MALFORMED)
     {
       g_info ("peer: malformed message; connection closed");
       peer_close (p);
@@ -466,7 +467,7 @@
     }
   r->forwarded = p;
   r->timeout = g_timeout_add ((guint)(a->timeout_us / 1000), forward_timeout, r);
-  peer_send (p, mh_peer_write_call (r->id, r->verb, r->job, r->body));
+  peer_send (p, mh_controller_request_encode (r->id, r->verb, r->job, r->body));
 }
 
 static void
@@ -475,7 +476,7 @@
   Peer *p = peer_to (shell, a->text);
   /* What a slow or absent controller has not taken yet need not be said twice. */
   if (p && p->out->len == 0)
-    peer_send (p, mh_peer_write_announcement (shell->settings->node, a->id));
+    peer_send (p, mh_controller_announcement_encode (shell->settings->node, a->id));
 }
 
 /* ---- calls ---- */
@@ -548,9 +549,9 @@
 {
   const MhRequest *r = a->request;
   bool to_worker = r->target == MH_TARGET_WORKER;
-  const char *host = r->target == MH_TARGET_STATE   ? shell->settings->state
-                     : r->target == MH_TARGET_CLOUD ? shell->settings->cloud
-                                                    : r->endpoint;
+  const char *host = r->target == MH_TARGET_KEY_VALUE_STORE ? shell->settings->state
+                     : r->target == MH_TARGET_CLOUD         ? shell->settings->cloud
+                                                            : r->endpoint;
   g_autofree char *url = g_strconcat ("http://", host, r->path, NULL);
   Call *call = g_new0 (Call, 1);
   call->shell = shell;
@@ -592,7 +593,7 @@
   if (r->message == NULL)
     {
       if (r->peer)
-        peer_send (r->peer, mh_peer_write_answer (r->peer_id, &a->answer));
+        peer_send (r->peer, mh_controller_response_encode (r->peer_id, &a->answer));
     }
   else
     {
@@ -703,7 +704,7 @@
 static void
 handle_submit (Shell *shell, SoupServerMessage *m, GBytes *bytes, MhValue *body)
 {
-  MhJobSpec *spec = mh_wire_read_submission (body);
+  MhJobSpec *spec = mh_submission_decode (body);
   if (spec == NULL)
     {
       respond (m, 400, NULL);
@@ -721,7 +722,7 @@
 static void
 handle_job (Shell *shell, SoupServerMessage *m, MhUserVerb verb, const char *job)
 {
-  if (!mh_wire_job_id_valid (job))
+  if (!mh_job_id_is_valid (job))
     {
       respond (m, 404, NULL);
       return;
@@ -737,7 +738,7 @@
 static void
 handle_report (Shell *shell, SoupServerMessage *m, MhValue *body)
 {
-  g_autoptr (MhReport) report = mh_wire_read_report (body);
+  g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (body);
   if (report == NULL)
     {
       g_info ("malformed report");
@@ -779,7 +780,7 @@
     }
   const char *allowed = NULL;
   g_autofree char *job = NULL;
-  MhRoute route = mh_wire_route (path, &allowed, &job);
+  MhRoute route = mh_route_find (path, &allowed, &job);
   if (route == MH_ROUTE_NONE)
     respond (m, 404, NULL);
   else if (strcmp (method, allowed) != 0)
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -60,7 +60,7 @@
 /* An earlier leader found that the limits announced as next hold. Those of settings that were
    changed since are not known to. */
 static void
-load_limits (MhCore *core, const MhEntry *e)
+load_limits (MhCore *core, const MhKvEntry *e)
 {
   double write_rps;
   if (!mh_record_read_limits (e->value, &write_rps))
@@ -73,7 +73,7 @@
 }
 
 static void
-load_entry (MhCore *core, const MhEntry *e)
+load_entry (MhCore *core, const MhKvEntry *e)
 {
   MhJob *job;
   guint chunk = 0;
@@ -149,8 +149,7 @@
   const char *prefix;
   bool more;
   guint64 revision;
-  g_autoptr (GPtrArray) entries
-      = status == 200 ? mh_wire_read_entries (body, &more, &revision) : NULL;
+  g_autoptr (GPtrArray) entries = status == 200 ? mh_kv_list_decode (body, &more, &revision) : NULL;
   if (entries == NULL)
     {
       core->state_pause_us = core->now.mono_us + 50000 + (gint64)(core->now.jitter * 50000);
@@ -161,7 +160,7 @@
     load_entry (core, g_ptr_array_index (entries, i));
   if (more && entries->len)
     {
-      MhEntry *last = g_ptr_array_index (entries, entries->len - 1);
+      MhKvEntry *last = g_ptr_array_index (entries, entries->len - 1);
       load_page (core, page->prefix, g_strdup (last->key));
     }
   else if ((prefix = prefix_after (page->prefix)))
@@ -184,8 +183,8 @@
   Page *page = g_new0 (Page, 1);
   page->prefix = prefix;
   page->after = after;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_list (prefix, after, PAGE_ENTRIES), 0, CALL_TIMEOUT_US,
-                load_reply, page, page_free);
+  mh_core_call (core, MH_RANK_RULES, mh_kv_request_list (prefix, after, PAGE_ENTRIES), 0,
+                CALL_TIMEOUT_US, load_reply, page, page_free);
 }
 
 void
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -77,7 +77,7 @@
   MhRank rank = l->verb == MH_USER_STATUS   ? MH_RANK_STRANGER
                 : l->verb == MH_USER_CANCEL ? MH_RANK_RULES
                                             : MH_RANK_WORK;
-  mh_core_call (l->core, rank, mh_wire_get (key), 0, CALL_TIMEOUT_US, lookup_reply,
+  mh_core_call (l->core, rank, mh_kv_request_get (key), 0, CALL_TIMEOUT_US, lookup_reply,
                 g_rc_box_acquire (l), lookup_unref);
 }
 
@@ -102,7 +102,7 @@
 
 /* What the record says, or 404; false when nothing can be told. */
 static bool
-read_found (Lookup *l, guint status, const MhEntry *e)
+read_found (Lookup *l, guint status, const MhKvEntry *e)
 {
   gint64 at;
   bool cancelled;
@@ -143,9 +143,9 @@
       lookup_answer (l, status == 404 ? &l->found : &come_again);
       return;
     }
-  MhEntry *e = status == 200 ? mh_wire_read_entry (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
   bool found = read_found (l, status, e);
-  mh_entry_free (e);
+  mh_kv_entry_free (e);
   if (!found)
     lookup_answer (l, &come_again);
   else if (l->in_charge)
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -263,7 +263,7 @@
 ask_final (MhCore *core, const char *id)
 {
   g_autofree char *key = g_strconcat ("f/", id, NULL);
-  mh_core_call (core, MH_RANK_WORK, mh_wire_get (key), 0, CALL_TIMEOUT_US, known_reply,
+  mh_core_call (core, MH_RANK_WORK, mh_kv_request_get (key), 0, CALL_TIMEOUT_US, known_reply,
                 g_strdup (id), g_free);
 }
 
@@ -274,9 +274,9 @@
   const char *id = data;
   MhJob *job = g_hash_table_lookup (core->jobs, id);
   MhUserAnswer a;
-  MhEntry *e = status == 200 ? mh_wire_read_entry (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
   bool ok = e && mh_record_read_final (e->value, &a);
-  mh_entry_free (e);
+  mh_kv_entry_free (e);
   if (job == NULL)
     return;
   if (status != 200 && status != 404)
@@ -348,10 +348,10 @@
   Txn *t = data;
   if (status == 200)
     {
-      MhEntry *e = mh_wire_read_entry (body);
+      MhKvEntry *e = mh_kv_entry_decode (body);
       g_autofree char *tag = e ? mh_record_read_tag (e->value) : NULL;
       guint64 version = e ? e->version : 0;
-      mh_entry_free (e);
+      mh_kv_entry_free (e);
       if (tag && strcmp (tag, t->tag) == 0)
         {
           txn_applied (core, t, version);
@@ -363,7 +363,7 @@
       mh_leader_lost (core, "an unanswered write cannot be accounted for");
       return;
     }
-  txn_call (core, t, MH_RANK_RULES, mh_wire_get (t->first_key), 0, recheck_reply);
+  txn_call (core, t, MH_RANK_RULES, mh_kv_request_get (t->first_key), 0, recheck_reply);
 }
 
 /* A submission in it met the final record of its job, which is for ever: no copy of the transaction
@@ -431,14 +431,14 @@
 {
   Txn *t = data;
   guint64 version;
-  if (status == 200 && mh_wire_read_revision (body, &version))
+  if (status == 200 && mh_kv_revision_decode (body, &version))
     txn_applied (core, t, version);
   else if (status == 409)
     {
-      g_auto (GStrv) failed = mh_wire_read_failed (body);
+      g_auto (GStrv) failed = mh_kv_failed_conditions_decode (body);
       bool leader = failed && g_strv_contains ((const char *const *)failed, "leader");
       if (t->unknown && !leader && t->first_key && !met_final (core, failed))
-        txn_call (core, t, MH_RANK_RULES, mh_wire_get (t->first_key), 0, recheck_reply);
+        txn_call (core, t, MH_RANK_RULES, mh_kv_request_get (t->first_key), 0, recheck_reply);
       else
         txn_refused (core, t, failed);
     }
@@ -491,14 +491,14 @@
 static void
 add_condition (Batch *b, const char *key, guint64 version)
 {
-  MhCondition c = { .key = key, .version = version };
+  MhKvCondition c = { .key = key, .version = version };
   g_array_append_val (b->conditions, c);
 }
 
 static void
 add_change (Batch *b, const char *key, MhValue *value)
 {
-  MhChange c = { .key = key, .value = value };
+  MhKvChange c = { .key = key, .value = value };
   g_array_append_val (b->changes, c);
 }
 
@@ -580,8 +580,8 @@
 static void
 send_batch (MhCore *core, guint most)
 {
-  g_autoptr (GArray) conditions = g_array_new (FALSE, FALSE, sizeof (MhCondition));
-  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
+  g_autoptr (GArray) conditions = g_array_new (FALSE, FALSE, sizeof (MhKvCondition));
+  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GPtrArray) values = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
   Txn *t = g_rc_box_new0 (Txn);
@@ -624,8 +624,8 @@
   if (changes->len > 0)
     {
       t->changes = changes->len;
-      t->request = mh_wire_txn ((MhCondition *)conditions->data, conditions->len,
-                                (MhChange *)changes->data, changes->len);
+      t->request = mh_kv_request_transaction ((MhKvCondition *)conditions->data, conditions->len,
+                                              (MhKvChange *)changes->data, changes->len);
       core->txns++;
       txn_send (core, t);
     }
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -23,7 +23,7 @@
   mh_value_set_text (m, "w", tag);
   if (r->chunk == 0)
     {
-      mh_value_set (m, "s", mh_wire_write_submission (job->spec));
+      mh_value_set (m, "s", mh_submission_encode (job->spec));
       mh_value_set_uint (m, "at", (guint64)MAX (job->submitted_wall_us, 0));
       mh_value_set_uint (m, "c", job->chunk);
       if (job->cancelled)
@@ -149,7 +149,7 @@
                     bool *cancelled)
 {
   guint64 at, tasks = FIRST_CHUNK;
-  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (mh_value_get (v, "s"));
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (mh_value_get (v, "s"));
   if (spec == NULL || strcmp (spec->id, id) != 0 || !mh_value_get_uint (v, "at", &at))
     return NULL;
   mh_value_get_uint (v, "c", &tasks);
--- a/tests/controller.c
+++ b/tests/controller.c
@@ -122,7 +122,7 @@
   [PRODUCTION_LOG] = MH_ACTION_LOG,
 };
 static const MhTarget targets[] = {
-  [PRODUCTION_STATE_SERVICE] = MH_TARGET_STATE,
+  [PRODUCTION_STATE_SERVICE] = MH_TARGET_KEY_VALUE_STORE,
   [PRODUCTION_CLOUD] = MH_TARGET_CLOUD,
   [PRODUCTION_WORKER] = MH_TARGET_WORKER,
 };
@@ -213,7 +213,7 @@
       return;
     }
   ProductionNow at = to_production (now);
-  g_autoptr (MhValue) value = spec ? mh_wire_write_submission (spec) : NULL;
+  g_autoptr (MhValue) value = spec ? mh_submission_encode (spec) : NULL;
   g_autoptr (GBytes) submission = to_bytes (value);
   mh_job_spec_free (spec);
   production_core_user (self->production, &at, id, (guint)verb, job, submission, forwarded);
@@ -224,7 +224,7 @@
 {
   if (self->core)
     {
-      g_autoptr (MhReport) report = mh_wire_read_report (value);
+      g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value);
       g_assert_nonnull (report);
       mh_core_report (self->core, now, id, report);
       return;
--- a/tests/random-day.c
+++ b/tests/random-day.c
@@ -180,17 +180,18 @@
             {
               s->shape = MH_SHAPE_GANG;
               s->tasks = (guint)g_rand_int_range (r, 1, 6);
-              s->checkpoint_us = g_rand_int_range (r, 0, 4) * MH_SECOND_US;
-              s->save_us = MH_SECOND_US;
+              s->checkpoint_interval_us = g_rand_int_range (r, 0, 4) * MH_SECOND_US;
+              s->checkpoint_save_us = MH_SECOND_US;
             }
           if (g_rand_int_range (r, 0, 5) == 0)
-            s->one_zone = true;
+            s->single_zone = true;
           else if (g_rand_int_range (r, 0, 5) == 0)
-            s->scatter = true;
+            s->spread_over_zones = true;
           if (g_rand_int_range (r, 0, 6) == 0)
             s->zone = g_strdup ("b");
           /* At most half of its tasks may be in a zone, and only one zone is allowed. */
-          bool impossible = s->shape == MH_SHAPE_GANG && s->scatter && s->zone && s->tasks > 1;
+          bool impossible
+              = s->shape == MH_SHAPE_GANG && s->spread_over_zones && s->zone && s->tasks > 1;
           sim_submit (sim, s, service ? 0 : g_rand_double_range (r, 1, 10))->impossible
               = impossible;
         }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -189,7 +189,8 @@
   f->status = status;
   f->body = body;
   bool write = strcmp (f->request->path, "/multi") == 0;
-  if (lost (sim) || (f->request->target == MH_TARGET_STATE && sim->now_us < n->state_cut_us)
+  if (lost (sim)
+      || (f->request->target == MH_TARGET_KEY_VALUE_STORE && sim->now_us < n->state_cut_us)
       || (write && sim->now_us < n->write_answers_lost_us))
     return;
   at_node (sim, n, sim->now_us + delay (sim), flight_deliver, g_rc_box_acquire (f), flight_unref);
@@ -294,9 +295,9 @@
       return;
     }
   const SimNode *n = &sim->nodes[f->node];
-  if (r->target == MH_TARGET_STATE && sim->now_us < n->state_cut_us)
+  if (r->target == MH_TARGET_KEY_VALUE_STORE && sim->now_us < n->state_cut_us)
     return;
-  if (r->target == MH_TARGET_STATE && sim->now_us < n->state_refused_us)
+  if (r->target == MH_TARGET_KEY_VALUE_STORE && sim->now_us < n->state_refused_us)
     {
       flight_answer (sim, f, 503, NULL);
       return;
@@ -427,8 +428,8 @@
 static MhJobSpec *
 spec_copy (const MhJobSpec *spec)
 {
-  g_autoptr (MhValue) v = mh_wire_write_submission (spec);
-  MhJobSpec *copy = mh_wire_read_submission (v);
+  g_autoptr (MhValue) v = mh_submission_encode (spec);
+  MhJobSpec *copy = mh_submission_decode (v);
   g_assert_nonnull (copy);
   return copy;
 }
@@ -1010,7 +1011,7 @@
   s->cpus = cpus;
   s->mem_gb = 1;
   s->spot = shape == MH_SHAPE_ARRAY;
-  s->estimate_us = shape == MH_SHAPE_ARRAY ? 5 * MH_SECOND_US : 0;
+  s->estimated_run_us = shape == MH_SHAPE_ARRAY ? 5 * MH_SECOND_US : 0;
   s->deadline_us = -1;
   return s;
 }
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -90,7 +90,7 @@
 running_array (Sim *sim, guint number, guint tasks, double run_s)
 {
   MhJobSpec *s = sim_spec (number, MH_SHAPE_ARRAY, tasks, 1);
-  s->estimate_us = 300 * MH_SECOND_US;
+  s->estimated_run_us = 300 * MH_SECOND_US;
   SimUser *u = sim_submit (sim, s, run_s);
   WAIT (sim, 60, all_run, u);
   return u;
--- a/tests/test-boots.c
+++ b/tests/test-boots.c
@@ -11,7 +11,7 @@
 {
   MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, TASKS, 1);
   spec->types = g_strsplit ("small", ",", 1);
-  spec->estimate_us = 300 * MH_SECOND_US;
+  spec->estimated_run_us = 300 * MH_SECOND_US;
   SimUser *user = sim_submit (sim, spec, 120);
   WAIT (sim, 20, accepted, user);
   sim_run (sim, 3);
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -279,7 +279,7 @@
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
         {
           MhJobSpec *spec = sim_spec (1 + i, MH_SHAPE_ARRAY, 8, 1);
-          spec->estimate_us = 300 * MH_SECOND_US;
+          spec->estimated_run_us = 300 * MH_SECOND_US;
           running[i] = sim_submit (sim, spec, 300);
         }
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -8,10 +8,10 @@
 {
   MhJobSpec *s = sim_spec (number, MH_SHAPE_GANG, tasks, cpus);
   s->spot = false;
-  s->one_zone = true;
-  s->estimate_us = 20 * MH_SECOND_US;
-  s->checkpoint_us = 5 * MH_SECOND_US;
-  s->save_us = 2 * MH_SECOND_US;
+  s->single_zone = true;
+  s->estimated_run_us = 20 * MH_SECOND_US;
+  s->checkpoint_interval_us = 5 * MH_SECOND_US;
+  s->checkpoint_save_us = 2 * MH_SECOND_US;
   return s;
 }
 
@@ -80,19 +80,19 @@
   g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &a), ==,
                     422); /* of 16 */
   MhJobSpec *s = gang_spec (2, 2, 1);
-  s->scatter = true; /* and in one zone */
+  s->spread_over_zones = true; /* and in one zone */
   g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000002", s, &a), ==, 422);
   s = gang_spec (3, 4, 1);
-  s->one_zone = false;
-  s->scatter = true;
+  s->single_zone = false;
+  s->spread_over_zones = true;
   s->zone = g_strdup ("a");
   g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000003", s, &a), ==, 422);
   s = gang_spec (4, 1, 1);
   s->mem_gb = 100;
   g_assert_cmpuint (sim_ask (sim, 0, MH_USER_SUBMIT, "j-000004", s, &a), ==, 422);
   s = gang_spec (5, 4, 1);
-  s->one_zone = false;
-  s->scatter = true;
+  s->single_zone = false;
+  s->spread_over_zones = true;
   SimUser *u = sim_submit (sim, s, 3);
   WAIT (sim, 60, told_done, u);
   finish (sim);
@@ -246,10 +246,10 @@
           for (guint k = 0; k < machine->tasks->len; k++)
             {
               WorldTask *task = &g_array_index (machine->tasks, WorldTask, k);
-              if (task->index != 1 || task->phase != MH_TASK_RUNNING
+              if (task->index != 1 || task->phase != MH_TASK_PHASE_RUNNING
                   || strcmp (task->job, "j-000001") != 0)
                 continue;
-              task->phase = MH_TASK_ENDED;
+              task->phase = MH_TASK_PHASE_ENDED;
               task->cause = "error";
             }
         }
@@ -276,8 +276,8 @@
   for (guint i = 0; i < 4; i++)
     world_add_machine (sim->world, "small", i % 2 ? "a" : "b", false);
   MhJobSpec *spec = gang_spec (1, 4, 1);
-  spec->one_zone = false;
-  spec->scatter = true;
+  spec->single_zone = false;
+  spec->spread_over_zones = true;
   SimUser *u = sim_submit (sim, spec, 25);
   WAIT (sim, 60, runs, u);
   world_fail (worker_of (sim, "j-000001/0")->machine);
@@ -469,7 +469,7 @@
   Sim *sim = sim_new (85);
   sim->world->capacity = 1;
   MhJobSpec *single = sim_spec (2, MH_SHAPE_ARRAY, 8, 1);
-  single->estimate_us = 300 * MH_SECOND_US;
+  single->estimated_run_us = 300 * MH_SECOND_US;
   single->spot = false;
   single->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
   SimUser *array = sim_submit (sim, single, 90);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -44,7 +44,7 @@
   sim->world->capacity = 6;
   MhJobSpec *s = sim_spec (1, MH_SHAPE_ARRAY, 200, 0.05);
   s->mem_gb = 0.1;
-  s->estimate_us = 600 * MH_SECOND_US; /* so that none may wait for another */
+  s->estimated_run_us = 600 * MH_SECOND_US; /* so that none may wait for another */
   SimUser *u = sim_submit (sim, s, 30);
   WAIT (sim, 60, all_run, u);
   g_assert_nonnull (g_tree_lookup (sim->world->keys, "t/j-000001/00001"));
@@ -253,7 +253,7 @@
 {
   Sim *sim = sim_new (42);
   MhJobSpec *s = sim_spec (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
-  s->estimate_us = 600 * MH_SECOND_US;
+  s->estimated_run_us = 600 * MH_SECOND_US;
   SimUser *u = sim_submit (sim, s, 5);
   WAIT (sim, 10, accepted, u);
   sim_run (sim, 15);
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -228,7 +228,7 @@
       sim->world->capacity = 6;
       MhJobSpec *s = sim_spec (1, MH_SHAPE_ARRAY, 320, 0.04);
       s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
+      s->estimated_run_us = 600 * MH_SECOND_US;
       SimUser *u = sim_submit (sim, s, 40);
       WAIT (sim, 60, all_run, u);
       SimUser *cancelled = running_service (sim, 3, 2);
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -122,7 +122,7 @@
   Sim *sim = sim_new (4);
   MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, 150, 0.05);
   spec->mem_gb = 0.1;
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   SimUser *large = sim_submit (sim, spec, 40);
   WAIT (sim, 60, all_run, large);
   SimUser *service = running_service (sim, 2, 2);
@@ -155,9 +155,9 @@
   sim_run (sim, 5);
   sim->settings->value_bytes = 300;
   g_autoptr (MhJobSpec) spec = sim_spec (1, MH_SHAPE_ARRAY, 3, 1);
-  MhValue *copy = mh_wire_write_submission (spec);
+  MhValue *copy = mh_submission_encode (spec);
   guint status = sim_ask (sim, sim_leader (sim)->index, MH_USER_SUBMIT, spec->id,
-                          mh_wire_read_submission (copy), &answer);
+                          mh_submission_decode (copy), &answer);
   mh_value_unref (copy);
   g_assert_cmpuint (status, ==, 503);
   g_assert_cmpuint (answer.retry_after_s, >=, 10);
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -104,7 +104,8 @@
   GUri *uri = soup_server_message_get_uri (m);
   const char *q = g_uri_get_query (uri);
   g_autofree char *whole = q ? g_strconcat (path, "?", q, NULL) : g_strdup (path);
-  MhTarget target = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_STATE;
+  MhTarget target
+      = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_KEY_VALUE_STORE;
   g_autoptr (MhValue) body = body_of (m);
   if (world_serve (t.world, target, soup_server_message_get_method (m), whole, body, m, &status,
                    &reply))
@@ -285,9 +286,9 @@
   s->tasks = tasks;
   s->cpus = 1;
   s->mem_gb = 1;
-  s->estimate_us = run_us;
+  s->estimated_run_us = run_us;
   s->deadline_us = -1;
-  g_autoptr (MhValue) v = mh_wire_write_submission (s);
+  g_autoptr (MhValue) v = mh_submission_encode (s);
   world_job (t.world, s, run_us);
   return mh_value_save (v);
 }
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -297,7 +297,7 @@
   sim_run (sim, 4);
   guint before = sim->world->machines->len;
   MhJobSpec *s = sim_spec (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
-  s->estimate_us = 60 * MH_SECOND_US;
+  s->estimated_run_us = 60 * MH_SECOND_US;
   sim_submit (sim, s, 60);
   sim_run (sim, 8);
   g_assert_true (sim_logged (sim, "nothing comes from any of them"));
--- a/tests/test-outages.c
+++ b/tests/test-outages.c
@@ -180,7 +180,7 @@
   Sim *sim = sim_new (64);
   SimUser *u = running_array (sim, 2, 16, 200); /* 16 cpus are blue's limit */
   MhJobSpec *s = sim_spec (4, MH_SHAPE_ARRAY, 16, 1);
-  s->estimate_us = 300 * MH_SECOND_US;
+  s->estimated_run_us = 300 * MH_SECOND_US;
   SimUser *more = sim_submit (sim, s, 5);
   WAIT (sim, 20, accepted, more);
   sim_run (sim, 5);
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -125,8 +125,8 @@
 {
   Sim *sim = sim_new (80);
   MhJobSpec *s = sim_spec (2, MH_SHAPE_ARRAY, 12, 1);
-  s->one_zone = true;
-  s->estimate_us = 300 * MH_SECOND_US;
+  s->single_zone = true;
+  s->estimated_run_us = 300 * MH_SECOND_US;
   SimUser *u = sim_submit (sim, s, 300);
   WAIT (sim, 60, all_run, u);
   SimWorker *kept = worker_of (sim, "j-000002/0");
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -45,9 +45,9 @@
   s->mem_gb = 1 + pick (f, 5);
   s->spot = !service;
   s->zone = pick (f, 5) ? NULL : g_strdup (zones[pick (f, 4)]);
-  s->one_zone = !service && pick (f, 6) == 0;
-  s->scatter = pick (f, 6) == 0;
-  s->estimate_us = service ? 0 : (gint64)(5 + pick (f, 60)) * MH_SECOND_US;
+  s->single_zone = !service && pick (f, 6) == 0;
+  s->spread_over_zones = pick (f, 6) == 0;
+  s->estimated_run_us = service ? 0 : (gint64)(5 + pick (f, 60)) * MH_SECOND_US;
   s->deadline_us = -1;
   MhJob *job = mh_job_new (s, 0, 32768, f->core->now.wall_us - (gint64)pick (f, 9) * MH_SECOND_US,
                            &f->core->now);
@@ -114,7 +114,7 @@
           MhMachine *m = mh_fleet_machine (core, name);
           if (m->used_cpus + job->spec->cpus <= m->type->cpus
               && m->used_mem + job->spec->mem_gb <= m->type->mem_gb && pick (f, 3))
-            mh_fleet_attempt_new (core, job, k, 1, m)->phase = MH_TASK_RUNNING;
+            mh_fleet_attempt_new (core, job, k, 1, m)->phase = MH_TASK_PHASE_RUNNING;
         }
     }
   while (f->jobs < JOBS)
@@ -139,7 +139,7 @@
   guint most = MAX (1, f->core->replicas / 24);
   memset (key, 0, 6 * sizeof *key);
   if (!service)
-    key[0] = unit * (wait + (double)s->estimate_us + 1e6) * (wait > patience ? 1000 : 1);
+    key[0] = unit * (wait + (double)s->estimated_run_us + 1e6) * (wait > patience ? 1000 : 1);
   else
     {
       key[0] = wait <= 0 ? 0 : wait <= patience ? 1 : 2 + floor (wait / 10000000);
@@ -160,7 +160,7 @@
     for (guint z = 0; z < 4; z++)
       counts[z] += strcmp (zones[z], g_array_index (f->live, const char *, i)) == 0;
   const char *only = s->zone;
-  if (s->one_zone && f->live->len)
+  if (s->single_zone && f->live->len)
     only = g_array_index (f->live, const char *, 0);
   for (guint i = 0; i < MACHINES; i++)
     for (guint z = 0; z < 4; z++)
@@ -177,7 +177,7 @@
           here = counts[z];
         }
     }
-  if (s->scatter && here + 1 > (s->tasks + 1) / 2)
+  if (s->spread_over_zones && here + 1 > (s->tasks + 1) / 2)
     return false;
   return s->shape != MH_SHAPE_SERVICE || here < least + 1;
 }
@@ -199,7 +199,7 @@
       kind[i] = takes_part (m) && (!m->spot || s->spot) && s->cpus <= m->type->cpus
                 && s->mem_gb <= m->type->mem_gb;
       const char *only = s->zone;
-      if (s->one_zone && f->live->len)
+      if (s->single_zone && f->live->len)
         only = g_array_index (f->live, const char *, 0);
       kind[i] = kind[i] && (only == NULL || strcmp (only, m->zone) == 0);
       if (kind[i])
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -88,7 +88,7 @@
         {
           const WorldTask *t = &g_array_index (m->tasks, WorldTask, k);
           guint zone = (guint)(m->zone[0] - 'a');
-          if (zone < n && t->phase != MH_TASK_ENDED && strcmp (t->job, job) == 0)
+          if (zone < n && t->phase != MH_TASK_PHASE_ENDED && strcmp (t->job, job) == 0)
             counts[zone]++;
         }
     }
@@ -154,7 +154,7 @@
     {
       MhJobSpec *lesser = sim_spec (i, MH_SHAPE_ARRAY, 7, 1);
       lesser->priority = MH_PRIORITY_LOW;
-      lesser->estimate_us = 300 * MH_SECOND_US;
+      lesser->estimated_run_us = 300 * MH_SECOND_US;
       sim_submit (sim, lesser, 300);
     }
   for (guint i = 0; i < 4; i++)
@@ -238,7 +238,7 @@
         {
           MhJobSpec *s = sim_spec (++number, MH_SHAPE_ARRAY, 3, 1);
           s->image_gb = 0.01;
-          s->estimate_us = 2 * MH_SECOND_US;
+          s->estimated_run_us = 2 * MH_SECOND_US;
           s->deadline_us = MH_SECOND_US / 2;
           sim_submit (sim, s, 2);
         }
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -87,7 +87,7 @@
   for (guint i = 0; i < SWARM_JOBS; i++)
     {
       MhJobSpec *spec = sim_spec (100 + i, MH_SHAPE_ARRAY, 1, 0.25);
-      spec->estimate_us = 300 * MH_SECOND_US;
+      spec->estimated_run_us = 300 * MH_SECOND_US;
       users[i] = sim_submit (sim, spec, 8);
     }
 }
@@ -102,7 +102,7 @@
 
   /* One task for each machine. */
   MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, machines, 1);
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   sim_submit (sim, spec, 600);
   SimUser *users[SWARM_JOBS];
   swarm (sim, users);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,7 +1,7 @@
 /* Beside the version in production: what it writes is read, and what is written here is the same to
    the byte as long as no gang is in it. */
 #include "controller/core-private.h"
-#include "protocol/peer.h"
+#include "protocol/controller-messages.h"
 #include "production-gang-records.h"
 #include "production-records.h"
 #include "steps.h"
@@ -118,10 +118,10 @@
 }
 
 static void
-assert_message (GByteArray *written, const guint8 *data, gsize size, MhPeerMessage *message)
+assert_message (GByteArray *written, const guint8 *data, gsize size, MhControllerMessage *message)
 {
   g_assert_cmpmem (written->data, written->len, data, size);
-  g_assert_cmpint (mh_peer_read (written, message), ==, MH_PEER_READ);
+  g_assert_cmpint (mh_controller_message_read (written, message), ==, MH_CONTROLLER_READ_MESSAGE);
   g_assert_cmpuint (written->len, ==, 0);
   g_byte_array_unref (written);
 }
@@ -129,22 +129,22 @@
 static void
 test_messages_are_the_same (void)
 {
-  MhPeerMessage m = {};
+  MhControllerMessage m = {};
   const MhUserAnswer answer
       = { .status = 200, .retry_after_s = 3, .state = MH_JOB_CANCELLED, .done = 3, .running = 13 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
-  assert_message (mh_peer_write_call (41, MH_USER_SUBMIT, "j-000412", body), production_call,
-                  sizeof production_call, &m);
+  assert_message (mh_controller_request_encode (41, MH_USER_SUBMIT, "j-000412", body),
+                  production_call, sizeof production_call, &m);
   g_assert_cmpint (m.verb, ==, MH_USER_SUBMIT);
-  mh_peer_message_clear (&m);
-  assert_message (mh_peer_write_answer (42, &answer), production_answer, sizeof production_answer,
-                  &m);
+  mh_controller_message_clear (&m);
+  assert_message (mh_controller_response_encode (42, &answer), production_answer,
+                  sizeof production_answer, &m);
   g_assert_cmpint (m.answer.state, ==, MH_JOB_CANCELLED);
-  mh_peer_message_clear (&m);
-  assert_message (mh_peer_write_announcement ("worker-1", 1000001), production_news,
+  mh_controller_message_clear (&m);
+  assert_message (mh_controller_announcement_encode ("worker-1", 1000001), production_news,
                   sizeof production_news, &m);
   g_assert_cmpuint (m.id, ==, 1000001);
-  mh_peer_message_clear (&m);
+  mh_controller_message_clear (&m);
 }
 
 /* ---- with gangs, and under the limits that come next ---- */
@@ -238,8 +238,8 @@
   MhJob *job = fixture_job (fixture, stored, "j-000500", &cancelled);
   g_assert_false (cancelled);
   g_assert_cmpint (job->spec->shape, ==, MH_SHAPE_GANG);
-  g_assert_true (job->spec->one_zone);
-  g_assert_cmpint (job->spec->checkpoint_us, ==, 20 * MH_SECOND_US);
+  g_assert_true (job->spec->single_zone);
+  g_assert_cmpint (job->spec->checkpoint_interval_us, ==, 20 * MH_SECOND_US);
   load_tasks (fixture, job, stored);
   g_assert_cmpuint (job->n_live, ==, 4);
   g_assert_cmpuint (job->tasks[3].attempt, ==, 3);
@@ -298,29 +298,29 @@
 static void
 test_gang_messages (void)
 {
-  MhPeerMessage message = {};
+  MhControllerMessage message = {};
   const MhUserAnswer answer = { .status = 201, .state = MH_JOB_RUNNING, .running = 4 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
-  assert_message (mh_peer_write_call (43, MH_USER_SUBMIT, "j-000500", body), production_gang_submit,
-                  sizeof production_gang_submit, &message);
+  assert_message (mh_controller_request_encode (43, MH_USER_SUBMIT, "j-000500", body),
+                  production_gang_submit, sizeof production_gang_submit, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_SUBMIT);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_call (44, MH_USER_STATUS, "j-000500", NULL), production_gang_status,
-                  sizeof production_gang_status, &message);
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_request_encode (44, MH_USER_STATUS, "j-000500", NULL),
+                  production_gang_status, sizeof production_gang_status, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_STATUS);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_call (45, MH_USER_CANCEL, "j-000500", NULL), production_gang_cancel,
-                  sizeof production_gang_cancel, &message);
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_request_encode (45, MH_USER_CANCEL, "j-000500", NULL),
+                  production_gang_cancel, sizeof production_gang_cancel, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_CANCEL);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_answer (43, &answer), production_gang_answer,
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_response_encode (43, &answer), production_gang_answer,
                   sizeof production_gang_answer, &message);
   g_assert_cmpuint (message.answer.running, ==, 4);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_announcement ("worker-2", 1000001), production_gang_announcement,
-                  sizeof production_gang_announcement, &message);
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_announcement_encode ("worker-2", 1000001),
+                  production_gang_announcement, sizeof production_gang_announcement, &message);
   g_assert_cmpstr (message.job, ==, "worker-2");
-  mh_peer_message_clear (&message);
+  mh_controller_message_clear (&message);
 }
 
 /* Controllers that write large records and such that write small ones lead in turn, in any order,
@@ -334,7 +334,7 @@
       sim->world->capacity = 6;
       MhJobSpec *s = sim_spec (1, MH_SHAPE_ARRAY, 300, 0.04);
       s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
+      s->estimated_run_us = 600 * MH_SECOND_US;
       SimUser *u = sim_submit (sim, s, 70), *service = running_service (sim, 3, 2);
       WAIT (sim, 60, all_run, u);
       for (guint turn = 0; turn < 6; turn++)
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -70,11 +70,11 @@
 {
   MhJobSpec *spec = sim_spec (1, MH_SHAPE_GANG, GANG_TASKS, 4);
   spec->spot = false;
-  spec->one_zone = true;
+  spec->single_zone = true;
   spec->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  spec->estimate_us = 20 * MH_SECOND_US;
-  spec->checkpoint_us = 5 * MH_SECOND_US;
-  spec->save_us = 3 * MH_SECOND_US;
+  spec->estimated_run_us = 20 * MH_SECOND_US;
+  spec->checkpoint_interval_us = 5 * MH_SECOND_US;
+  spec->checkpoint_save_us = 3 * MH_SECOND_US;
   return spec;
 }
 
@@ -103,14 +103,14 @@
 gathers (Sim *sim, gpointer unused)
 {
   (void)unused;
-  return in_phase (sim, MH_TASK_GATHERING);
+  return in_phase (sim, MH_TASK_PHASE_WAITING_FOR_GANG);
 }
 
 static bool
 saves (Sim *sim, gpointer unused)
 {
   (void)unused;
-  return in_phase (sim, MH_TASK_SAVING);
+  return in_phase (sim, MH_TASK_PHASE_CHECKPOINTING);
 }
 
 static bool
@@ -336,7 +336,7 @@
   sim->world->capacity = 6;
   MhJobSpec *spec = sim_spec (1, MH_SHAPE_ARRAY, CHUNKED_TASKS, 0.04);
   spec->mem_gb = 0.1;
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   SimUser *job = sim_submit (sim, spec, 45);
   WAIT (sim, 60, all_run, job);
   if (many)
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -1,6 +1,6 @@
 /* Decoders: what is malformed is refused, whatever is thrown at them. */
 #include "controller/core-private.h"
-#include "protocol/peer.h"
+#include "protocol/controller-messages.h"
 
 #include <math.h>
 #include <string.h>
@@ -56,7 +56,7 @@
   const void *data = g_bytes_get_data (bytes, &size);
   g_autoptr (MhValue) again = mh_value_load (data, size);
   g_assert_nonnull (again);
-  MhJobSpec *spec = mh_wire_read_submission (again);
+  MhJobSpec *spec = mh_submission_decode (again);
   mh_job_spec_free (spec);
   mh_value_unref (body);
   return spec != NULL;
@@ -108,15 +108,15 @@
 test_round_trip (void)
 {
   g_autoptr (MhValue) body = submission ();
-  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (body);
-  g_autoptr (MhValue) written = mh_wire_write_submission (spec);
-  g_autoptr (MhJobSpec) again = mh_wire_read_submission (written);
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (body);
+  g_autoptr (MhValue) written = mh_submission_encode (spec);
+  g_autoptr (MhJobSpec) again = mh_submission_decode (written);
   g_assert_cmpstr (again->id, ==, "j-000412");
   g_assert_cmpuint (again->tasks, ==, 16);
   g_assert_cmpint (again->deadline_us, ==, 900 * MH_SECOND_US);
-  g_assert_cmpint (again->checkpoint_us, ==, 30 * MH_SECOND_US);
-  g_assert_true (again->one_zone);
-  g_assert_false (again->scatter);
+  g_assert_cmpint (again->checkpoint_interval_us, ==, 30 * MH_SECOND_US);
+  g_assert_true (again->single_zone);
+  g_assert_false (again->spread_over_zones);
   g_assert_null (again->zone);
 }
 
@@ -172,15 +172,14 @@
       bool more;
       guint64 number;
       MhUserAnswer a;
-      mh_job_spec_free (mh_wire_read_submission (v));
-      mh_report_free (mh_wire_read_report (v));
-      mh_entry_free (mh_wire_read_entry (v));
-      g_clear_pointer (&(GPtrArray *){ mh_wire_read_machine_types (v) }, g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_wire_read_machine_list (v, &more) }, g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_wire_read_entries (v, &more, &number) },
-                       g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_wire_read_events (v, &number) }, g_ptr_array_unref);
-      mh_wire_read_lease (v, &number);
+      mh_job_spec_free (mh_submission_decode (v));
+      mh_heartbeat_free (mh_heartbeat_decode (v));
+      mh_kv_entry_free (mh_kv_entry_decode (v));
+      g_clear_pointer (&(GPtrArray *){ mh_machine_types_decode (v) }, g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_machine_list_decode (v, &more) }, g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_kv_list_decode (v, &more, &number) }, g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_kv_events_decode (v, &number) }, g_ptr_array_unref);
+      mh_kv_lease_decode (v, &number);
       mh_record_read_final (v, &a);
       mh_value_json_size (v);
     }
@@ -214,10 +213,10 @@
 test_gang (void)
 {
   g_autoptr (MhValue) body = with (submission (), "shape", mh_value_text ("group"));
-  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (body);
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (body);
   g_assert_nonnull (spec);
   g_assert_cmpint (spec->shape, ==, MH_SHAPE_GANG);
-  g_autoptr (MhValue) written = mh_wire_write_submission (spec);
+  g_autoptr (MhValue) written = mh_submission_encode (spec);
   g_autofree char *shape = mh_value_get_text (written, "shape");
   g_assert_cmpstr (shape, ==, "group");
   g_assert_false (reads (with (submission (), "shape", mh_value_text ("gang"))));
@@ -228,21 +227,21 @@
     const char *status, *cause;
     bool good;
     MhTaskPhase phase;
-    MhCause read;
-  } legs[] = { { "gathering", NULL, true, MH_TASK_GATHERING, MH_CAUSE_NONE },
-               { "ended", "peers", true, MH_TASK_ENDED, MH_CAUSE_PEERS },
-               { "ended", "incomplete", true, MH_TASK_ENDED, MH_CAUSE_INCOMPLETE },
-               { "ended", "gathering", false, MH_TASK_ENDED, MH_CAUSE_NONE },
-               { "waiting", NULL, false, MH_TASK_ENDED, MH_CAUSE_NONE } };
+    MhTaskEndReason read;
+  } legs[] = { { "gathering", NULL, true, MH_TASK_PHASE_WAITING_FOR_GANG, MH_TASK_END_NONE },
+               { "ended", "peers", true, MH_TASK_PHASE_ENDED, MH_TASK_END_GANG_MEMBER_LOST },
+               { "ended", "incomplete", true, MH_TASK_PHASE_ENDED, MH_TASK_END_GANG_INCOMPLETE },
+               { "ended", "gathering", false, MH_TASK_PHASE_ENDED, MH_TASK_END_NONE },
+               { "waiting", NULL, false, MH_TASK_PHASE_ENDED, MH_TASK_END_NONE } };
   for (guint i = 0; i < G_N_ELEMENTS (legs); i++)
     {
       g_autoptr (MhValue) m = report_of (legs[i].status, legs[i].cause);
-      g_autoptr (MhReport) r = mh_wire_read_report (m);
+      g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m);
       g_assert_true ((r != NULL) == legs[i].good);
       if (r == NULL)
         continue;
-      g_assert_cmpint (g_array_index (r->tasks, MhReportTask, 0).phase, ==, legs[i].phase);
-      g_assert_cmpint (g_array_index (r->tasks, MhReportTask, 0).cause, ==, legs[i].read);
+      g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).phase, ==, legs[i].phase);
+      g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==, legs[i].read);
     }
 }
 
@@ -250,18 +249,19 @@
 test_report (void)
 {
   MhValue *m = report_of ("ended", "in_use");
-  g_autoptr (MhReport) r = mh_wire_read_report (m);
+  g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m);
   g_assert_nonnull (r);
   g_assert_cmpuint (r->tasks->len, ==, 1);
-  g_assert_cmpuint (g_array_index (r->tasks, MhReportTask, 0).index, ==, 3);
-  g_assert_cmpint (g_array_index (r->tasks, MhReportTask, 0).cause, ==, MH_CAUSE_BUSY);
+  g_assert_cmpuint (g_array_index (r->tasks, MhTaskStatus, 0).index, ==, 3);
+  g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==,
+                   MH_TASK_END_OTHER_ATTEMPT);
   g_assert_cmpint (r->notice_us, ==, 7500000);
   static const char *const needed[]
       = { "box", "endpoint", "rack", "hall", "tenure", "tick", "epoch" };
   for (guint i = 0; i < G_N_ELEMENTS (needed); i++)
     {
       g_autoptr (MhValue) part = with (cbor_incref (m), needed[i], NULL);
-      g_assert_null (mh_wire_read_report (part));
+      g_assert_null (mh_heartbeat_decode (part));
     }
   mh_value_unref (m);
 }
@@ -272,9 +272,9 @@
   g_autoptr (GByteArray) buffer = g_byte_array_new ();
   g_autoptr (GBytes) body = g_bytes_new_static ("\xa0", 1);
   MhUserAnswer answer = { .status = 200, .state = MH_JOB_DONE, .done = 3 };
-  GByteArray *records[]
-      = { mh_peer_write_call (7, MH_USER_SUBMIT, "j-000001", body),
-          mh_peer_write_answer (8, &answer), mh_peer_write_announcement ("node-1", 9) };
+  GByteArray *records[] = { mh_controller_request_encode (7, MH_USER_SUBMIT, "j-000001", body),
+                            mh_controller_response_encode (8, &answer),
+                            mh_controller_announcement_encode ("node-1", 9) };
   for (guint i = 0; i < G_N_ELEMENTS (records); i++)
     {
       g_byte_array_append (buffer, records[i]->data, records[i]->len);
@@ -282,14 +282,14 @@
     }
   /* Byte by byte, as a network may deliver it. */
   g_autoptr (GByteArray) in = g_byte_array_new ();
-  MhPeerMessage m;
+  MhControllerMessage m;
   guint n = 0;
   for (guint i = 0; i < buffer->len; i++)
     {
       g_byte_array_append (in, buffer->data + i, 1);
-      MhPeerRead read = mh_peer_read (in, &m);
-      g_assert_cmpint (read, !=, MH_PEER_BAD);
-      if (read == MH_PEER_MORE)
+      MhControllerReadResult read = mh_controller_message_read (in, &m);
+      g_assert_cmpint (read, !=, MH_CONTROLLER_READ_MALFORMED);
+      if (read == MH_CONTROLLER_READ_INCOMPLETE)
         continue;
       if (n == 0)
         g_assert_cmpstr (m.job, ==, "j-000001");
@@ -298,20 +298,20 @@
       else
         g_assert_cmpuint (m.id, ==, 9);
       n++;
-      mh_peer_message_clear (&m);
+      mh_controller_message_clear (&m);
     }
   g_assert_cmpuint (n, ==, 3);
   /* A length beyond any message must not be waited for. */
   g_byte_array_append (in, (const guint8 *)"\xff\xff\xff\xff", 4);
-  g_assert_cmpint (mh_peer_read (in, &m), ==, MH_PEER_BAD);
+  g_assert_cmpint (mh_controller_message_read (in, &m), ==, MH_CONTROLLER_READ_MALFORMED);
   g_autoptr (GRand) random = g_rand_new_with_seed (5531);
   for (guint round = 0; round < 5000; round++)
     {
       g_autoptr (GByteArray) noise = g_byte_array_new ();
       g_byte_array_append (noise, buffer->data, buffer->len);
       noise->data[g_rand_int_range (random, 0, (gint)noise->len)] = (guint8)g_rand_int (random);
-      while (mh_peer_read (noise, &m) == MH_PEER_READ)
-        mh_peer_message_clear (&m);
+      while (mh_controller_message_read (noise, &m) == MH_CONTROLLER_READ_MESSAGE)
+        mh_controller_message_clear (&m);
     }
 }
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -618,8 +618,8 @@
              gpointer token, guint *status, MhValue **reply)
 {
   *reply = NULL;
-  w->finals_read += target == MH_TARGET_STATE && g_str_has_prefix (path, "/kv/f/");
-  if (target == MH_TARGET_STATE)
+  w->finals_read += target == MH_TARGET_KEY_VALUE_STORE && g_str_has_prefix (path, "/kv/f/");
+  if (target == MH_TARGET_KEY_VALUE_STORE)
     return serve_state (w, method, path, body, token, status, reply);
   *status = 200;
   if (w->now_us < w->cloud_outage_until_us)
@@ -663,7 +663,7 @@
       for (guint k = 0; k < m->tasks->len; k++)
         {
           const WorldTask *t = &g_array_index (m->tasks, WorldTask, k);
-          n += t->phase != MH_TASK_ENDED && strcmp (t->job, job) == 0;
+          n += t->phase != MH_TASK_PHASE_ENDED && strcmp (t->job, job) == 0;
         }
     }
   return n;
@@ -677,7 +677,7 @@
     {
       const WorldTask *t = &g_array_index (m->tasks, WorldTask, i);
       const WorldJob *j = g_hash_table_lookup (w->jobs, t->job);
-      if (t->phase == MH_TASK_ENDED || (team && strcmp (j->spec->team, team) != 0))
+      if (t->phase == MH_TASK_PHASE_ENDED || (team && strcmp (j->spec->team, team) != 0))
         continue;
       *cpus += j->spec->cpus;
       *mem += j->spec->mem_gb;
@@ -699,7 +699,8 @@
       for (guint k = 0; k < m->tasks->len; k++)
         {
           const WorldTask *t = &g_array_index (m->tasks, WorldTask, k);
-          on += strcmp (t->job, s->id) == 0 && (t->phase != MH_TASK_ENDED || !j->done[t->index]);
+          on += strcmp (t->job, s->id) == 0
+                && (t->phase != MH_TASK_PHASE_ENDED || !j->done[t->index]);
         }
     }
   if (on + j->n_done >= s->tasks
@@ -731,8 +732,8 @@
     {
       WorldJob *j = value;
       const MhJobSpec *s = j->spec;
-      if (s->shape != MH_SHAPE_ARRAY || s->one_zone || s->scatter || !j->accepted || j->cancelled_us
-          || !could_start (w, j))
+      if (s->shape != MH_SHAPE_ARRAY || s->single_zone || s->spread_over_zones || !j->accepted
+          || j->cancelled_us || !could_start (w, j))
         j->waits_us = 0;
       else if (j->waits_us == 0)
         j->waits_us = w->now_us;
@@ -757,7 +758,7 @@
         {
           WorldTask *o = &g_array_index (other->tasks, WorldTask, k);
           const WorldJob *oj = g_hash_table_lookup (w->jobs, o->job);
-          if (o->phase == MH_TASK_ENDED)
+          if (o->phase == MH_TASK_PHASE_ENDED)
             continue;
           if (strcmp (oj->spec->team, j->spec->team) == 0)
             cpus += oj->spec->cpus;
@@ -776,8 +777,8 @@
     broken (w, "quota: %s uses %.1f", team->name, cpus);
   if ((m->spot && !j->spec->spot) || (j->spec->zone && strcmp (j->spec->zone, m->zone) != 0)
       || (j->spec->types && !g_strv_contains ((const char *const *)j->spec->types, m->type))
-      || (j->spec->one_zone && elsewhere_zone)
-      || (j->spec->scatter && same_zone + 1 > (j->spec->tasks + 1) / 2))
+      || (j->spec->single_zone && elsewhere_zone)
+      || (j->spec->spread_over_zones && same_zone + 1 > (j->spec->tasks + 1) / 2))
     broken (w, "wrong_place: %s on %s", t->leg, m->name);
   if (j->cancelled_us && w->now_us > j->cancelled_us + w->settings->cancel_us)
     broken (w, "ran_cancelled: %s starts", t->leg);
@@ -798,13 +799,13 @@
         continue;
       if (o->attempt == attempt)
         return;
-      used |= o->phase != MH_TASK_ENDED;
+      used |= o->phase != MH_TASK_PHASE_ENDED;
     }
   WorldTask t = { .leg = g_strdup (leg),
                   .job = g_strdup (parts[0]),
                   .index = (guint)g_ascii_strtoull (parts[1], NULL, 10),
                   .attempt = attempt,
-                  .phase = MH_TASK_ENDED };
+                  .phase = MH_TASK_PHASE_ENDED };
   double cpus = 0, mem = 0;
   in_use (w, m, NULL, &cpus, &mem);
   if (j == NULL)
@@ -817,14 +818,14 @@
   else
     {
       bool cached = g_hash_table_contains (m->images, j->spec->image);
-      t.phase = !cached                           ? MH_TASK_FETCHING
-                : j->spec->shape == MH_SHAPE_GANG ? MH_TASK_GATHERING
-                                                  : MH_TASK_RUNNING;
+      t.phase = !cached                           ? MH_TASK_PHASE_FETCHING_IMAGE
+                : j->spec->shape == MH_SHAPE_GANG ? MH_TASK_PHASE_WAITING_FOR_GANG
+                                                  : MH_TASK_PHASE_RUNNING;
       t.ready_us = w->now_us + (cached ? 0 : (gint64)(j->spec->image_gb * 1e6));
       t.end_us = j->run_us ? t.ready_us + j->run_us + j->apart_us * t.index : 0;
     }
   g_array_append_val (m->tasks, t);
-  if (t.phase != MH_TASK_ENDED)
+  if (t.phase != MH_TASK_PHASE_ENDED)
     check_start (w, m, &g_array_index (m->tasks, WorldTask, m->tasks->len - 1), j);
 }
 
@@ -833,12 +834,13 @@
 gang_saves (World *w, WorldTask *t, double grace_s)
 {
   WorldJob *j = g_hash_table_lookup (w->jobs, t->job);
-  if (t->phase == MH_TASK_SAVING)
+  if (t->phase == MH_TASK_PHASE_CHECKPOINTING)
     return grace_s > 0;
-  if (j == NULL || j->spec->shape != MH_SHAPE_GANG || t->phase != MH_TASK_RUNNING
-      || j->spec->checkpoint_us == 0 || grace_s * 1e6 < (double)j->spec->save_us)
+  if (j == NULL || j->spec->shape != MH_SHAPE_GANG || t->phase != MH_TASK_PHASE_RUNNING
+      || j->spec->checkpoint_interval_us == 0
+      || grace_s * 1e6 < (double)j->spec->checkpoint_save_us)
     return false;
-  t->phase = MH_TASK_SAVING;
+  t->phase = MH_TASK_PHASE_CHECKPOINTING;
   t->told_us = w->now_us;
   if (j->told_us == 0)
     j->told_us = w->now_us;
@@ -868,12 +870,12 @@
           mh_value_get_number (o, "wind_down_s", &grace);
           if (strcmp (verb, "kill") == 0 && gang_saves (w, t, grace))
             ;
-          else if (strcmp (verb, "kill") == 0 && t->phase != MH_TASK_ENDED)
+          else if (strcmp (verb, "kill") == 0 && t->phase != MH_TASK_PHASE_ENDED)
             {
-              t->phase = MH_TASK_ENDED;
+              t->phase = MH_TASK_PHASE_ENDED;
               t->cause = "stopped";
             }
-          else if (strcmp (verb, "clear") == 0 && t->phase == MH_TASK_ENDED)
+          else if (strcmp (verb, "clear") == 0 && t->phase == MH_TASK_PHASE_ENDED)
             g_array_remove_index (m->tasks, k);
           break;
         }
@@ -903,7 +905,7 @@
       mh_value_set_text (leg, "leg", t->leg);
       mh_value_set_uint (leg, "try", t->attempt);
       mh_value_set_text (leg, "status", phases[t->phase]);
-      if (t->phase == MH_TASK_ENDED)
+      if (t->phase == MH_TASK_PHASE_ENDED)
         mh_value_set_text (leg, "cause", t->cause);
       mh_value_push (legs, leg);
     }
@@ -973,30 +975,31 @@
         t->owner = g_hash_table_lookup (w->jobs, t->job);
       WorldJob *j = t->owner;
       bool gang = j && j->spec->shape == MH_SHAPE_GANG;
-      if (t->phase == MH_TASK_FETCHING && w->now_us >= t->ready_us)
+      if (t->phase == MH_TASK_PHASE_FETCHING_IMAGE && w->now_us >= t->ready_us)
         {
-          t->phase = gang ? MH_TASK_GATHERING : MH_TASK_RUNNING;
+          t->phase = gang ? MH_TASK_PHASE_WAITING_FOR_GANG : MH_TASK_PHASE_RUNNING;
           g_hash_table_add (m->images, g_strdup (j->spec->image));
         }
-      if (t->phase == MH_TASK_RUNNING && (m->sick || (j && j->fails))
+      if (t->phase == MH_TASK_PHASE_RUNNING && (m->sick || (j && j->fails))
           && w->now_us >= t->ready_us + MH_SECOND_US)
         {
-          t->phase = MH_TASK_ENDED;
+          t->phase = MH_TASK_PHASE_ENDED;
           t->cause = "error";
         }
-      if (t->phase == MH_TASK_GATHERING && w->now_us > t->ready_us + w->settings->gang_wait_us)
+      if (t->phase == MH_TASK_PHASE_WAITING_FOR_GANG
+          && w->now_us > t->ready_us + w->settings->gang_wait_us)
         {
-          t->phase = MH_TASK_ENDED;
+          t->phase = MH_TASK_PHASE_ENDED;
           t->cause = "incomplete";
         }
-      if (t->phase == MH_TASK_RUNNING && !gang && t->end_us && w->now_us >= t->end_us)
+      if (t->phase == MH_TASK_PHASE_RUNNING && !gang && t->end_us && w->now_us >= t->end_us)
         {
-          t->phase = MH_TASK_ENDED;
+          t->phase = MH_TASK_PHASE_ENDED;
           t->cause = "done";
           j->n_done += !j->done[t->index];
           j->done[t->index] = 1;
         }
-      if (t->phase != MH_TASK_ENDED && j->cancelled_us
+      if (t->phase != MH_TASK_PHASE_ENDED && j->cancelled_us
           && w->now_us > j->cancelled_us + w->settings->cancel_us)
         {
           broken (w, "ran_cancelled: %s is still on %s", t->leg, m->name);
@@ -1011,7 +1014,7 @@
   for (guint i = 0; i < tasks->len; i++)
     {
       WorldTask *t = g_ptr_array_index (tasks, i);
-      t->phase = MH_TASK_ENDED;
+      t->phase = MH_TASK_PHASE_ENDED;
       t->cause = cause;
     }
   j->running_attempt = 0;
@@ -1032,13 +1035,14 @@
       for (guint k = 0; k < m->tasks->len && m->up; k++)
         {
           WorldTask *t = &g_array_index (m->tasks, WorldTask, k);
-          if (strcmp (t->job, s->id) != 0 || t->phase == MH_TASK_ENDED
+          if (strcmp (t->job, s->id) != 0 || t->phase == MH_TASK_PHASE_ENDED
               || w->now_us < m->hung_until_us)
             continue;
           attempt = t->attempt;
-          ready += t->phase == MH_TASK_GATHERING;
-          saving += t->phase == MH_TASK_SAVING && w->now_us >= t->told_us + s->save_us;
-          if (t->phase >= MH_TASK_RUNNING)
+          ready += t->phase == MH_TASK_PHASE_WAITING_FOR_GANG;
+          saving += t->phase == MH_TASK_PHASE_CHECKPOINTING
+                    && w->now_us >= t->told_us + s->checkpoint_save_us;
+          if (t->phase >= MH_TASK_PHASE_RUNNING)
             g_ptr_array_add (tasks, t);
         }
     }
@@ -1053,8 +1057,8 @@
           for (guint k = 0; k < m->tasks->len; k++)
             {
               WorldTask *t = &g_array_index (m->tasks, WorldTask, k);
-              if (strcmp (t->job, s->id) == 0 && t->phase == MH_TASK_GATHERING)
-                t->phase = MH_TASK_RUNNING;
+              if (strcmp (t->job, s->id) == 0 && t->phase == MH_TASK_PHASE_WAITING_FOR_GANG)
+                t->phase = MH_TASK_PHASE_RUNNING;
             }
         }
       return;
@@ -1071,10 +1075,11 @@
       end_gang (j, tasks, "stopped");
     }
   else if ((j->lacks_us && w->now_us > j->lacks_us + w->settings->gang_peer_us)
-           || (j->told_us && w->now_us > j->told_us + s->save_us + w->settings->gang_peer_us))
+           || (j->told_us
+               && w->now_us > j->told_us + s->checkpoint_save_us + w->settings->gang_peer_us))
     {
-      if (s->checkpoint_us)
-        j->saved_us = progress / s->checkpoint_us * s->checkpoint_us;
+      if (s->checkpoint_interval_us)
+        j->saved_us = progress / s->checkpoint_interval_us * s->checkpoint_interval_us;
       end_gang (j, tasks, "peers");
     }
   else if (j->run_us && progress >= j->run_us && j->told_us == 0 && j->lacks_us == 0)
