--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -12,7 +12,7 @@
 types_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   (void)data;
-  GPtrArray *types = status == 200 ? mh_machine_types_decode (body) : NULL;
+  GPtrArray *types = status == 200 ? mh_machine_types_decode (body, NULL) : NULL;
   core->scale.types_busy = false;
   core->scale.types_us = core->now.mono_us + (types ? TYPES_US : MH_SECOND_US);
   if (types == NULL)
@@ -59,7 +59,7 @@
 {
   (void)data;
   bool more = false;
-  g_autoptr (GPtrArray) list = status == 200 ? mh_machine_list_decode (body, &more) : NULL;
+  g_autoptr (GPtrArray) list = status == 200 ? mh_machine_list_decode (body, &more, NULL) : NULL;
   core->scale.list_busy = false;
   core->scale.list_us = core->now.mono_us + MH_SECOND_US;
   if (list == NULL)
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -125,7 +125,7 @@
 write_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   Parcel *p = data;
-  g_auto (GStrv) failed = status == 409 ? mh_kv_failed_conditions_decode (body) : NULL;
+  g_auto (GStrv) failed = status == 409 ? mh_kv_failed_conditions_decode (body, NULL) : NULL;
   if (failed && g_strv_contains ((const char *const *)failed, "leader"))
     mh_leader_lost (core, "another controller leads");
   /* Refused because it is there: a copy that was not answered has been carried out. */
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -86,7 +86,7 @@
 rent_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   const Rental *r = data;
-  g_auto (GStrv) names = status == 200 ? mh_created_machines_decode (body) : NULL;
+  g_auto (GStrv) names = status == 200 ? mh_created_machines_decode (body, NULL) : NULL;
   if (names)
     rental_carried_out (core, r, names);
   else if (status == 503 || status == 400)
@@ -108,8 +108,9 @@
 {
   core->scale.renting = true;
   mh_core_call (core, MH_RANK_WORK,
-                mh_cloud_request_create_machines (r->name, r->type, r->zone, r->spot, r->count), 0,
-                CLOUD_TIMEOUT_US, rent_reply, r, rental_free);
+                mh_cloud_request_create_machines (
+                    &(MhMachineOrder){ r->name, r->type, r->zone, r->spot, r->count }),
+                0, CLOUD_TIMEOUT_US, rent_reply, r, rental_free);
 }
 
 void
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -4,7 +4,8 @@
 #pragma once
 
 #include "controller/core-types.h"
-#include "protocol/types.h"
+#include <glib.h>
+#include <stdbool.h>
 
 bool
 mh_rental_refused (MhCore *core, const MhMachineType *type, const char *zone, bool spot);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -125,7 +125,7 @@
 probe_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   MhMachine *m = mh_fleet_machine (core, data);
-  g_autoptr (MhHeartbeat) r = status == 200 ? mh_heartbeat_decode (body) : NULL;
+  g_autoptr (MhHeartbeat) r = status == 200 ? mh_heartbeat_decode (body, NULL) : NULL;
   if (m == NULL)
     return;
   m->probing = false;
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -226,7 +226,8 @@
 {
   Direct *d = data;
   MhMachine *m = mh_fleet_machine (core, d->machine);
-  g_autoptr (MhHeartbeat) r = status == 200 || status == 409 ? mh_heartbeat_decode (body) : NULL;
+  g_autoptr (MhHeartbeat) r
+      = status == 200 || status == 409 ? mh_heartbeat_decode (body, NULL) : NULL;
   if (m == NULL)
     return;
   m->direct--;
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -85,7 +85,7 @@
       campaign (core);
       return;
     }
-  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body, NULL) : NULL;
   if (e == NULL)
     {
       retry (core, 200000);
@@ -115,7 +115,7 @@
 {
   guint64 revision;
   (void)data;
-  g_autoptr (GPtrArray) events = status == 200 ? mh_kv_events_decode (body, &revision) : NULL;
+  g_autoptr (GPtrArray) events = status == 200 ? mh_kv_events_decode (body, &revision, NULL) : NULL;
   if (events == NULL)
     {
       retry (core, 200000);
@@ -204,7 +204,7 @@
 check_won_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
   (void)data;
-  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body, NULL) : NULL;
   g_autofree char *node = NULL;
   guint64 epoch, lease_id;
   /* An earlier life of this node, ended in the middle of its election, may have put its name there
@@ -225,7 +225,7 @@
 {
   guint64 version;
   (void)data;
-  if (status == 200 && mh_kv_revision_decode (body, &version))
+  if (status == 200 && mh_kv_revision_decode (body, &version, NULL))
     {
       if (core->now.mono_us < core->leader.valid_until_us)
         won (core, version);
@@ -262,7 +262,7 @@
   (void)data;
   if (status == 200)
     {
-      MhKvEntry *e = mh_kv_entry_decode (body);
+      MhKvEntry *e = mh_kv_entry_decode (body, NULL);
       bool ok = e && mh_record_read_epoch (e->value, &epoch);
       version = e ? e->version : 0;
       mh_kv_entry_free (e);
@@ -294,7 +294,7 @@
 static void
 lease_reply (MhCore *core, gpointer data, guint status, const MhValue *body)
 {
-  if (status != 200 || !mh_kv_lease_decode (body, &core->leader.lease_id))
+  if (status != 200 || !mh_kv_lease_decode (body, &core->leader.lease_id, NULL))
     {
       give_up_campaign (core, 200000);
       return;
--- a/src/placement/topology-spread.h
+++ b/src/placement/topology-spread.h
@@ -1,7 +1,8 @@
 /* The arithmetic of KEP-895 (Pod Topology Spread) and nothing else. */
 #pragma once
 
-#include "protocol/types.h"
+#include <glib.h>
+#include <stdbool.h>
 
 typedef struct
 {
--- a/src/protocol/controller-messages.c
+++ b/src/protocol/controller-messages.c
@@ -1,128 +1,187 @@
 #include "protocol/controller-messages.h"
-#include "peer_xdr.h"
-#include "protocol/wire.h"
+#include "controller_messages.h"
 
 #include <string.h>
 
 /* The largest body, names and the numbers around them. */
-#define RECORD_MAX (PEER_BODY_MAX + PEER_NAME_MAX + 256)
-#define HEAD 4u
+#define MAX_RECORD_SIZE (WIRE_BODY_MAX + WIRE_NAME_MAX + 256)
+/* The length before a record, in network byte order. */
+#define LENGTH_SIZE ((guint32)sizeof (guint32))
+#define MIN_HTTP_STATUS 200
+#define MAX_HTTP_STATUS 599
 
 void
-mh_controller_message_clear (MhControllerMessage *m)
+mh_controller_message_clear (MhControllerMessage *message)
 {
-  g_clear_pointer (&m->job, g_free);
-  g_clear_pointer (&m->body, g_bytes_unref);
+  g_return_if_fail (message != NULL);
+
+  g_clear_pointer (&message->job, g_free);
+  g_clear_pointer (&message->body, g_bytes_unref);
+  g_clear_pointer (&message->node, g_free);
 }
 
 static GByteArray *
-write_record (peer_message *m)
+encode_record (wire_message *message)
 {
   XDR xdr;
-  g_autofree char *room = g_malloc (RECORD_MAX);
-  xdrmem_create (&xdr, room, RECORD_MAX, XDR_ENCODE);
-  bool ok = xdr_peer_message (&xdr, m);
-  guint32 size = xdr_getpos (&xdr), head = GUINT32_TO_BE (size);
+  g_autofree char *buffer = g_malloc (MAX_RECORD_SIZE);
+  xdrmem_create (&xdr, buffer, MAX_RECORD_SIZE, XDR_ENCODE);
+  bool encoded = xdr_wire_message (&xdr, message);
+  guint32 size = xdr_getpos (&xdr);
   xdr_destroy (&xdr);
-  if (!ok)
+  if (!encoded)
     return NULL;
-  GByteArray *out = g_byte_array_sized_new (size + HEAD);
-  g_byte_array_append (out, (const guint8 *)&head, HEAD);
-  g_byte_array_append (out, (const guint8 *)room, size);
-  return out;
+  guint32 length = GUINT32_TO_BE (size);
+  GByteArray *record = g_byte_array_sized_new (size + LENGTH_SIZE);
+  g_byte_array_append (record, (const guint8 *)&length, LENGTH_SIZE);
+  g_byte_array_append (record, (const guint8 *)buffer, size);
+  return record;
 }
 
 GByteArray *
 mh_controller_request_encode (guint64 id, MhUserVerb verb, const char *job, GBytes *body)
 {
+  g_return_val_if_fail (job != NULL, NULL);
+
   gsize size = 0;
   const char *data = body ? g_bytes_get_data (body, &size) : NULL;
-  peer_message m = { .kind = PEER_CALL };
-  peer_call *call = &m.peer_message_u.call;
-  call->id = id;
-  call->verb = (peer_verb)verb;
-  call->job = (char *)job;
-  call->body.body_len = (u_int)size;
-  call->body.body_val = (char *)data;
-  return write_record (&m);
+  wire_message message = { .kind = WIRE_REQUEST };
+  wire_request *request = &message.wire_message_u.request;
+  request->id = id;
+  request->verb = (wire_verb)verb;
+  request->job = (char *)job;
+  request->body.body_len = (u_int)size;
+  request->body.body_val = (char *)data;
+  return encode_record (&message);
 }
 
 GByteArray *
-mh_controller_response_encode (guint64 id, const MhUserAnswer *a)
+mh_controller_response_encode (guint64 id, const MhUserAnswer *answer)
 {
-  peer_message m = { .kind = PEER_ANSWER };
-  m.peer_message_u.answer = (peer_answer){ .id = id,
-                                           .status = a->status,
-                                           .retry_after_s = a->retry_after_s,
-                                           .state = a->state,
-                                           .done = a->done,
-                                           .running = a->running };
-  return write_record (&m);
+  g_return_val_if_fail (answer != NULL, NULL);
+
+  wire_message message = { .kind = WIRE_RESPONSE };
+  message.wire_message_u.response = (wire_response){ .id = id,
+                                                     .status = answer->status,
+                                                     .retry_after_s = answer->retry_after_s,
+                                                     .state = answer->state,
+                                                     .done = answer->done,
+                                                     .running = answer->running };
+  return encode_record (&message);
 }
 
 GByteArray *
 mh_controller_announcement_encode (const char *node, guint64 epoch)
 {
-  peer_message m = { .kind = PEER_ANNOUNCEMENT };
-  m.peer_message_u.announcement = (peer_announcement){ .node = (char *)node, .epoch = epoch };
-  return write_record (&m);
+  g_return_val_if_fail (node != NULL, NULL);
+
+  wire_message message = { .kind = WIRE_ANNOUNCEMENT };
+  message.wire_message_u.announcement = (wire_announcement){ .node = (char *)node, .epoch = epoch };
+  return encode_record (&message);
 }
 
 static bool
-take (const peer_message *x, MhControllerMessage *m)
+fail (GError **error, MhProtocolError code, const char *problem)
 {
-  memset (m, 0, sizeof *m);
-  if (x->kind == PEER_CALL)
-    {
-      const peer_call *call = &x->peer_message_u.call;
-      if (call->verb < PEER_SUBMIT || call->verb > PEER_CANCEL || !mh_job_id_is_valid (call->job))
-        return false;
-      m->kind = MH_CONTROLLER_REQUEST;
-      m->id = call->id;
-      m->verb = (MhUserVerb)call->verb;
-      m->job = g_strdup (call->job);
-      m->body = g_bytes_new (call->body.body_val, call->body.body_len);
-      return true;
-    }
-  if (x->kind == PEER_ANNOUNCEMENT)
+  g_set_error_literal (error, MH_PROTOCOL_ERROR, code, problem);
+  return false;
+}
+
+static bool
+take_request (const wire_request *request, MhControllerMessage *message, GError **error)
+{
+  if (request->verb < WIRE_SUBMIT || request->verb > WIRE_CANCEL)
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "verb: out of range");
+  if (!mh_job_id_is_valid (request->job))
+    return fail (error, MH_PROTOCOL_ERROR_INVALID_ID, "job: not the id of a job");
+  message->kind = MH_CONTROLLER_REQUEST;
+  message->id = request->id;
+  message->verb = (MhUserVerb)request->verb;
+  message->job = g_strdup (request->job);
+  message->body = g_bytes_new (request->body.body_val, request->body.body_len);
+  return true;
+}
+
+static bool
+take_response (const wire_response *response, MhControllerMessage *message, GError **error)
+{
+  if (response->state > MH_JOB_CANCELLED)
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "state: out of range");
+  if (response->status < MIN_HTTP_STATUS || response->status > MAX_HTTP_STATUS)
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "status: out of range");
+  message->kind = MH_CONTROLLER_RESPONSE;
+  message->id = response->id;
+  message->answer = (MhUserAnswer){ .status = response->status,
+                                    .retry_after_s = response->retry_after_s,
+                                    .state = (MhJobState)response->state,
+                                    .done = response->done,
+                                    .running = response->running };
+  return true;
+}
+
+static bool
+take_announcement (const wire_announcement *announcement, MhControllerMessage *message,
+                   GError **error)
+{
+  if (*announcement->node == '\0')
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "node: empty");
+  message->kind = MH_CONTROLLER_ANNOUNCEMENT;
+  message->node = g_strdup (announcement->node);
+  message->epoch = announcement->epoch;
+  return true;
+}
+
+static bool
+take_message (const wire_message *decoded, MhControllerMessage *message, GError **error)
+{
+  memset (message, 0, sizeof *message);
+  switch (decoded->kind)
     {
-      m->kind = MH_CONTROLLER_ANNOUNCEMENT;
-      m->id = x->peer_message_u.announcement.epoch;
-      m->job = g_strdup (x->peer_message_u.announcement.node);
-      return *m->job != '\0';
+    case WIRE_REQUEST:
+      return take_request (&decoded->wire_message_u.request, message, error);
+    case WIRE_RESPONSE:
+      return take_response (&decoded->wire_message_u.response, message, error);
+    case WIRE_ANNOUNCEMENT:
+      return take_announcement (&decoded->wire_message_u.announcement, message, error);
     }
-  const peer_answer *a = &x->peer_message_u.answer;
-  if (x->kind != PEER_ANSWER || a->state > MH_JOB_CANCELLED || a->status < 200 || a->status > 599)
-    return false;
-  m->kind = MH_CONTROLLER_RESPONSE;
-  m->id = a->id;
-  m->answer = (MhUserAnswer){ .status = a->status,
-                              .retry_after_s = a->retry_after_s,
-                              .state = (MhJobState)a->state,
-                              .done = a->done,
-                              .running = a->running };
-  return true;
+  return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "kind: out of range");
+}
+
+static bool
+decode_record (const guint8 *data, guint32 size, MhControllerMessage *message, GError **error)
+{
+  XDR xdr;
+  wire_message decoded;
+  memset (&decoded, 0, sizeof decoded);
+  xdrmem_create (&xdr, (char *)data, size, XDR_DECODE);
+  bool valid = xdr_wire_message (&xdr, &decoded) && xdr_getpos (&xdr) == size;
+  if (valid)
+    valid = take_message (&decoded, message, error);
+  else
+    fail (error, MH_PROTOCOL_ERROR_MALFORMED_XDR, "not one XDR message");
+  xdr_free ((xdrproc_t)xdr_wire_message, (char *)&decoded);
+  xdr_destroy (&xdr);
+  return valid;
 }
 
 MhControllerReadResult
-mh_controller_message_read (GByteArray *buffer, MhControllerMessage *message)
+mh_controller_message_read (GByteArray *buffer, MhControllerMessage *message, GError **error)
 {
+  g_return_val_if_fail (buffer != NULL && message != NULL, MH_CONTROLLER_READ_MALFORMED);
+
   guint32 size;
-  if (buffer->len < HEAD)
+  if (buffer->len < LENGTH_SIZE)
     return MH_CONTROLLER_READ_INCOMPLETE;
-  memcpy (&size, buffer->data, HEAD);
+  memcpy (&size, buffer->data, LENGTH_SIZE);
   size = GUINT32_FROM_BE (size);
-  if (size > RECORD_MAX)
-    return MH_CONTROLLER_READ_MALFORMED;
-  if (buffer->len < HEAD + size)
+  if (size > MAX_RECORD_SIZE)
+    {
+      fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "length of the record: out of range");
+      return MH_CONTROLLER_READ_MALFORMED;
+    }
+  if (buffer->len < LENGTH_SIZE + size)
     return MH_CONTROLLER_READ_INCOMPLETE;
-  XDR xdr;
-  peer_message x;
-  memset (&x, 0, sizeof x);
-  xdrmem_create (&xdr, (char *)buffer->data + HEAD, size, XDR_DECODE);
-  bool ok = xdr_peer_message (&xdr, &x) && xdr_getpos (&xdr) == size && take (&x, message);
-  xdr_free ((xdrproc_t)xdr_peer_message, (char *)&x);
-  xdr_destroy (&xdr);
-  g_byte_array_remove_range (buffer, 0, HEAD + size);
-  return ok ? MH_CONTROLLER_READ_MESSAGE : MH_CONTROLLER_READ_MALFORMED;
+  bool valid = decode_record (buffer->data + LENGTH_SIZE, size, message, error);
+  g_byte_array_remove_range (buffer, 0, LENGTH_SIZE + size);
+  return valid ? MH_CONTROLLER_READ_MESSAGE : MH_CONTROLLER_READ_MALFORMED;
 }
--- a/src/protocol/value.c
+++ b/src/protocol/value.c
@@ -1,207 +1,104 @@
 #include "protocol/value.h"
+#include "protocol/cbor-scan.h"
+#include "protocol/protocol-error.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Deeper nesting than any message has is refused before libcbor builds it. */
-#define MAX_DEPTH 16
+/* Up to here a double holds each whole number. */
+#define MAX_EXACT_DOUBLE 9007199254740992.0
+/* No number, and neither true, false nor null, is longer in JSON. */
+#define MAX_JSON_NUMBER_SIZE 24
 
 void
-mh_value_unref (MhValue *v)
+mh_value_unref (MhValue *value)
 {
-  if (v)
-    cbor_decref (&v);
+  if (value)
+    cbor_decref (&value);
 }
 
-/* ---- well-formed input ----
-
-   Scans the head bytes only, so that a hostile body cannot make the library recurse or reserve
-   memory for a length that it does not carry. */
-
-#define BREAK 0xff
-
-typedef enum
-{
-  MAJOR_UNSIGNED,
-  MAJOR_NEGATIVE,
-  MAJOR_BYTES,
-  MAJOR_TEXT,
-  MAJOR_ARRAY,
-  MAJOR_MAP,
-  MAJOR_TAG,
-  MAJOR_SIMPLE
-} Major;
-
-typedef struct
-{
-  const guint8 *data;
-  gsize size, at;
-} Scan;
-
-typedef struct
-{
-  Major major;
-  guint64 argument;
-  bool open; /* of indefinite length: ends with a break */
-} Head;
-
-static bool
-scan_head (Scan *scan, Head *head)
+MhValue *
+mh_value_load (const void *data, gsize size, GError **error)
 {
-  if (scan->at >= scan->size)
-    return false;
-  guint8 first = scan->data[scan->at++];
-  guint info = first & 31;
-  *head = (Head){ .major = (Major)(first >> 5), .argument = info, .open = info == 31 };
-  if (info < 24 || info == 31)
-    return true;
-  if (info > 27)
-    return false;
-  guint length = 1u << (info - 24);
-  if (scan->size - scan->at < length)
-    return false;
-  head->argument = 0;
-  for (guint i = 0; i < length; i++)
-    head->argument = head->argument << 8 | scan->data[scan->at++];
-  return true;
+  struct cbor_load_result result;
+  g_autoptr (MhValue) item
+      = mh_cbor_is_well_formed (data, size) ? cbor_load (data, size, &result) : NULL;
+  if (item && result.error.code == CBOR_ERR_NONE && result.read == size)
+    return g_steal_pointer (&item);
+  g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_MALFORMED_CBOR,
+                       "not exactly one CBOR item");
+  return NULL;
 }
 
-static bool
-at_break (const Scan *scan)
+GBytes *
+mh_value_save (const MhValue *value)
 {
-  return scan->at < scan->size && scan->data[scan->at] == BREAK;
+  unsigned char *data = NULL;
+  size_t capacity = 0;
+  size_t size = cbor_serialize_alloc (value, &data, &capacity);
+  g_assert (size > 0);
+  return g_bytes_new_with_free_func (data, size, free, data);
 }
 
-static bool
-scan_item (Scan *scan, guint depth);
-
-static bool
-scan_chunks (Scan *scan, Major major, guint depth)
+/* Anything but plain ASCII may need an escape. */
+static gsize
+json_size_of_text (const MhValue *text)
 {
-  while (scan->at < scan->size && !at_break (scan))
+  gsize size = strlen ("\"\"");
+  const guint8 *bytes = cbor_string_handle (text);
+  for (gsize i = 0; i < cbor_string_length (text); i++)
     {
-      guint8 next = scan->data[scan->at];
-      if (next >> 5 != major || (next & 31) == 31 || !scan_item (scan, depth + 1))
-        return false;
+      bool plain = bytes[i] >= ' ' && bytes[i] <= '~' && bytes[i] != '"' && bytes[i] != '\\';
+      size += plain ? 1 : strlen ("\\u0000");
     }
-  return scan->at++ < scan->size;
+  return size;
 }
 
-static bool
-scan_open_items (Scan *scan, Major major, guint depth)
+static gsize
+json_size_of_list (const MhValue *list)
 {
-  guint items = 0;
-  for (; scan->at < scan->size && !at_break (scan); items++)
-    if (!scan_item (scan, depth + 1))
-      return false;
-  return scan->at++ < scan->size && (major == MAJOR_ARRAY || items % 2 == 0);
+  gsize size = strlen ("[]");
+  for (gsize i = 0; i < cbor_array_size (list); i++)
+    size += strlen (", ") + mh_value_json_size (cbor_array_handle (list)[i]);
+  return size;
 }
 
-static bool
-scan_items (Scan *scan, guint64 count, guint depth)
+static gsize
+json_size_of_map (const MhValue *map)
 {
-  for (guint64 i = 0; i < count; i++)
-    if (!scan_item (scan, depth + 1))
-      return false;
-  return true;
-}
-
-static bool
-scan_item (Scan *scan, guint depth)
-{
-  Head head;
-  if (depth > MAX_DEPTH || !scan_head (scan, &head))
-    return false;
-  switch (head.major)
+  gsize size = strlen ("{}");
+  for (gsize i = 0; i < cbor_map_size (map); i++)
     {
-    case MAJOR_BYTES:
-    case MAJOR_TEXT:
-      if (head.open)
-        return scan_chunks (scan, head.major, depth);
-      if (scan->size - scan->at < head.argument)
-        return false;
-      scan->at += head.argument;
-      return true;
-    case MAJOR_ARRAY:
-    case MAJOR_MAP:
-      if (head.open)
-        return scan_open_items (scan, head.major, depth);
-      return head.argument <= scan->size
-             && scan_items (scan, head.argument * (head.major == MAJOR_MAP ? 2 : 1), depth);
-    case MAJOR_TAG:
-      return !head.open && scan_item (scan, depth + 1);
-    default:
-      return !head.open;
+      const struct cbor_pair *pair = &cbor_map_handle (map)[i];
+      size += strlen (": , ") + mh_value_json_size (pair->key) + mh_value_json_size (pair->value);
     }
+  return size;
 }
 
-static bool
-well_formed (const void *data, gsize size)
-{
-  Scan scan = { .data = data, .size = size };
-  return scan_item (&scan, 0) && scan.at == size;
-}
-
-MhValue *
-mh_value_load (const void *data, gsize size)
-{
-  if (data == NULL || !well_formed (data, size))
-    return NULL;
-  struct cbor_load_result result;
-  cbor_item_t *item = cbor_load (data, size, &result);
-  if (item && (result.error.code != CBOR_ERR_NONE || result.read != size))
-    g_clear_pointer (&item, mh_value_unref);
-  return item;
-}
-
-GBytes *
-mh_value_save (const MhValue *v)
+static gsize
+json_size_of_uint (guint64 number)
 {
-  unsigned char *data = NULL;
-  size_t room = 0;
-  size_t size = cbor_serialize_alloc (v, &data, &room);
-  g_assert (size > 0);
-  return g_bytes_new_with_free_func (data, size, free, data);
+  gsize digits = 1;
+  for (; number >= 10; number /= 10)
+    digits++;
+  return digits;
 }
 
 gsize
-mh_value_json_size (const MhValue *v)
+mh_value_json_size (const MhValue *value)
 {
-  switch (cbor_typeof (v))
+  switch (cbor_typeof (value))
     {
     case CBOR_TYPE_STRING:
-      {
-        /* Anything but plain ASCII may need an escape of six characters. */
-        gsize n = 2;
-        const guint8 *p = cbor_string_handle (v);
-        for (gsize i = 0; i < cbor_string_length (v); i++)
-          n += p[i] < 0x20 || p[i] > 0x7e || p[i] == '"' || p[i] == '\\' ? 6 : 1;
-        return n;
-      }
+      return json_size_of_text (value);
     case CBOR_TYPE_ARRAY:
-      {
-        gsize n = 2;
-        for (gsize i = 0; i < cbor_array_size (v); i++)
-          n += 2 + mh_value_json_size (cbor_array_handle (v)[i]);
-        return n;
-      }
+      return json_size_of_list (value);
     case CBOR_TYPE_MAP:
-      {
-        gsize n = 2;
-        for (gsize i = 0; i < cbor_map_size (v); i++)
-          n += 4 + mh_value_json_size (cbor_map_handle (v)[i].key)
-               + mh_value_json_size (cbor_map_handle (v)[i].value);
-        return n;
-      }
+      return json_size_of_map (value);
     case CBOR_TYPE_UINT:
-      {
-        gsize n = 1;
-        for (guint64 x = cbor_get_int (v); x >= 10; x /= 10)
-          n++;
-        return n;
-      }
+      return json_size_of_uint (cbor_get_int (value));
     default:
-      return 24;
+      return MAX_JSON_NUMBER_SIZE;
     }
 }
 
@@ -218,20 +115,20 @@
 }
 
 void
-mh_value_set (MhValue *map, const char *key, MhValue *owned)
+mh_value_set (MhValue *map, const char *key, MhValue *value)
 {
-  bool ok = cbor_map_add (map, (struct cbor_pair){ .key = cbor_move (cbor_build_string (key)),
-                                                   .value = cbor_move (owned) });
-  g_assert (ok);
+  bool added = cbor_map_add (map, (struct cbor_pair){ .key = cbor_move (cbor_build_string (key)),
+                                                      .value = cbor_move (value) });
+  g_assert (added);
 }
 
 MhValue *
-mh_value_uint (guint64 n)
+mh_value_uint (guint64 number)
 {
-  return n <= G_MAXUINT8    ? cbor_build_uint8 ((guint8)n)
-         : n <= G_MAXUINT16 ? cbor_build_uint16 ((guint16)n)
-         : n <= G_MAXUINT32 ? cbor_build_uint32 ((guint32)n)
-                            : cbor_build_uint64 (n);
+  return number <= G_MAXUINT8    ? cbor_build_uint8 ((guint8)number)
+         : number <= G_MAXUINT16 ? cbor_build_uint16 ((guint16)number)
+         : number <= G_MAXUINT32 ? cbor_build_uint32 ((guint32)number)
+                                 : cbor_build_uint64 (number);
 }
 
 MhValue *
@@ -248,28 +145,28 @@
 }
 
 void
-mh_value_set_uint (MhValue *map, const char *key, guint64 n)
+mh_value_set_uint (MhValue *map, const char *key, guint64 number)
 {
-  mh_value_set (map, key, mh_value_uint (n));
+  mh_value_set (map, key, mh_value_uint (number));
 }
 
 void
-mh_value_set_number (MhValue *map, const char *key, double d)
+mh_value_set_number (MhValue *map, const char *key, double number)
 {
-  mh_value_set (map, key, cbor_build_float8 (d));
+  mh_value_set (map, key, cbor_build_float8 (number));
 }
 
 void
-mh_value_set_bool (MhValue *map, const char *key, bool b)
+mh_value_set_bool (MhValue *map, const char *key, bool flag)
 {
-  mh_value_set (map, key, cbor_build_bool (b));
+  mh_value_set (map, key, cbor_build_bool (flag));
 }
 
 void
-mh_value_push (MhValue *list, MhValue *owned)
+mh_value_push (MhValue *list, MhValue *value)
 {
-  bool ok = cbor_array_push (list, cbor_move (owned));
-  g_assert (ok);
+  bool added = cbor_array_push (list, cbor_move (value));
+  g_assert (added);
 }
 
 static bool
@@ -289,76 +186,79 @@
   for (gsize i = 0; i < cbor_map_size (map); i++)
     if (text_is (pairs[i].key, key))
       {
-        MhValue *v = pairs[i].value;
-        if (cbor_isa_float_ctrl (v) && cbor_float_ctrl_is_ctrl (v)
-            && (cbor_ctrl_value (v) == CBOR_CTRL_NULL || cbor_ctrl_value (v) == CBOR_CTRL_UNDEF))
+        MhValue *value = pairs[i].value;
+        if (cbor_isa_float_ctrl (value) && cbor_float_ctrl_is_ctrl (value)
+            && (cbor_ctrl_value (value) == CBOR_CTRL_NULL
+                || cbor_ctrl_value (value) == CBOR_CTRL_UNDEF))
           return NULL;
-        return v;
+        return value;
       }
   return NULL;
 }
 
 /* Encoders may write a whole number as a float; both are numbers. */
 static bool
-as_number (const MhValue *v, double *out)
+as_number (const MhValue *item, double *out)
 {
-  double d;
-  if (v == NULL)
+  double number;
+  if (item == NULL)
     return false;
-  if (cbor_isa_uint (v))
-    d = (double)cbor_get_int (v);
-  else if (cbor_isa_negint (v))
-    d = -1.0 - (double)cbor_get_int (v);
-  else if (cbor_isa_float_ctrl (v) && !cbor_float_ctrl_is_ctrl (v))
-    d = cbor_float_get_float (v);
+  if (cbor_isa_uint (item))
+    number = (double)cbor_get_int (item);
+  else if (cbor_isa_negint (item))
+    number = -1.0 - (double)cbor_get_int (item);
+  else if (cbor_isa_float_ctrl (item) && !cbor_float_ctrl_is_ctrl (item))
+    number = cbor_float_get_float (item);
   else
     return false;
-  if (!isfinite (d))
+  if (!isfinite (number))
     return false;
-  *out = d;
+  *out = number;
   return true;
 }
 
 bool
-mh_value_as_uint (const MhValue *v, guint64 *out)
+mh_value_as_uint (const MhValue *item, guint64 *out)
 {
-  double d;
-  if (v && cbor_isa_uint (v))
+  double number;
+  if (item && cbor_isa_uint (item))
     {
-      *out = cbor_get_int (v);
+      *out = cbor_get_int (item);
       return true;
     }
-  if (!as_number (v, &d) || d < 0 || d > 9007199254740992.0 || d != floor (d))
+  if (!as_number (item, &number) || number < 0 || number > MAX_EXACT_DOUBLE
+      || number != floor (number))
     return false;
-  *out = (guint64)d;
+  *out = (guint64)number;
   return true;
 }
 
 static void
-append_text (GString *s, const MhValue *text)
+append_text (GString *string, const MhValue *text)
 {
-  g_string_append_len (s, (const char *)cbor_string_handle (text),
+  g_string_append_len (string, (const char *)cbor_string_handle (text),
                        (gssize)cbor_string_length (text));
 }
 
 char *
-mh_value_as_text (const MhValue *v)
+mh_value_as_text (const MhValue *item)
 {
-  if (v == NULL || !cbor_isa_string (v))
+  if (item == NULL || !cbor_isa_string (item))
     return NULL;
-  GString *s = g_string_new (NULL);
-  if (cbor_string_is_definite (v))
-    append_text (s, v);
+  GString *string = g_string_new (NULL);
+  if (cbor_string_is_definite (item))
+    append_text (string, item);
   else
-    for (gsize i = 0; i < cbor_string_chunk_count (v); i++)
-      append_text (s, cbor_string_chunks_handle (v)[i]);
+    for (gsize i = 0; i < cbor_string_chunk_count (item); i++)
+      append_text (string, cbor_string_chunks_handle (item)[i]);
   /* Text with a NUL inside would be cut short by C strings and mean something else. */
-  if (strlen (s->str) != s->len || !g_utf8_validate (s->str, (gssize)s->len, NULL))
+  if (strlen (string->str) != string->len
+      || !g_utf8_validate (string->str, (gssize)string->len, NULL))
     {
-      g_string_free (s, TRUE);
+      g_string_free (string, TRUE);
       return NULL;
     }
-  return g_string_free (s, FALSE);
+  return g_string_free (string, FALSE);
 }
 
 bool
@@ -376,10 +276,10 @@
 bool
 mh_value_get_bool (const MhValue *map, const char *key, bool *out)
 {
-  MhValue *v = mh_value_get (map, key);
-  if (v == NULL || !cbor_is_bool (v))
+  MhValue *value = mh_value_get (map, key);
+  if (value == NULL || !cbor_is_bool (value))
     return false;
-  *out = cbor_get_bool (v);
+  *out = cbor_get_bool (value);
   return true;
 }
 
@@ -396,9 +296,9 @@
 }
 
 MhValue *
-mh_value_at (const MhValue *list, gsize i)
+mh_value_at (const MhValue *list, gsize index)
 {
-  return cbor_array_handle (list)[i];
+  return cbor_array_handle (list)[index];
 }
 
 bool
--- a/src/server/shell.c
+++ b/src/server/shell.c
@@ -3,6 +3,7 @@
 #include "controller/core.h"
 #include "server/front.h"
 #include "protocol/controller-messages.h"
+#include "protocol/route.h"
 
 #include <libsoup/soup.h>
 #include <netinet/in.h>
@@ -290,7 +291,7 @@
         }
     }
   else if (m->kind == MH_CONTROLLER_ANNOUNCEMENT)
-    mh_core_leader_announced (shell->core, &t, m->job, m->id);
+    mh_core_leader_announced (shell->core, &t, m->node, m->epoch);
   else
     {
       MhJobSpec *spec = NULL;
@@ -298,8 +299,8 @@
         {
           gsize size;
           const void *data = g_bytes_get_data (m->body, &size);
-          g_autoptr (MhValue) body = mh_value_load (data, size);
-          spec = mh_submission_decode (body);
+          g_autoptr (MhValue) body = mh_value_load (data, size, NULL);
+          spec = mh_submission_decode (body, NULL);
           if (spec == NULL || strcmp (spec->id, m->job) != 0)
             {
               MhUserAnswer a = { .status = 400 };
@@ -339,7 +340,7 @@
   MhControllerMessage m;
   MhControllerReadResult read;
   while (!p->closed
-         && (read = mh_controller_message_read (p->in, &m)) == MH_CONTROLLER_READ_MESSAGE)
+         && (read = mh_controller_message_read (p->in, &m, NULL)) == MH_CONTROLLER_READ_MESSAGE)
     {
       peer_message (p, &m);
       mh_controller_message_clear (&m);
@@ -504,7 +505,7 @@
     {
       gsize size;
       const void *raw = g_bytes_get_data (bytes, &size);
-      body = mh_value_load (raw, size);
+      body = mh_value_load (raw, size, NULL);
       if (body == NULL)
         {
           g_info ("malformed reply of %s", soup_message_get_method (call->message));
@@ -704,7 +705,7 @@
 static void
 handle_submit (Shell *shell, SoupServerMessage *m, GBytes *bytes, MhValue *body)
 {
-  MhJobSpec *spec = mh_submission_decode (body);
+  MhJobSpec *spec = mh_submission_decode (body, NULL);
   if (spec == NULL)
     {
       respond (m, 400, NULL);
@@ -738,7 +739,7 @@
 static void
 handle_report (Shell *shell, SoupServerMessage *m, MhValue *body)
 {
-  g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (body);
+  g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (body, NULL);
   if (report == NULL)
     {
       g_info ("malformed report");
@@ -757,7 +758,7 @@
   gsize size;
   g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (m));
   const void *raw = g_bytes_get_data (bytes, &size);
-  g_autoptr (MhValue) body = mh_value_load (raw, size);
+  g_autoptr (MhValue) body = mh_value_load (raw, size, NULL);
   if (route == MH_ROUTE_SUBMIT)
     handle_submit (shell, m, bytes, body);
   else
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,7 +1,8 @@
 /* The platform's settings file (TOML) and the operator's own (HCL-like, read by libConfuse). */
 #pragma once
 
-#include "protocol/types.h"
+#include "base/time-units.h"
+#include <stdbool.h>
 
 typedef struct
 {
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -149,7 +149,8 @@
   const char *prefix;
   bool more;
   guint64 revision;
-  g_autoptr (GPtrArray) entries = status == 200 ? mh_kv_list_decode (body, &more, &revision) : NULL;
+  g_autoptr (GPtrArray) entries
+      = status == 200 ? mh_kv_list_decode (body, &more, &revision, NULL) : NULL;
   if (entries == NULL)
     {
       core->state_pause_us = core->now.mono_us + 50000 + (gint64)(core->now.jitter * 50000);
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -143,7 +143,7 @@
       lookup_answer (l, status == 404 ? &l->found : &come_again);
       return;
     }
-  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body, NULL) : NULL;
   bool found = read_found (l, status, e);
   mh_kv_entry_free (e);
   if (!found)
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -274,7 +274,7 @@
   const char *id = data;
   MhJob *job = g_hash_table_lookup (core->jobs, id);
   MhUserAnswer a;
-  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body) : NULL;
+  MhKvEntry *e = status == 200 ? mh_kv_entry_decode (body, NULL) : NULL;
   bool ok = e && mh_record_read_final (e->value, &a);
   mh_kv_entry_free (e);
   if (job == NULL)
@@ -348,7 +348,7 @@
   Txn *t = data;
   if (status == 200)
     {
-      MhKvEntry *e = mh_kv_entry_decode (body);
+      MhKvEntry *e = mh_kv_entry_decode (body, NULL);
       g_autofree char *tag = e ? mh_record_read_tag (e->value) : NULL;
       guint64 version = e ? e->version : 0;
       mh_kv_entry_free (e);
@@ -431,11 +431,11 @@
 {
   Txn *t = data;
   guint64 version;
-  if (status == 200 && mh_kv_revision_decode (body, &version))
+  if (status == 200 && mh_kv_revision_decode (body, &version, NULL))
     txn_applied (core, t, version);
   else if (status == 409)
     {
-      g_auto (GStrv) failed = mh_kv_failed_conditions_decode (body);
+      g_auto (GStrv) failed = mh_kv_failed_conditions_decode (body, NULL);
       bool leader = failed && g_strv_contains ((const char *const *)failed, "leader");
       if (t->unknown && !leader && t->first_key && !met_final (core, failed))
         txn_call (core, t, MH_RANK_RULES, mh_kv_request_get (t->first_key), 0, recheck_reply);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -149,7 +149,7 @@
                     bool *cancelled)
 {
   guint64 at, tasks = FIRST_CHUNK;
-  g_autoptr (MhJobSpec) spec = mh_submission_decode (mh_value_get (v, "s"));
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (mh_value_get (v, "s"), NULL);
   if (spec == NULL || strcmp (spec->id, id) != 0 || !mh_value_get_uint (v, "at", &at))
     return NULL;
   mh_value_get_uint (v, "c", &tasks);
--- a/tests/controller.c
+++ b/tests/controller.c
@@ -108,7 +108,7 @@
   if (bytes == NULL)
     return NULL;
   const void *data = g_bytes_get_data (bytes, &size);
-  MhValue *value = mh_value_load (data, size);
+  MhValue *value = mh_value_load (data, size, NULL);
   g_assert_nonnull (value);
   return value;
 }
@@ -224,7 +224,7 @@
 {
   if (self->core)
     {
-      g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value);
+      g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value, NULL);
       g_assert_nonnull (report);
       mh_core_report (self->core, now, id, report);
       return;
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -429,7 +429,7 @@
 spec_copy (const MhJobSpec *spec)
 {
   g_autoptr (MhValue) v = mh_submission_encode (spec);
-  MhJobSpec *copy = mh_submission_decode (v);
+  MhJobSpec *copy = mh_submission_decode (v, NULL);
   g_assert_nonnull (copy);
   return copy;
 }
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -157,7 +157,7 @@
   g_autoptr (MhJobSpec) spec = sim_spec (1, MH_SHAPE_ARRAY, 3, 1);
   MhValue *copy = mh_submission_encode (spec);
   guint status = sim_ask (sim, sim_leader (sim)->index, MH_USER_SUBMIT, spec->id,
-                          mh_submission_decode (copy), &answer);
+                          mh_submission_decode (copy, NULL), &answer);
   mh_value_unref (copy);
   g_assert_cmpuint (status, ==, 503);
   g_assert_cmpuint (answer.retry_after_s, >=, 10);
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -2,6 +2,7 @@
    how fast things happen: each step waits for what it needs. */
 #include "world.h"
 
+#include "protocol/route.h"
 #include <gio/gio.h>
 #include <glib/gstdio.h>
 #include <libsoup/soup.h>
@@ -68,7 +69,7 @@
   g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (m));
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return size ? mh_value_load (data, size) : NULL;
+  return size ? mh_value_load (data, size, NULL) : NULL;
 }
 
 static void
@@ -144,7 +145,7 @@
   guint status = bytes ? soup_message_get_status (m) : 0;
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
-  g_autoptr (MhValue) body = size ? mh_value_load (raw, size) : NULL;
+  g_autoptr (MhValue) body = size ? mh_value_load (raw, size, NULL) : NULL;
   g_autofree char *node = body ? mh_value_get_text (body, "dispatcher") : NULL;
   w->flying = false;
   advance ();
@@ -218,7 +219,7 @@
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
   r->status = bytes ? soup_message_get_status (r->message) : 0;
-  r->body = size ? mh_value_load (raw, size) : NULL;
+  r->body = size ? mh_value_load (raw, size, NULL) : NULL;
   r->done = true;
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -11,7 +11,7 @@
 static MhValue *
 load (const guint8 *data, gsize size)
 {
-  MhValue *v = mh_value_load (data, size);
+  MhValue *v = mh_value_load (data, size, NULL);
   g_assert_nonnull (v);
   return v;
 }
@@ -121,7 +121,8 @@
 assert_message (GByteArray *written, const guint8 *data, gsize size, MhControllerMessage *message)
 {
   g_assert_cmpmem (written->data, written->len, data, size);
-  g_assert_cmpint (mh_controller_message_read (written, message), ==, MH_CONTROLLER_READ_MESSAGE);
+  g_assert_cmpint (mh_controller_message_read (written, message, NULL), ==,
+                   MH_CONTROLLER_READ_MESSAGE);
   g_assert_cmpuint (written->len, ==, 0);
   g_byte_array_unref (written);
 }
@@ -143,7 +144,7 @@
   mh_controller_message_clear (&m);
   assert_message (mh_controller_announcement_encode ("worker-1", 1000001), production_news,
                   sizeof production_news, &m);
-  g_assert_cmpuint (m.id, ==, 1000001);
+  g_assert_cmpuint (m.epoch, ==, 1000001);
   mh_controller_message_clear (&m);
 }
 
@@ -319,7 +320,7 @@
   mh_controller_message_clear (&message);
   assert_message (mh_controller_announcement_encode ("worker-2", 1000001),
                   production_gang_announcement, sizeof production_gang_announcement, &message);
-  g_assert_cmpstr (message.job, ==, "worker-2");
+  g_assert_cmpstr (message.node, ==, "worker-2");
   mh_controller_message_clear (&message);
 }
 
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -54,9 +54,9 @@
   g_autoptr (GBytes) bytes = mh_value_save (body);
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  g_autoptr (MhValue) again = mh_value_load (data, size);
+  g_autoptr (MhValue) again = mh_value_load (data, size, NULL);
   g_assert_nonnull (again);
-  MhJobSpec *spec = mh_submission_decode (again);
+  MhJobSpec *spec = mh_submission_decode (again, NULL);
   mh_job_spec_free (spec);
   mh_value_unref (body);
   return spec != NULL;
@@ -108,9 +108,9 @@
 test_round_trip (void)
 {
   g_autoptr (MhValue) body = submission ();
-  g_autoptr (MhJobSpec) spec = mh_submission_decode (body);
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (body, NULL);
   g_autoptr (MhValue) written = mh_submission_encode (spec);
-  g_autoptr (MhJobSpec) again = mh_submission_decode (written);
+  g_autoptr (MhJobSpec) again = mh_submission_decode (written, NULL);
   g_assert_cmpstr (again->id, ==, "j-000412");
   g_assert_cmpuint (again->tasks, ==, 16);
   g_assert_cmpint (again->deadline_us, ==, 900 * MH_SECOND_US);
@@ -141,11 +141,11 @@
   };
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
     {
-      g_autoptr (MhValue) v = mh_value_load (bad[i].bytes, bad[i].size);
+      g_autoptr (MhValue) v = mh_value_load (bad[i].bytes, bad[i].size, NULL);
       g_assert_null (v);
     }
   g_autofree char *deep = g_strnfill (5000, (char)0x81);
-  g_autoptr (MhValue) v = mh_value_load (deep, 5000);
+  g_autoptr (MhValue) v = mh_value_load (deep, 5000, NULL);
   g_assert_null (v);
 }
 
@@ -165,21 +165,23 @@
       gsize n = (gsize)g_rand_int_range (random, 1, (gint)size + 1);
       for (guint k = (guint)g_rand_int_range (random, 1, 6); k > 0; k--)
         noise[g_rand_int_range (random, 0, (gint)n)] = (guint8)g_rand_int (random);
-      g_autoptr (MhValue) v = mh_value_load (noise, round % 2 ? n : size);
+      g_autoptr (MhValue) v = mh_value_load (noise, round % 2 ? n : size, NULL);
       if (v == NULL)
         continue;
       loaded++;
       bool more;
       guint64 number;
       MhUserAnswer a;
-      mh_job_spec_free (mh_submission_decode (v));
-      mh_heartbeat_free (mh_heartbeat_decode (v));
-      mh_kv_entry_free (mh_kv_entry_decode (v));
-      g_clear_pointer (&(GPtrArray *){ mh_machine_types_decode (v) }, g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_machine_list_decode (v, &more) }, g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_kv_list_decode (v, &more, &number) }, g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_kv_events_decode (v, &number) }, g_ptr_array_unref);
-      mh_kv_lease_decode (v, &number);
+      mh_job_spec_free (mh_submission_decode (v, NULL));
+      mh_heartbeat_free (mh_heartbeat_decode (v, NULL));
+      mh_kv_entry_free (mh_kv_entry_decode (v, NULL));
+      g_clear_pointer (&(GPtrArray *){ mh_machine_types_decode (v, NULL) }, g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_machine_list_decode (v, &more, NULL) },
+                       g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_kv_list_decode (v, &more, &number, NULL) },
+                       g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_kv_events_decode (v, &number, NULL) }, g_ptr_array_unref);
+      mh_kv_lease_decode (v, &number, NULL);
       mh_record_read_final (v, &a);
       mh_value_json_size (v);
     }
@@ -213,7 +215,7 @@
 test_gang (void)
 {
   g_autoptr (MhValue) body = with (submission (), "shape", mh_value_text ("group"));
-  g_autoptr (MhJobSpec) spec = mh_submission_decode (body);
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (body, NULL);
   g_assert_nonnull (spec);
   g_assert_cmpint (spec->shape, ==, MH_SHAPE_GANG);
   g_autoptr (MhValue) written = mh_submission_encode (spec);
@@ -236,7 +238,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (legs); i++)
     {
       g_autoptr (MhValue) m = report_of (legs[i].status, legs[i].cause);
-      g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m);
+      g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m, NULL);
       g_assert_true ((r != NULL) == legs[i].good);
       if (r == NULL)
         continue;
@@ -249,7 +251,7 @@
 test_report (void)
 {
   MhValue *m = report_of ("ended", "in_use");
-  g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m);
+  g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m, NULL);
   g_assert_nonnull (r);
   g_assert_cmpuint (r->tasks->len, ==, 1);
   g_assert_cmpuint (g_array_index (r->tasks, MhTaskStatus, 0).index, ==, 3);
@@ -261,7 +263,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (needed); i++)
     {
       g_autoptr (MhValue) part = with (cbor_incref (m), needed[i], NULL);
-      g_assert_null (mh_heartbeat_decode (part));
+      g_assert_null (mh_heartbeat_decode (part, NULL));
     }
   mh_value_unref (m);
 }
@@ -287,7 +289,7 @@
   for (guint i = 0; i < buffer->len; i++)
     {
       g_byte_array_append (in, buffer->data + i, 1);
-      MhControllerReadResult read = mh_controller_message_read (in, &m);
+      MhControllerReadResult read = mh_controller_message_read (in, &m, NULL);
       g_assert_cmpint (read, !=, MH_CONTROLLER_READ_MALFORMED);
       if (read == MH_CONTROLLER_READ_INCOMPLETE)
         continue;
@@ -296,21 +298,21 @@
       else if (n == 1)
         g_assert_cmpuint (m.answer.done, ==, 3);
       else
-        g_assert_cmpuint (m.id, ==, 9);
+        g_assert_cmpuint (m.epoch, ==, 9);
       n++;
       mh_controller_message_clear (&m);
     }
   g_assert_cmpuint (n, ==, 3);
   /* A length beyond any message must not be waited for. */
   g_byte_array_append (in, (const guint8 *)"\xff\xff\xff\xff", 4);
-  g_assert_cmpint (mh_controller_message_read (in, &m), ==, MH_CONTROLLER_READ_MALFORMED);
+  g_assert_cmpint (mh_controller_message_read (in, &m, NULL), ==, MH_CONTROLLER_READ_MALFORMED);
   g_autoptr (GRand) random = g_rand_new_with_seed (5531);
   for (guint round = 0; round < 5000; round++)
     {
       g_autoptr (GByteArray) noise = g_byte_array_new ();
       g_byte_array_append (noise, buffer->data, buffer->len);
       noise->data[g_rand_int_range (random, 0, (gint)noise->len)] = (guint8)g_rand_int (random);
-      while (mh_controller_message_read (noise, &m) == MH_CONTROLLER_READ_MESSAGE)
+      while (mh_controller_message_read (noise, &m, NULL) == MH_CONTROLLER_READ_MESSAGE)
         mh_controller_message_clear (&m);
     }
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -4,7 +4,11 @@
 #pragma once
 
 #include "settings/settings.h"
-#include "protocol/wire.h"
+#include "base/time-units.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/user-messages.h"
+#include "protocol/worker-messages.h"
 
 struct WorldJob;
 
