--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -332,7 +332,7 @@
       g_array_append_val (m->unacknowledged, l);
     }
   m->direct++;
-  mh_core_call (core, MH_RANK_WORK,
+  mh_core_call (core, MH_CALL_WORK,
                 mh_worker_request_commands (m->endpoint, token, m->incarnation, commands), 0,
                 DIRECT_TIMEOUT_US, direct_reply, d, direct_free);
 }
