--- a/src/cluster/zone-silence.c
+++ b/src/cluster/zone-silence.c
@@ -59,7 +59,7 @@
   if (!is_report)
     return;
   zone->last_report_us = now_us;
-  core->leader.vain_hand_overs = 0;
+  core->fruitless_transfers = 0;
 }
 
 bool
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -9,20 +9,32 @@
 #include "cluster/heartbeat.h"
 #include "cluster/image-wait.h"
 #include "base/token-bucket.h"
+#include "runtime/call-queue.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
 #include "cluster/zone-silence.h"
-#include "placement/gang-scheduling.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
 #include "election/election.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
+#include "placement/candidate.h"
+#include "placement/filter.h"
+#include "placement/gang-attempt.h"
+#include "placement/gang-placement.h"
+#include "placement/infeasible.h"
 #include "placement/placement.h"
+#include "placement/preemption.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
+#include "placement/score.h"
+#include "placement/victim.h"
 #include "jobs/job-queue.h"
+#include "jobs/objective.h"
+#include "jobs/runtime-estimate.h"
 #include "storage/rechunk.h"
 #include "storage/record.h"
 #include "autoscaler/scale-in.h"
@@ -30,15 +42,10 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
+#include "cluster/recovery.h"
 #include "runtime/call-queue.h"
 #include "storage/record-writer.h"
 
-typedef struct
-{
-  double ratio;
-  guint n;
-} MhClassStat;
-
 struct MhCore
 {
   const MhSettings *settings;
@@ -46,31 +53,9 @@
   MhRuntime *runtime;
   MhCallQueue *calls;
 
-  struct
-  {
-    MhPhase phase;
-    char *node;    /* who leads, as far as known */
-    guint64 epoch; /* that node's */
-    guint64 key_version;
-    guint64 own_epoch; /* while leading: the first of MH_EPOCHS_EACH */
-    guint64 own_version;
-    guint64 lease_id;
-    gint64 valid_until_us; /* of the lease, by the steady clock */
-    gint64 confirmed_us;   /* a renewal that was answered was sent then */
-    gint64 renew_us;
-    bool renewing, busy;
-    gint64 retry_us;
-    gint64 since_us;               /* leading since */
-    gint64 usable_us;              /* when a usable leader was last known */
-    gint64 unreached_us, tried_us; /* users' requests have not reached it since; the last one */
-    const char *lost;              /* why, until the next step */
-    bool hands_over;               /* ... and another one shall lead */
-    gint64 shy_until_us;
-    guint vain_hand_overs; /* because no worker was heard, and none has been since */
-    bool rebuilt;          /* every machine that should has reported, or has had the time */
-    gint64 rebuild_until_us;
-    gint64 announced_us;
-  } leader;
+  MhElection *election;
+  MhRecovery *recovery;
+  guint fruitless_transfers; /* of leadership, because no worker was heard; none has been since */
 
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
@@ -87,12 +72,9 @@
   guint txns; /* in flight */
   guint64 rev;
   MhCluster *cluster;
-  GHashTable *class_stats;        /* class -> MhClassStat */
-  gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
-  GHashTable *gangs;              /* ids of those that a task's end has consequences for */
-  gint64 gangs_looked_us;
-  bool place_wanted, place_urgent;
-  gint64 placed_us, preempted_us;
+  MhRuntimeEstimator *runtime_estimator;
+  MhGangAttempts *gang_attempts;
+  MhPlacement *placement;
   GHashTable *forwards; /* request id -> job id */
   GHashTable *lookups;  /* job id -> reads under way for its users; not owned */
 
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -122,7 +122,7 @@
   for (guint i = 0; i < t->writes->len; i++)
     {
       MhJob *job = g_array_index (t->writes, Write, i).record->job;
-      if (job->cancelled && !job->cancel_durable)
+      if (mh_job_is_cancelled (job) && !mh_job_is_cancel_durable (job))
         rank = MH_CALL_SAFETY;
     }
   txn_call (core, t, rank, mh_request_copy (t->request), t->changes, txn_reply);
@@ -134,7 +134,8 @@
   for (guint i = 0; i < job->waiters->len;)
     {
       MhWaiter w = g_array_index (job->waiters, MhWaiter, i);
-      if (w.verb == MH_USER_SUBMIT ? !job->accepted : !(job->cancel_durable || job->final))
+      if (w.verb == MH_USER_SUBMIT ? !job->accepted
+                                   : !(mh_job_is_cancel_durable (job) || mh_job_is_final (job)))
         {
           i++;
           continue;
@@ -175,8 +176,7 @@
   if (job->accepted)
     return;
   job->accepted = true;
-  core->place_wanted = true;
-  core->place_urgent |= job->spec->shape == MH_SHAPE_SERVICE;
+  mh_placement_request_pass (core->placement, job->spec->shape == MH_SHAPE_SERVICE);
   mh_info (core, "job %s: accepted after %d ms: %s of %u tasks for %s (%s)", job->spec->id,
            (int)((core->now.mono_us - job->submitted_us) / 1000), shape_name (job->spec->shape),
            job->spec->tasks, job->spec->team, job->spec->class_name);
@@ -186,14 +186,14 @@
 final_written (MhCore *core, MhJob *job, bool cancelled)
 {
   MhUserAnswer a = { .status = 200 };
-  job->final = true;
+  job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
   for (guint i = drops_with_final (core, job) + 1; i < job->n_records; i++)
     if (job->records[i].version)
       g_queue_push_tail (&core->garbage, mh_record_key (job->spec->id, i));
   answer_waiters (core, job);
   mh_info (core, "job %s: %s", job->spec->id, cancelled ? "cancelled and gone" : "done");
-  mh_job_answer (job, &a);
+  mh_job_fill_answer (job, &a);
   job_remove (core, job, &a);
 }
 
@@ -232,7 +232,8 @@
   if (r->chunk == 0)
     {
       job_accepted (core, job);
-      job->cancel_durable |= w->cancelled;
+      if (w->cancelled)
+        job->cancellation = MH_CANCELLATION_DURABLE;
       answer_waiters (core, job);
     }
   if (r->rev > r->durable)
@@ -299,7 +300,7 @@
   else
     {
       g_hash_table_remove (core->jobs, id);
-      mh_leader_lost (core, "a record is not what it was written as");
+      mh_election_step_down (core->election, MH_LOSS_RECORD_DIFFERS);
     }
 }
 
@@ -314,7 +315,7 @@
     {
       if (strcmp (*key, "leader") == 0)
         {
-          mh_leader_lost (core, "another controller leads");
+          mh_election_step_down (core->election, MH_LOSS_ANOTHER_LEADER);
           return;
         }
       const char *id = strchr (*key, '/');
@@ -333,7 +334,7 @@
         }
     }
   if (!explained)
-    mh_leader_lost (core, "a record was changed by somebody else");
+    mh_election_step_down (core->election, MH_LOSS_RECORD_CHANGED);
   for (guint i = 0; i < t->writes->len; i++)
     {
       MhRecord *r = g_array_index (t->writes, Write, i).record;
@@ -361,7 +362,7 @@
     }
   if (status == 200 || status == 404)
     {
-      mh_leader_lost (core, "an unanswered write cannot be accounted for");
+      mh_election_step_down (core->election, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
       return;
     }
   txn_call (core, t, MH_CALL_SAFETY, mh_kv_request_get (t->first_key), 0, recheck_reply);
@@ -460,7 +461,7 @@
 {
   if (r->writing)
     return false;
-  if (!r->job->finished)
+  if (!mh_job_is_finished (r->job))
     return core->now.mono_us >= r->refused_until_us
            && (r->job->unchunked_records == 0 || mh_rechunk_may_write (core, r));
   /* The final record ends all others: it waits until none of them is on its way. */
@@ -511,7 +512,10 @@
   g_ptr_array_add (b->values, value);
   b->bytes += mh_value_json_size (value) + OVERHEAD_BYTES;
   add_condition (b, key, r->version);
-  Write w = { .record = r, .rev = r->rev, .final = job->finished, .cancelled = job->cancelled };
+  Write w = { .record = r,
+              .rev = r->rev,
+              .final = mh_job_is_finished (job),
+              .cancelled = mh_job_is_cancelled (job) };
   g_array_append_val (b->txn->writes, w);
   r->writing = true;
   r->again = MH_URGENCY_PROGRESS;
@@ -532,14 +536,16 @@
 batch_add (MhCore *core, Batch *b, MhRecord *r)
 {
   MhJob *job = r->job;
-  guint drops = job->finished ? drops_with_final (core, job) : 0;
-  bool rechunks = job->unchunked_records && !job->finished && r->chunk == 0;
-  guint need = job->finished ? 2 + drops : rechunks ? mh_rechunk_companions (core, job) : 1;
+  guint drops = mh_job_is_finished (job) ? drops_with_final (core, job) : 0;
+  bool rechunks = job->unchunked_records && !mh_job_is_finished (job) && r->chunk == 0;
+  guint need = mh_job_is_finished (job) ? 2 + drops
+               : rechunks               ? mh_rechunk_companions (core, job)
+                                        : 1;
   bool empty = b->changes->len == 0;
   if (!empty && (r->alone || b->changes->len + need > b->most))
     return false;
-  MhValue *v
-      = job->finished ? mh_record_write_final (job, b->txn->tag) : mh_record_write (r, b->txn->tag);
+  MhValue *v = mh_job_is_finished (job) ? mh_record_write_final (job, b->txn->tag)
+                                        : mh_record_write (r, b->txn->tag);
   if (!empty && b->bytes + mh_value_json_size (v) + OVERHEAD_BYTES > TXN_BYTES)
     {
       mh_value_unref (v);
@@ -547,14 +553,14 @@
     }
   const char *key = keep_key (b, mh_record_key (job->spec->id, r->chunk));
   const char *final = keep_key (b, g_strconcat ("f/", job->spec->id, NULL));
-  const char *put = job->finished ? final : key;
+  const char *put = mh_job_is_finished (job) ? final : key;
   add_write (b, r, key, v);
   add_change (b, put, v);
   if (b->txn->first_key == NULL)
     b->txn->first_key = g_strdup (put);
-  if (job->finished || (r->chunk == 0 && r->version == 0))
+  if (mh_job_is_finished (job) || (r->chunk == 0 && r->version == 0))
     add_condition (b, final, 0);
-  if (job->finished && r->version)
+  if (mh_job_is_finished (job) && r->version)
     add_change (b, key, NULL);
   for (guint i = 1; i <= drops; i++)
     if (job->records[i].version)
@@ -588,15 +594,15 @@
   g_autoptr (GPtrArray) values = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
   Txn *t = g_rc_box_new0 (Txn);
   t->writes = g_array_new (FALSE, FALSE, sizeof (Write));
-  t->tag = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT, core->leader.own_epoch,
-                            ++core->rev);
+  t->tag = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
+                            mh_election_epoch (core->election), ++core->rev);
   Batch b = { .txn = t,
               .conditions = conditions,
               .changes = changes,
               .keys = keys,
               .values = values,
               .most = most };
-  add_condition (&b, "leader", core->leader.own_version);
+  add_condition (&b, "leader", mh_election_key_version (core->election));
   add_limits (core, &b);
   bool full = false, alone = false;
   for (guint urgency = 0; urgency < MH_URGENCIES && !full; urgency++)
@@ -607,7 +613,7 @@
           MhRecord *r = l->data;
           next = l->next;
           /* The final record ends all others. */
-          bool needless = r->job->finished && r->chunk != 0;
+          bool needless = mh_job_is_finished (r->job) && r->chunk != 0;
           if (!needless && !writable (core, r))
             continue;
           if (!needless && !batch_add (core, &b, r))
