--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -3,6 +3,7 @@
 #pragma once
 
 #include "jobs/job.h"
+#include "protocol/cloud-messages.h"
 
 /* MhRoom on a machine: one that stays, one that is coming, or one that would have to be rented. */
 typedef struct
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "cluster/machine-registry.h"
+#include "protocol/key-value-messages.h"
 
 /* A machine that is deleted costs at least this. */
 #define MH_LEAST_PAID_US (60 * MH_SECOND_US)
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -6,6 +6,7 @@
 
 #include "cluster/attempt-state.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * MhAttemptStart:
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -1,5 +1,6 @@
 #include "cluster/boot-time.h"
 #include "cluster/cluster-state.h"
+#include "protocol/cloud-messages.h"
 
 #define MEAN_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -1,6 +1,7 @@
 #include "cluster/fencing.h"
 #include "cluster/cluster-state.h"
 #include "election/election.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
--- a/src/cluster/fencing.h
+++ b/src/cluster/fencing.h
@@ -8,6 +8,7 @@
 #pragma once
 
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * mh_fencing_token:
--- a/src/cluster/heartbeat.h
+++ b/src/cluster/heartbeat.h
@@ -5,6 +5,7 @@
 #pragma once
 
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * mh_heartbeat_receive:
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -3,6 +3,7 @@
 
 #include "cluster/machine-state.h"
 #include "jobs/job.h"
+#include "protocol/cloud-messages.h"
 
 /* Answers in a row of which the next report shows nothing, after which nothing is taken to reach
    the machine. */
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -3,6 +3,7 @@
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
 #include "cluster/task-failure.h"
+#include "protocol/worker-messages.h"
 
 /* A machine that refused a task gets no other before, and its report shows then what it holds. */
 #define REFUSED_HOLD_US MH_SECOND_US
--- a/src/cluster/reconcile.h
+++ b/src/cluster/reconcile.h
@@ -6,6 +6,7 @@
 #pragma once
 
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * MhMessageSource:
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -10,6 +10,7 @@
 #include "placement/preemption.h"
 #include "placement/quota.h"
 #include "placement/victim.h"
+#include "protocol/cloud-messages.h"
 
 #include <string.h>
 
