--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -97,5 +97,5 @@
   gint64 leading_us = now_us - mh_election_elected_us (core->election);
   bool all_reported = leading_us > core->settings->report_us * 2 + FIRST_REPORT_SPARE_US;
   if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us && all_reported)
-    core->cluster->callbacks->release_machine (core, machine, "never came up");
+    core->cluster->callbacks->release_machine (core, machine, "never_joined");
 }
--- a/src/cluster/image-wait.c
+++ b/src/cluster/image-wait.c
@@ -1,6 +1,7 @@
 #include "cluster/image-wait.h"
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
+#include "protocol/worker-messages.h"
 
 /* Of an image whose fetch should be over by now, so much is taken to be left. */
 #define LEAST_PART_LEFT 0.1
--- a/src/cluster/recovery.c
+++ b/src/cluster/recovery.c
@@ -1,10 +1,6 @@
 #include "cluster/recovery.h"
 
 #include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 /* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
 #define REPORTS_AWAITED 2
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -158,7 +159,7 @@
 {
   if (machine->failures.consecutive >= FAULTY_FAILURES
       || jobs_failing_here_alone (core, machine) >= FAULTY_FAILURES)
-    core->cluster->callbacks->release_machine (core, machine, "fails every task");
+    core->cluster->callbacks->release_machine (core, machine, "fails_every_task");
 }
 
 static void
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -6,7 +6,6 @@
 load_records (gpointer owner)
 {
   MhCore *core = owner;
-  core->scale.rentals = 0;
   mh_load_records (core);
 }
 
@@ -20,7 +19,6 @@
   mh_log_info (core->runtime,
                "records loaded, waiting for the workers' reports: unfinished_jobs=%u",
                g_hash_table_size (core->jobs));
-  mh_scale_start (core);
 }
 
 static void
@@ -46,8 +44,7 @@
   mh_store_clear (core);
   mh_cluster_clear (core);
   mh_gang_attempts_clear (core->gang_attempts);
-  mh_scale_clear (core);
-  mh_release_clear (core);
+  mh_autoscaler_reset (core->autoscaler);
   g_hash_table_remove_all (core->jobs);
   g_hash_table_remove_all (core->unreadable);
 }
@@ -79,7 +76,7 @@
 static bool
 all_machines_reported (const MhCore *core)
 {
-  if (mh_cluster_types (core) == NULL || !core->scale.listed)
+  if (mh_cluster_types (core) == NULL || !mh_autoscaler_is_listed (core->autoscaler))
     return false;
   GHashTableIter it;
   gpointer value;
--- a/src/election/leader-contact.c
+++ b/src/election/leader-contact.c
@@ -1,10 +1,6 @@
 #include "election/leader-contact.h"
 
 #include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 /* A controller that has had no usable leader for so long is rather cut off by itself. */
 #define NO_LEADER_US (30 * MH_SECOND_US)
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -2,9 +2,7 @@
 
 #include "base/time-units.h"
 #include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
 #include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 /* Of a record, in JSON: a task, with a machine's name of sixteen characters, and what is neither
    job nor task. A record that turns out larger is re-chunked. */
--- a/src/jobs/runtime-estimate.c
+++ b/src/jobs/runtime-estimate.c
@@ -1,4 +1,5 @@
 #include "jobs/runtime-estimate.h"
+#include "base/time-units.h"
 
 #define MIN_SAMPLES 3
 #define MIN_RATIO 0.25
--- a/src/jobs/runtime-estimate.h
+++ b/src/jobs/runtime-estimate.h
@@ -5,11 +5,7 @@
    begins as the plain mean. */
 #pragma once
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
+#include "protocol/job-spec.h"
 
 /** MhRuntimeEstimator: the statistics of all classes of jobs. */
 typedef struct MhRuntimeEstimator MhRuntimeEstimator;
--- a/tests/stand-in/environment.h
+++ b/tests/stand-in/environment.h
@@ -3,11 +3,7 @@
    own: it can stand behind a simulated network or behind real servers. */
 #pragma once
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
+#include "protocol/request.h"
 #include "stand-in/cloud.h"
 #include "stand-in/key-value-store.h"
 #include "stand-in/rule-checks.h"
--- a/tests/stand-in/gang-runtime.c
+++ b/tests/stand-in/gang-runtime.c
@@ -1,5 +1,6 @@
 /* The part of worker-runtime.h that runs gangs: what their workers do together. */
 #include "stand-in/worker-runtime.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
--- a/tests/stand-in/network.c
+++ b/tests/stand-in/network.c
@@ -1,10 +1,6 @@
 #include "stand-in/network.h"
 
 #include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 #define SHORTEST_DELAY_US 500
 #define LONGEST_DELAY_US 8000
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -1,4 +1,5 @@
 #include "stand-in/rule-checks.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -1,4 +1,5 @@
 #include "stand-in/worker-protocol.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
--- a/tests/stand-in/worker-runtime.c
+++ b/tests/stand-in/worker-runtime.c
@@ -1,4 +1,5 @@
 #include "stand-in/worker-runtime.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
--- a/tests/stand-in/workload.h
+++ b/tests/stand-in/workload.h
@@ -2,11 +2,7 @@
    controllers know nothing of this but what workers report. */
 #pragma once
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
+#include "protocol/job-spec.h"
 
 /**
  * WorkloadJob:
