--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -66,7 +66,7 @@
   self->types_due_us = mh_runtime_now_us (self->context->runtime)
                        + (types ? TYPES_INTERVAL_US : RETRY_INTERVAL_US);
   if (types)
-    mh_cluster_set_types (self->context->core, types);
+    mh_cluster_set_types (self->context->core->cluster, types);
 }
 
 static void
@@ -74,7 +74,7 @@
 {
   /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
   MhCallOptions options
-      = { .class = mh_cluster_types (self->context->core) ? MH_CALL_WORK : MH_CALL_LEASE,
+      = { .class = mh_cluster_types (self->context->core->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
           .timeout_us = MH_CLOUD_TIMEOUT_US,
           .func = handle_types_reply,
           .owner = self };
@@ -89,9 +89,10 @@
 {
   MhCore *core = self->context->core;
   if (machine == NULL)
-    machine = mh_cluster_add_machine (core, listed->name, listed->type, listed->zone, listed->spot);
+    machine = mh_cluster_add_machine (core->cluster, listed->name, listed->type, listed->zone,
+                                      listed->spot);
   else
-    mh_cluster_identify_machine (core, machine, listed->type, listed->zone, listed->spot);
+    mh_cluster_identify_machine (core->cluster, machine, listed->type, listed->zone, listed->spot);
   machine->boot.rented_us = mh_runtime_now_us (self->context->runtime) - listed->age_us;
   machine->endpoint = machine->endpoint ? machine->endpoint : g_strdup (listed->endpoint);
   return machine;
@@ -101,8 +102,8 @@
 take_listed_machine (MhInventory *self, const MhListedMachine *listed)
 {
   MhCore *core = self->context->core;
-  MhMachine *machine = mh_cluster_find_machine (core, listed->name);
-  if (mh_cluster_was_released (core, listed->name)
+  MhMachine *machine = mh_cluster_find_machine (core->cluster, listed->name);
+  if (mh_cluster_was_released (core->cluster, listed->name)
       || (machine && mh_machine_is_releasing (machine)))
     return; /* lists lag */
   if (machine == NULL || machine->type_name == NULL)
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -139,9 +139,9 @@
                request->count, request->type, request->zone, request->spot);
   mh_lost_capacity_replace (self->lost, request->cpus_per_machine * created);
   for (guint i = 0; i < created; i++)
-    if (mh_cluster_find_machine (core, names[i]) == NULL
-        && !mh_cluster_was_released (core, names[i]))
-      mh_cluster_add_machine (core, names[i], request->type, request->zone, request->spot)
+    if (mh_cluster_find_machine (core->cluster, names[i]) == NULL
+        && !mh_cluster_was_released (core->cluster, names[i]))
+      mh_cluster_add_machine (core->cluster, names[i], request->type, request->zone, request->spot)
           ->boot.rented_here
           = true;
   if (created < request->count)
--- a/src/cluster/reconcile.h
+++ b/src/cluster/reconcile.h
@@ -5,8 +5,8 @@
    can still be on its way. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
-#include "protocol/worker-messages.h"
 
 /**
  * MhMessageSource:
@@ -23,7 +23,7 @@
 
 /**
  * mh_reconcile:
- * @core: the controller
+ * @cluster: the cluster
  * @machine: the machine, whose heartbeat is up to date
  * @report: what its worker shows, newer than all before it
  * @source: how it came
@@ -32,4 +32,5 @@
  * is not on record here.
  */
 void
-mh_reconcile (MhCore *core, MhMachine *machine, const MhHeartbeat *report, MhMessageSource source);
+mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report,
+              MhMessageSource source);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -2,11 +2,6 @@
 
 #include <string.h>
 
-/* Of the memory, the part (one in so many) for the answers about finished jobs, and what one takes.
-   Others are read when they are asked for. */
-#define FINALS_MEMORY_PART 32
-#define FINAL_BYTES 200
-#define LEAST_FINALS_KEPT 2000u
 /* A user waits two seconds for an answer. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
 /* Calls of modules that still take the whole core. */
@@ -104,25 +99,10 @@
   a->answer.status = status;
 }
 
-static guint
-most_finals (const MhCore *core)
-{
-  return MAX (LEAST_FINALS_KEPT,
-              (guint)(core->settings->memory_bytes / FINALS_MEMORY_PART / FINAL_BYTES));
-}
-
 void
 mh_core_final (MhCore *core, const char *id, const MhUserAnswer *answer)
 {
-  if (g_hash_table_contains (core->finals, id))
-    return;
-  g_hash_table_insert (core->finals, g_strdup (id), g_memdup2 (answer, sizeof *answer));
-  g_queue_push_tail (&core->finals_order, g_strdup (id));
-  while (core->finals_order.length > most_finals (core))
-    {
-      g_autofree char *old = g_queue_pop_head (&core->finals_order);
-      g_hash_table_remove (core->finals, old);
-    }
+  mh_final_answers_add (core->final_answers, id, answer);
 }
 
 /* 400: too large to keep. 422: can never run here. 0: can. 503: not known yet. */
@@ -139,11 +119,12 @@
   double n = spec->shape == MH_SHAPE_ARRAY ? 1 : spec->tasks;
   if (spec->cpus * n > team->cpus_max + 1e-9 || spec->gpus * n > team->gpus_max + 1e-9)
     return 422;
-  if (mh_cluster_types (core) == NULL)
+  if (mh_cluster_types (core->cluster) == NULL)
     return 503;
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
-    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core), i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (mh_cluster_types (core), spec)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core->cluster), i)))
+      return spec->shape == MH_SHAPE_GANG
+                     && !mh_gang_is_feasible (mh_cluster_types (core->cluster), spec)
                  ? 422
                  : 0;
   return 422;
@@ -154,12 +135,12 @@
 static void
 keep_known_types (const MhCore *core, MhJobSpec *spec)
 {
-  if (spec->types == NULL || mh_cluster_types (core) == NULL)
+  if (spec->types == NULL || mh_cluster_types (core->cluster) == NULL)
     return;
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core->cluster), i);
       if (g_strv_contains ((const char *const *)spec->types, t->name))
         g_strv_builder_add (known, t->name);
     }
@@ -171,7 +152,7 @@
 submit (MhCore *core, guint64 id, MhJobSpec *spec)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, spec->id);
-  const MhUserAnswer *final = g_hash_table_lookup (core->finals, spec->id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, spec->id);
   if (final || (job && job->accepted))
     {
       /* A repeated submission may wait in memory beside the final answer, which holds: it once was
@@ -223,7 +204,7 @@
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancellation = MH_CANCELLATION_REQUESTED;
       mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
-      mh_attempt_stop_job (core, job);
+      mh_attempt_stop_job (core->cluster, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
   g_array_append_val (job->waiters, w);
@@ -245,7 +226,7 @@
 user_not_in_charge (MhCore *core, guint64 id, MhUserVerb verb, const char *job_id,
                     const MhJobSpec *spec, bool forwarded)
 {
-  const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, job_id);
   if (final)
     mh_core_act (core, MH_ACTION_ANSWER_USER, id)->answer = *final;
   else if (!forwarded && mh_election_other_leader (core->election))
@@ -262,7 +243,7 @@
               MhJobSpec *spec, bool forwarded)
 {
   enter (core, now);
-  const MhUserAnswer *final = g_hash_table_lookup (core->finals, job_id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, job_id);
   if (!mh_election_is_serving (core->election))
     {
       user_not_in_charge (core, id, verb, job_id, spec, forwarded);
@@ -337,7 +318,7 @@
 {
   enter (core, now);
   if (mh_election_is_elected (core->election))
-    mh_heartbeat_receive (core, id, report);
+    mh_heartbeat_receive (core->cluster, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
@@ -378,7 +359,7 @@
     {
       mh_core_update_recovery (core);
       mh_gang_reconcile (core);
-      mh_cluster_step (core);
+      mh_cluster_step (core->cluster);
       mh_placement_run (core->placement, core);
       mh_autoscaler_step (core->autoscaler);
       mh_store_step (core);
@@ -393,24 +374,49 @@
   mh_core_step (core);
 }
 
+/* ---- what the cluster tells the layers above it ---- */
+
+static void
+release_machine (gpointer owner, MhMachine *machine, const char *reason)
+{
+  MhCore *core = owner;
+  mh_autoscaler_release_machine (core->autoscaler, machine, reason);
+}
+
 static void
-note_capacity_changed (MhCore *core, bool urgent)
+capacity_changed (gpointer owner, bool urgent)
 {
+  MhCore *core = owner;
   mh_placement_request_pass (core->placement, urgent);
 }
 
 static void
-release_machine (MhCore *core, MhMachine *machine, const char *reason)
+gang_loaded (gpointer owner, MhJob *job)
 {
-  mh_autoscaler_release_machine (core->autoscaler, machine, reason);
+  MhCore *core = owner;
+  mh_gang_restore (core, job);
+}
+
+static void
+gang_task_over (gpointer owner, MhJob *job, bool done)
+{
+  MhCore *core = owner;
+  mh_gang_task_ended (core, job, done);
+}
+
+static void
+gang_stop (gpointer owner, MhJob *job, gint64 grace_us)
+{
+  MhCore *core = owner;
+  mh_gang_stop (core, job, grace_us);
 }
 
 static const MhClusterCallbacks cluster_callbacks = {
   .release_machine = release_machine,
-  .capacity_changed = note_capacity_changed,
-  .gang_loaded = mh_gang_restore,
-  .gang_task_over = mh_gang_task_ended,
-  .gang_stop = mh_gang_stop,
+  .capacity_changed = capacity_changed,
+  .gang_loaded = gang_loaded,
+  .gang_task_over = gang_task_over,
+  .gang_stop = gang_stop,
 };
 
 MhCore *
@@ -428,13 +434,15 @@
   core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
+  core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
+  core->cluster
+      = mh_cluster_new (core, core->runtime, core->calls, core->election, &cluster_callbacks, core);
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
   core->runtime_estimator = mh_runtime_estimator_new ();
   core->autoscaler = mh_autoscaler_new (core);
-  if (mh_heartbeat_keep_alive_us (core) <= 0)
+  core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
+  if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
         "cancel_s leaves no room beside the workers' lease_s: without the state service no "
@@ -448,15 +456,15 @@
   if (core == NULL)
     return;
   mh_store_clear (core);
-  mh_cluster_clear (core);
+  mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_call_queue_forget_all (core->calls);
-  g_queue_clear_full (&core->finals_order, g_free);
   g_hash_table_unref (core->forwards);
   g_hash_table_unref (core->lookups);
   g_hash_table_unref (core->jobs);
   g_hash_table_unref (core->unreadable);
-  g_hash_table_unref (core->finals);
+  mh_final_answers_free (core->final_answers);
+  mh_job_queue_free (core->job_queue);
   g_clear_pointer (&core->cluster, mh_cluster_free);
   mh_gang_attempts_free (core->gang_attempts);
   mh_placement_free (core->placement);
