--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -6,6 +6,7 @@
 #include "placement/filter.h"
 #include "placement/quota.h"
 #include "placement/resources.h"
+#include "protocol/cloud-messages.h"
 
 struct MhDemandPlan
 {
@@ -117,7 +118,7 @@
   if (tasks == 0)
     return 0;
   mh_capacity_estimate_reserve (machine, spec, tasks);
-  if (spec->one_zone)
+  if (spec->single_zone)
     assignment->zone = machine->zone;
   assignment->tasks_left -= tasks;
   if (spec->shape != MH_SHAPE_SERVICE)
--- a/src/cluster/reconcile.h
+++ b/src/cluster/reconcile.h
@@ -7,6 +7,7 @@
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * MhMessageSource:
@@ -32,5 +33,5 @@
  * is not on record here.
  */
 void
-mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhReport *report,
+mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report,
               MhMessageSource source);
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
+#include "protocol/worker-messages.h"
 
 /* An attempt that has not ended so long after its grace was over is stopped without any. */
 #define LATE_STOP_US MH_SECOND_US
--- a/src/controller/core-storage.c
+++ b/src/controller/core-storage.c
@@ -76,7 +76,7 @@
 }
 
 static void
-release_found (gpointer owner, const MhEntry *entry)
+release_found (gpointer owner, const MhKvEntry *entry)
 {
   MhCore *core = owner;
   mh_autoscaler_load_release (core->autoscaler, entry);
--- a/src/jobs/final-answers.h
+++ b/src/jobs/final-answers.h
@@ -3,7 +3,7 @@
    What is not in it is asked of the state service. The oldest entries go first. */
 #pragma once
 
-#include "protocol/types.h"
+#include "protocol/user-messages.h"
 
 /** MhFinalAnswers: the cache. */
 typedef struct MhFinalAnswers MhFinalAnswers;
--- a/src/jobs/runtime-estimate.h
+++ b/src/jobs/runtime-estimate.h
@@ -5,7 +5,7 @@
    begins as the plain mean. */
 #pragma once
 
-#include "protocol/types.h"
+#include "protocol/job-spec.h"
 
 /** MhRuntimeEstimator: the statistics of all classes of jobs. */
 typedef struct MhRuntimeEstimator MhRuntimeEstimator;
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -59,7 +59,8 @@
 may_go_anywhere (const MhJobCycle *cycle)
 {
   const MhJobSpec *spec = cycle->job->spec;
-  return !cycle->is_service && !spec->types && !spec->zone && !spec->one_zone && !spec->scatter;
+  return !cycle->is_service && !spec->types && !spec->zone && !spec->single_zone
+         && !spec->spread_over_zones;
 }
 
 /* ---- making it ---- */
--- a/src/runtime/action.h
+++ b/src/runtime/action.h
@@ -2,7 +2,8 @@
    the tests) takes them with mh_core_pop () after each input and carries them out in order. */
 #pragma once
 
-#include "protocol/wire.h"
+#include "protocol/request.h"
+#include "protocol/user-messages.h"
 
 /**
  * MhActionKind:
--- a/src/server/peer-connection.c
+++ b/src/server/peer-connection.c
@@ -124,18 +124,18 @@
 {
   while (!self->closed)
     {
-      MhPeerMessage message;
-      MhPeerRead outcome = mh_peer_read (self->input, &message);
-      if (outcome == MH_PEER_MORE)
+      MhControllerMessage message;
+      MhControllerReadResult outcome = mh_controller_message_read (self->input, &message, NULL);
+      if (outcome == MH_CONTROLLER_READ_INCOMPLETE)
         return;
-      if (outcome == MH_PEER_BAD)
+      if (outcome == MH_CONTROLLER_READ_MALFORMED)
         {
           g_info ("peer connection closed reason=malformed message");
           mh_peer_connection_close (self);
           return;
         }
       self->handlers->message (self, &message, self->user_data);
-      mh_peer_message_clear (&message);
+      mh_controller_message_clear (&message);
     }
 }
 
--- a/tests/stand-in/environment.c
+++ b/tests/stand-in/environment.c
@@ -69,7 +69,7 @@
 environment_serve (Environment *environment, MhTarget target, const ServiceRequest *request,
                    ServiceReply *reply)
 {
-  if (target == MH_TARGET_STATE)
+  if (target == MH_TARGET_KEY_VALUE_STORE)
     return key_value_store_serve (environment->store, request, reply);
   cloud_serve (environment->cloud, request, reply);
   return true;
--- a/tests/stand-in/machine.h
+++ b/tests/stand-in/machine.h
@@ -4,6 +4,7 @@
 #pragma once
 
 #include "stand-in/workload.h"
+#include "protocol/worker-messages.h"
 
 struct WorkerRuntime;
 
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -299,7 +299,7 @@
   simulation_run (simulation, 4);
   guint before = simulation->cloud->machines->len;
   MhJobSpec *s = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
-  s->estimate_us = 60 * MH_SECOND_US;
+  s->estimated_run_us = 60 * MH_SECOND_US;
   simulation_submit (simulation, s, 60);
   simulation_run (simulation, 8);
   g_assert_true (simulation_logged (simulation, "zone silent, taken for partitioned"));
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -186,7 +186,7 @@
   (void)seed;
   User *user = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
   MhJobSpec *spec = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
-  spec->estimate_us = 300 * MH_SECOND_US;
+  spec->estimated_run_us = 300 * MH_SECOND_US;
   User *more = simulation_submit (simulation, spec, 5);
   WAIT (simulation, 20, accepted, more);
   simulation_run (simulation, 5);
