--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -65,12 +65,12 @@
   gint64 silent_us = pass->context->settings->report_us * 2;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhMachine *machine = value;
       if (is_steady (machine) && !mh_machine_is_draining (machine)
-          && !mh_cluster_is_silent (core, machine, silent_us))
+          && !mh_cluster_is_silent (core->cluster, machine, silent_us))
         add_remaining_machine (&pass->remaining, machine);
     }
 }
@@ -165,7 +165,7 @@
   if (machine->attempts->len == 0)
     return;
   MhAttempt *attempt = mh_machine_attempt (machine, 0);
-  mh_attempt_stop (pass->context->core, attempt, mh_job_grace_us (attempt->job));
+  mh_attempt_stop (pass->context->core->cluster, attempt, mh_job_grace_us (attempt->job));
 }
 
 static bool
@@ -250,7 +250,7 @@
   gpointer value;
   if (!tasks_wait)
     find_remaining_machines (&pass);
-  g_hash_table_iter_init (&iter, mh_cluster_machines (context->core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (context->core->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     visit_machine (&pass, value);
   drain_candidates (&pass);
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -50,7 +50,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (plan->context->core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (plan->context->core->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhMachine *machine = value;
@@ -87,7 +87,7 @@
   if (job->spec->shape != MH_SHAPE_ARRAY)
     return 0;
   gint64 now_us = plan_now_us (plan);
-  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->core), job->spec);
+  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->core->cluster), job->spec);
   /* Estimates are often wrong by half. */
   gint64 latest_us = job->placement.objectives_missed
                          ? now_us
@@ -203,8 +203,9 @@
   const MhJobSpec *spec = job->spec;
   MhUse *use = planned_team_use (plan, spec->team);
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
-  guint tasks = mh_quota_allowed_tasks (core->settings, mh_cluster_team_use (core, job->spec->team),
-                                        job, use, mh_task_failure_rentable (core, job));
+  guint tasks = mh_quota_allowed_tasks (core->settings,
+                                        mh_cluster_team_use (core->cluster, job->spec->team), job,
+                                        use, mh_task_failure_rentable (core->cluster, job));
   use->cpus += spec->cpus * tasks;
   use->gpus += spec->gpus * tasks;
   if (tasks > 0)
@@ -222,7 +223,8 @@
       MhJob *job = value;
       job->placement.expected_run_us
           = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
-      job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
+      job->placement.expected_fetch_us
+          = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core->cluster));
     }
 }
 
@@ -232,8 +234,10 @@
 static GPtrArray *
 jobs_to_plan (MhCore *core)
 {
-  return mh_job_queue_pending (core,
-                               mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL);
+  MhJobQueueScope scope
+      = mh_zone_any_heard (core->cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  return mh_job_queue_pending (core->job_queue, scope, mh_cluster_types (core->cluster),
+                               mh_runtime_now_us (core->runtime));
 }
 
 MhDemandPlan *
@@ -252,7 +256,7 @@
   renew_expected_times (context->core);
   add_coming_machines (plan);
   plan->offers = mh_machine_offers_new (context, scale_out, plan->estimates);
-  mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->core),
+  mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->core->cluster),
                                       plan_now_us (plan));
   for (guint i = 0; i < jobs->len; i++)
     plan_job (plan, g_ptr_array_index (jobs, i));
--- a/src/autoscaler/machine-offer.c
+++ b/src/autoscaler/machine-offer.c
@@ -60,7 +60,7 @@
         g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
         /* What comes up in a zone that is partitioned is of no use until that is over. */
         if (mh_scale_out_is_refused (scale_out, type, *zone, spot)
-            || mh_zone_is_partitioned (context->core, name))
+            || mh_zone_is_partitioned (context->core->cluster, name))
           continue;
         MhMachineOffer offer = { .type = type,
                                  .zone = g_ref_string_acquire (name),
@@ -74,12 +74,12 @@
 mh_machine_offers_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
                        const GArray *coming)
 {
-  const GPtrArray *types = mh_cluster_types (context->core);
+  const GPtrArray *types = mh_cluster_types (context->core->cluster);
   MhMachineOffers *offers = g_new0 (MhMachineOffers, 1);
   offers->offers = g_array_new (FALSE, FALSE, sizeof (MhMachineOffer));
   g_array_set_clear_func (offers->offers, offer_clear);
   offers->machines_by_zone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  count_machines (offers, mh_cluster_machines (context->core), coming);
+  count_machines (offers, mh_cluster_machines (context->core->cluster), coming);
   for (guint i = 0; i < types->len; i++)
     add_type (offers, context, scale_out, g_ptr_array_index (types, i));
   return offers;
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -31,6 +31,7 @@
 #include "placement/resources.h"
 #include "placement/score.h"
 #include "placement/victim.h"
+#include "jobs/final-answers.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
 #include "jobs/runtime-estimate.h"
@@ -38,7 +39,7 @@
 #include "storage/record.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
-#include "runtime/call-queue.h"
+#include "cluster/recovery.h"
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
 
@@ -58,9 +59,9 @@
   MhJobLookup *job_lookup;
 
   /* leader's memory */
-  GHashTable *jobs;   /* id -> MhJob */
-  GHashTable *finals; /* id -> MhUserAnswer, a bounded cache */
-  GQueue finals_order;
+  GHashTable *jobs; /* id -> MhJob */
+  MhFinalAnswers *final_answers;
+  MhJobQueue *job_queue;
   MhCluster *cluster;
   MhRuntimeEstimator *runtime_estimator;
   MhGangAttempts *gang_attempts;
--- a/src/controller/core-storage.c
+++ b/src/controller/core-storage.c
@@ -21,17 +21,19 @@
 static void
 attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
 {
+  MhCore *core = owner;
   for (guint i = first_task; i < end_task; i++)
     if (job->tasks[i].live && !mh_attempt_start_was_sent (job->tasks[i].live))
-      mh_machine_schedule_commands (owner, job->tasks[i].live->machine);
+      mh_machine_schedule_commands (core->cluster, job->tasks[i].live->machine);
 }
 
 static void
 job_rechunked (gpointer owner, MhJob *job)
 {
+  MhCore *core = owner;
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_machine_schedule_commands (owner, job->tasks[i].live->machine);
+      mh_machine_schedule_commands (core->cluster, job->tasks[i].live->machine);
 }
 
 static void
@@ -59,16 +61,18 @@
 static void
 attempt_found (gpointer owner, MhJob *job, guint index, guint32 attempt, const char *machine)
 {
-  MhMachine *found = mh_cluster_find_machine (owner, machine);
+  MhCore *core = owner;
+  MhMachine *found = mh_cluster_find_machine (core->cluster, machine);
   if (found == NULL)
-    found = mh_cluster_add_machine (owner, machine, NULL, NULL, false);
-  mh_attempt_new_from_record (owner, job, index, attempt, found);
+    found = mh_cluster_add_machine (core->cluster, machine, NULL, NULL, false);
+  mh_attempt_new_from_record (core->cluster, job, index, attempt, found);
 }
 
 static void
 back_off_found (gpointer owner, MhJob *job, guint level)
 {
-  mh_task_failure_load_back_off (owner, job, level);
+  MhCore *core = owner;
+  mh_task_failure_load_back_off (core->cluster, job, level);
 }
 
 static void
@@ -81,9 +85,10 @@
 static void
 job_unreadable (gpointer owner, MhJob *job)
 {
+  MhCore *core = owner;
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_discard (owner, job->tasks[i].live);
+      mh_attempt_discard (core->cluster, job->tasks[i].live);
 }
 
 static void
