--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -147,7 +147,7 @@
     queue_request (self, names, g_strdup (entry->key));
   else
     mh_runtime_log (self->context->runtime, G_LOG_LEVEL_CRITICAL,
-                    "record cannot be read: key=%s reason=\"%s\"", entry->key, error->message);
+                    "record cannot be read key=%s reason=\"%s\"", entry->key, error->message);
 }
 
 /* ---- the call to the cloud ---- */
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -77,7 +77,7 @@
 leave_job_alone (MhRecordLoader *loader, const char *key, const char *id, const GError *error)
 {
   mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
-                  "record cannot be read; its job is left alone: key=%s job=%s reason=\"%s\"", key,
+                  "record cannot be read, its job is left alone key=%s job=%s reason=\"%s\"", key,
                   id, error->message);
   g_hash_table_add (loader->unreadable, g_strdup (id));
   MhJob *job = g_hash_table_lookup (loader->jobs, id);
@@ -179,7 +179,7 @@
   double write_rps;
   if (!mh_record_read_limits (entry->value, &write_rps, &error))
     mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
-                    "record cannot be read: key=%s reason=\"%s\"", entry->key, error->message);
+                    "record cannot be read key=%s reason=\"%s\"", entry->key, error->message);
   else if (write_rps <= mh_runtime_settings (loader->runtime)->next_write_rps)
     {
       mh_record_writer_limits_loaded (loader->writer);
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -107,7 +107,7 @@
   writer->callbacks->job_accepted (writer->owner, job);
   gint64 waited_us = mh_runtime_now_us (writer->runtime) - job->submitted_us;
   mh_log_info (writer->runtime,
-               "job accepted: job=%s after_ms=%d shape=%s tasks=%u team=%s class=%s", job->spec->id,
+               "job accepted job=%s after_ms=%d shape=%s tasks=%u team=%s class=%s", job->spec->id,
                (int)(waited_us / 1000), shape_name (job->spec->shape), job->spec->tasks,
                job->spec->team, job->spec->class_name);
 }
@@ -124,7 +124,7 @@
     if (job->records[i].version)
       g_queue_push_tail (&writer->keys_to_delete, mh_record_key (job->spec->id, i));
   answer_waiters (writer, job);
-  mh_log_info (writer->runtime, "job over: job=%s state=%s", job->spec->id,
+  mh_log_info (writer->runtime, "job over job=%s state=%s", job->spec->id,
                cancelled ? "cancelled" : "done");
   mh_job_fill_answer (job, &answer);
   writer->callbacks->job_over (writer->owner, job, &answer);
@@ -134,7 +134,7 @@
 static void
 finish_rechunk (MhRecordWriter *writer, MhJob *job)
 {
-  mh_log_info (writer->runtime, "job re-chunked: job=%s records=%u", job->spec->id, job->n_records);
+  mh_log_info (writer->runtime, "job re-chunked job=%s records=%u", job->spec->id, job->n_records);
   mh_rechunk_finish (job);
   for (guint i = 0; i < job->n_records; i++)
     {
@@ -332,7 +332,7 @@
   bool accepted = job->accepted || maybe_applied;
   mh_runtime_log (
       writer->runtime, G_LOG_LEVEL_CRITICAL,
-      "record refused by the state service: job=%s record=%u reason=malformed-or-too-large"
+      "record refused by the state service job=%s record=%u reason=malformed-or-too-large"
       " outcome=%s",
       job->spec->id, record->chunk, accepted ? "retried-later" : "job-not-accepted");
   const MhUserAnswer later
