--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -232,8 +232,9 @@
 static GPtrArray *
 jobs_to_plan (MhCore *core)
 {
-  return mh_job_queue_pending (core,
-                               mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL);
+  MhJobQueueScope scope = mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  return mh_job_queue_pending (core->job_queue, scope, mh_cluster_types (core),
+                               mh_runtime_now_us (core->runtime));
 }
 
 MhDemandPlan *
