--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -97,8 +97,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!mh_job_is_over (value))
       waiting += mh_quota_allowed_tasks (
-          core->settings, mh_cluster_team_use (core, ((const MhJob *)value)->spec->team), value,
-          &none, mh_task_failure_startable (core, value));
+          core->settings, mh_cluster_team_use (core->cluster, ((const MhJob *)value)->spec->team),
+          value, &none, mh_task_failure_startable (core->cluster, value));
   return waiting;
 }
 
@@ -113,7 +113,7 @@
     return "retry_delay";
   if (job->n_unreported && !mh_recovery_is_complete (core->recovery))
     return "unreported_machines";
-  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core, job->spec->team), job,
+  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core->cluster, job->spec->team), job,
                       job->spec->cpus, job->spec->gpus))
     return "team_quota";
   return "no_capacity";
@@ -192,7 +192,7 @@
   ClusterSummary summary = { 0 };
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     summarize_machine (&summary, value);
   mh_log_info (self->context.runtime,
@@ -221,7 +221,7 @@
   const MhCore *core = self->context.core;
   gint64 leading_us
       = mh_runtime_now_us (self->context.runtime) - mh_election_elected_us (core->election);
-  return mh_recovery_is_complete (core->recovery) && mh_cluster_types (core)
+  return mh_recovery_is_complete (core->recovery) && mh_cluster_types (core->cluster)
          && mh_inventory_is_listed (self->inventory) && !mh_scale_out_is_busy (self->scale_out)
          && (mh_election_epoch (core->election) == 1
              || leading_us > self->context.settings->list_lag_us);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -137,9 +137,9 @@
   char **names = mh_record_read_release (entry->value);
   for (char **name = names; name && *name; name++)
     {
-      MhMachine *machine = mh_cluster_find_machine (core, *name);
+      MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
       if (machine == NULL)
-        machine = mh_cluster_add_machine (core, *name, NULL, NULL, false);
+        machine = mh_cluster_add_machine (core->cluster, *name, NULL, NULL, false);
       mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
@@ -168,10 +168,10 @@
   advance (batch, MH_RELEASE_EVENT_DELETION_CONFIRMED);
   for (char **name = batch->machines; *name; name++)
     {
-      MhMachine *machine = mh_cluster_find_machine (core, *name);
+      MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
       mh_log_debug (self->context->runtime, "machine deleted machine=%s", *name);
       if (machine)
-        mh_cluster_machine_released (core, machine);
+        mh_cluster_machine_released (core->cluster, machine);
     }
   mh_store_drop (core, batch->key);
   self->batches_in_flight--;
@@ -352,7 +352,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context->core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context->core->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     release_if_idle (self, value, now_us);
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -39,7 +39,7 @@
 #include "storage/record.h"
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
-#include "runtime/call-queue.h"
+#include "cluster/recovery.h"
 #include "storage/record-writer.h"
 
 struct MhCore
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -15,7 +15,7 @@
   MhCore *core = owner;
   mh_recovery_begin (core->recovery, mh_runtime_now_us (core->runtime), core->settings->report_us);
   mh_placement_request_pass (core->placement, false);
-  mh_cluster_records_loaded (core);
+  mh_cluster_records_loaded (core->cluster);
   mh_log_info (core->runtime,
                "records loaded, waiting for the workers' reports: unfinished_jobs=%u",
                g_hash_table_size (core->jobs));
@@ -42,7 +42,7 @@
 {
   MhCore *core = owner;
   mh_store_clear (core);
-  mh_cluster_clear (core);
+  mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_autoscaler_reset (core->autoscaler);
   g_hash_table_remove_all (core->jobs);
@@ -56,7 +56,8 @@
 note_pause (gpointer owner, gint64 last_renewal_us)
 {
   MhCore *core = owner;
-  if (mh_runtime_now_us (core->runtime) >= last_renewal_us + mh_heartbeat_keep_alive_us (core))
+  if (mh_runtime_now_us (core->runtime)
+      >= last_renewal_us + mh_heartbeat_keep_alive_us (core->cluster))
     mh_runtime_mark_resumed (core->runtime);
 }
 
@@ -76,11 +77,11 @@
 static bool
 all_machines_reported (const MhCore *core)
 {
-  if (mh_cluster_types (core) == NULL || !mh_autoscaler_is_listed (core->autoscaler))
+  if (mh_cluster_types (core->cluster) == NULL || !mh_autoscaler_is_listed (core->autoscaler))
     return false;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, mh_cluster_machines (core));
+  g_hash_table_iter_init (&it, mh_cluster_machines (core->cluster));
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       const MhMachine *machine = value;
