--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -134,7 +134,8 @@
 {
   g_return_if_fail (self != NULL);
   MhCore *core = self->context->core;
-  char **names = mh_record_read_release (entry->value);
+  g_autoptr (GError) error = NULL;
+  char **names = mh_record_read_release (entry->value, &error);
   for (char **name = names; name && *name; name++)
     {
       MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
@@ -145,8 +146,8 @@
   if (names)
     queue_request (self, names, g_strdup (entry->key));
   else
-    mh_runtime_log (self->context->runtime, G_LOG_LEVEL_CRITICAL, "record cannot be read key=%s",
-                    entry->key);
+    mh_runtime_log (self->context->runtime, G_LOG_LEVEL_CRITICAL,
+                    "record cannot be read: key=%s reason=\"%s\"", entry->key, error->message);
 }
 
 /* ---- the call to the cloud ---- */
@@ -173,7 +174,7 @@
       if (machine)
         mh_cluster_machine_released (core->cluster, machine);
     }
-  mh_store_drop (core, batch->key);
+  mh_record_writer_delete (core->record_writer, batch->key);
   self->batches_in_flight--;
 }
 
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -40,6 +40,7 @@
 #include "autoscaler/autoscaler.h"
 #include "placement/topology-spread.h"
 #include "cluster/recovery.h"
+#include "storage/record-state.h"
 #include "storage/record-writer.h"
 
 struct MhCore
@@ -52,32 +53,31 @@
   MhElection *election;
   MhRecovery *recovery;
 
+  /* storage */
+  MhRecordWriter *record_writer;
+  MhRecordLoader *record_loader;
+  MhJobLookup *job_lookup;
+
   /* leader's memory */
-  GHashTable *jobs;       /* id -> MhJob */
-  GHashTable *unreadable; /* ids of jobs whose records are not understood: nothing is guessed */
+  GHashTable *jobs; /* id -> MhJob */
   MhFinalAnswers *final_answers;
   MhJobQueue *job_queue;
-  GQueue dirty[MH_URGENCIES]; /* MhRecord */
-  GQueue garbage;             /* keys to drop */
-  struct
-  {
-    bool durable, writing;
-  } limits; /* that the state service takes fewer changes is on record, so that no later leader has
-               to find out */
-  guint txns; /* in flight */
-  guint64 rev;
   MhCluster *cluster;
   MhRuntimeEstimator *runtime_estimator;
   MhGangAttempts *gang_attempts;
   MhPlacement *placement;
   GHashTable *forwards; /* request id -> job id */
-  GHashTable *lookups;  /* job id -> reads under way for its users; not owned */
 
   MhAutoscaler *autoscaler;
 };
 
 void
 mh_core_step (MhCore *core);
+/* The objects of src/storage, and what they tell; see core-storage.c. */
+void
+mh_core_storage_init (MhCore *core);
+void
+mh_core_storage_free (MhCore *core);
 /* leadership.c: what the controller does as leadership comes and goes. */
 const MhElectionCallbacks *
 mh_core_election_callbacks (void);
