--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
+#include "storage/record-writer.h"
 
 static void
 change_state (MhAttempt *attempt, MhAttemptEvent event)
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -3,7 +3,9 @@
 
 #include "base/token-bucket.h"
 #include "cluster/cluster-types.h"
-#include "controller/core-private.h"
+#include "election/election.h"
+#include "jobs/runtime-estimate.h"
+#include "runtime/call-queue.h"
 
 /**
  * MhSilenceThresholds:
@@ -23,7 +25,8 @@
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
-   core: jobs and records, until they are objects too; for nothing else
+   core: for the record writer alone, until that is an object
+   runtime, calls, election, jobs, unreadable_jobs, runtime_estimator: see MhClusterOptions
    callbacks, owner: the layers above, and what they are called with
    machines: name -> MhMachine, which owns its name
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
@@ -44,6 +47,8 @@
   MhRuntime *runtime;
   MhCallQueue *calls;
   MhElection *election;
+  GHashTable *jobs, *unreadable_jobs;
+  MhRuntimeEstimator *runtime_estimator;
   const MhSettings *settings;
   const MhClusterCallbacks *callbacks;
   gpointer owner;
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -22,18 +22,20 @@
 }
 
 MhCluster *
-mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls, MhElection *election,
-                const MhClusterCallbacks *callbacks, gpointer owner)
+mh_cluster_new (const MhClusterOptions *options)
 {
-  g_return_val_if_fail (runtime != NULL && calls != NULL && callbacks != NULL, NULL);
+  g_return_val_if_fail (options != NULL && options->callbacks != NULL, NULL);
   MhCluster *cluster = g_new0 (MhCluster, 1);
-  cluster->core = core;
-  cluster->runtime = runtime;
-  cluster->calls = calls;
-  cluster->election = election;
-  cluster->settings = mh_runtime_settings (runtime);
-  cluster->callbacks = callbacks;
-  cluster->owner = owner;
+  cluster->core = options->core;
+  cluster->runtime = options->runtime;
+  cluster->calls = options->calls;
+  cluster->election = options->election;
+  cluster->jobs = options->jobs;
+  cluster->unreadable_jobs = options->unreadable_jobs;
+  cluster->runtime_estimator = options->runtime_estimator;
+  cluster->settings = mh_runtime_settings (options->runtime);
+  cluster->callbacks = options->callbacks;
+  cluster->owner = options->owner;
   create_tables (cluster);
   mh_direct_command_init (cluster);
   mh_failure_init (cluster);
@@ -77,7 +79,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, cluster->core->jobs);
+  g_hash_table_iter_init (&it, cluster->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -7,21 +7,42 @@
 
 #include "cluster/cluster-types.h"
 #include "election/election.h"
+#include "jobs/runtime-estimate.h"
 
 /**
- * mh_cluster_new:
- * @core: (not transferred): jobs and records, until they are objects too
- * @runtime: (not transferred): must outlive the cluster
- * @calls: (not transferred): must outlive the cluster
- * @election: (not transferred): must outlive the cluster
- * @callbacks: (not transferred): must outlive the cluster
+ * MhClusterOptions:
+ * @core: for the record writer alone, until that is an object
+ * @runtime: time, wake-ups, the log and answers to reports
+ * @calls: calls to workers
+ * @election: whether this controller may act as leader, and its epoch
+ * @jobs: (element-type utf8 MhJob): the jobs in memory, by id
+ * @unreadable_jobs: (element-type utf8): ids of jobs whose records are not understood
+ * @runtime_estimator: learns how long tasks run
+ * @callbacks: what the layers above are told
  * @owner: passed to the callbacks
  *
+ * What a cluster works with. Nothing is transferred, and all must outlive the cluster.
+ */
+typedef struct
+{
+  MhCore *core;
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  MhElection *election;
+  GHashTable *jobs, *unreadable_jobs;
+  MhRuntimeEstimator *runtime_estimator;
+  const MhClusterCallbacks *callbacks;
+  gpointer owner;
+} MhClusterOptions;
+
+/**
+ * mh_cluster_new:
+ * @options: what it works with
+ *
  * Returns: (transfer full): a cluster without machines; free with mh_cluster_free()
  */
 MhCluster *
-mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls, MhElection *election,
-                const MhClusterCallbacks *callbacks, gpointer owner);
+mh_cluster_new (const MhClusterOptions *options);
 
 /**
  * mh_cluster_free:
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -5,6 +5,7 @@
 #include "cluster/heartbeat.h"
 #include "cluster/machine-registry.h"
 #include "cluster/worker-command.h"
+#include "protocol/wire.h"
 
 #include <string.h>
 
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -6,6 +6,7 @@
 #include "cluster/heartbeat.h"
 #include "cluster/machine-registry.h"
 #include "cluster/zone-silence.h"
+#include "protocol/wire.h"
 
 #include <string.h>
 
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -7,6 +7,7 @@
 #include "cluster/reconcile.h"
 #include "cluster/worker-command.h"
 #include "cluster/zone-silence.h"
+#include "protocol/wire.h"
 
 #include <string.h>
 
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -15,7 +15,7 @@
 note_done (MhCluster *cluster, const MhAttempt *attempt)
 {
   if (attempt->running_since_us && !mh_attempt_is_from_record (attempt))
-    mh_runtime_estimator_observe (cluster->core->runtime_estimator, attempt->job->spec,
+    mh_runtime_estimator_observe (cluster->runtime_estimator, attempt->job->spec,
                                   mh_runtime_now_us (cluster->runtime) - attempt->running_since_us);
   mh_task_failure_record_success (cluster, attempt->machine, attempt->job);
 }
@@ -66,16 +66,16 @@
       note_failed (cluster, attempt);
       break;
     case MH_CAUSE_NO_ROOM:
-      note_refused (cluster, attempt, "no-room");
+      note_refused (cluster, attempt, "no_room");
       break;
     case MH_CAUSE_BUSY:
-      note_refused (cluster, attempt, "other-attempt-there");
+      note_refused (cluster, attempt, "other_attempt_there");
       break;
     case MH_CAUSE_PEERS:
-      note_gang_broken (cluster, attempt, "other-task-gone");
+      note_gang_broken (cluster, attempt, "other_task_gone");
       break;
     case MH_CAUSE_INCOMPLETE:
-      note_gang_broken (cluster, attempt, "incomplete-in-time");
+      note_gang_broken (cluster, attempt, "incomplete_in_time");
       break;
     case MH_CAUSE_UNKNOWN:
       note_job_unknown (cluster, attempt);
@@ -104,7 +104,7 @@
 static const MhTask *
 find_task (const MhCluster *cluster, const MhReportTask *shown)
 {
-  const MhJob *job = g_hash_table_lookup (cluster->core->jobs, shown->job);
+  const MhJob *job = g_hash_table_lookup (cluster->jobs, shown->job);
   if (job == NULL || !job->accepted || shown->index >= job->spec->tasks)
     return NULL;
   return &job->tasks[shown->index];
@@ -133,7 +133,7 @@
 read_shown_task (MhCluster *cluster, MhMachine *machine, const MhReportTask *shown)
 {
   /* What it may do is not known: it is left alone. */
-  if (g_hash_table_contains (cluster->core->unreadable, shown->job))
+  if (g_hash_table_contains (cluster->unreadable_jobs, shown->job))
     {
       machine->heartbeat.unreadable_tasks++;
       return;
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
+#include "storage/record-writer.h"
 
 #include <string.h>
 
@@ -147,7 +148,7 @@
   for (guint i = 0; i < machine->failures.jobs->len; i++)
     {
       const char *id = g_ptr_array_index (machine->failures.jobs, i);
-      const MhJob *job = g_hash_table_lookup (cluster->core->jobs, id);
+      const MhJob *job = g_hash_table_lookup (cluster->jobs, id);
       if (job == NULL || !fails_here_alone (job) || g_strcmp0 (last, id) == 0)
         continue;
       jobs++;
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -107,7 +107,7 @@
 static bool
 result_is_unrecorded (const MhCluster *cluster, const MhOrphan *orphan)
 {
-  MhJob *job = g_hash_table_lookup (cluster->core->jobs, orphan->job);
+  MhJob *job = g_hash_table_lookup (cluster->jobs, orphan->job);
   if (job == NULL || orphan->index >= job->spec->tasks
       || job->tasks[orphan->index].state != MH_TASK_DONE)
     return false;
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -439,6 +439,21 @@
   .gang_stop = gang_stop,
 };
 
+static MhCluster *
+cluster_new (MhCore *core)
+{
+  const MhClusterOptions options = { .core = core,
+                                     .runtime = core->runtime,
+                                     .calls = core->calls,
+                                     .election = core->election,
+                                     .jobs = core->jobs,
+                                     .unreadable_jobs = core->unreadable,
+                                     .runtime_estimator = core->runtime_estimator,
+                                     .callbacks = &cluster_callbacks,
+                                     .owner = core };
+  return mh_cluster_new (&options);
+}
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -455,11 +470,10 @@
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->finals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  core->cluster
-      = mh_cluster_new (core, core->runtime, core->calls, core->election, &cluster_callbacks, core);
+  core->runtime_estimator = mh_runtime_estimator_new ();
+  core->cluster = cluster_new (core);
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
-  core->runtime_estimator = mh_runtime_estimator_new ();
   core->autoscaler = mh_autoscaler_new (core);
   if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_core_log (
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -225,7 +225,7 @@
   for (guint i = 0; i < late->tasks->len; i++)
     g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
   WAIT (simulation, 60, told_done, u);
-  g_assert_true (simulation_logged (simulation, "incomplete-in-time"));
+  g_assert_true (simulation_logged (simulation, "incomplete_in_time"));
   finish (simulation);
 }
 
@@ -572,7 +572,7 @@
   t->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   WAIT (simulation, 150, told_done, u);
   g_assert_true (simulation_logged (simulation, "taken back"));
-  g_assert_false (simulation_logged (simulation, "incomplete-in-time"));
+  g_assert_false (simulation_logged (simulation, "incomplete_in_time"));
   finish (simulation);
 }
 
