--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -6,6 +6,8 @@
 #include "election/election.h"
 #include "jobs/runtime-estimate.h"
 #include "runtime/call-queue.h"
+#include "storage/load.h"
+#include "storage/record-writer.h"
 
 /**
  * MhSilenceThresholds:
@@ -25,8 +27,7 @@
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
-   core: for the record writer alone, until that is an object
-   runtime, calls, election, jobs, unreadable_jobs, runtime_estimator: see MhClusterOptions
+   runtime to runtime_estimator: see MhClusterOptions
    callbacks, owner: the layers above, and what they are called with
    machines: name -> MhMachine, which owns its name
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
@@ -43,11 +44,12 @@
    boot_statistics: name of a type -> statistics of boot-time.c */
 struct MhCluster
 {
-  MhCore *core;
   MhRuntime *runtime;
   MhCallQueue *calls;
   MhElection *election;
-  GHashTable *jobs, *unreadable_jobs;
+  GHashTable *jobs;
+  MhRecordLoader *record_loader;
+  MhRecordWriter *record_writer;
   MhRuntimeEstimator *runtime_estimator;
   const MhSettings *settings;
   const MhClusterCallbacks *callbacks;
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -26,12 +26,12 @@
 {
   g_return_val_if_fail (options != NULL && options->callbacks != NULL, NULL);
   MhCluster *cluster = g_new0 (MhCluster, 1);
-  cluster->core = options->core;
   cluster->runtime = options->runtime;
   cluster->calls = options->calls;
   cluster->election = options->election;
   cluster->jobs = options->jobs;
-  cluster->unreadable_jobs = options->unreadable_jobs;
+  cluster->record_loader = options->record_loader;
+  cluster->record_writer = options->record_writer;
   cluster->runtime_estimator = options->runtime_estimator;
   cluster->settings = mh_runtime_settings (options->runtime);
   cluster->callbacks = options->callbacks;
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -8,15 +8,16 @@
 #include "cluster/cluster-types.h"
 #include "election/election.h"
 #include "jobs/runtime-estimate.h"
+#include "storage/load.h"
 
 /**
  * MhClusterOptions:
- * @core: for the record writer alone, until that is an object
  * @runtime: time, wake-ups, the log and answers to reports
  * @calls: calls to workers
  * @election: whether this controller may act as leader, and its epoch
  * @jobs: (element-type utf8 MhJob): the jobs in memory, by id
- * @unreadable_jobs: (element-type utf8): ids of jobs whose records are not understood
+ * @record_loader: knows which jobs have records that are not understood
+ * @record_writer: writes what becomes of attempts
  * @runtime_estimator: learns how long tasks run
  * @callbacks: what the layers above are told
  * @owner: passed to the callbacks
@@ -25,11 +26,12 @@
  */
 typedef struct
 {
-  MhCore *core;
   MhRuntime *runtime;
   MhCallQueue *calls;
   MhElection *election;
-  GHashTable *jobs, *unreadable_jobs;
+  GHashTable *jobs;
+  MhRecordLoader *record_loader;
+  MhRecordWriter *record_writer;
   MhRuntimeEstimator *runtime_estimator;
   const MhClusterCallbacks *callbacks;
   gpointer owner;
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -3,6 +3,7 @@
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
 #include "cluster/task-failure.h"
+#include "storage/load.h"
 
 /* A machine that refused a task gets no other before, and its report shows then what it holds. */
 #define REFUSED_HOLD_US MH_SECOND_US
@@ -133,7 +134,7 @@
 read_shown_task (MhCluster *cluster, MhMachine *machine, const MhReportTask *shown)
 {
   /* What it may do is not known: it is left alone. */
-  if (g_hash_table_contains (cluster->unreadable_jobs, shown->job))
+  if (mh_record_loader_is_unreadable (cluster->record_loader, shown->job))
     {
       machine->heartbeat.unreadable_tasks++;
       return;
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -171,7 +171,7 @@
       if (status == 422)
         {
           /* An accepted job is never refused later, whatever the settings have become. */
-          mh_lookup_job (core, id, spec->id, MH_USER_SUBMIT, true);
+          mh_job_lookup_ask (core->job_lookup, id, spec->id, MH_USER_SUBMIT, MH_LOOKUP_LEADER);
           mh_job_spec_free (spec);
           return;
         }
@@ -183,7 +183,7 @@
         }
       job = mh_job_new (spec, 0, core->settings->value_bytes, core->now.wall_us, &core->now);
       g_hash_table_insert (core->jobs, job->spec->id, job);
-      mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
     }
   else
     mh_job_spec_free (spec);
@@ -203,7 +203,7 @@
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancellation = MH_CANCELLATION_REQUESTED;
-      mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
       mh_attempt_stop_job (core->cluster, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
@@ -233,7 +233,7 @@
     forward (core, id, job_id);
   else if (!forwarded && !mh_election_is_elected (core->election)
            && (verb == MH_USER_STATUS || (spec && judge (core, spec) == 422)))
-    mh_lookup_job (core, id, job_id, verb, false);
+    mh_job_lookup_ask (core->job_lookup, id, job_id, verb, MH_LOOKUP_LEADERLESS);
   else
     mh_core_answer (core, id, 503, 1);
 }
@@ -253,7 +253,7 @@
     }
 
   MhJob *job = g_hash_table_lookup (core->jobs, job_id);
-  if (g_hash_table_contains (core->unreadable, job_id))
+  if (mh_record_loader_is_unreadable (core->record_loader, job_id))
     {
       mh_job_spec_free (spec);
       mh_core_answer (core, id, 503, 1);
@@ -265,7 +265,7 @@
   /* Perhaps one that was over long ago and is submitted again: its final record tells, however long
      the write that would find out has to wait. */
   else if (job == NULL || !job->accepted)
-    mh_lookup_job (core, id, job_id, verb, true);
+    mh_job_lookup_ask (core->job_lookup, id, job_id, verb, MH_LOOKUP_LEADER);
   else if (verb == MH_USER_STATUS)
     mh_core_answer_job (core, id, job, 200);
   else
@@ -362,7 +362,7 @@
       mh_cluster_step (core->cluster);
       mh_placement_run (core->placement, core);
       mh_autoscaler_step (core->autoscaler);
-      mh_store_step (core);
+      mh_record_writer_step (core->record_writer);
     }
   mh_call_queue_flush (core->calls);
 }
@@ -422,12 +422,12 @@
 static MhCluster *
 cluster_new (MhCore *core)
 {
-  const MhClusterOptions options = { .core = core,
-                                     .runtime = core->runtime,
+  const MhClusterOptions options = { .runtime = core->runtime,
                                      .calls = core->calls,
                                      .election = core->election,
                                      .jobs = core->jobs,
-                                     .unreadable_jobs = core->unreadable,
+                                     .record_loader = core->record_loader,
+                                     .record_writer = core->record_writer,
                                      .runtime_estimator = core->runtime_estimator,
                                      .callbacks = &cluster_callbacks,
                                      .owner = core };
@@ -446,9 +446,8 @@
       = mh_election_new (core->runtime, core->calls, mh_core_election_callbacks (), core);
   core->recovery = mh_recovery_new ();
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
-  core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  mh_core_storage_init (core);
   core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
   core->runtime_estimator = mh_runtime_estimator_new ();
   core->cluster = cluster_new (core);
@@ -469,14 +468,13 @@
 {
   if (core == NULL)
     return;
-  mh_store_clear (core);
+  mh_record_writer_clear (core->record_writer);
   mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_call_queue_forget_all (core->calls);
+  mh_core_storage_free (core);
   g_hash_table_unref (core->forwards);
-  g_hash_table_unref (core->lookups);
   g_hash_table_unref (core->jobs);
-  g_hash_table_unref (core->unreadable);
   mh_final_answers_free (core->final_answers);
   mh_job_queue_free (core->job_queue);
   g_clear_pointer (&core->cluster, mh_cluster_free);
