--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
+#include "storage/record-writer.h"
 #include "protocol/worker-messages.h"
 
 #include <string.h>
@@ -114,7 +115,7 @@
   bool first = !mh_job_backs_off (job);
   job->failures.back_off_level = MIN (job->failures.back_off_level + 1, LAST_LEVEL);
   wait_before_retry (cluster, job);
-  mh_record_writer_touch (cluster->core->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_touch (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
   mh_log_info (cluster->runtime, "job backs off, fails wherever it starts job=%s next_start_s=%.0f",
                job->spec->id,
                (double)(job->placement.retry_after_us - mh_runtime_now_us (cluster->runtime))
@@ -149,7 +150,7 @@
   for (guint i = 0; i < machine->failures.jobs->len; i++)
     {
       const char *id = g_ptr_array_index (machine->failures.jobs, i);
-      const MhJob *job = g_hash_table_lookup (cluster->core->jobs, id);
+      const MhJob *job = g_hash_table_lookup (cluster->jobs, id);
       if (job == NULL || !fails_here_alone (job) || g_strcmp0 (last, id) == 0)
         continue;
       jobs++;
@@ -216,7 +217,7 @@
   if (mh_job_backs_off (job))
     {
       mh_log_info (cluster->runtime, "job runs after back-off job=%s", job->spec->id);
-      mh_record_writer_touch (cluster->core->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
+      mh_record_writer_touch (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
     }
   machine->failures.consecutive = 0;
   g_ptr_array_set_size (machine->failures.jobs, 0);
