--- a/tests/decision-digest.c
+++ b/tests/decision-digest.c
@@ -1,7 +1,7 @@
 /* Prints a digest of the decisions of each of a range of random days: the first seed, and how many.
    Days without and with changes of version count alike. tests/compare-decisions compares two builds
    by it. */
-#include "random-day.h"
+#include "stand-in/random-day.h"
 
 #include <stdlib.h>
 
--- a/tests/stand-in/controller-node.h
+++ b/tests/stand-in/controller-node.h
@@ -2,7 +2,7 @@
    faults that a test gives it. */
 #pragma once
 
-#include "controller.h"
+#include "stand-in/controller.h"
 
 typedef struct Simulation Simulation;
 typedef struct ControllerNode ControllerNode;
--- a/tests/controller.c
+++ b/tests/stand-in/controller.c
@@ -1,4 +1,4 @@
-#include "controller.h"
+#include "stand-in/controller.h"
 
 #include "production-core.h"
 
@@ -176,9 +176,9 @@
       self->core = mh_core_new (settings, now);
       return self;
     }
-  ProductionNow at = to_production (now);
+  ProductionNow production_now = to_production (now);
   g_autofree char *path = write_settings (settings);
-  self->production = production_core_new (path, &at);
+  self->production = production_core_new (path, &production_now);
   g_remove (path);
   return self;
 }
@@ -196,27 +196,28 @@
 void
 controller_tick (Controller *self, const MhNow *now)
 {
-  ProductionNow at = to_production (now);
+  ProductionNow production_now = to_production (now);
   if (self->core)
     mh_core_tick (self->core, now);
   else
-    production_core_tick (self->production, &at);
+    production_core_tick (self->production, &production_now);
 }
 
 void
-controller_user (Controller *self, const MhNow *now, guint64 id, MhUserVerb verb, const char *job,
-                 MhJobSpec *spec, bool forwarded)
+controller_user (Controller *self, const MhNow *now, const ControllerUserRequest *request)
 {
   if (self->core)
     {
-      mh_core_user (self->core, now, id, verb, job, spec, forwarded);
+      mh_core_user (self->core, now, request->id, request->verb, request->job_id, request->spec,
+                    request->forwarded);
       return;
     }
-  ProductionNow at = to_production (now);
-  g_autoptr (MhValue) value = spec ? mh_wire_write_submission (spec) : NULL;
+  ProductionNow production_now = to_production (now);
+  g_autoptr (MhValue) value = request->spec ? mh_wire_write_submission (request->spec) : NULL;
   g_autoptr (GBytes) submission = to_bytes (value);
-  mh_job_spec_free (spec);
-  production_core_user (self->production, &at, id, (guint)verb, job, submission, forwarded);
+  mh_job_spec_free (request->spec);
+  production_core_user (self->production, &production_now, request->id, (guint)request->verb,
+                        request->job_id, submission, request->forwarded);
 }
 
 void
@@ -229,9 +230,9 @@
       mh_core_report (self->core, now, id, report);
       return;
     }
-  ProductionNow at = to_production (now);
+  ProductionNow production_now = to_production (now);
   g_autoptr (GBytes) bytes = to_bytes (value);
-  production_core_report (self->production, &at, id, bytes);
+  production_core_report (self->production, &production_now, id, bytes);
 }
 
 void
@@ -242,9 +243,9 @@
       mh_core_reply (self->core, now, id, status, body);
       return;
     }
-  ProductionNow at = to_production (now);
+  ProductionNow production_now = to_production (now);
   g_autoptr (GBytes) bytes = to_bytes (body);
-  production_core_reply (self->production, &at, id, status, bytes);
+  production_core_reply (self->production, &production_now, id, status, bytes);
 }
 
 void
@@ -255,7 +256,7 @@
       mh_core_forwarded (self->core, now, id, answer);
       return;
     }
-  ProductionNow at = to_production (now);
+  ProductionNow production_now = to_production (now);
   ProductionAnswer given = {};
   if (answer)
     given = (ProductionAnswer){ .status = answer->status,
@@ -263,17 +264,17 @@
                                 .state = (guint)answer->state,
                                 .done = answer->done,
                                 .running = answer->running };
-  production_core_forwarded (self->production, &at, id, answer ? &given : NULL);
+  production_core_forwarded (self->production, &production_now, id, answer ? &given : NULL);
 }
 
 void
 controller_leader_announced (Controller *self, const MhNow *now, const char *node, guint64 epoch)
 {
-  ProductionNow at = to_production (now);
+  ProductionNow production_now = to_production (now);
   if (self->core)
     mh_core_leader_announced (self->core, now, node, epoch);
   else
-    production_core_leader_announced (self->production, &at, node, epoch);
+    production_core_leader_announced (self->production, &production_now, node, epoch);
 }
 
 MhAction *
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -95,7 +95,19 @@
   controller_node_drain (node);
 }
 
-/* The request's data is the message, which is sent back as its own answer. */
+/* From whom a request came, and which it was. */
+static PeerMessage *
+copy_sender (const PeerMessage *message)
+{
+  PeerMessage *copy = g_new0 (PeerMessage, 1);
+  copy->simulation = message->simulation;
+  copy->from = message->from;
+  copy->to = message->to;
+  copy->incarnation = message->incarnation;
+  copy->id = message->id;
+  return copy;
+}
+
 static void
 request_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
@@ -103,11 +115,7 @@
   if (is_cut (message))
     return;
   const ControllerNode *asker = &node->simulation->nodes[message->from];
-  PeerMessage *back = g_new0 (PeerMessage, 1);
-  back->simulation = message->simulation;
-  back->from = message->from;
-  back->incarnation = message->incarnation;
-  back->id = message->id;
+  PeerMessage *back = copy_sender (message);
   back->answer = action->answer;
   back->answered = true;
   send (back, asker, network_draw_delay (node->simulation->network), answer_arrives);
@@ -120,15 +128,9 @@
   ControllerNode *node = &message->simulation->nodes[message->to];
   if (node->controller == NULL || is_cut (message))
     return;
-  PeerMessage *waiting = g_new0 (PeerMessage, 1);
-  waiting->simulation = message->simulation;
-  waiting->from = message->from;
-  waiting->to = message->to;
-  waiting->incarnation = message->incarnation;
-  waiting->id = message->id;
   PendingRequest *request = g_new0 (PendingRequest, 1);
   request->answered = request_answered;
-  request->data = waiting;
+  request->data = copy_sender (message);
   request->free_data = message_free;
   request->verb = message->verb;
   request->job_id = g_strdup (message->text);
--- /dev/null
+++ b/tests/stand-in/random-day.c
@@ -0,0 +1,256 @@
+#include "stand-in/random-day.h"
+
+#include "stand-in/decision-log.h"
+#include "stand-in/random-fault.h"
+
+#define TURNS 60u
+#define TURN_S 2
+#define TURNS_PER_JOB 3u
+#define FAULTS_FROM_TURN 5u
+#define NEXT_LIMITS_TURN 30u
+#define NEXT_VALUE_BYTES 2048u
+#define NEXT_TXN_OPS 5u
+#define NEXT_WRITE_RPS 15.0
+#define LARGE_FLEET 250u
+#define VERY_LARGE_FLEET 2000u
+#define LARGE_FLEET_SPARE 70u
+#define LONGEST_RECOVERY_S 400u
+#define LAST_FAULTS_S 60u
+/* Within this time every user has asked several times. */
+#define ASKING_S 75
+
+typedef struct
+{
+  Simulation *simulation;
+  bool versions; /* the controllers' versions change */
+  bool limits;   /* the store's limits do */
+  guint jobs;
+} RandomDay;
+
+/* ---- the beginning ---- */
+
+/* All begin with the version in production. The limits that come next are announced on every other
+   of these days. */
+static void
+begin_with_production (const RandomDay *day)
+{
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    {
+      MhSettings *settings = day->simulation->nodes[i].settings;
+      simulation_stop_node (day->simulation, i);
+      if (day->limits)
+        {
+          settings->value_bytes = NEXT_VALUE_BYTES;
+          settings->txn_ops = settings->batch = NEXT_TXN_OPS;
+          settings->next_write_rps = NEXT_WRITE_RPS;
+        }
+      simulation_restart_node (day->simulation, i, CONTROLLER_PRODUCTION, 0);
+    }
+}
+
+/* Now and then the fleet is large, or very large. */
+static void
+add_fleet (Simulation *simulation, guint seed)
+{
+  guint machines = 0;
+  if (seed % 40 == 0)
+    machines = VERY_LARGE_FLEET;
+  else if (seed % 20 == 0)
+    machines = LARGE_FLEET;
+  if (machines)
+    simulation->cloud->capacity = machines + LARGE_FLEET_SPARE;
+  for (guint i = 0; i < machines; i++)
+    cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
+}
+
+static void
+make_network_unreliable (Simulation *simulation, guint seed)
+{
+  Network *network = simulation->network;
+  network->loss_probability = 0.01;
+  network->delay_probability = 0.005;
+  network->duplicate_probability = 0.03;
+  if (seed % 3 == 0)
+    network->late_write_probability = 0.1;
+  if (seed % 4 == 0)
+    simulation->cancel_at_end_probability = 0.4;
+}
+
+/* ---- what happens ---- */
+
+static void
+draw_gang (GRand *random, MhJobSpec *spec)
+{
+  spec->shape = MH_SHAPE_GANG;
+  spec->tasks = (guint)g_rand_int_range (random, 1, 6);
+  spec->checkpoint_us = g_rand_int_range (random, 0, 4) * MH_SECOND_US;
+  spec->save_us = MH_SECOND_US;
+}
+
+static void
+draw_zones (GRand *random, MhJobSpec *spec)
+{
+  if (g_rand_int_range (random, 0, 5) == 0)
+    spec->one_zone = true;
+  else if (g_rand_int_range (random, 0, 5) == 0)
+    spec->scatter = true;
+  if (g_rand_int_range (random, 0, 6) == 0)
+    spec->zone = g_strdup ("b");
+}
+
+static void
+submit_job (RandomDay *day)
+{
+  GRand *random = day->simulation->random;
+  bool service = g_rand_int_range (random, 0, 3) == 0;
+  double cpus = g_rand_int_range (random, 1, 3);
+  guint tasks = (guint)g_rand_int_range (random, 1, service ? 4 : 12);
+  MhJobSpec *spec
+      = job_spec_new (++day->jobs, service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY, tasks, cpus);
+  if (!service && g_rand_int_range (random, 0, 3) == 0)
+    draw_gang (random, spec);
+  draw_zones (random, spec);
+  /* At most half of its tasks may be in a zone, and only one zone is allowed. */
+  bool infeasible = spec->shape == MH_SHAPE_GANG && spec->scatter && spec->zone && spec->tasks > 1;
+  double run_s = service ? 0 : g_rand_double_range (random, 1, 10);
+  simulation_submit (day->simulation, spec, run_s)->infeasible = infeasible;
+}
+
+static void
+cancel_some_job (Simulation *simulation)
+{
+  const GPtrArray *users = simulation->users;
+  user_cancel (
+      g_ptr_array_index (users, g_rand_int_range (simulation->random, 0, (gint)users->len)));
+}
+
+/* Whoever starts again next has either version; now and then one is replaced. */
+static void
+draw_versions (Simulation *simulation)
+{
+  GRand *random = simulation->random;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    if (simulation->nodes[i].controller == NULL)
+      simulation->nodes[i].version
+          = g_rand_boolean (random) ? CONTROLLER_CURRENT : CONTROLLER_PRODUCTION;
+  if (g_rand_int_range (random, 0, 4) == 0)
+    simulation_stop_node (simulation, (guint)g_rand_int_range (random, 0, SIMULATION_NODES));
+}
+
+static void
+begin_next_limits (Simulation *simulation)
+{
+  simulation->settings->value_bytes = NEXT_VALUE_BYTES;
+  simulation->settings->txn_ops = NEXT_TXN_OPS;
+  simulation->store->write_rps = NEXT_WRITE_RPS;
+}
+
+static void
+start_some_nodes (Simulation *simulation)
+{
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    if (g_rand_boolean (simulation->random))
+      simulation_start_node (simulation, i);
+}
+
+static void
+play_turn (RandomDay *day, guint turn)
+{
+  Simulation *simulation = day->simulation;
+  GRand *random = simulation->random;
+  if (turn % TURNS_PER_JOB == 0)
+    submit_job (day);
+  if (turn > FAULTS_FROM_TURN && g_rand_int_range (random, 0, 3) == 0)
+    random_fault_inject (simulation);
+  if (simulation->users->len && g_rand_int_range (random, 0, 6) == 0)
+    cancel_some_job (simulation);
+  if (day->versions)
+    draw_versions (simulation);
+  if (day->limits && turn == NEXT_LIMITS_TURN)
+    begin_next_limits (simulation);
+  start_some_nodes (simulation);
+  simulation_run (simulation, TURN_S);
+  simulation_leader (simulation); /* asserts that there is at most one */
+}
+
+/* ---- the end ---- */
+
+static void
+end_faults (Simulation *simulation)
+{
+  Network *network = simulation->network;
+  network->loss_probability = network->delay_probability = 0;
+  network->duplicate_probability = network->late_write_probability = 0;
+  for (guint i = 0; i < SIMULATION_NODES; i++)
+    simulation_start_node (simulation, i);
+  for (guint i = 0; i < simulation->users->len; i++)
+    {
+      User *user = g_ptr_array_index (simulation->users, i);
+      if (user->job->run_us == 0)
+        user_cancel (user);
+    }
+}
+
+static void
+print_unsettled (const Simulation *simulation, const User *user)
+{
+  const WorkloadJob *job = user->job;
+  guint running = simulation_running_tasks (simulation, job->spec->id);
+  if (user_is_settled (user) && running == 0)
+    return;
+  g_printerr ("left: %s, %u of %u done, %u running, last answer %u%s%s\n", job->spec->id,
+              job->done_count, job->spec->tasks, running, user->last_status,
+              user->told_cancelled ? ", told cancelled" : "", user->told_done ? ", told done" : "");
+}
+
+/* Everything that was accepted must come to its end. */
+static void
+assert_all_settle (Simulation *simulation)
+{
+  bool settled = false;
+  for (guint second = 0; second < LONGEST_RECOVERY_S && !settled; second++)
+    {
+      settled = simulation_until (simulation, 1, simulation_all_settled, NULL);
+      if (second > LAST_FAULTS_S)
+        rule_checks_waiting_jobs (simulation->rules);
+    }
+  simulation_assert_rules (simulation);
+  for (guint i = 0; i < simulation->users->len && !settled; i++)
+    print_unsettled (simulation, g_ptr_array_index (simulation->users, i));
+  g_assert_true (settled);
+}
+
+/* Nobody's job is forgotten. */
+static void
+assert_all_are_answered (Simulation *simulation)
+{
+  simulation_run (simulation, ASKING_S);
+  for (guint i = 0; i < simulation->users->len; i++)
+    {
+      const User *user = g_ptr_array_index (simulation->users, i);
+      if (!user->infeasible)
+        g_assert_cmpint (simulation->clock->now_us - user->last_answer_us, <,
+                         ASKING_S * MH_SECOND_US);
+    }
+}
+
+void
+random_day_run (guint seed, GChecksum *digest)
+{
+  Simulation *simulation = simulation_new (seed);
+  RandomDay day = { .simulation = simulation, .versions = seed > RANDOM_DAY_VERSIONS };
+  day.limits = day.versions && seed % 2;
+  simulation->digest = digest;
+  if (day.versions)
+    begin_with_production (&day);
+  add_fleet (simulation, seed);
+  make_network_unreliable (simulation, seed);
+  for (guint turn = 0; turn < TURNS; turn++)
+    play_turn (&day, turn);
+  end_faults (simulation);
+  assert_all_settle (simulation);
+  assert_all_are_answered (simulation);
+  g_assert_cmpuint (simulation->rules->task_starts, >, 0);
+  decision_log_state (simulation);
+  simulation_free (simulation);
+}
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -19,16 +19,16 @@
 bool
 all_run (Simulation *simulation, gpointer data)
 {
-  const User *u = data;
-  return simulation_running_tasks (simulation, u->job->spec->id) == u->job->spec->tasks;
+  const User *user = data;
+  return simulation_running_tasks (simulation, user->job->spec->id) == user->job->spec->tasks;
 }
 
 bool
 all_done (Simulation *simulation, gpointer data)
 {
-  const User *u = data;
+  const User *user = data;
   (void)simulation;
-  return u->job->done_count == u->job->spec->tasks;
+  return user->job->done_count == user->job->spec->tasks;
 }
 
 bool
@@ -59,14 +59,14 @@
 }
 
 Worker *
-worker_of (Simulation *simulation, const char *leg)
+worker_of (Simulation *simulation, const char *task_id)
 {
   for (guint i = 0; i < simulation->workers->len; i++)
     {
-      Worker *w = g_ptr_array_index (simulation->workers, i);
-      for (guint k = 0; k < w->machine->tasks->len; k++)
-        if (strcmp (g_array_index (w->machine->tasks, MachineTask, k).task_id, leg) == 0)
-          return w;
+      Worker *worker = g_ptr_array_index (simulation->workers, i);
+      for (guint k = 0; k < worker->machine->tasks->len; k++)
+        if (strcmp (g_array_index (worker->machine->tasks, MachineTask, k).task_id, task_id) == 0)
+          return worker;
     }
   return NULL;
 }
@@ -81,19 +81,19 @@
 User *
 running_service (Simulation *simulation, guint number, guint tasks)
 {
-  User *u = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_SERVICE, tasks, 1), 0);
-  WAIT (simulation, 60, all_run, u);
-  return u;
+  User *user = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_SERVICE, tasks, 1), 0);
+  WAIT (simulation, 60, all_run, user);
+  return user;
 }
 
 User *
 running_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
-  MhJobSpec *s = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
-  s->estimate_us = 300 * MH_SECOND_US;
-  User *u = simulation_submit (simulation, s, run_s);
-  WAIT (simulation, 60, all_run, u);
-  return u;
+  MhJobSpec *spec = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
+  spec->estimate_us = 300 * MH_SECOND_US;
+  User *user = simulation_submit (simulation, spec, run_s);
+  WAIT (simulation, 60, all_run, user);
+  return user;
 }
 
 void
@@ -113,3 +113,19 @@
   simulation_assert_rules (simulation);
   simulation_free (simulation);
 }
+
+static void
+run_test (gconstpointer data)
+{
+  const SimulationTest *test = data;
+  Simulation *simulation = simulation_new (test->seed);
+  test->run (simulation);
+  finish (simulation);
+}
+
+void
+simulation_tests_add (const SimulationTest *tests, gsize count)
+{
+  for (gsize i = 0; i < count; i++)
+    g_test_add_data_func (tests[i].path, &tests[i], run_test);
+}
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -1,8 +1,25 @@
-/* What scenarios wait for and begin with. */
+/* What scenarios wait for and begin with, and the fixture that they run in. */
 #pragma once
 
 #include "stand-in/simulation.h"
 
+/**
+ * SimulationTest:
+ * @path: of the GTest case
+ * @seed: of its simulation
+ * @run: the scenario; it is handed a new simulation, which is checked and freed afterwards
+ */
+typedef struct
+{
+  const char *path;
+  guint32 seed;
+  void (*run) (Simulation *simulation);
+} SimulationTest;
+
+/** simulation_tests_add: Adds the cases; @tests must live as long as the program. */
+void
+simulation_tests_add (const SimulationTest *tests, gsize count);
+
 #define WAIT(simulation, seconds, what, data)                                                      \
   g_assert_true (simulation_until (simulation, seconds, what, data))
 
@@ -24,7 +41,7 @@
 Worker *
 simulation_worker (Simulation *simulation, guint index);
 Worker *
-worker_of (Simulation *simulation, const char *leg);
+worker_of (Simulation *simulation, const char *task_id);
 /* Machines of four cpus, all in zone a. */
 void
 add_small_machines (Simulation *simulation, guint count);
--- a/tests/test-boots.c
+++ b/tests/test-boots.c
@@ -22,9 +22,8 @@
 /* All boots take four times what they should. Those on their way are counted on: all once were
    rented a second time. */
 static void
-test_slow_boots (void)
+test_slow_boots (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (61);
   simulation->cloud->boot_us = 18 * MH_SECOND_US;
   User *user = wants_four_machines (simulation);
   simulation_run (simulation, 14);
@@ -33,14 +32,12 @@
   simulation_run (simulation, 15);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
   WAIT (simulation, 200, told_done, user);
-  finish (simulation);
 }
 
 /* One of them never joins: another takes its place, and it is given back soon. */
 static void
-test_never_joins (void)
+test_never_joins (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (62);
   wants_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = G_MAXINT64;
@@ -49,14 +46,12 @@
   g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
   g_assert_true (machine->gone);
   g_assert_true (simulation_logged (simulation, "never came up"));
-  finish (simulation);
 }
 
 /* One joins after another was rented in its place: it is used, since it is there. */
 static void
-test_joins_late (void)
+test_joins_late (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (63);
   wants_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = simulation->clock->now_us + 10 * MH_SECOND_US;
@@ -64,14 +59,12 @@
   g_assert_true (machine->up);
   g_assert_false (machine->gone);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
-  finish (simulation);
 }
 
 /* Boots were fast for a while, and then are as usual: those on their way are still counted on. */
 static void
-test_fast_boots_and_usual_ones (void)
+test_fast_boots_and_usual_ones (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (64);
   simulation->cloud->boot_us = MH_SECOND_US / 5;
   User *user = wants_four_machines (simulation);
   simulation_run (simulation, 3);
@@ -83,16 +76,19 @@
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
   WAIT (simulation, 200, told_done, user);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/boot-time/slow", 61, test_slow_boots },
+  { "/boot-time/never-joins", 62, test_never_joins },
+  { "/boot-time/joins-late", 63, test_joins_late },
+  { "/boot-time/fast-and-usual", 64, test_fast_boots_and_usual_ones },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/boots/slow", test_slow_boots);
-  g_test_add_func ("/boots/never-joins", test_never_joins);
-  g_test_add_func ("/boots/joins-late", test_joins_late);
-  g_test_add_func ("/boots/fast-and-usual", test_fast_boots_and_usual_ones);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -144,9 +144,8 @@
 /* Four jobs of one task a second for two minutes, a quarter of them cancelled, and the leader ends
    twice: none is left behind. */
 static void
-test_many_small_jobs (void)
+test_many_small_jobs (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (330);
   guint number = 0;
   for (guint turn = 0; turn < 480; turn++)
     {
@@ -165,7 +164,6 @@
       simulation_run (simulation, 0.25);
     }
   WAIT (simulation, 90, simulation_all_settled, NULL);
-  finish (simulation);
 }
 
 /* The leader's transactions are carried out, their answers are lost, and other nodes read what they
@@ -323,18 +321,24 @@
     }
 }
 
+static const SimulationTest tests[] = {
+  { "/compound-failure/many-small-jobs", 330, test_many_small_jobs },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/compound/" name, func)
-  ADD ("close-looks", test_close_looks);
-  ADD ("command-of-a-deposed-leader", test_command_of_a_deposed_leader);
-  ADD ("cancelled-while-the-leader-changes", test_cancelled_while_the_leader_changes);
-  ADD ("many-small-jobs", test_many_small_jobs);
-  ADD ("answers-of-writes-lost", test_answers_of_writes_lost);
-  ADD ("fast-machines-slow-writes", test_fast_machines_slow_writes);
-  ADD ("old-reports-at-an-election", test_old_reports_at_an_election);
-  ADD ("limits-cut-machines-and-a-new-leader", test_limits_cut_machines_and_a_new_leader);
+  g_test_add_func ("/compound-failure/close-looks", test_close_looks);
+  g_test_add_func ("/compound-failure/command-of-a-deposed-leader",
+                   test_command_of_a_deposed_leader);
+  g_test_add_func ("/compound-failure/cancelled-while-the-leader-changes",
+                   test_cancelled_while_the_leader_changes);
+  g_test_add_func ("/compound-failure/answers-of-writes-lost", test_answers_of_writes_lost);
+  g_test_add_func ("/compound-failure/fast-machines-slow-writes", test_fast_machines_slow_writes);
+  g_test_add_func ("/compound-failure/old-reports-at-an-election", test_old_reports_at_an_election);
+  g_test_add_func ("/compound-failure/limits-cut-machines-and-a-new-leader",
+                   test_limits_cut_machines_and_a_new_leader);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-faults.c
+++ b/tests/test-faults.c
@@ -23,9 +23,8 @@
 
 /* Two such jobs in a row on one machine, or four tasks of one, once had the machine given back. */
 static void
-test_no_machine_is_blamed (void)
+test_no_machine_is_blamed (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (41);
   running_service (simulation, 1, 1);
   User *first = failing_array (simulation, 2, 4), *second = failing_array (simulation, 3, 4);
   User *good = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 4, 1), 5);
@@ -38,14 +37,12 @@
   user_cancel (second);
   WAIT (simulation, 10, told_cancelled, first);
   WAIT (simulation, 10, told_cancelled, second);
-  finish (simulation);
 }
 
 /* All tasks of a large array once were tried at each turn, and machines rented for them. */
 static void
-test_tries_are_few (void)
+test_tries_are_few (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (42);
   running_service (simulation, 1, 1);
   User *user = failing_array (simulation, 2, 200);
   WAIT (simulation, 60, accepted, user);
@@ -56,14 +53,12 @@
   g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
   user_cancel (user);
   WAIT (simulation, 10, told_cancelled, user);
-  finish (simulation);
 }
 
 /* A new leader goes on with the back-off: it once began anew with all tasks of all such jobs. */
 static void
-test_back_off_survives_the_leader (void)
+test_back_off_survives_the_leader (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (43);
   add_small_machines (simulation, 4);
   User *user = failing_array (simulation, 2, 100);
   WAIT (simulation, 60, accepted, user);
@@ -73,14 +68,12 @@
   g_assert_cmpuint (starts_within (simulation, 20), <=, 2);
   user_cancel (user);
   WAIT (simulation, 20, told_cancelled, user);
-  finish (simulation);
 }
 
 /* What made it fail is gone, for example a missing file: it runs, and all its tasks at once. */
 static void
-test_runs_after_all (void)
+test_runs_after_all (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (44);
   running_service (simulation, 1, 1);
   User *user = failing_array (simulation, 2, 8);
   WAIT (simulation, 60, accepted, user);
@@ -88,14 +81,12 @@
   user->job->fails = false;
   WAIT (simulation, 180, told_done, user);
   g_assert_true (simulation_logged (simulation, "runs after all"));
-  finish (simulation);
 }
 
 /* A faulty machine is still told from such jobs by what runs elsewhere. */
 static void
-test_faulty_machine_beside_failing_job (void)
+test_faulty_machine_beside_failing_job (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (45);
   add_small_machines (simulation, 4);
   failing_array (simulation, 2, 2);
   User *array = running_array (simulation, 3, 8, 20);
@@ -104,18 +95,20 @@
   machine->faulty = true;
   WAIT (simulation, 15, is_gone, machine);
   WAIT (simulation, 120, told_done, array);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/task-failure/no-machine-is-blamed", 41, test_no_machine_is_blamed },
+  { "/task-failure/tries-are-few", 42, test_tries_are_few },
+  { "/task-failure/back-off-survives-the-leader", 43, test_back_off_survives_the_leader },
+  { "/task-failure/runs-after-all", 44, test_runs_after_all },
+  { "/task-failure/faulty-machine-beside-failing-job", 45, test_faulty_machine_beside_failing_job },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/faults/no-machine-is-blamed", test_no_machine_is_blamed);
-  g_test_add_func ("/faults/tries-are-few", test_tries_are_few);
-  g_test_add_func ("/faults/back-off-survives-the-leader", test_back_off_survives_the_leader);
-  g_test_add_func ("/faults/runs-after-all", test_runs_after_all);
-  g_test_add_func ("/faults/faulty-machine-beside-failing-job",
-                   test_faulty_machine_beside_failing_job);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -5,29 +5,28 @@
 #include <string.h>
 
 static void
-test_array (void)
+test_array (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (1);
-  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), 3);
-  MhUserAnswer a;
-  WAIT (simulation, 60, told_done, u);
-  g_assert_cmpuint (u->job->done_count, ==, 10);
+  User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), 3);
+  MhUserAnswer answer;
+  WAIT (simulation, 60, told_done, user);
+  g_assert_cmpuint (user->job->done_count, ==, 10);
   /* For ever after, from every controller, also for a repeated submission. */
   simulation_run (simulation, 120);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &a), ==,
-                        200);
-      g_assert_cmpint (a.state, ==, MH_JOB_DONE);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
+                        ==, 200);
+      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
       g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_SUBMIT, "j-000001",
-                                        job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), &a),
+                                        job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), &answer),
+                        ==, 200);
+      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000001", NULL, &answer),
                         ==, 200);
-      g_assert_cmpint (a.state, ==, MH_JOB_DONE);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000001", NULL, &a), ==,
-                        200);
-      g_assert_cmpint (a.state, ==, MH_JOB_DONE);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-777777", NULL, &a), ==,
-                        404);
+      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-777777", NULL, &answer),
+                        ==, 404);
     }
   /* Nothing idle is kept, and nothing is left of the job but its final record. */
   guint live = 0;
@@ -36,129 +35,122 @@
   g_assert_cmpuint (live, ==, 0);
   g_assert_null (g_tree_lookup (simulation->store->keys, "j/j-000001"));
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "f/j-000001"));
-  finish (simulation);
 }
 
 /* More tasks than one record holds: all of them are written, reloaded and dropped again. */
 static void
-test_chunks (void)
+test_chunks (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (2);
   simulation->cloud->capacity = 6;
-  MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 200, 0.05);
-  s->mem_gb = 0.1;
-  s->estimate_us = 600 * MH_SECOND_US; /* so that none may wait for another */
-  User *u = simulation_submit (simulation, s, 30);
-  WAIT (simulation, 60, all_run, u);
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 200, 0.05);
+  spec->mem_gb = 0.1;
+  spec->estimate_us = 600 * MH_SECOND_US; /* so that none may wait for another */
+  User *user = simulation_submit (simulation, spec, 30);
+  WAIT (simulation, 60, all_run, user);
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
-  WAIT (simulation, 90, told_done, u);
+  WAIT (simulation, 90, told_done, user);
   simulation_run (simulation, 10);
   g_assert_null (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
   g_assert_cmpuint (simulation->rules->task_starts, ==, 200);
-  finish (simulation);
 }
 
 static void
-test_refusals (void)
+test_refusals (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (3);
-  MhUserAnswer a;
+  MhUserAnswer answer;
   simulation_run (simulation, 5);
-  MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 1, 1);
-  g_free (s->team);
-  s->team = g_strdup ("nobody");
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", s, &a), ==, 422);
-  s = job_spec_new (2, MH_SHAPE_SERVICE, 17, 1); /* a service counts whole: 17 of 16 cpus */
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", s, &a), ==, 422);
-  s = job_spec_new (3, MH_SHAPE_ARRAY, 1, 1);
-  s->zone = g_strdup ("nowhere");
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000003", s, &a), ==, 422);
-  s = job_spec_new (4, MH_SHAPE_ARRAY, 1, 1);
-  s->mem_gb = 65;
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", s, &a), ==, 422);
+  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 1, 1);
+  g_free (spec->team);
+  spec->team = g_strdup ("nobody");
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", spec, &answer), ==,
+                    422);
+  spec = job_spec_new (2, MH_SHAPE_SERVICE, 17, 1); /* a service counts whole: 17 of 16 cpus */
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
+                    422);
+  spec = job_spec_new (3, MH_SHAPE_ARRAY, 1, 1);
+  spec->zone = g_strdup ("nowhere");
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
+                    422);
+  spec = job_spec_new (4, MH_SHAPE_ARRAY, 1, 1);
+  spec->mem_gb = 65;
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
+                    422);
   /* Thousands of types: none that exists can never run, and one is enough. Stored as they came they
      would not fit a value of the state service, which once ended each leadership in turn. */
   for (guint known = 0; known < 2; known++)
     {
-      s = job_spec_new (6 + known, MH_SHAPE_ARRAY, 1, 1);
-      s->types = g_new0 (char *, 4001);
+      spec = job_spec_new (6 + known, MH_SHAPE_ARRAY, 1, 1);
+      spec->types = g_new0 (char *, 4001);
       for (guint i = 0; i < 4000; i++)
-        s->types[i] = g_strdup (known && i == 3000 ? "large" : "no-such");
+        spec->types[i] = g_strdup (known && i == 3000 ? "large" : "no-such");
       if (known)
         workload_add (simulation->environment->workload, job_spec_new (7, MH_SHAPE_ARRAY, 1, 1),
                       MH_SECOND_US);
-      g_autofree char *id = g_strdup (s->id);
-      g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, id, s, &a), ==,
+      g_autofree char *id = g_strdup (spec->id);
+      g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, id, spec, &answer), ==,
                         known ? 201 : 422);
     }
-  s = job_spec_new (5, MH_SHAPE_ARRAY, 17, 1); /* an array counts by the task */
+  spec = job_spec_new (5, MH_SHAPE_ARRAY, 17, 1); /* an array counts by the task */
   workload_add (simulation->environment->workload, job_spec_new (5, MH_SHAPE_ARRAY, 17, 1),
                 MH_SECOND_US);
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000005", s, &a), ==, 201);
-  finish (simulation);
+  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000005", spec, &answer), ==,
+                    201);
 }
 
 /* Types unknown: not decided yet, and nothing is held back. */
 static void
-test_types_unknown (void)
+test_types_unknown (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (4);
-  MhUserAnswer a;
+  MhUserAnswer answer;
   simulation->cloud->outage_until_us = G_MAXINT64;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
   g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
                                     MH_USER_SUBMIT, "j-000001",
-                                    job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &a),
+                                    job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer),
                     ==, 503);
-  g_assert_cmpuint (a.retry_after_s, >, 0);
-  finish (simulation);
+  g_assert_cmpuint (answer.retry_after_s, >, 0);
 }
 
 /* A cancellation meets a start that is still in flight. */
 static void
-test_cancel_in_flight (void)
+test_cancel_in_flight (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (9);
   running_service (simulation, 1, 1);
   simulation->network->hold_commands = true;
-  User *u = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 10, accepted, u);
-  user_cancel (u);
-  WAIT (simulation, 10, told_cancelled, u);
+  User *user = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 10, accepted, user);
+  user_cancel (user);
+  WAIT (simulation, 10, told_cancelled, user);
   simulation_run (simulation, 1);
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
-  finish (simulation);
 }
 
 /* A start that is not on record is not ordered. */
 static void
-test_start_waits_for_its_record (void)
+test_start_waits_for_its_record (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (26);
-  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 30, accepted, u);
+  User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 30, accepted, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 15 * MH_SECOND_US;
   simulation_run (simulation, 14);
   g_assert_true (simulation_leader (simulation) == leader);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 0);
-  WAIT (simulation, 10, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 10, all_run, user);
 }
 
 /* A result that is not on record is not cleared from its machine, and no cancellation is told. */
 static void
-test_result_waits_for_its_record (void)
+test_result_waits_for_its_record (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (27);
-  MhUserAnswer a;
+  MhUserAnswer answer;
   User *service = running_service (simulation, 1, 1);
-  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
-  WAIT (simulation, 30, all_run, u);
+  User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
+  WAIT (simulation, 30, all_run, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation_run (simulation, 6);
@@ -167,19 +159,17 @@
   g_assert_true (simulation_leader (simulation) == leader);
   g_assert_nonnull (worker_of (simulation, "j-000004/0"));
   g_assert_nonnull (worker_of (simulation, "j-000004/1"));
-  g_assert_false (u->told_done || service->told_cancelled);
-  simulation_ask (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL, &a);
-  g_assert_cmpint (a.state, !=, MH_JOB_CANCELLED);
-  WAIT (simulation, 20, told_done, u);
+  g_assert_false (user->told_done || service->told_cancelled);
+  simulation_ask (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+  g_assert_cmpint (answer.state, !=, MH_JOB_CANCELLED);
+  WAIT (simulation, 20, told_done, user);
   WAIT (simulation, 20, told_cancelled, service);
-  finish (simulation);
 }
 
 /* A follower once woke every 10 ms, which on such a small share of a core is dear. */
 static void
-test_idle_followers_sleep (void)
+test_idle_followers_sleep (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (22);
   simulation_run (simulation, 10);
   const ControllerNode *leader = simulation_leader (simulation);
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -189,16 +179,14 @@
         simulation_run (simulation, 10);
         g_assert_cmpuint (simulation->nodes[i].wake_count - before, <, 60);
       }
-  finish (simulation);
 }
 
 /* Questions about jobs that only the state service remembers are answered while there is always
    more to write than the budget allows. */
 static void
-test_questions_beside_writes (void)
+test_questions_beside_writes (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (34);
-  MhUserAnswer a;
+  MhUserAnswer answer;
   for (guint i = 1; i <= 30; i++)
     simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 1, 0.2), 0.5);
   WAIT (simulation, 90, simulation_all_settled, NULL);
@@ -221,28 +209,26 @@
       g_autofree char *id = g_strdup_printf ("j-%06u", i);
       gint64 asked = simulation->clock->now_us;
       g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
-                                        MH_USER_STATUS, id, NULL, &a),
+                                        MH_USER_STATUS, id, NULL, &answer),
                         ==, 200);
-      g_assert_cmpint (a.state, ==, MH_JOB_DONE);
+      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
       g_assert_cmpint (simulation->clock->now_us - asked, <, 2 * MH_SECOND_US);
     }
-  finish (simulation);
 }
 
 /* A large job of the least rank begins within four minutes, though smaller ones of a higher rank
    keep coming and would take all there is. */
 static void
-test_large_job_begins (void)
+test_large_job_begins (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (35);
   simulation->cloud->capacity = 1;
-  MhJobSpec *s = job_spec_new (2, MH_SHAPE_ARRAY, 300, 10);
-  s->priority = MH_PRIORITY_LOW;
+  MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 300, 10);
+  spec->priority = MH_PRIORITY_LOW;
   cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation_run (simulation, 10);
   for (guint i = 0; i < 8; i++)
     simulation_submit (simulation, job_spec_new (101 + 2 * i, MH_SHAPE_ARRAY, 1, 2), 6);
-  User *large = simulation_submit (simulation, s, 5);
+  User *large = simulation_submit (simulation, spec, 5);
   gint64 from = simulation->clock->now_us;
   guint next = 201;
   while (large->job->done_count == 0 && simulation->clock->now_us - from < 240 * MH_SECOND_US)
@@ -253,41 +239,37 @@
       simulation_run (simulation, 0.6);
     }
   g_assert_cmpuint (large->job->done_count, >, 0);
-  finish (simulation);
 }
 
 /* The largest job there may be is accepted, runs, and is reloaded; a cancellation ends it. */
 static void
-test_largest_job (void)
+test_largest_job (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (42);
-  MhJobSpec *s = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
-  s->estimate_us = 600 * MH_SECOND_US;
-  User *u = simulation_submit (simulation, s, 5);
-  WAIT (simulation, 10, accepted, u);
+  MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
+  spec->estimate_us = 600 * MH_SECOND_US;
+  User *user = simulation_submit (simulation, spec, 5);
+  WAIT (simulation, 10, accepted, user);
   simulation_run (simulation, 15);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), >, 0);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 15);
-  g_assert_cmpuint (u->job->done_count, >, 0);
-  user_cancel (u);
-  WAIT (simulation, 10, told_cancelled, u);
+  g_assert_cmpuint (user->job->done_count, >, 0);
+  user_cancel (user);
+  WAIT (simulation, 10, told_cancelled, user);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 0);
-  finish (simulation);
 }
 
 /* Two thousand machines, all controllers crash, and everything is served; a machine is given back
    because it is idle, not because so many have not been heard from yet. */
 static void
-test_large_fleet (void)
+test_large_fleet (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (38);
   simulation->cloud->capacity = 2100;
   for (guint i = 0; i < 2000; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
-  User *u = running_service (simulation, 1, 4);
+  User *user = running_service (simulation, 1, 4);
   User *arrays[6];
   for (guint i = 0; i < G_N_ELEMENTS (arrays); i++)
     arrays[i] = simulation_submit (simulation, job_spec_new (10 + i, MH_SHAPE_ARRAY, 60, 0.25), 4);
@@ -299,27 +281,29 @@
     simulation_start_node (simulation, i);
   for (guint i = 0; i < G_N_ELEMENTS (arrays); i++)
     WAIT (simulation, 120, told_done, arrays[i]);
-  g_assert_cmpuint (simulation_running_tasks (simulation, u->job->spec->id), ==, 4);
+  g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
   g_assert_false (simulation_logged (simulation, "given back: silent"));
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/jobs/array", 1, test_array },
+  { "/jobs/chunks", 2, test_chunks },
+  { "/jobs/refusals", 3, test_refusals },
+  { "/jobs/types-unknown", 4, test_types_unknown },
+  { "/jobs/cancel-in-flight", 9, test_cancel_in_flight },
+  { "/jobs/start-waits-for-its-record", 26, test_start_waits_for_its_record },
+  { "/jobs/result-waits-for-its-record", 27, test_result_waits_for_its_record },
+  { "/jobs/questions-beside-writes", 34, test_questions_beside_writes },
+  { "/jobs/large-job-begins", 35, test_large_job_begins },
+  { "/jobs/largest-job", 42, test_largest_job },
+  { "/jobs/idle-followers-sleep", 22, test_idle_followers_sleep },
+  { "/jobs/large-fleet", 38, test_large_fleet },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/jobs/" name, (func))
-  ADD ("array", test_array);
-  ADD ("chunks", test_chunks);
-  ADD ("refusals", test_refusals);
-  ADD ("types-unknown", test_types_unknown);
-  ADD ("cancel-in-flight", test_cancel_in_flight);
-  ADD ("start-waits-for-its-record", test_start_waits_for_its_record);
-  ADD ("result-waits-for-its-record", test_result_waits_for_its_record);
-  ADD ("questions-beside-writes", test_questions_beside_writes);
-  ADD ("large-job-begins", test_large_job_begins);
-  ADD ("largest-job", test_largest_job);
-  ADD ("idle-followers-sleep", test_idle_followers_sleep);
-  ADD ("large-fleet", test_large_fleet);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -15,10 +15,10 @@
       simulation->network->late_write_probability = 0.3;
       for (guint i = 1; i <= 8; i++)
         {
-          User *u = simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 3, 1), 3);
+          User *user = simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 3, 1), 3);
           simulation_run (simulation, 4);
           if (i % 4 == 0)
-            user_cancel (u);
+            user_cancel (user);
           ControllerNode *leader = i % 3 == 0 ? simulation_leader (simulation) : NULL;
           if (leader)
             {
@@ -38,12 +38,11 @@
 /* A submission that is repeated long after its job was over meets the final record in a transaction
    of which a copy is on its way. It was never carried out, and the leader goes on. */
 static void
-test_late_write_meets_a_final_record (void)
+test_late_write_meets_a_final_record (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (75);
-  MhUserAnswer a;
-  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (simulation, 60, told_done, u);
+  MhUserAnswer answer;
+  User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 60, told_done, user);
   simulation_run (simulation, 5);
   simulation_stop_node (
       simulation,
@@ -55,23 +54,21 @@
       = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first copy gets no answer */
   for (guint i = 0; i < 3; i++)
     if (simulation_ask (simulation, leader->index, MH_USER_SUBMIT, "j-000001",
-                        job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &a)
+                        job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer)
         != 503)
       break;
-  g_assert_cmpint (a.state, ==, MH_JOB_DONE);
+  g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_true (simulation_leader (simulation) == leader);
   g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
-  finish (simulation);
 }
 
 /* The same, and while its write waits the user asks, and submits once more: what the question found
    in the final record holds. The second submission once was answered as a job that waits. */
 static void
-test_question_between_repeated_submissions (void)
+test_question_between_repeated_submissions (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (86);
-  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (simulation, 60, told_done, u);
+  User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
+  WAIT (simulation, 60, told_done, user);
   simulation_run (simulation, 5);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
@@ -90,21 +87,20 @@
   simulation_run (simulation, 8);
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
     g_assert_true (answers[i].status == 200 && answers[i].state == MH_JOB_DONE);
-  finish (simulation);
 }
 
 /* A report of an earlier session comes after one of the next: what it shows is not there. */
 static void
-test_report_of_an_earlier_session (void)
+test_report_of_an_earlier_session (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (77);
-  User *u = running_service (simulation, 1, 1);
-  Worker *w = worker_of (simulation, "j-000001/0");
-  w->machine->sequence += 100; /* the next session counts from the beginning */
-  g_autoptr (MhValue) old = worker_protocol_report (w->machine);
-  w->reports_lost_until_us = simulation->clock->now_us + 22 * MH_SECOND_US; /* its lease ends */
+  User *user = running_service (simulation, 1, 1);
+  Worker *worker = worker_of (simulation, "j-000001/0");
+  worker->machine->sequence += 100; /* the next session counts from the beginning */
+  g_autoptr (MhValue) old = worker_protocol_report (worker->machine);
+  worker->reports_lost_until_us
+      = simulation->clock->now_us + 22 * MH_SECOND_US; /* its lease ends */
   simulation_run (simulation, 24);
-  WAIT (simulation, 30, all_run, u);
+  WAIT (simulation, 30, all_run, user);
   guint starts = simulation->rules->task_starts;
   for (guint i = 0; i < 3; i++)
     {
@@ -113,14 +109,12 @@
     }
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
-  finish (simulation);
 }
 
 /* A cancellation, a question and a repeated submission at the very end of a job's last task. */
 static void
-test_cancel_at_the_end (void)
+test_cancel_at_the_end (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (79);
   simulation->cancel_at_end_probability = 1;
   simulation->network->duplicate_probability = 0.2;
   for (guint i = 1; i <= 30; i++)
@@ -130,23 +124,21 @@
     }
   simulation->network->duplicate_probability = 0;
   wait_all (simulation, 200);
-  finish (simulation);
 }
 
 /* A report is held back until a new leader has acted, and then arrives there: the start that it
    does not show was sent by the new leader meanwhile. */
 static void
-test_report_held_until_a_new_leader_acted (void)
+test_report_held_until_a_new_leader_acted (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (81);
   running_service (simulation, 1, 1);
-  Worker *w = worker_of (simulation, "j-000001/0");
+  Worker *worker = worker_of (simulation, "j-000001/0");
   simulation_run (simulation, 8);
-  g_autoptr (MhValue) held = worker_protocol_report (w->machine);
+  g_autoptr (MhValue) held = worker_protocol_report (worker->machine);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
-  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 20, all_run, u);
+  User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 20, all_run, user);
   simulation_run (simulation, 1);
   for (guint i = 0; i < 3; i++)
     {
@@ -154,27 +146,25 @@
       simulation_run (simulation, 4);
     }
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
-  finish (simulation);
 }
 
 /* Repeated submissions of what is not over, cancels of what is done, and jobs that can't run: each
    is answered as the page says, also while no controller leads. */
 static void
-test_odd_requests (void)
+test_odd_requests (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (84);
-  MhUserAnswer a;
-  User *u = running_service (simulation, 1, 1), *done;
+  MhUserAnswer answer;
+  User *user = running_service (simulation, 1, 1), *done;
   done = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, done);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_SUBMIT, "j-000001",
-                                        job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), &a),
+                                        job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), &answer),
                         ==, 200);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &a), ==,
-                        200);
-      g_assert_cmpint (a.state, ==, MH_JOB_DONE);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &answer),
+                        ==, 200);
+      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
     }
   /* Two of three nodes end, the leader among them, and the third cannot be elected: what can be
      told from the settings and the records is told, the rest is not. */
@@ -186,28 +176,26 @@
       simulation_stop_node (simulation, i);
   simulation_run (simulation, 3);
   g_assert_null (simulation_leader (simulation));
-  MhJobSpec *s = job_spec_new (5, MH_SHAPE_ARRAY, 1, 1);
-  g_free (s->team);
-  s->team = g_strdup ("nobody");
-  g_assert_cmpuint (simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000005", s, &a), ==,
-                    422);
+  MhJobSpec *spec = job_spec_new (5, MH_SHAPE_ARRAY, 1, 1);
+  g_free (spec->team);
+  spec->team = g_strdup ("nobody");
+  g_assert_cmpuint (
+      simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000005", spec, &answer), ==, 422);
   g_assert_cmpuint (simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000007",
-                                    job_spec_new (7, MH_SHAPE_ARRAY, 1, 1), &a),
+                                    job_spec_new (7, MH_SHAPE_ARRAY, 1, 1), &answer),
                     ==, 503);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
   simulation_run (simulation, 10);
-  g_assert_false (u->told_done || u->told_cancelled);
-  finish (simulation);
+  g_assert_false (user->told_done || user->told_cancelled);
 }
 
 /* A record that is not understood, as another version may write it: its job is neither unknown nor
    free to start, and what runs of it is left alone. */
 static void
-test_record_not_understood (void)
+test_record_not_understood (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (85);
-  MhUserAnswer a;
+  MhUserAnswer answer;
   running_service (simulation, 1, 1);
   simulation_run (simulation, 10);
   guint leader = simulation_leader (simulation)->index;
@@ -219,9 +207,8 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     if (i != leader)
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &a), ==,
-                        503);
-  finish (simulation);
+      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
+                        ==, 503);
 }
 
 /* Jobs written in large records go on under limits that take only small ones: they are
@@ -233,11 +220,11 @@
     {
       Simulation *simulation = simulation_new (90 + step);
       simulation->cloud->capacity = 6;
-      MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
-      s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
-      User *u = simulation_submit (simulation, s, 40);
-      WAIT (simulation, 60, all_run, u);
+      MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
+      spec->mem_gb = 0.1;
+      spec->estimate_us = 600 * MH_SECOND_US;
+      User *user = simulation_submit (simulation, spec, 40);
+      WAIT (simulation, 60, all_run, user);
       User *cancelled = running_service (simulation, 3, 2);
       simulation_limit (simulation, 2048, 5);
       simulation_run (simulation, 1 + 0.1 * step);
@@ -249,7 +236,7 @@
       for (guint i = 0; i < SIMULATION_NODES; i++)
         simulation_start_node (simulation, i);
       WAIT (simulation, 10, told_cancelled, cancelled);
-      WAIT (simulation, 120, told_done, u);
+      WAIT (simulation, 120, told_done, user);
       g_assert_true (simulation_logged (simulation, "re-chunked into"));
       g_assert_false (simulation_logged (simulation, "refused by the state service"));
       g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
@@ -260,19 +247,24 @@
     }
 }
 
+static const SimulationTest tests[] = {
+  { "/late-messages/late-write-meets-a-final-record", 75, test_late_write_meets_a_final_record },
+  { "/late-messages/question-between-repeated-submissions", 86,
+    test_question_between_repeated_submissions },
+  { "/late-messages/report-of-an-earlier-session", 77, test_report_of_an_earlier_session },
+  { "/late-messages/cancel-at-the-end", 79, test_cancel_at_the_end },
+  { "/late-messages/report-held-until-a-new-leader-acted", 81,
+    test_report_held_until_a_new_leader_acted },
+  { "/late-messages/odd-requests", 84, test_odd_requests },
+  { "/late-messages/record-not-understood", 85, test_record_not_understood },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/late-messages/" name, (func))
-  ADD ("late-writes", test_late_writes);
-  ADD ("late-write-meets-a-final-record", test_late_write_meets_a_final_record);
-  ADD ("question-between-repeated-submissions", test_question_between_repeated_submissions);
-  ADD ("report-of-an-earlier-session", test_report_of_an_earlier_session);
-  ADD ("cancel-at-the-end", test_cancel_at_the_end);
-  ADD ("report-held-until-a-new-leader-acted", test_report_held_until_a_new_leader_acted);
-  ADD ("odd-requests", test_odd_requests);
-  ADD ("record-not-understood", test_record_not_understood);
-  ADD ("rechunked", test_rechunked);
+  g_test_add_func ("/late-messages/late-writes", test_late_writes);
+  g_test_add_func ("/late-messages/rechunked", test_rechunked);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -81,9 +81,8 @@
 
 /* Without an announcement a refusal is no more than that: the rate stays. */
 static void
-test_rate_not_announced (void)
+test_rate_not_announced (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (2);
   WAIT (simulation, 20, has_leader, NULL);
   simulation->store->write_rps = 18; /* more than a transaction has */
   submit_many (simulation, 1, 40);
@@ -91,7 +90,6 @@
   WAIT (simulation, 300, simulation_all_settled, NULL);
   g_assert_false (simulation_logged (simulation, "takes fewer changes"));
   g_assert_null (g_tree_lookup (simulation->store->keys, "limits"));
-  finish (simulation);
 }
 
 /* Settings of later: the limits that were announced are the present ones, and others come next. */
@@ -117,9 +115,8 @@
 /* Values and transactions become smaller, and nobody has said so: what does not fit is refused, but
    neither ends the leadership nor is sent again and again, and all else goes on. */
 static void
-test_refused_as_malformed (void)
+test_refused_as_malformed (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (4);
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 150, 0.05);
   spec->mem_gb = 0.1;
   spec->estimate_us = 600 * MH_SECOND_US;
@@ -142,14 +139,12 @@
   /* Its end is a small record. */
   WAIT (simulation, 60, told_done, large);
   WAIT (simulation, 60, simulation_all_settled, NULL);
-  finish (simulation);
 }
 
 /* A submission that no value can hold is not accepted, and nothing is left of it. */
 static void
-test_submission_too_large (void)
+test_submission_too_large (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (5);
   MhUserAnswer answer;
   WAIT (simulation, 20, has_leader, NULL);
   simulation_run (simulation, 5);
@@ -165,17 +160,21 @@
   g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
                                     MH_USER_STATUS, spec->id, NULL, &answer),
                     ==, 404);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/key-value-store-limits/rate-not-announced", 2, test_rate_not_announced },
+  { "/key-value-store-limits/refused-as-malformed", 4, test_refused_as_malformed },
+  { "/key-value-store-limits/submission-too-large", 5, test_submission_too_large },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/limits/rate-for-good", test_rate_for_good);
-  g_test_add_func ("/limits/rate-not-announced", test_rate_not_announced);
-  g_test_add_func ("/limits/rate-of-earlier-settings", test_rate_of_earlier_settings);
-  g_test_add_func ("/limits/refused-as-malformed", test_refused_as_malformed);
-  g_test_add_func ("/limits/submission-too-large", test_submission_too_large);
+  g_test_add_func ("/key-value-store-limits/rate-for-good", test_rate_for_good);
+  g_test_add_func ("/key-value-store-limits/rate-of-earlier-settings",
+                   test_rate_of_earlier_settings);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -6,54 +6,49 @@
 
 /* A hung machine may go on: its tasks run elsewhere only when it is confirmed released. */
 static void
-test_hung_machine (void)
+test_hung_machine (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (5);
-  User *u = running_service (simulation, 1, 1);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
-  m->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  User *user = running_service (simulation, 1, 1);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
   simulation_run (simulation, 25);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1); /* no proof, no start */
-  WAIT (simulation, 60, is_gone, m);
-  WAIT (simulation, 60, all_run, u);
+  WAIT (simulation, 60, is_gone, machine);
+  WAIT (simulation, 60, all_run, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
-  finish (simulation);
 }
 
 /* A new leader knows nothing of a machine that hangs but its name in a record. */
 static void
-test_hung_machine_new_leader (void)
+test_hung_machine_new_leader (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (6);
-  User *u = running_service (simulation, 1, 1);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
-  m->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  User *user = running_service (simulation, 1, 1);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
-  WAIT (simulation, 90, is_gone, m);
-  WAIT (simulation, 60, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 90, is_gone, machine);
+  WAIT (simulation, 60, all_run, user);
 }
 
 /* An unanswered command is carried out late: the attempt must not have been cleared or moved. */
 static void
-test_late_command (void)
+test_late_command (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (7);
   running_service (simulation, 1, 1); /* a machine that is up, with the image */
-  Worker *w = worker_of (simulation, "j-000001/0");
+  Worker *worker = worker_of (simulation, "j-000001/0");
   simulation->network->hold_commands = true;
-  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 1, 1), 0.2);
-  w->next_report_us = simulation->clock->now_us + MH_SECOND_US / 2;
+  User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 1, 1), 0.2);
+  worker->next_report_us = simulation->clock->now_us + MH_SECOND_US / 2;
   /* The start comes with a report's response, the task ends, and the direct start is still on its
      way. Until a new epoch fences it the ended attempt stays on the machine. */
-  WAIT (simulation, 30, all_done, u);
+  WAIT (simulation, 30, all_done, user);
   /* Reports enough for a clear that should not be sent. */
   for (guint i = 0; i < 4; i++)
     {
-      w->next_report_us = simulation->clock->now_us;
+      worker->next_report_us = simulation->clock->now_us;
       simulation_run (simulation, 0.1);
     }
   g_assert_false (simulation_logged (simulation, "token raised"));
@@ -61,17 +56,15 @@
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 20);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-  finish (simulation);
 }
 
 static void
-test_late_command_is_fenced (void)
+test_late_command_is_fenced (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (8);
   running_service (simulation, 1, 1);
   simulation->network->hold_commands = true;
-  User *u = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (simulation, 30, told_done, u);
+  User *user = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
+  WAIT (simulation, 30, told_done, user);
   simulation_run (simulation, 40);
   g_assert_true (simulation_logged (simulation, "token raised"));
   guint starts = simulation->rules->task_starts;
@@ -79,22 +72,20 @@
       simulation); /* now the attempt is cleared, and the command too old */
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-  finish (simulation);
 }
 
 /* Copies of commands that were carried out come once more, when the attempts that they started have
    been cleared: cleared without a higher epoch, a cancelled service once ran again. */
 static void
-test_repeated_requests (void)
+test_repeated_requests (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (41);
   running_service (simulation, 1, 1);
   simulation->network->keep_requests = true;
-  User *u = running_service (simulation, 3, 2), *array = NULL;
+  User *user = running_service (simulation, 3, 2), *array = NULL;
   array = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 3, 1), 2);
   WAIT (simulation, 30, told_done, array);
-  user_cancel (u);
-  WAIT (simulation, 10, told_cancelled, u);
+  user_cancel (user);
+  WAIT (simulation, 10, told_cancelled, user);
   simulation_run (simulation, 45); /* cleared by now */
   guint starts = simulation->rules->task_starts, rented = (guint)simulation->cloud->machines_rented;
   outgoing_calls_repeat_kept (simulation);
@@ -102,20 +93,18 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
   g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
-  finish (simulation);
 }
 
 /* A release is on its way, and may come late, when another leader takes over: it gives the machine
    back too, and starts nothing there. */
 static void
-test_release_outlives_its_leader (void)
+test_release_outlives_its_leader (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (45);
-  User *u = running_service (simulation, 1, 1);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  User *user = running_service (simulation, 1, 1);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
   simulation_run (simulation, 60); /* paid for anyway until then */
-  user_cancel (u);
-  WAIT (simulation, 10, told_cancelled, u);
+  user_cancel (user);
+  WAIT (simulation, 10, told_cancelled, user);
   simulation->cloud->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
   for (guint i = 0; i < 150 && !simulation_logged (simulation, "given back: idle"); i++)
     simulation_run (simulation, 0.1);
@@ -124,57 +113,51 @@
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 60, all_run, next);
-  g_assert_true (worker_of (simulation, "j-000003/0")->machine != m);
+  g_assert_true (worker_of (simulation, "j-000003/0")->machine != machine);
   simulation_run (simulation, 5);
-  g_assert_true (m->gone);
+  g_assert_true (machine->gone);
   simulation_run (simulation, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 1);
-  finish (simulation);
 }
 
 /* A machine that does not report is asked; one that answers is kept, one that does not is given
    back well before the worker's lease would have ended. */
 static void
-test_suspected_machine_is_probed (void)
+test_suspected_machine_is_probed (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (23);
   running_service (simulation, 1, 1);
-  Worker *w = worker_of (simulation, "j-000001/0");
-  w->reports_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
+  Worker *worker = worker_of (simulation, "j-000001/0");
+  worker->reports_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation_run (simulation, 14);
-  g_assert_false (w->machine->gone);
+  g_assert_false (worker->machine->gone);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
-  w->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+  worker->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
   gint64 hung = simulation->clock->now_us;
-  WAIT (simulation, 60, is_gone, w->machine);
+  WAIT (simulation, 60, is_gone, worker->machine);
   g_assert_cmpint (simulation->clock->now_us - hung, <, simulation->settings->worker_lease_us / 2);
-  finish (simulation);
 }
 
 /* What was proven gone is on record: a new leader does not look for it again. */
 static void
-test_proof_is_kept (void)
+test_proof_is_kept (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (24);
   running_service (simulation, 1, 1);
-  Worker *w = worker_of (simulation, "j-000001/0");
+  Worker *worker = worker_of (simulation, "j-000001/0");
   simulation->cloud->capacity = 0; /* the task has nowhere else to go */
-  w->machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
-  WAIT (simulation, 60, is_gone, w->machine);
+  worker->machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  WAIT (simulation, 60, is_gone, worker->machine);
   simulation_run (simulation, 2);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   simulation_run (simulation, 40);
   g_assert_nonnull (simulation_leader (simulation));
   g_assert_false (simulation_logged (simulation, "silent since the change"));
-  finish (simulation);
 }
 
 /* A report that was sent before a start was carried out reaches a new leader late. That it does not
    show the attempt proves nothing: the worker has not seen the epoch that fences the start. */
 static void
-test_late_report_proves_nothing (void)
+test_late_report_proves_nothing (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (28);
   for (guint i = 0; i < 2; i++)
     cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation_run (simulation, 10);
@@ -182,8 +165,8 @@
   Machine *second = g_ptr_array_index (simulation->cloud->machines, 1);
   g_autoptr (MhValue) of_first = worker_protocol_report (first);
   g_autoptr (MhValue) of_second = worker_protocol_report (second);
-  User *u = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 30, all_run, u);
+  User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
+  WAIT (simulation, 30, all_run, user);
   for (guint i = 0; i < simulation->workers->len; i++)
     ((Worker *)g_ptr_array_index (simulation->workers, i))->reports_lost_until_us
         = simulation->clock->now_us + 8 * MH_SECOND_US;
@@ -194,73 +177,65 @@
   workers_deliver_late_report (simulation, simulation_leader (simulation), of_second);
   simulation_run (simulation, 30); /* the world checks that nothing runs twice */
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
-  finish (simulation);
 }
 
 /* A worker whose lease ran out has a new session: proof by itself. */
 static void
-test_new_session (void)
+test_new_session (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (11);
-  User *u = running_service (simulation, 1, 1);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
-  g_array_set_size (m->tasks, 0);
-  m->session++;
-  m->sequence = 0;
-  WAIT (simulation, 20, all_run, u);
+  User *user = running_service (simulation, 1, 1);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  g_array_set_size (machine->tasks, 0);
+  machine->session++;
+  machine->sequence = 0;
+  WAIT (simulation, 20, all_run, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
-  finish (simulation);
 }
 
 static void
-test_sick_machine (void)
+test_sick_machine (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (18);
   running_service (simulation, 1, 1);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
-  m->faulty = true;
-  User *a = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 3);
-  User *b = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
-  WAIT (simulation, 120, told_done, a);
-  WAIT (simulation, 120, told_done, b);
-  g_assert_true (m->gone);
-  finish (simulation);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  machine->faulty = true;
+  User *first = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 3);
+  User *second = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
+  WAIT (simulation, 120, told_done, first);
+  WAIT (simulation, 120, told_done, second);
+  g_assert_true (machine->gone);
 }
 
 /* The reports of a machine arrive, but nothing reaches it. It looks alive, and even reports on
    time; what it holds can run elsewhere only when it is given back. */
 static void
-test_answers_ignored (void)
+test_answers_ignored (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (30);
   /* So long that the worker's next try, after it has given up on an answer, is not even late. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation->nodes[i].settings->report_us = 5 * MH_SECOND_US;
-  User *u = running_service (simulation, 1, 1);
-  Worker *w = worker_of (simulation, "j-000001/0");
-  w->only_node = (gint)simulation_leader (simulation)->index;
-  w->answers_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  User *user = running_service (simulation, 1, 1);
+  Worker *worker = worker_of (simulation, "j-000001/0");
+  worker->only_node = (gint)simulation_leader (simulation)->index;
+  worker->answers_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   gint64 from = simulation->clock->now_us;
   /* One more task for it, which it never shows. */
   User *array = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 2, 1), 2);
-  WAIT (simulation, 40, is_gone, w->machine);
+  WAIT (simulation, 40, is_gone, worker->machine);
   g_assert_cmpint (simulation->clock->now_us - from, <, simulation->settings->worker_lease_us);
-  WAIT (simulation, 30, all_run, u);
+  WAIT (simulation, 30, all_run, user);
   WAIT (simulation, 30, told_done, array);
-  finish (simulation);
 }
 
 /* A copy of a report comes late to a leader that has heard nothing newer, of a machine that was
    given back long ago: it brings no machine back, and nothing is placed there. */
 static void
-test_late_copy_of_returned_machine (void)
+test_late_copy_of_returned_machine (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (31);
-  User *u = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (simulation, 60, told_done, u);
-  Machine *m = g_ptr_array_index (simulation->cloud->machines, 0);
-  g_autoptr (MhValue) copy = worker_protocol_report (m);
-  WAIT (simulation, 200, is_gone, m);
+  User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 1);
+  WAIT (simulation, 60, told_done, user);
+  Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
+  g_autoptr (MhValue) copy = worker_protocol_report (machine);
+  WAIT (simulation, 200, is_gone, machine);
   guint lease_lengths = simulation->cloud->machines->len;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
@@ -270,20 +245,18 @@
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
   WAIT (simulation, 25, told_done, next);
   g_assert_cmpuint (simulation->cloud->machines->len, >, lease_lengths);
-  g_autofree char *line = g_strdup_printf ("machine %s: reports", m->name);
+  g_autofree char *line = g_strdup_printf ("machine %s: reports", machine->name);
   guint reported = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
     reported += strstr (g_ptr_array_index (simulation->log_lines, i), line) != NULL;
   g_assert_cmpuint (reported, ==, 1); /* to the first leader */
-  finish (simulation);
 }
 
 /* A zone is cut off as a whole, for less than the workers' lease. Its machines are not given back
    one by one, none is rented there meanwhile, and what runs there goes on. */
 static void
-test_partitioned_zone (void)
+test_partitioned_zone (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (41);
   for (guint i = 0; i < 8; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
@@ -291,55 +264,52 @@
   running_service (simulation, 2, 4);
   for (guint i = 0; i < simulation->workers->len; i++)
     {
-      Worker *w = g_ptr_array_index (simulation->workers, i);
-      if (strcmp (w->machine->zone, "b") == 0)
-        w->cut_until_us = simulation->clock->now_us + 13 * MH_SECOND_US;
+      Worker *worker = g_ptr_array_index (simulation->workers, i);
+      if (strcmp (worker->machine->zone, "b") == 0)
+        worker->cut_until_us = simulation->clock->now_us + 13 * MH_SECOND_US;
     }
   simulation_run (simulation, 4);
   guint before = simulation->cloud->machines->len;
-  MhJobSpec *s = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
-  s->estimate_us = 60 * MH_SECOND_US;
-  simulation_submit (simulation, s, 60);
+  MhJobSpec *spec
+      = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
+  spec->estimate_us = 60 * MH_SECOND_US;
+  simulation_submit (simulation, spec, 60);
   simulation_run (simulation, 8);
   g_assert_true (simulation_logged (simulation, "nothing comes from any of them"));
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      const Machine *m = g_ptr_array_index (simulation->cloud->machines, i);
-      g_assert_false (m->gone);
-      g_assert_true (i < before || strcmp (m->zone, "a") == 0);
+      const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
+      g_assert_false (machine->gone);
+      g_assert_true (i < before || strcmp (machine->zone, "a") == 0);
     }
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 4);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 4);
   g_assert_cmpuint (simulation->rules->task_starts, <=, 16); /* nothing twice */
-  finish (simulation);
 }
 
 /* A machine is back within a moment, and its worker counts from the beginning: it has forgotten
    which epochs it has seen, and is given back as soon as that is known. */
 static void
-test_worker_begins_anew (void)
+test_worker_begins_anew (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (47);
-  User *u = running_service (simulation, 1, 1);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  User *user = running_service (simulation, 1, 1);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
   simulation_run (simulation, 20);
-  g_array_set_size (m->tasks, 0);
-  m->session = 1;
-  m->sequence = m->token = 0;
-  m->lease_from_us = simulation->clock->now_us;
-  WAIT (simulation, 7, is_gone, m);
+  g_array_set_size (machine->tasks, 0);
+  machine->session = 1;
+  machine->sequence = machine->token = 0;
+  machine->lease_from_us = simulation->clock->now_us;
+  WAIT (simulation, 7, is_gone, machine);
   g_assert_true (simulation_logged (simulation, "begun anew"));
-  WAIT (simulation, 15, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 15, all_run, user);
 }
 
 /* All machines hang: the questions to them do not take all connections, and those that had to wait
    are put once others have been given up. */
 static void
-test_calls_at_once (void)
+test_calls_at_once (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (48);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation->nodes[i].settings->core_share = 1;
@@ -360,29 +330,31 @@
   g_assert_cmpuint (leader->peak_worker_calls, <=, 20);
   g_assert_cmpuint (leader->peak_worker_calls, >=, 16);
   WAIT (simulation, 60, all_run, user);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/machines/hung-machine", 5, test_hung_machine },
+  { "/machines/hung-machine-new-leader", 6, test_hung_machine_new_leader },
+  { "/machines/late-command", 7, test_late_command },
+  { "/machines/late-command-fenced", 8, test_late_command_is_fenced },
+  { "/machines/repeated-requests", 41, test_repeated_requests },
+  { "/machines/release-outlives-its-leader", 45, test_release_outlives_its_leader },
+  { "/machines/suspected-machine-is-probed", 23, test_suspected_machine_is_probed },
+  { "/machines/proof-is-kept", 24, test_proof_is_kept },
+  { "/machines/late-report-proves-nothing", 28, test_late_report_proves_nothing },
+  { "/machines/new-session", 11, test_new_session },
+  { "/machines/sick-machine", 18, test_sick_machine },
+  { "/machines/calls-at-once", 48, test_calls_at_once },
+  { "/machines/answers-ignored", 30, test_answers_ignored },
+  { "/machines/late-copy-of-returned-machine", 31, test_late_copy_of_returned_machine },
+  { "/machines/partitioned-zone", 41, test_partitioned_zone },
+  { "/machines/worker-begins-anew", 47, test_worker_begins_anew },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/machines/" name, (func))
-  ADD ("hung-machine", test_hung_machine);
-  ADD ("hung-machine-new-leader", test_hung_machine_new_leader);
-  ADD ("late-command", test_late_command);
-  ADD ("late-command-fenced", test_late_command_is_fenced);
-  ADD ("repeated-requests", test_repeated_requests);
-  ADD ("release-outlives-its-leader", test_release_outlives_its_leader);
-  ADD ("suspected-machine-is-probed", test_suspected_machine_is_probed);
-  ADD ("proof-is-kept", test_proof_is_kept);
-  ADD ("late-report-proves-nothing", test_late_report_proves_nothing);
-  ADD ("new-session", test_new_session);
-  ADD ("sick-machine", test_sick_machine);
-  ADD ("calls-at-once", test_calls_at_once);
-  ADD ("answers-ignored", test_answers_ignored);
-  ADD ("late-copy-of-returned-machine", test_late_copy_of_returned_machine);
-  ADD ("partitioned-zone", test_partitioned_zone);
-  ADD ("worker-begins-anew", test_worker_begins_anew);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-outages.c
+++ b/tests/test-outages.c
@@ -13,7 +13,7 @@
 extend_across_leaders (guint seed, bool refused, bool isolated, double outage_s)
 {
   Simulation *simulation = simulation_new (seed);
-  User *u = running_service (simulation, 1, 2);
+  User *user = running_service (simulation, 1, 2);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
@@ -25,8 +25,8 @@
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us
       = simulation->clock->now_us + 300 * MH_SECOND_US; /* no machine is released */
-  user_cancel (u);
-  WAIT (simulation, 20, told_cancelled, u);
+  user_cancel (user);
+  WAIT (simulation, 20, told_cancelled, user);
   g_assert_true (simulation_leader (simulation) != old);
   simulation_run (simulation, outage_s);
   simulation->store->outage_until_us = simulation->clock->now_us + 70 * MH_SECOND_US;
@@ -50,10 +50,9 @@
    renew its lease, but does not get to see the records for long: it must not keep alive what it
    cannot know to be cancelled. */
 static void
-test_cancel_before_a_slow_load (void)
+test_cancel_before_a_slow_load (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (50);
-  User *u = running_service (simulation, 1, 2);
+  User *user = running_service (simulation, 1, 2);
   simulation_run (simulation, 10);
   guint old = simulation_leader (simulation)->index;
   simulation->network->hold_commands = true;
@@ -63,20 +62,18 @@
   for (guint i = 0; i < simulation->workers->len; i++)
     simulation_worker (simulation, i)->reports_lost_until_us
         = simulation->clock->now_us + 3 * MH_SECOND_US;
-  user_cancel (u);
-  WAIT (simulation, 3, told_cancelled, u);
+  user_cancel (user);
+  WAIT (simulation, 3, told_cancelled, user);
   simulation_stop_node (simulation, old);
   simulation_run (simulation, 80);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
-  finish (simulation);
 }
 
 /* Settings that leave no room beside the workers' lease: nothing is kept alive without the state
    service, what is cancelled is gone in time, and silence is noticed as ever. */
 static void
-test_no_room_for_lease_extension (void)
+test_no_room_for_lease_extension (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (54);
   simulation->settings->cancel_us = 18 * MH_SECOND_US;
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -84,53 +81,49 @@
       simulation->nodes[i].settings->cancel_us = 18 * MH_SECOND_US;
       simulation_start_node (simulation, i);
     }
-  User *u = running_service (simulation, 1, 2), *other = running_service (simulation, 3, 1);
+  User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 3, 1);
   g_assert_true (simulation_logged (simulation, "leaves no room"));
   simulation_run (simulation, 10);
-  Machine *m = worker_of (simulation, "j-000003/0")->machine;
-  m->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
-  WAIT (simulation, 20, is_gone, m);
+  Machine *machine = worker_of (simulation, "j-000003/0")->machine;
+  machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+  WAIT (simulation, 20, is_gone, machine);
   WAIT (simulation, 20, all_run, other);
-  WAIT (simulation, 20, all_run, u);
+  WAIT (simulation, 20, all_run, user);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = old->peers_cut_until_us
       = simulation->clock->now_us + 100 * MH_SECOND_US;
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
-  user_cancel (u);
-  WAIT (simulation, 20, told_cancelled, u);
+  user_cancel (user);
+  WAIT (simulation, 20, told_cancelled, user);
   simulation->store->outage_until_us = simulation->clock->now_us + 40 * MH_SECOND_US;
   simulation_run (simulation, 40);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
-  finish (simulation);
 }
 
 /* The state service is away for longer than the old leader may keep anything alive: the tasks end
    with the workers' leases, and start again on the very machines once it is back. That nothing was
    heard while all reports were refused once had the whole fleet given back. */
 static void
-test_long_outage (void)
+test_long_outage (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (51);
-  User *u = running_service (simulation, 1, 4);
+  User *user = running_service (simulation, 1, 4);
   simulation->store->outage_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 59);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
-  WAIT (simulation, 8, all_run, u);
+  WAIT (simulation, 8, all_run, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 8);
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone);
-  finish (simulation);
 }
 
 /* A leader keeps its workers and users alone, and jobs are cancelled through the new one: nobody is
    told anything older by the first, and what is cancelled is gone in time. */
 static void
-test_cancel_beside_a_cut_leader (void)
+test_cancel_beside_a_cut_leader (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (61);
-  MhUserAnswer a;
-  User *u = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
+  MhUserAnswer answer;
+  User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
@@ -138,23 +131,21 @@
   old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation->network->hold_commands = true; /* no worker tells the old one of the new */
   simulation_run (simulation, 3);
-  user_cancel (u);
-  WAIT (simulation, 20, told_cancelled, u);
-  simulation_ask (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &a);
-  g_assert_true (a.status == 503 || a.state == MH_JOB_CANCELLED);
+  user_cancel (user);
+  WAIT (simulation, 20, told_cancelled, user);
+  simulation_ask (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+  g_assert_true (answer.status == 503 || answer.state == MH_JOB_CANCELLED);
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 80);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
   WAIT (simulation, 60, all_run, other);
-  finish (simulation);
 }
 
 /* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel. */
 static void
-test_ten_leaders (void)
+test_ten_leaders (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (63);
-  User *u = running_service (simulation, 1, 3);
+  User *user = running_service (simulation, 1, 3);
   for (guint i = 0; i < 10; i++)
     {
       User *next = simulation_submit (simulation, job_spec_new (10 + i, MH_SHAPE_ARRAY, 3, 1), 4);
@@ -163,7 +154,7 @@
       if (i == 4)
         simulation->store->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
       if (i == 6)
-        user_cancel (u);
+        user_cancel (user);
       simulation_stop_node (simulation, stopped);
       simulation_run (simulation, 3);
       simulation_start_node (simulation, stopped);
@@ -172,37 +163,33 @@
         user_cancel (next);
     }
   wait_all (simulation, 200);
-  g_assert_true (u->told_cancelled);
-  finish (simulation);
+  g_assert_true (user->told_cancelled);
 }
 
 /* A team is at its limit when the leader changes; a machine that runs its tasks can't be asked, and
    cancels fall into that. What may still run there counts, so that no more is started. */
 static void
-test_limit_across_leaders (void)
+test_limit_across_leaders (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (64);
-  User *u = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
-  MhJobSpec *s = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
-  s->estimate_us = 300 * MH_SECOND_US;
-  User *more = simulation_submit (simulation, s, 5);
+  User *user = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
+  MhJobSpec *spec = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
+  spec->estimate_us = 300 * MH_SECOND_US;
+  User *more = simulation_submit (simulation, spec, 5);
   WAIT (simulation, 20, accepted, more);
   simulation_run (simulation, 5);
   Worker *lost = worker_of (simulation, "j-000002/0");
   lost->cut_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
-  user_cancel (u);
-  WAIT (simulation, 20, told_cancelled, u);
+  user_cancel (user);
+  WAIT (simulation, 20, told_cancelled, user);
   WAIT (simulation, 200, told_done, more); /* the world checks the limit at each start */
-  finish (simulation);
 }
 
 /* No controller for longer than the workers' lease: whatever ran is gone, and runs again. */
 static void
-test_all_away_for_a_lease (void)
+test_all_away_for_a_lease (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (76);
-  User *u = running_service (simulation, 1, 3);
+  User *user = running_service (simulation, 1, 3);
   User *array = running_array (simulation, 2, 6, 20);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_stop_node (simulation, i);
@@ -210,17 +197,15 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
-  WAIT (simulation, 15, all_run, u);
+  WAIT (simulation, 15, all_run, user);
   WAIT (simulation, 60, told_done, array);
-  finish (simulation);
 }
 
 /* Controllers hand over and back; then all end, and one is back within a moment, alone. */
 static void
-test_back_and_forth (void)
+test_back_and_forth (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (82);
-  User *u = running_service (simulation, 1, 3);
+  User *user = running_service (simulation, 1, 3);
   running_service (simulation, 3, 1);
   simulation_run (simulation, 10);
   for (guint i = 0; i < 4; i++)
@@ -236,23 +221,25 @@
   simulation_start_node (simulation, 1);
   simulation_run (simulation, 10);
   g_assert_true (simulation_leader (simulation) == &simulation->nodes[1]);
-  WAIT (simulation, 60, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 60, all_run, user);
 }
 
+static const SimulationTest tests[] = {
+  { "/outages/cancel-before-a-slow-load", 50, test_cancel_before_a_slow_load },
+  { "/outages/no-room-for-lease-extension", 54, test_no_room_for_lease_extension },
+  { "/outages/long-outage", 51, test_long_outage },
+  { "/outages/cancel-beside-a-cut-leader", 61, test_cancel_beside_a_cut_leader },
+  { "/outages/ten-leaders", 63, test_ten_leaders },
+  { "/outages/limit-across-leaders", 64, test_limit_across_leaders },
+  { "/outages/all-away-for-a-lease", 76, test_all_away_for_a_lease },
+  { "/outages/back-and-forth", 82, test_back_and_forth },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/outages/" name, (func))
-  ADD ("lease-extension", test_lease_extension);
-  ADD ("cancel-before-a-slow-load", test_cancel_before_a_slow_load);
-  ADD ("no-room-for-lease-extension", test_no_room_for_lease_extension);
-  ADD ("long-outage", test_long_outage);
-  ADD ("cancel-beside-a-cut-leader", test_cancel_beside_a_cut_leader);
-  ADD ("ten-leaders", test_ten_leaders);
-  ADD ("limit-across-leaders", test_limit_across_leaders);
-  ADD ("all-away-for-a-lease", test_all_away_for_a_lease);
-  ADD ("back-and-forth", test_back_and_forth);
+  g_test_add_func ("/outages/lease-extension", test_lease_extension);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -7,10 +7,9 @@
 /* Its lease runs out, again and again, and with it whatever is started there. It takes no work and
    is given back, and what ran there runs elsewhere; a whole zone of them does not stop the rest. */
 static void
-test_reports_lost (void)
+test_reports_lost (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (52);
-  User *u = running_service (simulation, 1, 4);
+  User *user = running_service (simulation, 1, 4);
   Worker *silent = worker_of (simulation, "j-000001/0");
   silent->reports_lost_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
   simulation_run (simulation,
@@ -20,7 +19,7 @@
   WAIT (simulation, 20, all_run, next);
   g_assert_cmpuint (silent->machine->tasks->len, <=, before);
   WAIT (simulation, 40, is_gone, silent->machine);
-  WAIT (simulation, 10, all_run, u);
+  WAIT (simulation, 10, all_run, user);
   User *array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
   WAIT (simulation, 60, told_done, array);
   /* And one that is cancelled meanwhile is gone in time. */
@@ -31,31 +30,27 @@
   user_cancel (third);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
-  finish (simulation);
 }
 
 /* No report comes to this leader alone, though the workers answer its questions: another leads. */
 static void
-test_reports_to_the_leader_lost (void)
+test_reports_to_the_leader_lost (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (53);
-  User *u = running_service (simulation, 1, 4);
+  User *user = running_service (simulation, 1, 4);
   running_service (simulation, 2, 4);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
   old->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 20);
   g_assert_true (simulation_leader (simulation) != old);
-  WAIT (simulation, 30, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 30, all_run, user);
 }
 
 /* More work than room, urgent and not, over links on which a part of everything comes late: all of
    it runs in the end, the urgent first, and nothing waits beside free room. */
 static void
-test_more_work_than_room (void)
+test_more_work_than_room (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (60);
   simulation->cloud->capacity = 4;
   simulation->network->delay_probability = 0.1;
   simulation->network->loss_probability = 0.02;
@@ -67,16 +62,14 @@
   simulation_run (simulation, 30);
   simulation->network->delay_probability = simulation->network->loss_probability = 0;
   wait_all (simulation, 400);
-  finish (simulation);
 }
 
 /* The workers of a zone can reach only the leader, which is cut off with them for longer than their
    lease. What runs there runs elsewhere only when the machines are gone. */
 static void
-test_zone_cut_with_its_leader (void)
+test_zone_cut_with_its_leader (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (62);
-  User *u = running_service (simulation, 1, 4);
+  User *user = running_service (simulation, 1, 4);
   User *array = running_array (simulation, 2, 8, 20);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
@@ -84,22 +77,20 @@
   old->store_cut_until_us = old->peers_cut_until_us = until;
   for (guint i = 0; i < simulation->workers->len; i++)
     {
-      Worker *w = simulation_worker (simulation, i);
-      bool inside = strcmp (w->machine->zone, "a") == 0;
-      w->node = inside ? old->index : (old->index + 1) % SIMULATION_NODES;
-      w->only_node = inside ? (gint)old->index : -1;
-      w->only_until_us = inside ? until : 0;
+      Worker *worker = simulation_worker (simulation, i);
+      bool inside = strcmp (worker->machine->zone, "a") == 0;
+      worker->node = inside ? old->index : (old->index + 1) % SIMULATION_NODES;
+      worker->only_node = inside ? (gint)old->index : -1;
+      worker->only_until_us = inside ? until : 0;
     }
   WAIT (simulation, 200, told_done, array);
-  WAIT (simulation, 60, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 60, all_run, user);
 }
 
 /* Jobs of two or three tasks that end far apart, each with a change of leader between. */
 static void
-test_ends_far_apart (void)
+test_ends_far_apart (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (78);
   User *users[6];
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
     {
@@ -118,48 +109,44 @@
     }
   wait_all (simulation, 120);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 15); /* none ran again */
-  finish (simulation);
 }
 
 /* An array bound to one zone by its first tasks loses machines there. What runs on keeps it in that
    zone, and room is rented there, not in the emptier one. */
 static void
-test_one_zone_loses_machines (void)
+test_one_zone_loses_machines (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (80);
-  MhJobSpec *s = job_spec_new (2, MH_SHAPE_ARRAY, 12, 1);
-  s->one_zone = true;
-  s->estimate_us = 300 * MH_SECOND_US;
-  User *u = simulation_submit (simulation, s, 300);
-  WAIT (simulation, 60, all_run, u);
+  MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 12, 1);
+  spec->one_zone = true;
+  spec->estimate_us = 300 * MH_SECOND_US;
+  User *user = simulation_submit (simulation, spec, 300);
+  WAIT (simulation, 60, all_run, user);
   Worker *kept = worker_of (simulation, "j-000002/0");
   guint failed = 0;
   for (guint i = 0; i < simulation->workers->len; i++)
     {
-      Machine *m = simulation_worker (simulation, i)->machine;
-      if (m == kept->machine || m->tasks->len == 0)
+      Machine *machine = simulation_worker (simulation, i)->machine;
+      if (machine == kept->machine || machine->tasks->len == 0)
         continue;
-      machine_fail (m);
+      machine_fail (machine);
       failed++;
     }
   g_assert_cmpuint (failed, >, 0);
   guint known = simulation->cloud->machines->len;
-  WAIT (simulation, 60, all_run, u);
+  WAIT (simulation, 60, all_run, user);
   for (guint i = known; i < simulation->cloud->machines->len; i++)
     g_assert_cmpstr (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->zone, ==,
                      kept->machine->zone);
   g_assert_true (strcmp (kept->machine->zone, worker_of (simulation, "j-000002/11")->machine->zone)
                  == 0);
-  finish (simulation);
 }
 
 /* A leader ends while machines with long tasks don't hear its successor, or can't be reached: they
    are given back, and only then does what they ran run elsewhere, with nothing waiting beside it.
  */
 static void
-test_answers_of_a_new_leader_lost (void)
+test_answers_of_a_new_leader_lost (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (83);
   running_array (simulation, 2, 12, 90);
   simulation_run (simulation, 10);
   worker_of (simulation, "j-000002/0")->answers_lost_until_us
@@ -168,20 +155,22 @@
   cut->cut_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   wait_all (simulation, 300);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/network-partition/reports-lost", 52, test_reports_lost },
+  { "/network-partition/reports-to-the-leader-lost", 53, test_reports_to_the_leader_lost },
+  { "/network-partition/more-work-than-room", 60, test_more_work_than_room },
+  { "/network-partition/zone-cut-with-its-leader", 62, test_zone_cut_with_its_leader },
+  { "/network-partition/ends-far-apart", 78, test_ends_far_apart },
+  { "/network-partition/one-zone-loses-machines", 80, test_one_zone_loses_machines },
+  { "/network-partition/answers-of-a-new-leader-lost", 83, test_answers_of_a_new_leader_lost },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/partitions/" name, (func))
-  ADD ("reports-lost", test_reports_lost);
-  ADD ("reports-to-the-leader-lost", test_reports_to_the_leader_lost);
-  ADD ("more-work-than-room", test_more_work_than_room);
-  ADD ("zone-cut-with-its-leader", test_zone_cut_with_its_leader);
-  ADD ("ends-far-apart", test_ends_far_apart);
-  ADD ("one-zone-loses-machines", test_one_zone_loses_machines);
-  ADD ("answers-of-a-new-leader-lost", test_answers_of_a_new_leader_lost);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -6,27 +6,24 @@
 
 /* Silence frees no quota: what an unreachable machine may still run counts. */
 static void
-test_quota_unreachable (void)
+test_quota_unreachable (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (10);
-  User *u = running_service (simulation, 1, 4);
-  Machine *m = worker_of (simulation, "j-000001/0")->machine;
+  User *user = running_service (simulation, 1, 4);
+  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 4);
   simulation->cloud->outage_until_us
       = simulation->clock->now_us + 40 * MH_SECOND_US; /* no release, no proof */
-  m->hung_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
+  machine->hung_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
   simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 16, 1), 200);
   simulation_run (simulation, 100);
-  user_cancel (u);
+  user_cancel (user);
   simulation_run (simulation, 60);
-  finish (simulation);
 }
 
 /* The zones of a service of several tasks stay within MaxSkew of one another. */
 static void
-test_spread (void)
+test_spread (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (19);
   for (guint i = 0; i < 2; i++)
     cloud_add_machine (simulation->cloud, "large", i ? "b" : "a", false);
   simulation_run (simulation, 15);
@@ -34,39 +31,35 @@
   guint in_a = 0, in_b = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      const Machine *m = g_ptr_array_index (simulation->cloud->machines, i);
-      *(strcmp (m->zone, "a") == 0 ? &in_a : &in_b) += m->tasks->len;
+      const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
+      *(strcmp (machine->zone, "a") == 0 ? &in_a : &in_b) += machine->tasks->len;
     }
   g_assert_cmpuint (MAX (in_a, in_b) - MIN (in_a, in_b), ==, 1);
-  finish (simulation);
 }
 
 /* A team gets its guarantee back from one that borrows. */
 static void
-test_guarantee (void)
+test_guarantee (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (20);
   simulation->cloud->capacity = 1;
   cloud_add_machine (simulation->cloud, "large", "a", false);
   User *borrows = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 16, 1), 60);
   WAIT (simulation, 30, all_run, borrows);
-  User *u = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
-  WAIT (simulation, 6, all_run, u);
+  User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
+  WAIT (simulation, 6, all_run, user);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 8);
-  finish (simulation);
 }
 
 /* Urgent work beyond its guarantee and normal work within one must not stop each other in turn. */
 static void
-test_no_preemption_cycle (void)
+test_no_preemption_cycle (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (21);
   simulation->cloud->capacity = 1;
   cloud_add_machine (simulation->cloud, "large", "a", false);
   for (guint i = 0; i < 5; i++)
     {
-      MhJobSpec *s = job_spec_new (1 + 2 * i, MH_SHAPE_SERVICE, 3, 1);
-      simulation_submit (simulation, s, 0);
+      MhJobSpec *spec = job_spec_new (1 + 2 * i, MH_SHAPE_SERVICE, 3, 1);
+      simulation_submit (simulation, spec, 0);
     }
   simulation_run (simulation, 20);
   simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 4), 30);
@@ -75,7 +68,6 @@
   for (guint i = 0; i < simulation->log_lines->len; i++)
     stops += strstr (g_ptr_array_index (simulation->log_lines, i), "to make room") != NULL;
   g_assert_cmpuint (stops, <=, 15);
-  finish (simulation);
 }
 
 static void
@@ -84,12 +76,12 @@
   memset (counts, 0, n * sizeof *counts);
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
-      const Machine *m = g_ptr_array_index (simulation->cloud->machines, i);
-      for (guint k = 0; k < m->tasks->len; k++)
+      const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
+      for (guint k = 0; k < machine->tasks->len; k++)
         {
-          const MachineTask *t = &g_array_index (m->tasks, MachineTask, k);
-          guint zone = (guint)(m->zone[0] - 'a');
-          if (zone < n && t->phase != MH_TASK_ENDED && strcmp (t->job_id, job) == 0)
+          const MachineTask *task = &g_array_index (machine->tasks, MachineTask, k);
+          guint zone = (guint)(machine->zone[0] - 'a');
+          if (zone < n && task->phase != MH_TASK_ENDED && strcmp (task->job_id, job) == 0)
             counts[zone]++;
         }
     }
@@ -98,9 +90,8 @@
 /* Four zones. While one is full it still enters the minimum, and the fourth replica waits for it;
    when it has no live machine any more it does not count, and the replica goes elsewhere. */
 static void
-test_spread_four_zones (void)
+test_spread_four_zones (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (36);
   guint counts[4];
   simulation->cloud->zones = 4;
   simulation->cloud->capacity = 4;
@@ -115,10 +106,10 @@
     {
       MhJobSpec *filler = job_spec_new (i, MH_SHAPE_SERVICE, 1, 8);
       filler->zone = g_strdup ("d");
-      User *f = simulation_submit (simulation, filler, 0);
-      WAIT (simulation, 30, all_run, f);
+      User *filled = simulation_submit (simulation, filler, 0);
+      WAIT (simulation, 30, all_run, filled);
     }
-  User *u = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
+  User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
   simulation_run (simulation, 20);
   count_by_zone (simulation, "j-000002", counts, 4);
   for (guint i = 0; i < 4; i++)
@@ -126,18 +117,16 @@
   last->hung_until_us = simulation->clock->now_us + 1000 * MH_SECOND_US;
   WAIT (simulation, 60, is_gone, last);
   simulation->cloud->capacity = 3; /* no other in its place */
-  WAIT (simulation, 30, all_run, u);
-  finish (simulation);
+  WAIT (simulation, 30, all_run, user);
 }
 
 /* Replicas with different images do not crowd onto the first machine that is up, where their
    fetches would share its rate, while others are about to be; and a task that was passed over so is
    not forgotten. */
 static void
-test_images_apart (void)
+test_images_apart (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (37);
-  User *u[4];
+  User *users[4];
   cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation->cloud->boot_us = 7 * MH_SECOND_US;
   for (guint i = 0; i < 3; i++)
@@ -145,11 +134,11 @@
   simulation_run (simulation, 6); /* the cloud lists them */
   for (guint i = 0; i < 4; i++)
     {
-      MhJobSpec *s = job_spec_new (1 + i, MH_SHAPE_SERVICE, 1, 2);
-      g_free (s->image);
-      s->image = g_strdup_printf ("own-%u", i);
-      s->image_gb = 10;
-      u[i] = simulation_submit (simulation, s, 0);
+      MhJobSpec *spec = job_spec_new (1 + i, MH_SHAPE_SERVICE, 1, 2);
+      g_free (spec->image);
+      spec->image = g_strdup_printf ("own-%u", i);
+      spec->image_gb = 10;
+      users[i] = simulation_submit (simulation, spec, 0);
     }
   for (guint i = 8; i < 10; i++)
     {
@@ -159,21 +148,19 @@
       simulation_submit (simulation, lesser, 300);
     }
   for (guint i = 0; i < 4; i++)
-    WAIT (simulation, 60, all_run, u[i]);
+    WAIT (simulation, 60, all_run, users[i]);
   /* Nor is anything stopped for them on the machine that is full by now. */
   g_assert_false (simulation_logged (simulation, "to make room"));
   guint used = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     used += ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->tasks->len > 0;
   g_assert_cmpuint (used, ==, 4);
-  finish (simulation);
 }
 
 /* A replica for which a task is stopped, where its image is, starts there and nowhere else. */
 static void
-test_room_is_made_once (void)
+test_room_is_made_once (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (43);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       MhObjective *o = g_new0 (MhObjective, 1);
@@ -191,25 +178,24 @@
   WAIT (simulation, 30, all_run, array);
   cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation_run (simulation, 8);
-  MhJobSpec *s = job_spec_new (5, MH_SHAPE_SERVICE, 1, 1);
-  g_free (s->image);
-  s->image = g_strdup (first->job->spec->image);
-  s->image_gb = 20;
+  MhJobSpec *spec = job_spec_new (5, MH_SHAPE_SERVICE, 1, 1);
+  g_free (spec->image);
+  spec->image = g_strdup (first->job->spec->image);
+  spec->image_gb = 20;
   simulation->network->hold_commands = true; /* the stop goes with the next report */
-  User *u = simulation_submit (simulation, s, 0);
+  User *user = simulation_submit (simulation, spec, 0);
   for (guint i = 0; i < 20; i++)
     {
       /* Others, with another image, keep the passes coming. */
       simulation_submit (simulation, job_spec_new (20 + 6 * i, MH_SHAPE_ARRAY, 1, 0.1), 0.1);
       simulation_run (simulation, 0.06);
     }
-  WAIT (simulation, 12, all_run, u);
+  WAIT (simulation, 12, all_run, user);
   g_assert_true (worker_of (simulation, "j-000005/0") == worker_of (simulation, "j-000003/0"));
   guint stops = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
     stops += strstr (g_ptr_array_index (simulation->log_lines, i), "to make room") != NULL;
   g_assert_cmpuint (stops, ==, 1);
-  finish (simulation);
 }
 
 static bool
@@ -222,9 +208,8 @@
 /* Half of the machines fail while there is always as much to do as nearly all can: room for what
    ran there is rented at once, though nothing that waits could still be in time. */
 static void
-test_lost_room_is_rented (void)
+test_lost_room_is_rented (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (46);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     for (guint k = 0; k < 2; k++)
       ((MhTeam *)g_ptr_array_index (simulation->nodes[i].settings->teams, k))->cpus_max = 200;
@@ -237,11 +222,11 @@
     {
       for (guint i = 0; i < 2; i++)
         {
-          MhJobSpec *s = job_spec_new (++number, MH_SHAPE_ARRAY, 3, 1);
-          s->image_gb = 0.01;
-          s->estimate_us = 2 * MH_SECOND_US;
-          s->deadline_us = MH_SECOND_US / 2;
-          simulation_submit (simulation, s, 2);
+          MhJobSpec *spec = job_spec_new (++number, MH_SHAPE_ARRAY, 3, 1);
+          spec->image_gb = 0.01;
+          spec->estimate_us = 2 * MH_SECOND_US;
+          spec->deadline_us = MH_SECOND_US / 2;
+          simulation_submit (simulation, spec, 2);
         }
       if (turn == 12)
         {
@@ -256,15 +241,13 @@
   guint64 rented = simulation->cloud->machines_rented;
   simulation_run (simulation, 1.5);
   g_assert_cmpuint (simulation->cloud->machines_rented, >, rented);
-  finish (simulation);
 }
 
 /* A job that is still being written down rents nothing beside free room: it will be placed there.
  */
 static void
-test_no_rental_while_being_written (void)
+test_no_rental_while_being_written (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (81);
   running_service (simulation, 1, 1);
   simulation_run (simulation, 5);
   guint64 rented = simulation->cloud->machines_rented;
@@ -278,22 +261,24 @@
   leader->hold_writes = false;
   WAIT (simulation, 60, told_done, user);
   g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/placement/quota-unreachable", 10, test_quota_unreachable },
+  { "/placement/spread", 19, test_spread },
+  { "/placement/spread-four-zones", 36, test_spread_four_zones },
+  { "/placement/guarantee", 20, test_guarantee },
+  { "/placement/no-preemption-cycle", 21, test_no_preemption_cycle },
+  { "/placement/images-apart", 37, test_images_apart },
+  { "/placement/room-is-made-once", 43, test_room_is_made_once },
+  { "/placement/lost-room-is-rented", 46, test_lost_room_is_rented },
+  { "/placement/no-rental-while-being-written", 81, test_no_rental_while_being_written },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-#define ADD(name, func) g_test_add_func ("/placement/" name, (func))
-  ADD ("quota-unreachable", test_quota_unreachable);
-  ADD ("spread", test_spread);
-  ADD ("spread-four-zones", test_spread_four_zones);
-  ADD ("guarantee", test_guarantee);
-  ADD ("no-preemption-cycle", test_no_preemption_cycle);
-  ADD ("images-apart", test_images_apart);
-  ADD ("room-is-made-once", test_room_is_made_once);
-  ADD ("lost-room-is-rented", test_lost_room_is_rented);
-  g_test_add_func ("/placement/no-rental-while-being-written", test_no_rental_while_being_written);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -9,9 +9,8 @@
 /* Sixty users ask about one job that nobody has submitted, at the same moment and a little later.
  */
 static void
-test_questions_share_reads (void)
+test_questions_share_reads (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (51);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 3);
   guint leader = simulation_leader (simulation)->index,
@@ -27,15 +26,13 @@
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     g_assert_cmpuint (answers[i].status, ==, 404);
   g_assert_cmpuint (simulation->store->final_record_reads - before, <=, 2);
-  finish (simulation);
 }
 
 /* An answer that was read before a question came may be older than what its user has been told: the
    question gets a read of its own. */
 static void
-test_shared_read_is_not_older (void)
+test_shared_read_is_not_older (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (52);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 3);
   ControllerNode *leader = simulation_leader (simulation);
@@ -47,15 +44,13 @@
   g_assert_cmpuint (before.status, ==, 404);
   g_assert_cmpuint (after.status, ==, 404);
   g_assert_cmpuint (simulation->store->final_record_reads - reads, ==, 2);
-  finish (simulation);
 }
 
 /* A follower that has passed on a final answer gives it without the leader and the state service.
  */
 static void
-test_follower_remembers_final (void)
+test_follower_remembers_final (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (53);
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 2);
   WAIT (simulation, 60, told_done, user);
   guint leader = simulation_leader (simulation)->index, follower = (leader + 1) % SIMULATION_NODES;
@@ -73,15 +68,13 @@
       simulation_ask (simulation, follower, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answer), ==, 503);
   simulation_start_node (simulation, leader);
   simulation_run (simulation, 30);
-  finish (simulation);
 }
 
 /* More questions than the state service can answer: the rest is told at once to come again, and a
    submission beside them is accepted as ever. */
 static void
-test_questions_beyond_their_share (void)
+test_questions_beyond_their_share (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (54);
   User *first = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, first);
   guint leader = simulation_leader (simulation)->index;
@@ -102,16 +95,19 @@
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     g_assert_true (answers[i].status == 404 || answers[i].status == 503);
   WAIT (simulation, 60, told_done, user);
-  finish (simulation);
 }
 
+static const SimulationTest tests[] = {
+  { "/job-status/share-reads", 51, test_questions_share_reads },
+  { "/job-status/shared-read-is-not-older", 52, test_shared_read_is_not_older },
+  { "/job-status/follower-remembers-final", 53, test_follower_remembers_final },
+  { "/job-status/beyond-their-share", 54, test_questions_beyond_their_share },
+};
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/questions/share-reads", test_questions_share_reads);
-  g_test_add_func ("/questions/shared-read-is-not-older", test_shared_read_is_not_older);
-  g_test_add_func ("/questions/follower-remembers-final", test_follower_remembers_final);
-  g_test_add_func ("/questions/beyond-their-share", test_questions_beyond_their_share);
+  simulation_tests_add (tests, G_N_ELEMENTS (tests));
   return g_test_run ();
 }
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -1,5 +1,5 @@
-/* Random days as tests: see random-day.h. */
-#include "random-day.h"
+/* Random days as tests: see stand-in/random-day.h. */
+#include "stand-in/random-day.h"
 
 #define VERSIONS_DAYS 24u
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -68,13 +68,13 @@
   g_assert_cmpuint (counts[1], ==, 1);
   g_assert_cmpuint (counts[2], ==, 3);
 
-  MhUserAnswer a;
+  MhUserAnswer answer;
   guint64 epoch, lease_id;
   g_autofree char *node = NULL;
   g_autoptr (MhValue) final = LOAD (production_final), leader = LOAD (production_leader);
   g_autoptr (MhValue) last = LOAD (production_epoch), release = LOAD (production_release);
-  g_assert_true (mh_record_read_final (final, &a));
-  g_assert_cmpint (a.state, ==, MH_JOB_CANCELLED);
+  g_assert_true (mh_record_read_final (final, &answer));
+  g_assert_cmpint (answer.state, ==, MH_JOB_CANCELLED);
   g_assert_true (mh_record_read_leader (leader, &node, &epoch, &lease_id));
   g_assert_cmpstr (node, ==, "worker-1");
   g_assert_true (mh_record_read_epoch (last, &epoch));
@@ -96,8 +96,8 @@
   MhNow now = { .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   g_autoptr (MhCore) core = mh_core_new (settings, &now);
   g_autoptr (MhValue) stored = LOAD (production_job);
-  MhJobSpec *s = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
-  MhJob *job = mh_job_new (s, chunk, settings->value_bytes, at, &now);
+  MhJobSpec *spec = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
+  MhJob *job = mh_job_new (spec, chunk, settings->value_bytes, at, &now);
   MhMachine *m = mh_fleet_add (core, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
     mh_fleet_attempt_new (core, job, i * 15, 2 + i, m);
@@ -332,12 +332,12 @@
     {
       Simulation *simulation = simulation_new (seed);
       simulation->cloud->capacity = 6;
-      MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 300, 0.04);
-      s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
-      User *u = simulation_submit (simulation, s, 70),
+      MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 300, 0.04);
+      spec->mem_gb = 0.1;
+      spec->estimate_us = 600 * MH_SECOND_US;
+      User *user = simulation_submit (simulation, spec, 70),
            *service = running_service (simulation, 3, 2);
-      WAIT (simulation, 60, all_run, u);
+      WAIT (simulation, 60, all_run, user);
       for (guint turn = 0; turn < 6; turn++)
         {
           guint index = (turn + seed) % SIMULATION_NODES;
@@ -358,7 +358,7 @@
           simulation_run (simulation, 4);
         }
       simulation_limit (simulation, 2048, 5);
-      WAIT (simulation, 200, told_done, u);
+      WAIT (simulation, 200, told_done, user);
       g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 302);
       simulation_assert_rules (simulation);
