--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -1,35 +1,38 @@
-#include "controller/core-private.h"
+#include "autoscaler/capacity-estimate.h"
+#include "placement/filter.h"
+#include "placement/resources.h"
 
-MhRoom
-mh_room_new (const MhMachineType *type, const GRefString *zone, bool spot)
+MhCapacityEstimate
+mh_capacity_estimate_for_type (const MhMachineType *type, const GRefString *zone, bool spot)
 {
-  return (MhRoom){ .type = type,
-                   .zone = zone,
-                   .spot = spot,
-                   .cpus = type->cpus,
-                   .gpus = type->gpus,
-                   .mem = type->mem_gb };
+  return (MhCapacityEstimate){ .type = type,
+                               .zone = zone,
+                               .spot = spot,
+                               .free_cpus = type->cpus,
+                               .free_gpus = type->gpus,
+                               .free_mem_gb = type->mem_gb };
 }
 
 bool
-mh_room_of_kind (const MhRoom *room, const MhJob *job, const char *zone)
+mh_capacity_estimate_suits (const MhCapacityEstimate *estimate, const MhJob *job, const char *zone)
 {
-  return (!room->spot || job->spec->spot) && (zone == NULL || zone == room->zone)
-         && mh_place_type_fits (job->spec, room->type);
+  return (!estimate->spot || job->spec->spot) && (zone == NULL || zone == estimate->zone)
+         && mh_job_spec_fits_type (job->spec, estimate->type);
 }
 
 guint
-mh_room_for (const MhRoom *room, const MhJobSpec *spec, guint tasks)
+mh_capacity_estimate_count_tasks (const MhCapacityEstimate *estimate, const MhJobSpec *spec,
+                                  guint tasks)
 {
-  tasks = mh_place_times (room->cpus, spec->cpus, tasks);
-  tasks = mh_place_times (room->gpus, spec->gpus, tasks);
-  return mh_place_times (room->mem, spec->mem_gb, tasks);
+  tasks = mh_resource_slots (estimate->free_cpus, spec->cpus, tasks);
+  tasks = mh_resource_slots (estimate->free_gpus, spec->gpus, tasks);
+  return mh_resource_slots (estimate->free_mem_gb, spec->mem_gb, tasks);
 }
 
 void
-mh_room_take (MhRoom *room, const MhJobSpec *spec, guint tasks)
+mh_capacity_estimate_reserve (MhCapacityEstimate *estimate, const MhJobSpec *spec, guint tasks)
 {
-  room->cpus -= spec->cpus * tasks;
-  room->gpus -= spec->gpus * tasks;
-  room->mem -= spec->mem_gb * tasks;
+  estimate->free_cpus -= spec->cpus * tasks;
+  estimate->free_gpus -= spec->gpus * tasks;
+  estimate->free_mem_gb -= spec->mem_gb * tasks;
 }
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -36,10 +36,10 @@
     }
   else if (strcmp (machine, "?") != 0)
     {
-      MhMachine *m = mh_fleet_machine (core, machine);
+      MhMachine *m = mh_cluster_find_machine (core->cluster, machine);
       if (m == NULL)
-        m = mh_fleet_add (core, machine, NULL, NULL, false);
-      mh_fleet_attempt_new (core, job, index, attempt, m)->loaded = true;
+        m = mh_cluster_add_machine (core->cluster, machine, NULL, NULL, false);
+      mh_attempt_new_from_record (core->cluster, job, index, attempt, m);
     }
 }
 
@@ -53,7 +53,7 @@
   MhJob *job = g_hash_table_lookup (core->jobs, id);
   for (guint i = 0; job && i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_fleet_attempt_forget (core, job->tasks[i].live);
+      mh_attempt_discard (core->cluster, job->tasks[i].live);
   g_hash_table_remove (core->jobs, id);
 }
 
@@ -68,7 +68,7 @@
   else if (write_rps <= core->settings->next_write_rps)
     {
       core->limits.durable = true;
-      mh_core_lower_write_rate (core);
+      mh_call_queue_lower_write_rate (core->calls);
     }
 }
 
@@ -79,7 +79,7 @@
   guint chunk = 0;
   if (g_str_has_prefix (e->key, MH_RECORD_RELEASES))
     {
-      mh_release_load (core, e);
+      mh_autoscaler_load_release (core->autoscaler, e);
       return;
     }
   if (strcmp (e->key, MH_RECORD_LIMITS) == 0)
@@ -98,13 +98,13 @@
           not_understood (core, e->key, e->key + 2);
           return;
         }
-      guint fits = mh_job_chunk (spec, core->settings->value_bytes);
+      guint fits = mh_job_tasks_per_record (spec, core->settings->value_bytes);
       guint old = per_record > fits && fits ? (spec->tasks + per_record - 1) / per_record : 0;
       job = mh_job_new (spec, old ? fits : per_record, core->settings->value_bytes, at, &core->now);
       job->unchunked_records = old;
       job->accepted = true;
-      mh_fault_load (core, job, mh_record_read_back_off (e->value));
-      job->cancelled = job->cancel_durable = cancelled;
+      mh_task_failure_load_back_off (core->cluster, job, mh_record_read_back_off (e->value));
+      job->cancellation = cancelled ? MH_CANCELLATION_DURABLE : MH_CANCELLATION_NONE;
       g_hash_table_insert (core->jobs, job->spec->id, job);
     }
   else
@@ -153,7 +153,7 @@
       = status == 200 ? mh_wire_read_entries (body, &more, &revision) : NULL;
   if (entries == NULL)
     {
-      core->state_pause_us = core->now.mono_us + 50000 + (gint64)(core->now.jitter * 50000);
+      mh_call_queue_pause_store (core->calls, 50000, 50000);
       load_page (core, page->prefix, g_strdup (page->after));
       return;
     }
@@ -174,7 +174,7 @@
       while (g_hash_table_iter_next (&it, NULL, &job))
         if (((MhJob *)job)->unchunked_records)
           mh_rechunk_begin (core, job);
-      mh_leader_loaded (core);
+      mh_election_records_loaded (core->election);
     }
 }
 
@@ -184,8 +184,8 @@
   Page *page = g_new0 (Page, 1);
   page->prefix = prefix;
   page->after = after;
-  mh_core_call (core, MH_RANK_RULES, mh_wire_list (prefix, after, PAGE_ENTRIES), 0, CALL_TIMEOUT_US,
-                load_reply, page, page_free);
+  mh_core_call (core, MH_CALL_SAFETY, mh_wire_list (prefix, after, PAGE_ENTRIES), 0,
+                CALL_TIMEOUT_US, load_reply, page, page_free);
 }
 
 void
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -1,5 +1,5 @@
-/* The stored form of jobs, of leadership and of machines that are being given back. Keys: leader,
-   epoch, j/ID (job and its first tasks), t/ID/CHUNK (further tasks), f/ID (the final state, kept
+/* The stored form of jobs and of machines that are being given back. Keys: j/ID (job and its first
+   tasks), t/ID/CHUNK (further tasks), f/ID (the final state, kept
    for ever), r/EPOCH/N (names of machines), limits (what the state service was found to take; the
    version before this one never reads it). Short names, since values are limited. */
 #include "controller/core-private.h"
@@ -26,10 +26,10 @@
       mh_value_set (m, "s", mh_wire_write_submission (job->spec));
       mh_value_set_uint (m, "at", (guint64)MAX (job->submitted_wall_us, 0));
       mh_value_set_uint (m, "c", job->chunk);
-      if (job->cancelled)
+      if (mh_job_is_cancelled (job))
         mh_value_set_bool (m, "x", true);
-      if (mh_fault_backs_off (job))
-        mh_value_set_uint (m, "e", job->faults.level);
+      if (mh_job_backs_off (job))
+        mh_value_set_uint (m, "e", job->failures.back_off_level);
     }
   MhValue *list = mh_value_list ();
   guint first = r->chunk * job->chunk;
@@ -58,7 +58,7 @@
 {
   MhValue *m = mh_value_map ();
   mh_value_set_text (m, "w", tag);
-  mh_value_set_uint (m, "state", job->cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE);
+  mh_value_set_uint (m, "state", mh_job_is_cancelled (job) ? MH_JOB_CANCELLED : MH_JOB_DONE);
   mh_value_set_uint (m, "done", job->n_done);
   return m;
 }
@@ -80,24 +80,6 @@
   return mh_value_get_text (v, "w");
 }
 
-MhValue *
-mh_record_write_leader (const char *node, guint64 epoch, guint64 lease_id)
-{
-  MhValue *m = mh_value_map ();
-  mh_value_set_uint (m, "claim", lease_id);
-  mh_value_set_text (m, "node", node);
-  mh_value_set_uint (m, "epoch", epoch);
-  return m;
-}
-
-MhValue *
-mh_record_write_epoch (guint64 epoch)
-{
-  MhValue *m = mh_value_map ();
-  mh_value_set_uint (m, "epoch", epoch);
-  return m;
-}
-
 MhValue *
 mh_record_write_limits (double write_rps)
 {
@@ -127,23 +109,6 @@
   return mh_value_get_names (v, "m", &names) ? names : NULL;
 }
 
-bool
-mh_record_read_epoch (const MhValue *v, guint64 *epoch)
-{
-  return mh_value_get_uint (v, "epoch", epoch);
-}
-
-bool
-mh_record_read_leader (const MhValue *v, char **node, guint64 *epoch, guint64 *lease_id)
-{
-  if (!mh_value_get_uint (v, "claim", lease_id))
-    *lease_id = 0;
-  if (!mh_record_read_epoch (v, epoch))
-    return false;
-  *node = mh_value_get_text (v, "node");
-  return *node != NULL;
-}
-
 MhJobSpec *
 mh_record_read_job (const MhValue *v, const char *id, gint64 *submitted_wall_us, guint *chunk,
                     bool *cancelled)
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -146,7 +146,7 @@
       peer_message_forward (node, action, g_hash_table_lookup (node->pending, &action->id));
       break;
     case MH_ACTION_LOG:
-      simulation_log (node->simulation, node->name, action->text);
+      simulation_log (node->simulation, node->name, action->line);
       break;
     default:
       answer_request (node, action);
@@ -170,7 +170,8 @@
 set_timer (ControllerNode *node)
 {
   FakeClock *clock = node->simulation->clock;
-  gint64 in_us = controller_next_wake (node->controller) - monotonic_us (node);
+  MhNow now = controller_node_now (node);
+  gint64 in_us = controller_next_wake (node->controller) - now.mono_us;
   gint64 wake_us = clock->now_us + MAX (in_us, SHORTEST_TIMER_US);
   if (node->next_wake_us != G_MAXINT64 && wake_us >= node->next_wake_us)
     return;
@@ -199,9 +200,8 @@
                                NULL);
       return;
     }
-  /* Taking an action draws nothing at random, so that a day does not hang on what is logged. */
   MhAction *action;
-  while ((action = controller_pop (node->controller, monotonic_us (node))))
+  while ((action = controller_pop (node->controller, controller_node_now (node).mono_us)))
     {
       decision_log_action (node, action);
       carry_out (node, action);
--- a/tests/stand-in/decision-log.c
+++ b/tests/stand-in/decision-log.c
@@ -39,12 +39,13 @@
   if (digest == NULL || action->kind == MH_ACTION_LOG)
     return;
   const MhUserAnswer *answer = &action->answer;
-  g_autofree char *line = g_strdup_printf (
-      "%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT " %u %" G_GINT64_FORMAT
-      " %u %u %d %u %u %s",
-      node->simulation->clock->now_us, node->name, (int)action->kind, action->id,
-      action->timeout_us, action->status, action->until_us, answer->status, answer->retry_after_s,
-      (int)answer->state, answer->done, answer->running, action->text ? action->text : "");
+  g_autofree char *line
+      = g_strdup_printf ("%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT
+                         " %u %" G_GINT64_FORMAT " %u %u %d %u %u %s",
+                         node->simulation->clock->now_us, node->name, (int)action->kind, action->id,
+                         action->timeout_us, action->status, action->lease_until_us, answer->status,
+                         answer->retry_after_s, (int)answer->state, answer->done, answer->running,
+                         action->node ? action->node : "");
   add_text (digest, line);
   add_value (digest, action->body);
   if (action->request)
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -72,7 +72,7 @@
 void
 peer_message_announce (ControllerNode *from, const MhAction *action)
 {
-  const ControllerNode *receiver = simulation_node_named (from->simulation, action->text);
+  const ControllerNode *receiver = simulation_node_named (from->simulation, action->node);
   PeerMessage *message = message_new (from, action->id);
   message->to = receiver->index;
   message->text = g_strdup (from->name);
@@ -141,7 +141,7 @@
 void
 peer_message_forward (ControllerNode *from, const MhAction *action, const PendingRequest *request)
 {
-  const ControllerNode *receiver = simulation_node_named (from->simulation, action->text);
+  const ControllerNode *receiver = simulation_node_named (from->simulation, action->node);
   g_assert_nonnull (request);
   PeerMessage *message = message_new (from, action->id);
   message->to = receiver->index;
--- a/tests/test-boots.c
+++ b/tests/test-boot-time.c
@@ -28,7 +28,7 @@
   User *user = wants_four_machines (simulation);
   simulation_run (simulation, 14);
   g_assert_cmpuint (simulation->cloud->machines->len, <=, 5);
-  g_assert_true (simulation_logged (simulation, "has not joined"));
+  g_assert_true (simulation_logged (simulation, "machine late to join"));
   simulation_run (simulation, 15);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
   WAIT (simulation, 200, told_done, user);
@@ -45,7 +45,7 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
   g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
   g_assert_true (machine->gone);
-  g_assert_true (simulation_logged (simulation, "never came up"));
+  g_assert_true (simulation_logged (simulation, "never_joined"));
 }
 
 /* One joins after another was rented in its place: it is used, since it is there. */
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -215,7 +215,7 @@
   for (guint i = 0; i < late->tasks->len; i++)
     g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
   WAIT (simulation, 60, told_done, user);
-  g_assert_true (simulation_logged (simulation, "did not come in time"));
+  g_assert_true (simulation_logged (simulation, "incomplete-in-time"));
 }
 
 /* It fails on every machine: the attempts come ever more slowly, other work goes on, and its user
@@ -244,7 +244,7 @@
         }
       simulation_run (simulation, 1);
     }
-  g_assert_true (simulation_logged (simulation, "next start in"));
+  g_assert_true (simulation_logged (simulation, "next_start_s="));
   g_assert_cmpuint (simulation->rules->task_starts - starts, <=, 32); /* eight attempts */
   g_assert_cmpuint (simulation_running_tasks (simulation, other->job->spec->id), ==, 1);
   user_cancel (user);
@@ -541,7 +541,7 @@
   task->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   WAIT (simulation, 150, told_done, user);
   g_assert_true (simulation_logged (simulation, "taken back"));
-  g_assert_false (simulation_logged (simulation, "did not come in time"));
+  g_assert_false (simulation_logged (simulation, "incomplete-in-time"));
 }
 
 /* A gang of more tasks than one record holds, under the limits that come next. */
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -106,10 +106,11 @@
   user_cancel (user);
   WAIT (simulation, 10, told_cancelled, user);
   simulation->cloud->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
-  for (guint i = 0; i < 150 && !simulation_logged (simulation, "given back: idle"); i++)
+  for (guint i = 0; i < 150 && !simulation_logged (simulation, "releasing machine reason=idle");
+       i++)
     simulation_run (simulation, 0.1);
   simulation_run (simulation, 0.5);
-  g_assert_true (simulation_logged (simulation, "given back: idle"));
+  g_assert_true (simulation_logged (simulation, "releasing machine reason=idle"));
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 60, all_run, next);
@@ -150,7 +151,7 @@
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   simulation_run (simulation, 40);
   g_assert_nonnull (simulation_leader (simulation));
-  g_assert_false (simulation_logged (simulation, "silent since the change"));
+  g_assert_false (simulation_logged (simulation, "reason=silent_since_failover"));
 }
 
 /* A report that was sent before a start was carried out reaches a new leader late. That it does not
@@ -245,7 +246,7 @@
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
   WAIT (simulation, 25, told_done, next);
   g_assert_cmpuint (simulation->cloud->machines->len, >, lease_lengths);
-  g_autofree char *line = g_strdup_printf ("machine %s: reports", machine->name);
+  g_autofree char *line = g_strdup_printf ("machine joined machine=%s ", machine->name);
   guint reported = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
     reported += strstr (g_ptr_array_index (simulation->log_lines, i), line) != NULL;
@@ -275,7 +276,7 @@
   spec->estimate_us = 60 * MH_SECOND_US;
   simulation_submit (simulation, spec, 60);
   simulation_run (simulation, 8);
-  g_assert_true (simulation_logged (simulation, "nothing comes from any of them"));
+  g_assert_true (simulation_logged (simulation, "zone silent, taken for partitioned"));
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
@@ -301,7 +302,7 @@
   machine->sequence = machine->token = 0;
   machine->lease_from_us = simulation->clock->now_us;
   WAIT (simulation, 7, is_gone, machine);
-  g_assert_true (simulation_logged (simulation, "begun anew"));
+  g_assert_true (simulation_logged (simulation, "reason=worker_restarted"));
   WAIT (simulation, 15, all_run, user);
 }
 
--- a/tests/test-faults.c
+++ b/tests/test-task-failure.c
@@ -30,9 +30,9 @@
   User *good = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 4, 1), 5);
   WAIT (simulation, 120, told_done, good);
   simulation_run (simulation, 60);
-  g_assert_false (simulation_logged (simulation, "fails every task"));
-  g_assert_true (simulation_logged (simulation, "job j-000002: fails wherever it starts"));
-  g_assert_true (simulation_logged (simulation, "job j-000003: fails wherever it starts"));
+  g_assert_false (simulation_logged (simulation, "fails_every_task"));
+  g_assert_true (simulation_logged (simulation, "fails wherever it starts job=j-000002"));
+  g_assert_true (simulation_logged (simulation, "fails wherever it starts job=j-000003"));
   user_cancel (first);
   user_cancel (second);
   WAIT (simulation, 10, told_cancelled, first);
@@ -80,7 +80,7 @@
   simulation_run (simulation, 20);
   user->job->fails = false;
   WAIT (simulation, 180, told_done, user);
-  g_assert_true (simulation_logged (simulation, "runs after all"));
+  g_assert_true (simulation_logged (simulation, "job runs after back-off"));
 }
 
 /* A faulty machine is still told from such jobs by what runs elsewhere. */
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,6 @@
 /* Beside the version in production: what it writes is read, and what is written here is the same to
    the byte as long as no gang is in it. */
+#include "election/leader-record.h"
 #include "controller/core-private.h"
 #include "protocol/peer.h"
 #include "production-gang-records.h"
@@ -75,9 +76,9 @@
   g_autoptr (MhValue) last = LOAD (production_epoch), release = LOAD (production_release);
   g_assert_true (mh_record_read_final (final, &answer));
   g_assert_cmpint (answer.state, ==, MH_JOB_CANCELLED);
-  g_assert_true (mh_record_read_leader (leader, &node, &epoch, &lease_id));
+  g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpstr (node, ==, "worker-1");
-  g_assert_true (mh_record_read_epoch (last, &epoch));
+  g_assert_true (mh_epoch_record_read (last, &epoch));
   g_assert_cmpuint (epoch, ==, 2000000);
   g_auto (GStrv) names = mh_record_read_release (release);
   g_assert_cmpuint (g_strv_length (names), ==, 2);
@@ -98,22 +99,22 @@
   g_autoptr (MhValue) stored = LOAD (production_job);
   MhJobSpec *spec = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
   MhJob *job = mh_job_new (spec, chunk, settings->value_bytes, at, &now);
-  MhMachine *m = mh_fleet_add (core, "vm-000231", "g8", "b", true);
+  MhMachine *m = mh_cluster_add_machine (core->cluster, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
-    mh_fleet_attempt_new (core, job, i * 15, 2 + i, m);
+    mh_attempt_new (core->cluster, job, i * 15, 2 + i, m);
   job->tasks[1] = (MhTask){ .attempt = 4, .state = MH_TASK_DONE };
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
-  job->cancelled = true;
+  job->cancellation = MH_CANCELLATION_REQUESTED;
   job->n_done = 1;
   ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17"), production_job);
   ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17"), production_tasks);
   ASSERT_WRITTEN (mh_record_write_final (job, "5.18"), production_final);
-  ASSERT_WRITTEN (mh_record_write_leader ("worker-1", 1000001, 7), production_leader);
-  ASSERT_WRITTEN (mh_record_write_epoch (2000000), production_epoch);
+  ASSERT_WRITTEN (mh_leader_record_write ("worker-1", 1000001, 7), production_leader);
+  ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_epoch);
   const char *names[] = { "vm-000231", "vm-000232", NULL };
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_release);
   for (guint i = 0; i < 3; i++)
-    mh_fleet_attempt_forget (core, job->tasks[(gsize)i * 15].live);
+    mh_attempt_discard (core->cluster, job->tasks[(gsize)i * 15].live);
   mh_job_free (job);
 }
 
@@ -167,8 +168,10 @@
   settings->cancel_us = 60 * MH_SECOND_US;
   fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   fixture->core = mh_core_new (settings, &fixture->now);
-  fixture->machines[0] = mh_fleet_add (fixture->core, "vm-000231", "g8", "b", false);
-  fixture->machines[1] = mh_fleet_add (fixture->core, "vm-000232", "g8", "b", false);
+  fixture->machines[0]
+      = mh_cluster_add_machine (fixture->core->cluster, "vm-000231", "g8", "b", false);
+  fixture->machines[1]
+      = mh_cluster_add_machine (fixture->core->cluster, "vm-000232", "g8", "b", false);
 }
 
 static void
@@ -204,8 +207,8 @@
   MhTask *task = &loading->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *on = mh_fleet_machine (loading->fixture->core, machine);
-      mh_fleet_attempt_new (loading->fixture->core, loading->job, index, attempt, on);
+      MhMachine *on = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
+      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, on);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
@@ -223,7 +226,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_fleet_attempt_forget (fixture->core, job->tasks[i].live);
+      mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
   mh_job_free (job);
 }
 
@@ -247,7 +250,7 @@
   ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40"), production_gang);
 
   for (guint i = 0; i < 4; i++)
-    mh_fleet_attempt_forget (fixture->core, job->tasks[i].live);
+    mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
   load_tasks (fixture, job, done);
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (job->tasks[i].state, ==, MH_TASK_DONE);
@@ -288,10 +291,10 @@
   g_autofree char *node = NULL;
   const char *names[] = { "vm-000233", NULL };
   g_autoptr (MhValue) leader = LOAD (production_gang_leader);
-  ASSERT_WRITTEN (mh_record_write_leader ("worker-2", 1000001, 9), production_gang_leader);
-  ASSERT_WRITTEN (mh_record_write_epoch (2000000), production_gang_epoch);
+  ASSERT_WRITTEN (mh_leader_record_write ("worker-2", 1000001, 9), production_gang_leader);
+  ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_gang_epoch);
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_gang_release);
-  g_assert_true (mh_record_read_leader (leader, &node, &epoch, &lease_id));
+  g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpuint (lease_id, ==, 9);
 }
 
