--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -133,7 +133,7 @@
 read_shown_task (MhCluster *cluster, MhMachine *machine, const MhReportTask *shown)
 {
   /* What it may do is not known: it is left alone. */
-  if (g_hash_table_contains (cluster->core->unreadable, shown->job))
+  if (mh_record_loader_is_unreadable (cluster->core->record_loader, shown->job))
     {
       machine->heartbeat.unreadable_tasks++;
       return;
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -31,7 +31,6 @@
     {
       job->records[i].job = job;
       job->records[i].chunk = i;
-      job->records[i].again = MH_URGENCY_PROGRESS;
     }
 }
 
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -46,8 +46,8 @@
 {
   MhAttempt *attempt = mh_attempt_new (core->cluster, job, index, attempt_number, machine);
   MhRecord *record = mh_job_record (job, index);
-  mh_store_touch (core, record, urgency);
-  attempt->need_rev = record->rev;
+  mh_record_writer_touch (core->record_writer, record, urgency);
+  attempt->need_rev = mh_record_revision (record);
   mh_debug (core, "task placed job=%s task=%u attempt=%u machine=%s zone=%s image=%s",
             job->spec->id, index, attempt->attempt, machine->name, machine->zone,
             mh_machine_has_image (machine, job->image) ? "present" : "absent");
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -114,18 +114,26 @@
   simulation_free (simulation);
 }
 
+/* What every scenario runs in. */
+typedef struct
+{
+  guint32 seed;
+  SimulationTest test;
+} SimulationCase;
+
 static void
-run_test (gconstpointer data)
+run_case (gconstpointer data)
 {
-  const SimulationTest *test = data;
-  Simulation *simulation = simulation_new (test->seed);
-  test->run (simulation);
+  const SimulationCase *self = data;
+  Simulation *simulation = simulation_new (self->seed);
+  self->test (simulation);
   finish (simulation);
 }
 
 void
-simulation_tests_add (const SimulationTest *tests, gsize count)
+simulation_test_add (const char *path, guint32 seed, SimulationTest test)
 {
-  for (gsize i = 0; i < count; i++)
-    g_test_add_data_func (tests[i].path, &tests[i], run_test);
+  SimulationCase *self = g_new (SimulationCase, 1);
+  *self = (SimulationCase){ .seed = seed, .test = test };
+  g_test_add_data_func_full (path, self, run_case, g_free);
 }
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -3,22 +3,14 @@
 
 #include "stand-in/simulation.h"
 
-/**
- * SimulationTest:
- * @path: of the GTest case
- * @seed: of its simulation
- * @run: the scenario; it is handed a new simulation, which is checked and freed afterwards
- */
-typedef struct
-{
-  const char *path;
-  guint32 seed;
-  void (*run) (Simulation *simulation);
-} SimulationTest;
+/** SimulationTest: A scenario: @simulation is new; afterwards its rules are checked, and it is
+ * freed. */
+typedef void (*SimulationTest) (Simulation *simulation);
 
-/** simulation_tests_add: Adds the cases; @tests must live as long as the program. */
+/** simulation_test_add: Adds the GTest case of that path, which runs @test with a seed of its own.
+ */
 void
-simulation_tests_add (const SimulationTest *tests, gsize count);
+simulation_test_add (const char *path, guint32 seed, SimulationTest test);
 
 #define WAIT(simulation, seconds, what, data)                                                      \
   g_assert_true (simulation_until (simulation, seconds, what, data))
--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -78,17 +78,13 @@
   WAIT (simulation, 200, told_done, user);
 }
 
-static const SimulationTest tests[] = {
-  { "/boot-time/slow", 61, test_slow_boots },
-  { "/boot-time/never-joins", 62, test_never_joins },
-  { "/boot-time/joins-late", 63, test_joins_late },
-  { "/boot-time/fast-and-usual", 64, test_fast_boots_and_usual_ones },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/boot-time/slow", 61, test_slow_boots);
+  simulation_test_add ("/boot-time/never-joins", 62, test_never_joins);
+  simulation_test_add ("/boot-time/joins-late", 63, test_joins_late);
+  simulation_test_add ("/boot-time/fast-and-usual", 64, test_fast_boots_and_usual_ones);
   return g_test_run ();
 }
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -1,6 +1,6 @@
 /* Compound failures: two or three things go wrong at once. Those that the operators named first are
-   in test-outages.c, test-partitions.c and test-late-messages.c; docs/meetings.md has a row for
-   each. */
+   in test-store-outages.c, test-partitions.c and test-late-messages.c; docs/meetings.md has a row
+   for each. */
 #include "steps.h"
 
 #include <string.h>
@@ -321,10 +321,6 @@
     }
 }
 
-static const SimulationTest tests[] = {
-  { "/compound-failure/many-small-jobs", 330, test_many_small_jobs },
-};
-
 int
 main (int argc, char **argv)
 {
@@ -339,6 +335,6 @@
   g_test_add_func ("/compound-failure/old-reports-at-an-election", test_old_reports_at_an_election);
   g_test_add_func ("/compound-failure/limits-cut-machines-and-a-new-leader",
                    test_limits_cut_machines_and_a_new_leader);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/compound-failure/many-small-jobs", 330, test_many_small_jobs);
   return g_test_run ();
 }
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -558,30 +558,6 @@
   WAIT (simulation, 60, told_done, user);
 }
 
-static const SimulationTest tests[] = {
-  { "/gang-scheduling/life", 1, test_life },
-  { "/gang-scheduling/done-together", 13, test_done_together },
-  { "/gang-scheduling/refusals", 2, test_refusals },
-  { "/gang-scheduling/all-or-none", 3, test_all_or_none },
-  { "/gang-scheduling/two-gangs", 4, test_two_gangs },
-  { "/gang-scheduling/on-record-first", 5, test_on_record_first },
-  { "/gang-scheduling/incomplete", 14, test_incomplete },
-  { "/gang-scheduling/fails-everywhere", 15, test_fails_everywhere },
-  { "/gang-scheduling/late-start-of-an-old-attempt", 16, test_late_start_of_an_old_attempt },
-  { "/gang-scheduling/stopped-while-one-cannot-be-told", 19,
-    test_stopped_while_one_cannot_be_told },
-  { "/gang-scheduling/done-only-on-record", 20, test_done_only_on_record },
-  { "/gang-scheduling/refusals-without-a-leader", 21, test_refusals_without_a_leader },
-  { "/gang-scheduling/task-fails", 12, test_task_fails },
-  { "/gang-scheduling/orderly-stop", 80, test_orderly_stop },
-  { "/gang-scheduling/order-of-victims", 85, test_order_of_victims },
-  { "/gang-scheduling/not-stopped-for-a-guarantee-alone", 87,
-    test_not_stopped_for_a_guarantee_alone },
-  { "/gang-scheduling/rented-whole", 86, test_rented_whole },
-  { "/gang-scheduling/late-image", 81, test_late_image },
-  { "/gang-scheduling/small-records", 82, test_small_records },
-};
-
 int
 main (int argc, char **argv)
 {
@@ -592,6 +568,28 @@
   g_test_add_func ("/gang-scheduling/leaders-change", test_leaders_change);
   g_test_add_func ("/gang-scheduling/cancel", test_cancel);
   g_test_add_func ("/gang-scheduling/notice", test_notice);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/gang-scheduling/life", 1, test_life);
+  simulation_test_add ("/gang-scheduling/done-together", 13, test_done_together);
+  simulation_test_add ("/gang-scheduling/refusals", 2, test_refusals);
+  simulation_test_add ("/gang-scheduling/all-or-none", 3, test_all_or_none);
+  simulation_test_add ("/gang-scheduling/two-gangs", 4, test_two_gangs);
+  simulation_test_add ("/gang-scheduling/on-record-first", 5, test_on_record_first);
+  simulation_test_add ("/gang-scheduling/incomplete", 14, test_incomplete);
+  simulation_test_add ("/gang-scheduling/fails-everywhere", 15, test_fails_everywhere);
+  simulation_test_add ("/gang-scheduling/late-start-of-an-old-attempt", 16,
+                       test_late_start_of_an_old_attempt);
+  simulation_test_add ("/gang-scheduling/stopped-while-one-cannot-be-told", 19,
+                       test_stopped_while_one_cannot_be_told);
+  simulation_test_add ("/gang-scheduling/done-only-on-record", 20, test_done_only_on_record);
+  simulation_test_add ("/gang-scheduling/refusals-without-a-leader", 21,
+                       test_refusals_without_a_leader);
+  simulation_test_add ("/gang-scheduling/task-fails", 12, test_task_fails);
+  simulation_test_add ("/gang-scheduling/orderly-stop", 80, test_orderly_stop);
+  simulation_test_add ("/gang-scheduling/order-of-victims", 85, test_order_of_victims);
+  simulation_test_add ("/gang-scheduling/not-stopped-for-a-guarantee-alone", 87,
+                       test_not_stopped_for_a_guarantee_alone);
+  simulation_test_add ("/gang-scheduling/rented-whole", 86, test_rented_whole);
+  simulation_test_add ("/gang-scheduling/late-image", 81, test_late_image);
+  simulation_test_add ("/gang-scheduling/small-records", 82, test_small_records);
   return g_test_run ();
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -285,25 +285,21 @@
   g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
 }
 
-static const SimulationTest tests[] = {
-  { "/jobs/array", 1, test_array },
-  { "/jobs/chunks", 2, test_chunks },
-  { "/jobs/refusals", 3, test_refusals },
-  { "/jobs/types-unknown", 4, test_types_unknown },
-  { "/jobs/cancel-in-flight", 9, test_cancel_in_flight },
-  { "/jobs/start-waits-for-its-record", 26, test_start_waits_for_its_record },
-  { "/jobs/result-waits-for-its-record", 27, test_result_waits_for_its_record },
-  { "/jobs/questions-beside-writes", 34, test_questions_beside_writes },
-  { "/jobs/large-job-begins", 35, test_large_job_begins },
-  { "/jobs/largest-job", 42, test_largest_job },
-  { "/jobs/idle-followers-sleep", 22, test_idle_followers_sleep },
-  { "/jobs/large-fleet", 38, test_large_fleet },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/jobs/array", 1, test_array);
+  simulation_test_add ("/jobs/chunks", 2, test_chunks);
+  simulation_test_add ("/jobs/refusals", 3, test_refusals);
+  simulation_test_add ("/jobs/types-unknown", 4, test_types_unknown);
+  simulation_test_add ("/jobs/cancel-in-flight", 9, test_cancel_in_flight);
+  simulation_test_add ("/jobs/start-waits-for-its-record", 26, test_start_waits_for_its_record);
+  simulation_test_add ("/jobs/result-waits-for-its-record", 27, test_result_waits_for_its_record);
+  simulation_test_add ("/jobs/questions-beside-writes", 34, test_questions_beside_writes);
+  simulation_test_add ("/jobs/large-job-begins", 35, test_large_job_begins);
+  simulation_test_add ("/jobs/largest-job", 42, test_largest_job);
+  simulation_test_add ("/jobs/idle-followers-sleep", 22, test_idle_followers_sleep);
+  simulation_test_add ("/jobs/large-fleet", 38, test_large_fleet);
   return g_test_run ();
 }
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -30,7 +30,7 @@
       simulation_run (simulation, 30);
       simulation->network->late_write_probability = 0;
       wait_all (simulation, 200);
-      g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
+      g_assert_false (simulation_logged (simulation, "reason=write-outcome-unknown"));
       finish (simulation);
     }
 }
@@ -59,7 +59,7 @@
       break;
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_true (simulation_leader (simulation) == leader);
-  g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
+  g_assert_false (simulation_logged (simulation, "reason=write-outcome-unknown"));
 }
 
 /* The same, and while its write waits the user asks, and submits once more: what the question found
@@ -237,7 +237,7 @@
         simulation_start_node (simulation, i);
       WAIT (simulation, 10, told_cancelled, cancelled);
       WAIT (simulation, 120, told_done, user);
-      g_assert_true (simulation_logged (simulation, "re-chunked into"));
+      g_assert_true (simulation_logged (simulation, "job re-chunked"));
       g_assert_false (simulation_logged (simulation, "refused by the state service"));
       g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 322);
@@ -247,24 +247,22 @@
     }
 }
 
-static const SimulationTest tests[] = {
-  { "/late-messages/late-write-meets-a-final-record", 75, test_late_write_meets_a_final_record },
-  { "/late-messages/question-between-repeated-submissions", 86,
-    test_question_between_repeated_submissions },
-  { "/late-messages/report-of-an-earlier-session", 77, test_report_of_an_earlier_session },
-  { "/late-messages/cancel-at-the-end", 79, test_cancel_at_the_end },
-  { "/late-messages/report-held-until-a-new-leader-acted", 81,
-    test_report_held_until_a_new_leader_acted },
-  { "/late-messages/odd-requests", 84, test_odd_requests },
-  { "/late-messages/record-not-understood", 85, test_record_not_understood },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/late-messages/late-writes", test_late_writes);
   g_test_add_func ("/late-messages/rechunked", test_rechunked);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/late-messages/late-write-meets-a-final-record", 75,
+                       test_late_write_meets_a_final_record);
+  simulation_test_add ("/late-messages/question-between-repeated-submissions", 86,
+                       test_question_between_repeated_submissions);
+  simulation_test_add ("/late-messages/report-of-an-earlier-session", 77,
+                       test_report_of_an_earlier_session);
+  simulation_test_add ("/late-messages/cancel-at-the-end", 79, test_cancel_at_the_end);
+  simulation_test_add ("/late-messages/report-held-until-a-new-leader-acted", 81,
+                       test_report_held_until_a_new_leader_acted);
+  simulation_test_add ("/late-messages/odd-requests", 84, test_odd_requests);
+  simulation_test_add ("/late-messages/record-not-understood", 85, test_record_not_understood);
   return g_test_run ();
 }
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -162,12 +162,6 @@
                     ==, 404);
 }
 
-static const SimulationTest tests[] = {
-  { "/key-value-store-limits/rate-not-announced", 2, test_rate_not_announced },
-  { "/key-value-store-limits/refused-as-malformed", 4, test_refused_as_malformed },
-  { "/key-value-store-limits/submission-too-large", 5, test_submission_too_large },
-};
-
 int
 main (int argc, char **argv)
 {
@@ -175,6 +169,10 @@
   g_test_add_func ("/key-value-store-limits/rate-for-good", test_rate_for_good);
   g_test_add_func ("/key-value-store-limits/rate-of-earlier-settings",
                    test_rate_of_earlier_settings);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/key-value-store-limits/rate-not-announced", 2, test_rate_not_announced);
+  simulation_test_add ("/key-value-store-limits/refused-as-malformed", 4,
+                       test_refused_as_malformed);
+  simulation_test_add ("/key-value-store-limits/submission-too-large", 5,
+                       test_submission_too_large);
   return g_test_run ();
 }
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -333,29 +333,28 @@
   WAIT (simulation, 60, all_run, user);
 }
 
-static const SimulationTest tests[] = {
-  { "/machines/hung-machine", 5, test_hung_machine },
-  { "/machines/hung-machine-new-leader", 6, test_hung_machine_new_leader },
-  { "/machines/late-command", 7, test_late_command },
-  { "/machines/late-command-fenced", 8, test_late_command_is_fenced },
-  { "/machines/repeated-requests", 41, test_repeated_requests },
-  { "/machines/release-outlives-its-leader", 45, test_release_outlives_its_leader },
-  { "/machines/suspected-machine-is-probed", 23, test_suspected_machine_is_probed },
-  { "/machines/proof-is-kept", 24, test_proof_is_kept },
-  { "/machines/late-report-proves-nothing", 28, test_late_report_proves_nothing },
-  { "/machines/new-session", 11, test_new_session },
-  { "/machines/sick-machine", 18, test_sick_machine },
-  { "/machines/calls-at-once", 48, test_calls_at_once },
-  { "/machines/answers-ignored", 30, test_answers_ignored },
-  { "/machines/late-copy-of-returned-machine", 31, test_late_copy_of_returned_machine },
-  { "/machines/partitioned-zone", 41, test_partitioned_zone },
-  { "/machines/worker-begins-anew", 47, test_worker_begins_anew },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/machines/hung-machine", 5, test_hung_machine);
+  simulation_test_add ("/machines/hung-machine-new-leader", 6, test_hung_machine_new_leader);
+  simulation_test_add ("/machines/late-command", 7, test_late_command);
+  simulation_test_add ("/machines/late-command-fenced", 8, test_late_command_is_fenced);
+  simulation_test_add ("/machines/repeated-requests", 41, test_repeated_requests);
+  simulation_test_add ("/machines/release-outlives-its-leader", 45,
+                       test_release_outlives_its_leader);
+  simulation_test_add ("/machines/suspected-machine-is-probed", 23,
+                       test_suspected_machine_is_probed);
+  simulation_test_add ("/machines/proof-is-kept", 24, test_proof_is_kept);
+  simulation_test_add ("/machines/late-report-proves-nothing", 28, test_late_report_proves_nothing);
+  simulation_test_add ("/machines/new-session", 11, test_new_session);
+  simulation_test_add ("/machines/sick-machine", 18, test_sick_machine);
+  simulation_test_add ("/machines/calls-at-once", 48, test_calls_at_once);
+  simulation_test_add ("/machines/answers-ignored", 30, test_answers_ignored);
+  simulation_test_add ("/machines/late-copy-of-returned-machine", 31,
+                       test_late_copy_of_returned_machine);
+  simulation_test_add ("/machines/partitioned-zone", 41, test_partitioned_zone);
+  simulation_test_add ("/machines/worker-begins-anew", 47, test_worker_begins_anew);
   return g_test_run ();
 }
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -4,8 +4,9 @@
 
 #include <string.h>
 
-/* Its lease runs out, again and again, and with it whatever is started there. It takes no work and
-   is given back, and what ran there runs elsewhere; a whole zone of them does not stop the rest. */
+/* The lease of a machine whose heartbeats are lost runs out, again and again, and with it whatever
+   is started there: it takes no work and is given back, and what ran there runs elsewhere; a whole
+   zone of them would stop the rest. */
 static void
 test_reports_lost (Simulation *simulation)
 {
@@ -32,7 +33,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
 }
 
-/* No report comes to this leader alone, though the workers answer its questions: another leads. */
+/* No heartbeat comes to this leader alone, though the workers answer its questions: their leases
+   would run out if no other led. */
 static void
 test_reports_to_the_leader_lost (Simulation *simulation)
 {
@@ -46,8 +48,8 @@
   WAIT (simulation, 30, all_run, user);
 }
 
-/* More work than room, urgent and not, over links on which a part of everything comes late: all of
-   it runs in the end, the urgent first, and nothing waits beside free room. */
+/* More work than room, urgent and not, over links on which a part of everything comes late: urgent
+   work would come last, or work would wait beside free room. */
 static void
 test_more_work_than_room (Simulation *simulation)
 {
@@ -65,7 +67,7 @@
 }
 
 /* The workers of a zone can reach only the leader, which is cut off with them for longer than their
-   lease. What runs there runs elsewhere only when the machines are gone. */
+   lease: what runs there would run twice if it ran elsewhere before the machines are gone. */
 static void
 test_zone_cut_with_its_leader (Simulation *simulation)
 {
@@ -87,7 +89,8 @@
   WAIT (simulation, 60, all_run, user);
 }
 
-/* Jobs of two or three tasks that end far apart, each with a change of leader between. */
+/* Jobs of two or three tasks that end far apart, each with a change of leader between: tasks that
+   have ended would run again. */
 static void
 test_ends_far_apart (Simulation *simulation)
 {
@@ -111,8 +114,8 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 15); /* none ran again */
 }
 
-/* An array bound to one zone by its first tasks loses machines there. What runs on keeps it in that
-   zone, and room is rented there, not in the emptier one. */
+/* An array bound to one zone by its first tasks loses machines there: its other tasks would be
+   placed, or machines be rented for it, in the emptier one. */
 static void
 test_one_zone_loses_machines (Simulation *simulation)
 {
@@ -141,9 +144,8 @@
                  == 0);
 }
 
-/* A leader ends while machines with long tasks don't hear its successor, or can't be reached: they
-   are given back, and only then does what they ran run elsewhere, with nothing waiting beside it.
- */
+/* A leader ends while machines with long tasks don't hear its successor, or can't be reached: what
+   they ran would run elsewhere before they are given back, or never. */
 static void
 test_answers_of_a_new_leader_lost (Simulation *simulation)
 {
@@ -157,20 +159,18 @@
   wait_all (simulation, 300);
 }
 
-static const SimulationTest tests[] = {
-  { "/network-partition/reports-lost", 52, test_reports_lost },
-  { "/network-partition/reports-to-the-leader-lost", 53, test_reports_to_the_leader_lost },
-  { "/network-partition/more-work-than-room", 60, test_more_work_than_room },
-  { "/network-partition/zone-cut-with-its-leader", 62, test_zone_cut_with_its_leader },
-  { "/network-partition/ends-far-apart", 78, test_ends_far_apart },
-  { "/network-partition/one-zone-loses-machines", 80, test_one_zone_loses_machines },
-  { "/network-partition/answers-of-a-new-leader-lost", 83, test_answers_of_a_new_leader_lost },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/partitions/reports-lost", 52, test_reports_lost);
+  simulation_test_add ("/partitions/reports-to-the-leader-lost", 53,
+                       test_reports_to_the_leader_lost);
+  simulation_test_add ("/partitions/more-work-than-room", 60, test_more_work_than_room);
+  simulation_test_add ("/partitions/zone-cut-with-its-leader", 62, test_zone_cut_with_its_leader);
+  simulation_test_add ("/partitions/ends-far-apart", 78, test_ends_far_apart);
+  simulation_test_add ("/partitions/one-zone-loses-machines", 80, test_one_zone_loses_machines);
+  simulation_test_add ("/partitions/answers-of-a-new-leader-lost", 83,
+                       test_answers_of_a_new_leader_lost);
   return g_test_run ();
 }
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -263,22 +263,19 @@
   g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
 }
 
-static const SimulationTest tests[] = {
-  { "/placement/quota-unreachable", 10, test_quota_unreachable },
-  { "/placement/spread", 19, test_spread },
-  { "/placement/spread-four-zones", 36, test_spread_four_zones },
-  { "/placement/guarantee", 20, test_guarantee },
-  { "/placement/no-preemption-cycle", 21, test_no_preemption_cycle },
-  { "/placement/images-apart", 37, test_images_apart },
-  { "/placement/room-is-made-once", 43, test_room_is_made_once },
-  { "/placement/lost-room-is-rented", 46, test_lost_room_is_rented },
-  { "/placement/no-rental-while-being-written", 81, test_no_rental_while_being_written },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/placement/quota-unreachable", 10, test_quota_unreachable);
+  simulation_test_add ("/placement/spread", 19, test_spread);
+  simulation_test_add ("/placement/spread-four-zones", 36, test_spread_four_zones);
+  simulation_test_add ("/placement/guarantee", 20, test_guarantee);
+  simulation_test_add ("/placement/no-preemption-cycle", 21, test_no_preemption_cycle);
+  simulation_test_add ("/placement/images-apart", 37, test_images_apart);
+  simulation_test_add ("/placement/room-is-made-once", 43, test_room_is_made_once);
+  simulation_test_add ("/placement/lost-room-is-rented", 46, test_lost_room_is_rented);
+  simulation_test_add ("/placement/no-rental-while-being-written", 81,
+                       test_no_rental_while_being_written);
   return g_test_run ();
 }
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -97,17 +97,13 @@
   WAIT (simulation, 60, told_done, user);
 }
 
-static const SimulationTest tests[] = {
-  { "/job-status/share-reads", 51, test_questions_share_reads },
-  { "/job-status/shared-read-is-not-older", 52, test_shared_read_is_not_older },
-  { "/job-status/follower-remembers-final", 53, test_follower_remembers_final },
-  { "/job-status/beyond-their-share", 54, test_questions_beyond_their_share },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/job-status/share-reads", 51, test_questions_share_reads);
+  simulation_test_add ("/job-status/shared-read-is-not-older", 52, test_shared_read_is_not_older);
+  simulation_test_add ("/job-status/follower-remembers-final", 53, test_follower_remembers_final);
+  simulation_test_add ("/job-status/beyond-their-share", 54, test_questions_beyond_their_share);
   return g_test_run ();
 }
--- a/tests/test-outages.c
+++ b/tests/test-store-outages.c
@@ -1,4 +1,4 @@
-/* Outages of the state service, controllers that are cut off or end, and how long a leader that
+/* Outages of the key-value store, controllers that are cut off or end, and how long a leader that
    cannot renew its lease may extend the workers' leases. docs/meetings.md has a row for each. */
 #include "steps.h"
 
@@ -47,8 +47,8 @@
 }
 
 /* A cancellation is confirmed, and its leader ends before any worker hears of it. The next one can
-   renew its lease, but does not get to see the records for long: it must not keep alive what it
-   cannot know to be cancelled. */
+   renew its lease, but does not get to see the records for long: it would keep alive what it cannot
+   know to be cancelled. */
 static void
 test_cancel_before_a_slow_load (Simulation *simulation)
 {
@@ -69,8 +69,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* Settings that leave no room beside the workers' lease: nothing is kept alive without the state
-   service, what is cancelled is gone in time, and silence is noticed as ever. */
+/* Settings that leave no room beside the workers' lease: were anything kept alive without the
+   key-value store, what is cancelled would not be gone in time. Silence is noticed as ever. */
 static void
 test_no_room_for_lease_extension (Simulation *simulation)
 {
@@ -101,7 +101,7 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* The state service is away for longer than the old leader may keep anything alive: the tasks end
+/* The key-value store is away for longer than the old leader may keep anything alive: the tasks end
    with the workers' leases, and start again on the very machines once it is back. That nothing was
    heard while all reports were refused once had the whole fleet given back. */
 static void
@@ -117,8 +117,8 @@
     g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone);
 }
 
-/* A leader keeps its workers and users alone, and jobs are cancelled through the new one: nobody is
-   told anything older by the first, and what is cancelled is gone in time. */
+/* A leader keeps its workers and users alone, and jobs are cancelled through the new one: users of
+   the first would be told something older, and what is cancelled would not be gone in time. */
 static void
 test_cancel_beside_a_cut_leader (Simulation *simulation)
 {
@@ -141,7 +141,8 @@
   WAIT (simulation, 60, all_run, other);
 }
 
-/* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel. */
+/* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel: what
+   one leader leaves half done would be lost. */
 static void
 test_ten_leaders (Simulation *simulation)
 {
@@ -167,7 +168,7 @@
 }
 
 /* A team is at its limit when the leader changes; a machine that runs its tasks can't be asked, and
-   cancels fall into that. What may still run there counts, so that no more is started. */
+   cancels fall into that. Did what may still run there not count, more would be started. */
 static void
 test_limit_across_leaders (Simulation *simulation)
 {
@@ -185,7 +186,8 @@
   WAIT (simulation, 200, told_done, more); /* the world checks the limit at each start */
 }
 
-/* No controller for longer than the workers' lease: whatever ran is gone, and runs again. */
+/* No controller for longer than the workers' lease: whatever ran is gone, and would not run again
+   if it were taken for running. */
 static void
 test_all_away_for_a_lease (Simulation *simulation)
 {
@@ -201,7 +203,8 @@
   WAIT (simulation, 60, told_done, array);
 }
 
-/* Controllers hand over and back; then all end, and one is back within a moment, alone. */
+/* Controllers transfer leadership and get it back; then all end, and one is back within a moment,
+   alone: it would wait for the lease of its earlier life, or for others. */
 static void
 test_back_and_forth (Simulation *simulation)
 {
@@ -224,22 +227,21 @@
   WAIT (simulation, 60, all_run, user);
 }
 
-static const SimulationTest tests[] = {
-  { "/outages/cancel-before-a-slow-load", 50, test_cancel_before_a_slow_load },
-  { "/outages/no-room-for-lease-extension", 54, test_no_room_for_lease_extension },
-  { "/outages/long-outage", 51, test_long_outage },
-  { "/outages/cancel-beside-a-cut-leader", 61, test_cancel_beside_a_cut_leader },
-  { "/outages/ten-leaders", 63, test_ten_leaders },
-  { "/outages/limit-across-leaders", 64, test_limit_across_leaders },
-  { "/outages/all-away-for-a-lease", 76, test_all_away_for_a_lease },
-  { "/outages/back-and-forth", 82, test_back_and_forth },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/outages/lease-extension", test_lease_extension);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  g_test_add_func ("/store-outages/lease-extension", test_lease_extension);
+  simulation_test_add ("/store-outages/cancel-before-a-slow-load", 50,
+                       test_cancel_before_a_slow_load);
+  simulation_test_add ("/store-outages/no-room-for-lease-extension", 54,
+                       test_no_room_for_lease_extension);
+  simulation_test_add ("/store-outages/long-outage", 51, test_long_outage);
+  simulation_test_add ("/store-outages/cancel-beside-a-cut-leader", 61,
+                       test_cancel_beside_a_cut_leader);
+  simulation_test_add ("/store-outages/ten-leaders", 63, test_ten_leaders);
+  simulation_test_add ("/store-outages/limit-across-leaders", 64, test_limit_across_leaders);
+  simulation_test_add ("/store-outages/all-away-for-a-lease", 76, test_all_away_for_a_lease);
+  simulation_test_add ("/store-outages/back-and-forth", 82, test_back_and_forth);
   return g_test_run ();
 }
--- a/tests/test-task-failure.c
+++ b/tests/test-task-failure.c
@@ -97,18 +97,16 @@
   WAIT (simulation, 120, told_done, array);
 }
 
-static const SimulationTest tests[] = {
-  { "/task-failure/no-machine-is-blamed", 41, test_no_machine_is_blamed },
-  { "/task-failure/tries-are-few", 42, test_tries_are_few },
-  { "/task-failure/back-off-survives-the-leader", 43, test_back_off_survives_the_leader },
-  { "/task-failure/runs-after-all", 44, test_runs_after_all },
-  { "/task-failure/faulty-machine-beside-failing-job", 45, test_faulty_machine_beside_failing_job },
-};
-
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_tests_add (tests, G_N_ELEMENTS (tests));
+  simulation_test_add ("/task-failure/no-machine-is-blamed", 41, test_no_machine_is_blamed);
+  simulation_test_add ("/task-failure/tries-are-few", 42, test_tries_are_few);
+  simulation_test_add ("/task-failure/back-off-survives-the-leader", 43,
+                       test_back_off_survives_the_leader);
+  simulation_test_add ("/task-failure/runs-after-all", 44, test_runs_after_all);
+  simulation_test_add ("/task-failure/faulty-machine-beside-failing-job", 45,
+                       test_faulty_machine_beside_failing_job);
   return g_test_run ();
 }
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -325,7 +325,7 @@
 rechunked (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return simulation_logged (simulation, "re-chunked into")
+  return simulation_logged (simulation, "job re-chunked")
          || simulation_logged (simulation, "laid out anew");
 }
 
