--- a/tests/steps.c
+++ b/tests/steps.c
@@ -96,6 +96,49 @@
   return user;
 }
 
+void
+use_small_machines (MhJobSpec *spec)
+{
+  spec->types = g_strsplit ("small", ",", -1);
+}
+
+MhJobSpec *
+gang_spec (guint number, guint tasks, double cpus)
+{
+  MhJobSpec *spec = job_spec_new (number, MH_SHAPE_GANG, tasks, cpus);
+  spec->spot = false;
+  spec->one_zone = true;
+  spec->estimate_us = 20 * MH_SECOND_US;
+  spec->checkpoint_us = 5 * MH_SECOND_US;
+  spec->save_us = 2 * MH_SECOND_US;
+  return spec;
+}
+
+bool
+gang_runs (Simulation *simulation, gpointer data)
+{
+  (void)simulation;
+  return ((User *)data)->job->running_attempt != 0;
+}
+
+User *
+running_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s)
+{
+  User *user = simulation_submit (simulation, gang_spec (number, tasks, cpus), run_s);
+  WAIT (simulation, 60, gang_runs, user);
+  return user;
+}
+
+User *
+gang_on_small_machines (Simulation *simulation, guint machines, double run_s)
+{
+  simulation->cloud->capacity = 0;
+  add_small_machines (simulation, machines);
+  MhJobSpec *spec = gang_spec (1, 4, 2);
+  use_small_machines (spec);
+  return simulation_submit (simulation, spec, run_s);
+}
+
 void
 wait_all (Simulation *simulation, double seconds)
 {
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -42,6 +42,20 @@
 /* An array that is expected to run for long, so that none of its tasks waits for another. */
 User *
 running_array (Simulation *simulation, guint number, guint tasks, double run_s);
+/* The job runs on machines of that type alone. */
+void
+use_small_machines (MhJobSpec *spec);
+/* A gang in one zone that saves its progress. */
+MhJobSpec *
+gang_spec (guint number, guint tasks, double cpus);
+/* For simulation_until: the gang of a User runs. */
+bool
+gang_runs (Simulation *simulation, gpointer data);
+User *
+running_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s);
+/* A gang of four tasks, two to a machine, and no other machines can be rented. */
+User *
+gang_on_small_machines (Simulation *simulation, guint machines, double run_s);
 /* Until every job is settled; none may wait beside free room meanwhile. */
 void
 wait_all (Simulation *simulation, double seconds);
--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -10,7 +10,7 @@
 wants_four_machines (Simulation *simulation)
 {
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
-  spec->types = g_strsplit ("small", ",", 1);
+  use_small_machines (spec);
   spec->estimate_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 120);
   WAIT (simulation, 20, accepted, user);
--- /dev/null
+++ b/tests/test-gang-failures.c
@@ -0,0 +1,238 @@
+/* Gangs whose machines, tasks, messages or leaders fail; on a fake clock. */
+#include "steps.h"
+
+#include <string.h>
+
+/* A machine is lost, hangs, is cut off, sends no reports or gets no answers: an attempt that began
+   before the whole of the old one is proven gone would run beside it. */
+static void
+test_machine_lost (void)
+{
+  for (guint how = 0; how < 5; how++)
+    {
+      Simulation *simulation = simulation_new (6 + how);
+      add_small_machines (simulation, 6);
+      MhJobSpec *spec = gang_spec (1, 6, 2);
+      use_small_machines (spec);
+      User *user = simulation_submit (simulation, spec, 25);
+      WAIT (simulation, 60, gang_runs, user);
+      Worker *worker = worker_of (simulation, "j-000001/0");
+      if (how == 0)
+        {
+          machine_fail (worker->machine);
+        }
+      else if (how == 1)
+        worker->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
+      else if (how == 2)
+        worker->cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+      else if (how == 3)
+        worker->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+      else
+        worker->answers_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+      WAIT (simulation, 200, told_done, user);
+      finish (simulation);
+    }
+}
+
+/* Its workers give up before its last image is there. Were that no end like others, the gang would
+   never be started again. */
+static void
+test_incomplete (Simulation *simulation)
+{
+  simulation->settings->gang_wait_us = 4 * MH_SECOND_US; /* the workers', not the controllers' */
+  User *user = gang_on_small_machines (simulation, 2, 5);
+  for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
+    simulation_run (simulation, 0.05);
+  Machine *late = worker_of (simulation, "j-000001/3")->machine;
+  for (guint i = 0; i < late->tasks->len; i++)
+    g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
+  WAIT (simulation, 60, told_done, user);
+  g_assert_true (simulation_logged (simulation, "incomplete-in-time"));
+}
+
+/* It fails on every machine. Without back-off its attempts would take all writes and machines from
+   other work, and it could not be cancelled between them. */
+static void
+test_fails_everywhere (Simulation *simulation)
+{
+  User *user = gang_on_small_machines (simulation, 4, 20);
+  User *other = running_service (simulation, 2, 1);
+  WAIT (simulation, 60, accepted, user);
+  guint starts = simulation->rules->task_starts;
+  for (guint second = 0; second < 60; second++)
+    {
+      for (guint i = 0; i < simulation->cloud->machines->len; i++)
+        {
+          const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
+          for (guint k = 0; k < machine->tasks->len; k++)
+            {
+              MachineTask *task = &g_array_index (machine->tasks, MachineTask, k);
+              if (task->index != 1 || task->phase != MH_TASK_RUNNING
+                  || strcmp (task->job_id, "j-000001") != 0)
+                continue;
+              task->phase = MH_TASK_ENDED;
+              task->cause = "error";
+            }
+        }
+      simulation_run (simulation, 1);
+    }
+  g_assert_true (simulation_logged (simulation, "next_start_s="));
+  g_assert_cmpuint (simulation->rules->task_starts - starts, <=, 32); /* eight attempts */
+  g_assert_cmpuint (simulation_running_tasks (simulation, other->job->spec->id), ==, 1);
+  user_cancel (user);
+  WAIT (simulation, 10, told_cancelled, user);
+  simulation_run (simulation, 42);
+  g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
+}
+
+/* Direct starts of an attempt that was given up arrive while the next one runs. Carried out, on a
+   machine that has room for them, they would be a second attempt beside it. */
+static void
+test_late_start_of_an_old_attempt (Simulation *simulation)
+{
+  simulation->network->keep_requests = true;
+  simulation->cloud->capacity = 0;
+  for (guint i = 0; i < 4; i++)
+    cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
+  MhJobSpec *spec = gang_spec (1, 4, 1);
+  spec->one_zone = false;
+  spec->scatter = true;
+  User *user = simulation_submit (simulation, spec, 25);
+  WAIT (simulation, 60, gang_runs, user);
+  machine_fail (worker_of (simulation, "j-000001/0")->machine);
+  simulation_run (simulation, 1);
+  for (guint i = 0; i < 600 && user->job->running_attempt < 2; i++)
+    simulation_run (simulation, 0.1);
+  g_assert_cmpuint (user->job->running_attempt, ==, 2);
+  simulation->network->keep_requests = false;
+  g_assert_cmpuint (simulation->network->kept_requests->len, >, 0);
+  for (guint i = simulation->network->kept_requests->len; i-- > 0;)
+    if (!outgoing_calls_kept_is_command (simulation, i))
+      g_ptr_array_remove_index (simulation->network->kept_requests, i);
+  outgoing_calls_repeat_kept (simulation);
+  simulation_run (simulation, 2);
+  g_assert_cmpuint (user->job->running_attempt, ==, 2);
+  WAIT (simulation, 60, told_done, user);
+}
+
+/* A report from the time of an attempt that was given up comes while the next one runs, also to a
+   leader that has just begun. Believed, it would end the new attempt, or bring the old one back. */
+static void
+test_late_report_of_an_old_attempt (void)
+{
+  for (guint new_leader = 0; new_leader < 2; new_leader++)
+    {
+      Simulation *simulation = simulation_new (17 + new_leader);
+      User *user = gang_on_small_machines (simulation, 5, 25);
+      WAIT (simulation, 60, gang_runs, user);
+      g_autoptr (MhValue) old
+          = worker_protocol_report (worker_of (simulation, "j-000001/3")->machine);
+      machine_fail (worker_of (simulation, "j-000001/0")->machine);
+      for (guint i = 0; i < 600 && user->job->running_attempt != 2; i++)
+        simulation_run (simulation, 0.1);
+      g_assert_cmpuint (user->job->running_attempt, ==, 2);
+      if (new_leader)
+        {
+          simulation_stop_node (simulation, simulation_leader (simulation)->index);
+          WAIT (simulation, 10, has_leader, NULL);
+        }
+      for (guint i = 0; i < SIMULATION_NODES; i++)
+        if (simulation->nodes[i].controller)
+          workers_deliver_late_report (simulation, &simulation->nodes[i], old);
+      simulation_run (simulation, 3);
+      g_assert_cmpuint (user->job->running_attempt, ==, 2);
+      WAIT (simulation, 60, told_done, user);
+      finish (simulation);
+    }
+}
+
+/* A task fails on a faulty machine: without a new attempt on others the gang would never be done.
+ */
+static void
+test_task_fails (Simulation *simulation)
+{
+  add_small_machines (simulation, 4);
+  MhJobSpec *spec = gang_spec (1, 4, 2);
+  use_small_machines (spec);
+  User *user = simulation_submit (simulation, spec, 15);
+  WAIT (simulation, 60, gang_runs, user);
+  worker_of (simulation, "j-000001/2")->machine->faulty = true;
+  WAIT (simulation, 300, told_done, user);
+}
+
+/* Controllers change at every step of a gang's life: a leader that did not take the attempt over
+   would start a second one, or none. */
+static void
+test_leaders_change (void)
+{
+  for (guint step = 0; step < 24; step++)
+    {
+      Simulation *simulation = simulation_new (20 + step);
+      User *user = simulation_submit (simulation, gang_spec (1, 5, 2), 8);
+      WAIT (simulation, 30, accepted, user);
+      simulation_run (simulation, 0.6 * step);
+      ControllerNode *leader = simulation_leader (simulation);
+      guint stopped = leader ? leader->index : 0;
+      simulation_stop_node (simulation, stopped);
+      simulation_run (simulation, step % 2 ? 0.2 : 3);
+      simulation_start_node (simulation, stopped);
+      WAIT (simulation, 120, told_done, user);
+      finish (simulation);
+    }
+}
+
+/* One machine does not get the image in time: the gang is taken back before its workers give up,
+   and put elsewhere. */
+static void
+test_late_image (Simulation *simulation)
+{
+  User *user = simulation_submit (simulation, gang_spec (1, 4, 4), 5);
+  WAIT (simulation, 30, accepted, user);
+  for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
+    simulation_run (simulation, 0.05);
+  Worker *worker = worker_of (simulation, "j-000001/3");
+  MachineTask *task
+      = &g_array_index (worker->machine->tasks, MachineTask, worker->machine->tasks->len - 1);
+  task->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  WAIT (simulation, 150, told_done, user);
+  g_assert_true (simulation_logged (simulation, "taken back"));
+  g_assert_false (simulation_logged (simulation, "incomplete-in-time"));
+}
+
+/* The gang is done, and one of its machines fails before it has told so. If the others' word were
+   not enough, all of it would run again. */
+static void
+test_done_together (Simulation *simulation)
+{
+  add_small_machines (simulation, 3);
+  MhJobSpec *spec = gang_spec (1, 6, 2);
+  use_small_machines (spec);
+  User *user = simulation_submit (simulation, spec, 8);
+  WAIT (simulation, 60, gang_runs, user);
+  Worker *worker = worker_of (simulation, "j-000001/0");
+  Machine *machine = worker->machine;
+  simulation_run (simulation, 5);
+  worker->reports_lost_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
+  WAIT (simulation, 30, all_done, user);
+  machine_fail (machine);
+  WAIT (simulation, 20, told_done, user);
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/gang-scheduling/machine-lost", test_machine_lost);
+  simulation_test_add ("/gang-scheduling/incomplete", 14, test_incomplete);
+  simulation_test_add ("/gang-scheduling/fails-everywhere", 15, test_fails_everywhere);
+  simulation_test_add ("/gang-scheduling/late-start-of-an-old-attempt", 16,
+                       test_late_start_of_an_old_attempt);
+  g_test_add_func ("/gang-scheduling/late-report-of-an-old-attempt",
+                   test_late_report_of_an_old_attempt);
+  simulation_test_add ("/gang-scheduling/task-fails", 12, test_task_fails);
+  g_test_add_func ("/gang-scheduling/leaders-change", test_leaders_change);
+  simulation_test_add ("/gang-scheduling/late-image", 81, test_late_image);
+  simulation_test_add ("/gang-scheduling/done-together", 13, test_done_together);
+  return g_test_run ();
+}
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -66,14 +66,10 @@
 } Scene;
 
 static MhJobSpec *
-gang_spec (void)
+two_version_gang_spec (void)
 {
-  MhJobSpec *spec = job_spec_new (1, MH_SHAPE_GANG, GANG_TASKS, 4);
-  spec->spot = false;
-  spec->one_zone = true;
-  spec->types = g_strdupv ((char **)(const char *[]){ "small", NULL });
-  spec->estimate_us = 20 * MH_SECOND_US;
-  spec->checkpoint_us = 5 * MH_SECOND_US;
+  MhJobSpec *spec = gang_spec (1, GANG_TASKS, 4);
+  use_small_machines (spec);
   spec->save_us = 3 * MH_SECOND_US;
   return spec;
 }
@@ -113,13 +109,6 @@
   return in_phase (simulation, MH_TASK_SAVING);
 }
 
-static bool
-runs (Simulation *simulation, gpointer data)
-{
-  (void)simulation;
-  return ((User *)data)->job->running_attempt != 0;
-}
-
 static bool
 write_held (Simulation *simulation, gpointer unused)
 {
@@ -147,7 +136,7 @@
 until_running (Scene *scene)
 {
   add_machines (scene->simulation);
-  WAIT (scene->simulation, 60, runs, scene->gang);
+  WAIT (scene->simulation, 60, gang_runs, scene->gang);
 }
 
 static bool
@@ -267,7 +256,7 @@
       Scene scene = { .simulation = mixed_sim (100 + 10 * moment + late, change) };
       Simulation *simulation = scene.simulation;
       simulation->cloud->capacity = 0;
-      scene.gang = simulation_submit (simulation, gang_spec (), 12);
+      scene.gang = simulation_submit (simulation, two_version_gang_spec (), 12);
       WAIT (simulation, 10, accepted, scene.gang);
       bring_about (&scene, moment);
       if (late)
