--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -34,7 +34,8 @@
   WAIT (simulation, 200, told_done, user);
 }
 
-/* One of them never joins: another takes its place, and it is given back soon. */
+/* One of them never joins: without another in its place its tasks would wait for ever, and if it
+   were kept it would be paid for. */
 static void
 test_never_joins (Simulation *simulation)
 {
@@ -48,7 +49,8 @@
   g_assert_true (simulation_logged (simulation, "never_joined"));
 }
 
-/* One joins after another was rented in its place: it is used, since it is there. */
+/* One joins after another was rented in its place: given back though it is there, its boot would
+   have been for nothing. */
 static void
 test_joins_late (Simulation *simulation)
 {
@@ -61,7 +63,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
 }
 
-/* Boots were fast for a while, and then are as usual: those on their way are still counted on. */
+/* Boots were fast for a while, and then are as usual: those on their way would be taken for failed,
+   and rented a second time. */
 static void
 test_fast_boots_and_usual_ones (Simulation *simulation)
 {
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -27,8 +27,9 @@
   return user->told_cancelled || user->told_done;
 }
 
-/* Users ask at all nodes, again and again, right after a job was accepted, ended or cancelled: no
-   answer is older than one given before (the stand-in user checks each). */
+/* Users ask at all nodes, again and again, right after a job was accepted, ended or cancelled: a
+   node that answers by what it remembers would give an answer older than one before (the stand-in
+   user checks each). */
 static void
 test_close_looks (void)
 {
@@ -64,7 +65,8 @@
 }
 
 /* A start of a leader that has been deposed arrives after its successor has acted, once the job was
-   placed again, and once it was cancelled. */
+   placed again, and once it was cancelled. Without a fencing token it would run beside the new
+   attempt. */
 static void
 test_command_of_a_deposed_leader (void)
 {
@@ -100,8 +102,9 @@
     }
 }
 
-/* Jobs are cancelled in the seconds in which leadership changes, one at every tenth of a second.
-   What the leader sends straight to the workers comes late. */
+/* Jobs are cancelled in the seconds in which leadership changes, one at every tenth of a second,
+   and what the leader sends straight to the workers comes late. A cancellation that was lost
+   between two leaders would leave its job running. */
 static void
 test_cancelled_while_the_leader_changes (void)
 {
@@ -142,7 +145,7 @@
 }
 
 /* Four jobs of one task a second for two minutes, a quarter of them cancelled, and the leader ends
-   twice: none is left behind. */
+   twice: one that is not on record in time would be left behind. */
 static void
 test_many_small_jobs (Simulation *simulation)
 {
@@ -167,8 +170,8 @@
 }
 
 /* The leader's transactions are carried out, their answers are lost, and other nodes read what they
-   wrote, also such as have just begun and do not know yet that somebody leads: none of them tells a
-   user what the leader may still contradict. */
+   wrote, also such as have just begun and do not know yet that somebody leads: one of them would
+   tell a user what the leader may still contradict. */
 static void
 test_answers_of_writes_lost (void)
 {
@@ -204,7 +207,7 @@
 }
 
 /* Machines are up within a second and get work at once, while writes are carried out late, and one
-   leader after the other ends. */
+   leader after the other ends: starts that are not on record would run twice. */
 static void
 test_fast_machines_slow_writes (void)
 {
@@ -231,7 +234,7 @@
 }
 
 /* Old reports, of tasks that have ended since and of sessions that are over, reach every controller
-   just as a new leader begins. */
+   just as a new leader begins, which would take them for the present state. */
 static void
 test_old_reports_at_an_election (void)
 {
@@ -274,8 +277,8 @@
 }
 
 /* Both teams are at their limit; jobs of both are cancelled whose machines are cut off or hang,
-   more work of both waits, and the leader changes: what may still run counts, and later everything
-   is served. */
+   more work of both waits, and the leader changes. Were what may still run not counted, a team
+   would exceed its quota; were it counted for ever, the rest would wait. */
 static void
 test_limits_cut_machines_and_a_new_leader (void)
 {
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -4,6 +4,8 @@
 
 #include <string.h>
 
+/* A job that was forgotten, told otherwise by another controller, or left with records and idle
+   machines behind it, would cost its user or its owner. */
 static void
 test_array (Simulation *simulation)
 {
@@ -37,7 +39,8 @@
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "f/j-000001"));
 }
 
-/* More tasks than one record holds: all of them are written, reloaded and dropped again. */
+/* More tasks than one record holds. Chunks that were not written, reloaded or dropped with their
+   job would lose tasks, run them twice, or stay for ever. */
 static void
 test_chunks (Simulation *simulation)
 {
@@ -55,6 +58,7 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 200);
 }
 
+/* What can never run would wait for ever, were it accepted. */
 static void
 test_refusals (Simulation *simulation)
 {
@@ -98,7 +102,8 @@
                     201);
 }
 
-/* Types unknown: not decided yet, and nothing is held back. */
+/* While the machine types are unknown nothing can be decided: a refusal would be wrong, and work
+   held back would wait for no reason. */
 static void
 test_types_unknown (Simulation *simulation)
 {
@@ -113,7 +118,8 @@
   g_assert_cmpuint (answer.retry_after_s, >, 0);
 }
 
-/* A cancellation meets a start that is still in flight. */
+/* A cancellation meets a start that is still in flight. Without a stop after it the task would run
+   on. */
 static void
 test_cancel_in_flight (Simulation *simulation)
 {
@@ -129,7 +135,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
 }
 
-/* A start that is not on record is not ordered. */
+/* A start that is sent before it is on record would be unknown to the next leader, which would
+   start the task again. */
 static void
 test_start_waits_for_its_record (Simulation *simulation)
 {
@@ -143,7 +150,8 @@
   WAIT (simulation, 10, all_run, user);
 }
 
-/* A result that is not on record is not cleared from its machine, and no cancellation is told. */
+/* A result that is cleared from its machine before it is on record would be lost with the leader,
+   and a cancellation that is told before would be taken back. */
 static void
 test_result_waits_for_its_record (Simulation *simulation)
 {
@@ -166,7 +174,7 @@
   WAIT (simulation, 20, told_cancelled, service);
 }
 
-/* A follower once woke every 10 ms, which on such a small share of a core is dear. */
+/* A follower once woke every 10 ms, which costs much where it has a small share of a cpu. */
 static void
 test_idle_followers_sleep (Simulation *simulation)
 {
@@ -181,8 +189,8 @@
       }
 }
 
-/* Questions about jobs that only the state service remembers are answered while there is always
-   more to write than the budget allows. */
+/* Questions about jobs that only the key-value store remembers would get no answer while there is
+   always more to write than the rate of calls allows, if writes came first without end. */
 static void
 test_questions_beside_writes (Simulation *simulation)
 {
@@ -216,8 +224,8 @@
     }
 }
 
-/* A large job of the least rank begins within four minutes, though smaller ones of a higher rank
-   keep coming and would take all there is. */
+/* A large job of the lowest priority would never begin while smaller ones of a higher priority keep
+   coming and take all there is: it begins within four minutes. */
 static void
 test_large_job_begins (Simulation *simulation)
 {
@@ -241,7 +249,8 @@
   g_assert_cmpuint (large->job->done_count, >, 0);
 }
 
-/* The largest job there may be is accepted, runs, and is reloaded; a cancellation ends it. */
+/* The largest job there may be would not fit into a transaction or a load if it were handled at
+   once: it is accepted, runs, is reloaded and cancelled. */
 static void
 test_largest_job (Simulation *simulation)
 {
@@ -261,8 +270,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 0);
 }
 
-/* Two thousand machines, all controllers crash, and everything is served; a machine is given back
-   because it is idle, not because so many have not been heard from yet. */
+/* Two thousand machines, and all controllers crash. A new leader that took machines for silent, as
+   not all have reported yet, would give them back; only idle ones go. */
 static void
 test_large_fleet (Simulation *simulation)
 {
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 /* A part of the transactions gets no answer and is carried out after newer ones of the same
-   controller, while jobs come and end and leaders change. */
+   controller, while jobs come and end and leaders change. Without conditions on versions they would
+   bring old records back. */
 static void
 test_late_writes (void)
 {
@@ -36,7 +37,7 @@
 }
 
 /* A submission that is repeated long after its job was over meets the final record in a transaction
-   of which a copy is on its way. It was never carried out, and the leader goes on. */
+   of which a copy is on its way. A leader that took this for another's write would step down. */
 static void
 test_late_write_meets_a_final_record (Simulation *simulation)
 {
@@ -89,7 +90,8 @@
     g_assert_true (answers[i].status == 200 && answers[i].state == MH_JOB_DONE);
 }
 
-/* A report of an earlier session comes after one of the next: what it shows is not there. */
+/* A report of an earlier session comes after one of the next. Believed, what it shows would be
+   taken to run there. */
 static void
 test_report_of_an_earlier_session (Simulation *simulation)
 {
@@ -111,7 +113,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
 }
 
-/* A cancellation, a question and a repeated submission at the very end of a job's last task. */
+/* A cancellation, a question and a repeated submission at the very end of a job's last task would
+   be answered in ways that contradict one another. */
 static void
 test_cancel_at_the_end (Simulation *simulation)
 {
@@ -126,8 +129,8 @@
   wait_all (simulation, 200);
 }
 
-/* A report is held back until a new leader has acted, and then arrives there: the start that it
-   does not show was sent by the new leader meanwhile. */
+/* A report is held back until a new leader has acted. As proof that its start is gone, which was
+   sent meanwhile, it would have the task started twice. */
 static void
 test_report_held_until_a_new_leader_acted (Simulation *simulation)
 {
@@ -148,8 +151,9 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
-/* Repeated submissions of what is not over, cancels of what is done, and jobs that can't run: each
-   is answered as the page says, also while no controller leads. */
+/* Repeated submissions of what is not over, cancellations of what is done, and jobs that can't run:
+   without an answer as the protocol says, also while no controller leads, their users would ask for
+   ever. */
 static void
 test_odd_requests (Simulation *simulation)
 {
@@ -190,8 +194,8 @@
   g_assert_false (user->told_done || user->told_cancelled);
 }
 
-/* A record that is not understood, as another version may write it: its job is neither unknown nor
-   free to start, and what runs of it is left alone. */
+/* A record that is not understood, as another version may write it: its job would be told as
+   unknown, or what runs of it would be stopped or started again. */
 static void
 test_record_not_understood (Simulation *simulation)
 {
@@ -211,8 +215,9 @@
                         ==, 503);
 }
 
-/* Jobs written in large records go on under limits that take only small ones: they are
-   re-chunked, also when leaders end in the midst of it, and nothing runs again or is lost. */
+/* Jobs written in large records go on under limits that take only small ones. Left as they are they
+   could not be written any more; re-chunked in part, when leaders end in the midst of it, tasks
+   would run again or be lost. */
 static void
 test_rechunked (void)
 {
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -53,8 +53,8 @@
   return simulation;
 }
 
-/* The rate falls without notice: the first refusal teaches it, for good, and no later leader has to
-   be refused, whichever process it is. */
+/* The rate falls without notice: a leader that did not learn it from the first refusal, for good,
+   would be refused again and again, and so would each later one. */
 static void
 test_rate_for_good (void)
 {
@@ -79,7 +79,8 @@
   finish (simulation);
 }
 
-/* Without an announcement a refusal is no more than that: the rate stays. */
+/* Without an announcement a refusal is no more than that: a rate that fell with every refusal would
+   slow all writes for nothing. */
 static void
 test_rate_not_announced (Simulation *simulation)
 {
@@ -92,7 +93,8 @@
   g_assert_null (g_tree_lookup (simulation->store->keys, "limits"));
 }
 
-/* Settings of later: the limits that were announced are the present ones, and others come next. */
+/* Settings of later: limits on record that were announced earlier would hold down a rate that has
+   been raised since. */
 static void
 test_rate_of_earlier_settings (void)
 {
@@ -112,8 +114,8 @@
   finish (simulation);
 }
 
-/* Values and transactions become smaller, and nobody has said so: what does not fit is refused, but
-   neither ends the leadership nor is sent again and again, and all else goes on. */
+/* Values and transactions become smaller, and nobody has said so. What does not fit would end every
+   leadership, or be sent again and again, and hold up all else. */
 static void
 test_refused_as_malformed (Simulation *simulation)
 {
@@ -141,7 +143,8 @@
   WAIT (simulation, 60, simulation_all_settled, NULL);
 }
 
-/* A submission that no value can hold is not accepted, and nothing is left of it. */
+/* A submission that no value can hold would be told as accepted and be lost, or leave records
+   behind. */
 static void
 test_submission_too_large (Simulation *simulation)
 {
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -4,7 +4,8 @@
 
 #include <string.h>
 
-/* A hung machine may go on: its tasks run elsewhere only when it is confirmed released. */
+/* A hung machine may go on: a task that ran elsewhere before it is confirmed released would run
+   twice. */
 static void
 test_hung_machine (Simulation *simulation)
 {
@@ -19,7 +20,8 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
-/* A new leader knows nothing of a machine that hangs but its name in a record. */
+/* A new leader knows nothing of a machine that hangs but its name in a record. Without a release it
+   would wait for ever, or start the task a second time. */
 static void
 test_hung_machine_new_leader (Simulation *simulation)
 {
@@ -33,7 +35,8 @@
   WAIT (simulation, 60, all_run, user);
 }
 
-/* An unanswered command is carried out late: the attempt must not have been cleared or moved. */
+/* An unanswered command is carried out late. Were the attempt cleared or moved meanwhile, its task
+   would run again. */
 static void
 test_late_command (Simulation *simulation)
 {
@@ -58,6 +61,8 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
 }
 
+/* A start that is still under way when its task is over would run it again, without a higher token
+   that fences it. */
 static void
 test_late_command_is_fenced (Simulation *simulation)
 {
@@ -75,7 +80,7 @@
 }
 
 /* Copies of commands that were carried out come once more, when the attempts that they started have
-   been cleared: cleared without a higher epoch, a cancelled service once ran again. */
+   been cleared: cleared without a higher token, a cancelled service once ran again. */
 static void
 test_repeated_requests (Simulation *simulation)
 {
@@ -95,8 +100,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
 }
 
-/* A release is on its way, and may come late, when another leader takes over: it gives the machine
-   back too, and starts nothing there. */
+/* A release is on its way, and may come late, when another leader takes over. Work that were
+   started on that machine would be lost with it. */
 static void
 test_release_outlives_its_leader (Simulation *simulation)
 {
@@ -121,8 +126,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 1);
 }
 
-/* A machine that does not report is asked; one that answers is kept, one that does not is given
-   back well before the worker's lease would have ended. */
+/* A machine that does not report is asked. Without that it would be kept until its worker's lease
+   ends, or given back though it answers. */
 static void
 test_suspected_machine_is_probed (Simulation *simulation)
 {
@@ -138,7 +143,7 @@
   g_assert_cmpint (simulation->clock->now_us - hung, <, simulation->settings->worker_lease_us / 2);
 }
 
-/* What was proven gone is on record: a new leader does not look for it again. */
+/* What was proven gone is on record: a new leader would look for it again, and keep its place. */
 static void
 test_proof_is_kept (Simulation *simulation)
 {
@@ -154,8 +159,9 @@
   g_assert_false (simulation_logged (simulation, "reason=silent_since_failover"));
 }
 
-/* A report that was sent before a start was carried out reaches a new leader late. That it does not
-   show the attempt proves nothing: the worker has not seen the epoch that fences the start. */
+/* A report that was sent before a start was carried out reaches a new leader late. Taken as proof
+   that the attempt is gone, it would have the task run twice: the worker has not seen the token
+   that fences the start. */
 static void
 test_late_report_proves_nothing (Simulation *simulation)
 {
@@ -180,7 +186,8 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
 }
 
-/* A worker whose lease ran out has a new session: proof by itself. */
+/* A worker whose lease expired has a new session, which is proof by itself: without it its tasks
+   would wait for the machine's release. */
 static void
 test_new_session (Simulation *simulation)
 {
@@ -193,6 +200,7 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
+/* A machine on which every task fails would eat up all work that is sent there. */
 static void
 test_sick_machine (Simulation *simulation)
 {
@@ -206,8 +214,8 @@
   g_assert_true (machine->gone);
 }
 
-/* The reports of a machine arrive, but nothing reaches it. It looks alive, and even reports on
-   time; what it holds can run elsewhere only when it is given back. */
+/* The reports of a machine arrive, but nothing reaches it. It looks alive, and reports on time;
+   what it holds would never run elsewhere if it were not given back. */
 static void
 test_answers_ignored (Simulation *simulation)
 {
@@ -228,7 +236,7 @@
 }
 
 /* A copy of a report comes late to a leader that has heard nothing newer, of a machine that was
-   given back long ago: it brings no machine back, and nothing is placed there. */
+   given back long ago. Believed, it would bring the machine back, and work would be lost there. */
 static void
 test_late_copy_of_returned_machine (Simulation *simulation)
 {
@@ -253,8 +261,8 @@
   g_assert_cmpuint (reported, ==, 1); /* to the first leader */
 }
 
-/* A zone is cut off as a whole, for less than the workers' lease. Its machines are not given back
-   one by one, none is rented there meanwhile, and what runs there goes on. */
+/* A zone is cut off as a whole, for less than the workers' lease. Taken one by one for failed, its
+   machines would be given back, and others rented there. */
 static void
 test_partitioned_zone (Simulation *simulation)
 {
@@ -290,7 +298,8 @@
 }
 
 /* A machine is back within a moment, and its worker counts from the beginning: it has forgotten
-   which epochs it has seen, and is given back as soon as that is known. */
+   which tokens it has seen, and a late command of an earlier leader would be carried out if it were
+   kept. */
 static void
 test_worker_begins_anew (Simulation *simulation)
 {
@@ -306,8 +315,8 @@
   WAIT (simulation, 15, all_run, user);
 }
 
-/* All machines hang: the questions to them do not take all connections, and those that had to wait
-   are put once others have been given up. */
+/* All machines hang: the questions to them would take all connections, and those that had to wait
+   would never be put. */
 static void
 test_calls_at_once (Simulation *simulation)
 {
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -4,7 +4,8 @@
 
 #include <string.h>
 
-/* Silence frees no quota: what an unreachable machine may still run counts. */
+/* What an unreachable machine may still run counts: quota that silence freed would be used twice.
+ */
 static void
 test_quota_unreachable (Simulation *simulation)
 {
@@ -20,7 +21,8 @@
   simulation_run (simulation, 60);
 }
 
-/* The zones of a service of several tasks stay within MaxSkew of one another. */
+/* The tasks of a service that were not spread over zones, within MaxSkew, would fall with one of
+   them. */
 static void
 test_spread (Simulation *simulation)
 {
@@ -37,7 +39,8 @@
   g_assert_cmpuint (MAX (in_a, in_b) - MIN (in_a, in_b), ==, 1);
 }
 
-/* A team gets its guarantee back from one that borrows. */
+/* A team that another has borrowed from would wait for its guarantee until that one's work ends by
+   itself. */
 static void
 test_guarantee (Simulation *simulation)
 {
@@ -50,7 +53,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 8);
 }
 
-/* Urgent work beyond its guarantee and normal work within one must not stop each other in turn. */
+/* Urgent work beyond its guarantee and normal work within one would stop each other in turn, for
+   ever. */
 static void
 test_no_preemption_cycle (Simulation *simulation)
 {
@@ -87,8 +91,8 @@
     }
 }
 
-/* Four zones. While one is full it still enters the minimum, and the fourth replica waits for it;
-   when it has no live machine any more it does not count, and the replica goes elsewhere. */
+/* Four zones. Were a full one left out of the minimum, the fourth replica would be placed unevenly;
+   were one without live machines counted, it would wait for ever. */
 static void
 test_spread_four_zones (Simulation *simulation)
 {
@@ -120,9 +124,9 @@
   WAIT (simulation, 30, all_run, user);
 }
 
-/* Replicas with different images do not crowd onto the first machine that is up, where their
-   fetches would share its rate, while others are about to be; and a task that was passed over so is
-   not forgotten. */
+/* Replicas with different images would crowd onto the first machine that is up, where their fetches
+   share its rate, while others are about to be; and a task that was passed over so would be
+   forgotten. */
 static void
 test_images_apart (Simulation *simulation)
 {
@@ -157,7 +161,8 @@
   g_assert_cmpuint (used, ==, 4);
 }
 
-/* A replica for which a task is stopped, where its image is, starts there and nowhere else. */
+/* A replica for which a task is stopped, where its image is, would start elsewhere meanwhile, and
+   the task would have been stopped for nothing. */
 static void
 test_room_is_made_once (Simulation *simulation)
 {
@@ -205,8 +210,8 @@
   return simulation_logged (simulation, "releasing machine reason=silent");
 }
 
-/* Half of the machines fail while there is always as much to do as nearly all can: room for what
-   ran there is rented at once, though nothing that waits could still be in time. */
+/* Half of the machines fail while there is always as much to do as nearly all can. Room for what
+   ran there would be rented too late, since nothing that waits could still be in time. */
 static void
 test_lost_room_is_rented (Simulation *simulation)
 {
@@ -243,8 +248,8 @@
   g_assert_cmpuint (simulation->cloud->machines_rented, >, rented);
 }
 
-/* A job that is still being written down rents nothing beside free room: it will be placed there.
- */
+/* A job that is still being written down would rent machines beside free room, where it will be
+   placed. */
 static void
 test_no_rental_while_being_written (Simulation *simulation)
 {
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -6,8 +6,8 @@
 
 #define UNKNOWN_JOB "j-999999"
 
-/* Sixty users ask about one job that nobody has submitted, at the same moment and a little later.
- */
+/* Sixty users ask about one job that nobody has submitted, at the same moment and a little later: a
+   read for each would take all calls to the key-value store. */
 static void
 test_questions_share_reads (Simulation *simulation)
 {
@@ -46,8 +46,8 @@
   g_assert_cmpuint (simulation->store->final_record_reads - reads, ==, 2);
 }
 
-/* A follower that has passed on a final answer gives it without the leader and the state service.
- */
+/* A follower that has passed on a final answer gives it without the leader and the key-value store;
+   else an outage of both would leave users without what was already told. */
 static void
 test_follower_remembers_final (Simulation *simulation)
 {
@@ -70,8 +70,8 @@
   simulation_run (simulation, 30);
 }
 
-/* More questions than the state service can answer: the rest is told at once to come again, and a
-   submission beside them is accepted as ever. */
+/* More questions than the key-value store can answer would take all its calls from submissions: the
+   rest is told at once to come again. */
 static void
 test_questions_beyond_their_share (Simulation *simulation)
 {
--- a/tests/test-task-failure.c
+++ b/tests/test-task-failure.c
@@ -70,7 +70,8 @@
   WAIT (simulation, 20, told_cancelled, user);
 }
 
-/* What made it fail is gone, for example a missing file: it runs, and all its tasks at once. */
+/* What made it fail is gone, for example a missing file: with a back-off that went on for all its
+   tasks it would run them one by one. */
 static void
 test_runs_after_all (Simulation *simulation)
 {
