--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -80,7 +80,7 @@
 }
 
 void
-mh_autoscaler_load_release (MhAutoscaler *self, const MhEntry *entry)
+mh_autoscaler_load_release (MhAutoscaler *self, const MhKvEntry *entry)
 {
   g_return_if_fail (self != NULL);
   mh_scale_in_load (self->scale_in, entry);
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -2,6 +2,7 @@
 #include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
+#include "protocol/cloud-messages.h"
 
 /* A kind of machine of which there was none, or that was refused for another reason, is asked for
    again after this. */
@@ -183,7 +184,8 @@
   self->request_in_flight = true;
   mh_call_queue_add (
       self->context->calls,
-      mh_wire_rent (request->name, request->type, request->zone, request->spot, request->count),
+      mh_cloud_request_create_machines (&(MhMachineOrder){
+          request->name, request->type, request->zone, request->spot, request->count }),
       &options);
 }
 
--- a/src/cluster/fencing.h
+++ b/src/cluster/fencing.h
@@ -1,13 +1,15 @@
 /* Fencing of late copies of direct starts.
 
-   A start that was sent directly may be carried out late, as long as the worker is in the session
-   that it names and has seen no higher token. Before the end of such an attempt is cleared at the
-   worker, the machine's token is raised. The tokens of a leadership begin with its epoch; each
-   leadership has MH_EPOCHS_PER_LEADERSHIP of them, so that raising one costs no write. */
+   A start that was sent directly may be carried out late, as long as the worker is in the
+   incarnation that it names and has seen no higher token. Before the end of such an attempt is
+   cleared at the worker, the machine's token is raised. The tokens of a leadership begin with its
+   epoch; each leadership has MH_EPOCHS_PER_LEADERSHIP of them, so that raising one costs no write.
+ */
 #pragma once
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * mh_fencing_token:
@@ -62,7 +64,7 @@
  * mh_fencing_forget_fenced:
  * @machine: a machine whose worker was just heard
  *
- * Forgets the starts that its session and token fence.
+ * Forgets the starts that its incarnation and token fence.
  */
 void
 mh_fencing_forget_fenced (MhMachine *machine);
--- a/src/cluster/image-wait.c
+++ b/src/cluster/image-wait.c
@@ -1,6 +1,7 @@
 #include "cluster/image-wait.h"
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
+#include "protocol/worker-messages.h"
 
 /* Of an image whose fetch should be over by now, so much is taken to be left. */
 #define LEAST_PART_LEFT 0.1
@@ -43,7 +44,7 @@
   for (guint i = 0; i < machine->attempts->len; i++)
     {
       const MhAttempt *attempt = mh_machine_attempt (machine, i);
-      if (mh_attempt_is_stopping (attempt) || attempt->phase != MH_TASK_FETCHING
+      if (mh_attempt_is_stopping (attempt) || attempt->phase != MH_TASK_PHASE_FETCHING_IMAGE
           || mh_machine_has_image (machine, attempt->job->image))
         continue;
       double left_gb = fetch_left_gb (cluster, attempt, rate);
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -1,5 +1,6 @@
 #include "cluster/machine-registry.h"
 #include "cluster/cluster-state.h"
+#include "protocol/cloud-messages.h"
 
 #include <string.h>
 
--- a/src/cluster/recovery.c
+++ b/src/cluster/recovery.c
@@ -1,6 +1,6 @@
 #include "cluster/recovery.h"
 
-#include "protocol/types.h"
+#include "base/time-units.h"
 
 /* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
 #define REPORTS_AWAITED 2
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -314,7 +314,7 @@
 /* ---- workers ---- */
 
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report)
+mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report)
 {
   enter (core, now);
   if (mh_election_is_elected (core->election))
@@ -323,7 +323,7 @@
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
       a->status = 421;
-      a->body = mh_wire_write_redirect (mh_election_leader_name (core->election));
+      a->body = mh_redirect_encode (mh_election_leader_name (core->election));
     }
   mh_core_step (core);
 }
--- a/src/election/follower.c
+++ b/src/election/follower.c
@@ -3,6 +3,7 @@
 #include "election/campaign.h"
 #include "election/election-state.h"
 #include "election/leader-record.h"
+#include "protocol/key-value-messages.h"
 
 #include <string.h>
 
@@ -18,7 +19,7 @@
 watch_leader_key (MhElection *election, guint64 since_revision)
 {
   election->request_pending = true;
-  mh_election_call (election, mh_wire_watch (MH_LEADER_KEY, since_revision, WATCH_US),
+  mh_election_call (election, mh_kv_request_watch (MH_LEADER_KEY, since_revision, WATCH_US),
                     (MhCallOptions){ .class = MH_CALL_LEASE,
                                      .timeout_us = WATCH_US + MH_ELECTION_CALL_TIMEOUT_US,
                                      .func = handle_watch_reply });
@@ -33,7 +34,7 @@
 
 /* A key that cannot be read names nobody. */
 static void
-adopt_leader_key (MhElection *election, const MhEntry *entry)
+adopt_leader_key (MhElection *election, const MhKvEntry *entry)
 {
   g_autofree char *node = NULL;
   guint64 epoch = 0;
@@ -57,7 +58,7 @@
 /* An earlier life of this very process held the lease: nobody else may take the key before the end
    of that lease, but this process may, since the earlier life is over. */
 static void
-follow_leader_key (MhElection *election, const MhEntry *entry)
+follow_leader_key (MhElection *election, const MhKvEntry *entry)
 {
   adopt_leader_key (election, entry);
   if (mh_election_is_own_key (election))
@@ -77,20 +78,20 @@
       mh_campaign_start (election);
       return;
     }
-  MhEntry *entry = reply->status == 200 ? mh_wire_read_entry (reply->body) : NULL;
+  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   if (entry)
     follow_leader_key (election, entry);
   else
     mh_election_retry_after (election, RETRY_US);
-  mh_entry_free (entry);
+  mh_kv_entry_free (entry);
 }
 
-static const MhEntry *
+static const MhKvEntry *
 last_change_of_leader_key (const GPtrArray *events)
 {
   for (guint i = events->len; i-- > 0;)
     {
-      const MhEntry *entry = g_ptr_array_index (events, i);
+      const MhKvEntry *entry = g_ptr_array_index (events, i);
       if (strcmp (entry->key, MH_LEADER_KEY) == 0)
         return entry;
     }
@@ -104,13 +105,13 @@
   (void)data;
   guint64 revision = 0;
   g_autoptr (GPtrArray) events
-      = reply->status == 200 ? mh_wire_read_events (reply->body, &revision) : NULL;
+      = reply->status == 200 ? mh_kv_events_decode (reply->body, &revision, NULL) : NULL;
   if (events == NULL)
     {
       mh_election_retry_after (election, RETRY_US);
       return;
     }
-  const MhEntry *last = last_change_of_leader_key (events);
+  const MhKvEntry *last = last_change_of_leader_key (events);
   if (last == NULL)
     {
       election->contact.usable_us = mh_runtime_now_us (election->runtime);
@@ -131,7 +132,7 @@
 mh_follower_read_leader_key (MhElection *election)
 {
   election->request_pending = true;
-  mh_election_call (election, mh_wire_get (MH_LEADER_KEY),
+  mh_election_call (election, mh_kv_request_get (MH_LEADER_KEY),
                     (MhCallOptions){ .class = MH_CALL_LEASE,
                                      .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
                                      .func = handle_read_reply });
--- a/tests/stand-in/outgoing-call.c
+++ b/tests/stand-in/outgoing-call.c
@@ -86,7 +86,7 @@
   call->body = body;
   if (network_draw_loss (simulation->network))
     return;
-  if (call->request->target == MH_TARGET_STATE && now_us < node->store_cut_until_us)
+  if (call->request->target == MH_TARGET_KEY_VALUE_STORE && now_us < node->store_cut_until_us)
     return;
   if (is_write (call) && now_us < node->write_answers_lost_until_us)
     return;
@@ -190,7 +190,7 @@
   const ControllerNode *node = sender_of (call);
   const MhRequest *called = call->request;
   gint64 now_us = call->simulation->clock->now_us;
-  bool store = called->target == MH_TARGET_STATE;
+  bool store = called->target == MH_TARGET_KEY_VALUE_STORE;
   if (store && now_us < node->store_cut_until_us)
     return;
   if (store && now_us < node->store_refuses_until_us)
--- a/tests/stand-in/random-day.c
+++ b/tests/stand-in/random-day.c
@@ -83,17 +83,17 @@
 {
   spec->shape = MH_SHAPE_GANG;
   spec->tasks = (guint)g_rand_int_range (random, 1, 6);
-  spec->checkpoint_us = g_rand_int_range (random, 0, 4) * MH_SECOND_US;
-  spec->save_us = MH_SECOND_US;
+  spec->checkpoint_interval_us = g_rand_int_range (random, 0, 4) * MH_SECOND_US;
+  spec->checkpoint_save_us = MH_SECOND_US;
 }
 
 static void
 draw_zones (GRand *random, MhJobSpec *spec)
 {
   if (g_rand_int_range (random, 0, 5) == 0)
-    spec->one_zone = true;
+    spec->single_zone = true;
   else if (g_rand_int_range (random, 0, 5) == 0)
-    spec->scatter = true;
+    spec->spread_over_zones = true;
   if (g_rand_int_range (random, 0, 6) == 0)
     spec->zone = g_strdup ("b");
 }
@@ -111,7 +111,8 @@
     draw_gang (random, spec);
   draw_zones (random, spec);
   /* At most half of its tasks may be in a zone, and only one zone is allowed. */
-  bool infeasible = spec->shape == MH_SHAPE_GANG && spec->scatter && spec->zone && spec->tasks > 1;
+  bool infeasible
+      = spec->shape == MH_SHAPE_GANG && spec->spread_over_zones && spec->zone && spec->tasks > 1;
   double run_s = service ? 0 : g_rand_double_range (random, 1, 10);
   simulation_submit (day->simulation, spec, run_s)->infeasible = infeasible;
 }
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -90,7 +90,7 @@
 running_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
   MhJobSpec *spec = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
-  spec->estimate_us = 300 * MH_SECOND_US;
+  spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, run_s);
   WAIT (simulation, 60, all_run, user);
   return user;
@@ -107,10 +107,10 @@
 {
   MhJobSpec *spec = job_spec_new (number, MH_SHAPE_GANG, tasks, cpus);
   spec->spot = false;
-  spec->one_zone = true;
-  spec->estimate_us = 20 * MH_SECOND_US;
-  spec->checkpoint_us = 5 * MH_SECOND_US;
-  spec->save_us = 2 * MH_SECOND_US;
+  spec->single_zone = true;
+  spec->estimated_run_us = 20 * MH_SECOND_US;
+  spec->checkpoint_interval_us = 5 * MH_SECOND_US;
+  spec->checkpoint_save_us = 2 * MH_SECOND_US;
   return spec;
 }
 
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -528,7 +528,7 @@
 {
   (void)data;
   const char *names[] = { "vm-1", "vm-2", NULL };
-  MhEntry entry
+  MhKvEntry entry
       = { .key = (char *)"x/1/1", .value = mh_record_write_release ((char **)names), .version = 7 };
   MhMachine *known = add_machine (fixture, "vm-1", "a");
   mh_scale_in_load (fixture->scale_in, &entry);
--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -67,10 +67,10 @@
           for (guint k = 0; k < machine->tasks->len; k++)
             {
               MachineTask *task = &g_array_index (machine->tasks, MachineTask, k);
-              if (task->index != 1 || task->phase != MH_TASK_RUNNING
+              if (task->index != 1 || task->phase != MH_TASK_PHASE_RUNNING
                   || strcmp (task->job_id, "j-000001") != 0)
                 continue;
-              task->phase = MH_TASK_ENDED;
+              task->phase = MH_TASK_PHASE_ENDED;
               task->cause = "error";
             }
         }
@@ -95,8 +95,8 @@
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   MhJobSpec *spec = gang_spec (1, 4, 1);
-  spec->one_zone = false;
-  spec->scatter = true;
+  spec->single_zone = false;
+  spec->spread_over_zones = true;
   User *user = simulation_submit (simulation, spec, 25);
   WAIT (simulation, 60, gang_runs, user);
   machine_fail (worker_of (simulation, "j-000001/0")->machine);
--- a/tests/test-gang-preemption.c
+++ b/tests/test-gang-preemption.c
@@ -68,7 +68,7 @@
 {
   simulation->cloud->capacity = 1;
   MhJobSpec *single = job_spec_new (2, MH_SHAPE_ARRAY, 8, 1);
-  single->estimate_us = 300 * MH_SECOND_US;
+  single->estimated_run_us = 300 * MH_SECOND_US;
   single->spot = false;
   single->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
   User *array = simulation_submit (simulation, single, 90);
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -31,12 +31,12 @@
       simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer), ==,
       422); /* of 16 */
   MhJobSpec *spec = gang_spec (2, 2, 1);
-  spec->scatter = true; /* and in one zone */
+  spec->spread_over_zones = true; /* and in one zone */
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
                     422);
   spec = gang_spec (3, 4, 1);
-  spec->one_zone = false;
-  spec->scatter = true;
+  spec->single_zone = false;
+  spec->spread_over_zones = true;
   spec->zone = g_strdup ("a");
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
                     422);
@@ -45,8 +45,8 @@
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
                     422);
   spec = gang_spec (5, 4, 1);
-  spec->one_zone = false;
-  spec->scatter = true;
+  spec->single_zone = false;
+  spec->spread_over_zones = true;
   User *user = simulation_submit (simulation, spec, 3);
   WAIT (simulation, 60, told_done, user);
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -47,7 +47,7 @@
   simulation->cloud->capacity = 6;
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 200, 0.05);
   spec->mem_gb = 0.1;
-  spec->estimate_us = 600 * MH_SECOND_US; /* so that none may wait for another */
+  spec->estimated_run_us = 600 * MH_SECOND_US; /* so that none may wait for another */
   User *user = simulation_submit (simulation, spec, 30);
   WAIT (simulation, 60, all_run, user);
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
@@ -255,7 +255,7 @@
 test_largest_job (Simulation *simulation)
 {
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 5);
   WAIT (simulation, 10, accepted, user);
   simulation_run (simulation, 15);
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -227,7 +227,7 @@
       simulation->cloud->capacity = 6;
       MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
       spec->mem_gb = 0.1;
-      spec->estimate_us = 600 * MH_SECOND_US;
+      spec->estimated_run_us = 600 * MH_SECOND_US;
       User *user = simulation_submit (simulation, spec, 40);
       WAIT (simulation, 60, all_run, user);
       User *cancelled = running_service (simulation, 3, 2);
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -121,7 +121,7 @@
 {
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 150, 0.05);
   spec->mem_gb = 0.1;
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   User *large = simulation_submit (simulation, spec, 40);
   WAIT (simulation, 60, all_run, large);
   User *service = running_service (simulation, 2, 2);
@@ -153,9 +153,9 @@
   simulation_run (simulation, 5);
   simulation->settings->value_bytes = 300;
   g_autoptr (MhJobSpec) spec = job_spec_new (1, MH_SHAPE_ARRAY, 3, 1);
-  MhValue *copy = mh_wire_write_submission (spec);
+  MhValue *copy = mh_submission_encode (spec);
   guint status = simulation_ask (simulation, simulation_leader (simulation)->index, MH_USER_SUBMIT,
-                                 spec->id, mh_wire_read_submission (copy), &answer);
+                                 spec->id, mh_submission_decode (copy, NULL), &answer);
   mh_value_unref (copy);
   g_assert_cmpuint (status, ==, 503);
   g_assert_cmpuint (answer.retry_after_s, >=, 10);
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -281,7 +281,7 @@
   guint before = simulation->cloud->machines->len;
   MhJobSpec *spec
       = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
-  spec->estimate_us = 60 * MH_SECOND_US;
+  spec->estimated_run_us = 60 * MH_SECOND_US;
   simulation_submit (simulation, spec, 60);
   simulation_run (simulation, 8);
   g_assert_true (simulation_logged (simulation, "zone silent, taken for partitioned"));
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -85,7 +85,7 @@
         {
           const MachineTask *task = &g_array_index (machine->tasks, MachineTask, k);
           guint zone = (guint)(machine->zone[0] - 'a');
-          if (zone < n && task->phase != MH_TASK_ENDED && strcmp (task->job_id, job) == 0)
+          if (zone < n && task->phase != MH_TASK_PHASE_ENDED && strcmp (task->job_id, job) == 0)
             counts[zone]++;
         }
     }
@@ -148,7 +148,7 @@
     {
       MhJobSpec *lesser = job_spec_new (i, MH_SHAPE_ARRAY, 7, 1);
       lesser->priority = MH_PRIORITY_LOW;
-      lesser->estimate_us = 300 * MH_SECOND_US;
+      lesser->estimated_run_us = 300 * MH_SECOND_US;
       simulation_submit (simulation, lesser, 300);
     }
   for (guint i = 0; i < 4; i++)
@@ -229,7 +229,7 @@
         {
           MhJobSpec *spec = job_spec_new (++number, MH_SHAPE_ARRAY, 3, 1);
           spec->image_gb = 0.01;
-          spec->estimate_us = 2 * MH_SECOND_US;
+          spec->estimated_run_us = 2 * MH_SECOND_US;
           spec->deadline_us = MH_SECOND_US / 2;
           simulation_submit (simulation, spec, 2);
         }
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -1,4 +1,5 @@
 /* The modules of the server layer, each by itself on loopback. */
+#include "base/time-units.h"
 #include "server/http-client.h"
 #include "server/log-output.h"
 #include "server/peer-connection.h"
@@ -158,13 +159,13 @@
 } PeerFixture;
 
 static void
-on_message (MhPeerConnection *connection, const MhPeerMessage *message, gpointer data)
+on_message (MhPeerConnection *connection, const MhControllerMessage *message, gpointer data)
 {
   PeerFixture *fixture = data;
-  g_assert_cmpint (message->kind, ==, MH_PEER_ANNOUNCEMENT);
-  g_assert_cmpstr (message->job, ==, "node-1");
+  g_assert_cmpint (message->kind, ==, MH_CONTROLLER_ANNOUNCEMENT);
+  g_assert_cmpstr (message->node, ==, "node-1");
   fixture->announcements++;
-  fixture->epoch = message->id;
+  fixture->epoch = message->epoch;
   if (fixture->close_at_message)
     mh_peer_connection_close (connection);
 }
@@ -244,7 +245,8 @@
 {
   (void)data;
   for (guint64 epoch = 1; epoch <= 3; epoch++)
-    mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", epoch));
+    mh_peer_connection_send (fixture->connected,
+                             mh_controller_announcement_encode ("node-1", epoch));
   g_assert_true (mh_peer_connection_has_queued_output (fixture->connected));
   accept_peer (fixture);
   while (fixture->announcements < 3)
@@ -260,8 +262,8 @@
 {
   (void)data;
   fixture->close_at_message = true;
-  mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", 1));
-  mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", 2));
+  mh_peer_connection_send (fixture->connected, mh_controller_announcement_encode ("node-1", 1));
+  mh_peer_connection_send (fixture->connected, mh_controller_announcement_encode ("node-1", 2));
   accept_peer (fixture);
   iterate_until_closed (fixture, 1);
   g_assert_null (fixture->accepted);
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -88,7 +88,7 @@
   for (guint i = 0; i < SWARM_JOBS; i++)
     {
       MhJobSpec *spec = job_spec_new (100 + i, MH_SHAPE_ARRAY, 1, 0.25);
-      spec->estimate_us = 300 * MH_SECOND_US;
+      spec->estimated_run_us = 300 * MH_SECOND_US;
       users[i] = simulation_submit (simulation, spec, 8);
     }
 }
@@ -103,7 +103,7 @@
 
   /* One task for each machine. */
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, machines, 1);
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   simulation_submit (simulation, spec, 600);
   User *users[SWARM_JOBS];
   swarm (simulation, users);
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -70,7 +70,7 @@
 {
   MhJobSpec *spec = gang_spec (1, GANG_TASKS, 4);
   use_small_machines (spec);
-  spec->save_us = 3 * MH_SECOND_US;
+  spec->checkpoint_save_us = 3 * MH_SECOND_US;
   return spec;
 }
 
@@ -99,14 +99,14 @@
 gathers (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return in_phase (simulation, MH_TASK_GATHERING);
+  return in_phase (simulation, MH_TASK_PHASE_WAITING_FOR_GANG);
 }
 
 static bool
 saves (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return in_phase (simulation, MH_TASK_SAVING);
+  return in_phase (simulation, MH_TASK_PHASE_CHECKPOINTING);
 }
 
 static bool
@@ -329,7 +329,7 @@
   simulation->cloud->capacity = 6;
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, CHUNKED_TASKS, 0.04);
   spec->mem_gb = 0.1;
-  spec->estimate_us = 600 * MH_SECOND_US;
+  spec->estimated_run_us = 600 * MH_SECOND_US;
   User *job = simulation_submit (simulation, spec, 45);
   WAIT (simulation, 60, all_run, job);
   if (many)
