--- a/src/cluster/heartbeat.h
+++ b/src/cluster/heartbeat.h
@@ -6,6 +6,7 @@
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * mh_heartbeat_receive:
--- a/src/cluster/reconcile.h
+++ b/src/cluster/reconcile.h
@@ -7,6 +7,7 @@
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * MhMessageSource:
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -6,7 +6,9 @@
 load_records (gpointer owner)
 {
   MhCore *core = owner;
-  mh_load_records (core);
+  mh_record_writer_begin (core->record_writer, mh_election_epoch (core->election),
+                          mh_election_key_version (core->election));
+  mh_record_loader_start (core->record_loader);
 }
 
 static void
@@ -41,12 +43,12 @@
 clear_leadership (gpointer owner)
 {
   MhCore *core = owner;
-  mh_store_clear (core);
+  mh_record_writer_clear (core->record_writer);
   mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_autoscaler_reset (core->autoscaler);
   g_hash_table_remove_all (core->jobs);
-  g_hash_table_remove_all (core->unreadable);
+  mh_record_loader_clear (core->record_loader);
 }
 
 /* Workers' reports were refused for a while if the bound on keeping their tasks alive was over:
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -182,7 +182,7 @@
                        g_ptr_array_unref);
       g_clear_pointer (&(GPtrArray *){ mh_kv_events_decode (v, &number, NULL) }, g_ptr_array_unref);
       mh_kv_lease_decode (v, &number, NULL);
-      mh_record_read_final (v, &a);
+      mh_record_read_final (v, &a, NULL);
       mh_value_json_size (v);
     }
   g_assert_cmpuint (loaded, >, 100);
@@ -255,8 +255,7 @@
   g_assert_nonnull (r);
   g_assert_cmpuint (r->tasks->len, ==, 1);
   g_assert_cmpuint (g_array_index (r->tasks, MhTaskStatus, 0).index, ==, 3);
-  g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==,
-                   MH_TASK_END_OTHER_ATTEMPT);
+  g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==, MH_TASK_END_OTHER_ATTEMPT);
   g_assert_cmpint (r->notice_us, ==, 7500000);
   static const char *const needed[]
       = { "box", "endpoint", "rack", "hall", "tenure", "tick", "epoch" };
@@ -318,6 +317,12 @@
 }
 
 /* The largest record must fit the smallest values that a deployment offers. */
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  return attempt->machine->name;
+}
+
 static void
 test_record_size (gconstpointer data)
 {
@@ -343,16 +348,15 @@
     job->tasks[i] = (MhTask){ .live = &attempt, .attempt = 4000000000u, .state = MH_TASK_LIVE };
   for (guint i = 0; i < job->n_records; i++)
     {
-      g_autoptr (MhValue) v = mh_record_write (&job->records[i], "18446744073709551615.1");
+      g_autoptr (MhValue) v
+          = mh_record_write (&job->records[i], "18446744073709551615.1", machine_name);
       g_assert_cmpuint (mh_value_json_size (v), <, value_bytes);
       if (i == 0)
         {
-          gint64 at;
-          guint chunk;
-          bool cancelled;
-          g_autoptr (MhJobSpec) read = mh_record_read_job (v, spec->id, &at, &chunk, &cancelled);
-          g_assert_nonnull (read);
-          g_assert_cmpuint (chunk, ==, job->chunk);
+          g_auto (MhStoredJob) read = {};
+          g_assert_true (mh_record_read_job (v, spec->id, &read, NULL));
+          g_assert_nonnull (read.spec);
+          g_assert_cmpuint (read.chunk, ==, job->chunk);
         }
     }
   mh_job_free (job);
