--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -5,6 +5,7 @@
 #include "autoscaler/inventory.h"
 #include "autoscaler/scale-in.h"
 #include "autoscaler/scale-out.h"
+#include "placement/quota.h"
 
 #define STEP_INTERVAL_US (MH_SECOND_US / 2)
 #define SUMMARY_INTERVAL_US (10 * MH_SECOND_US)
@@ -85,20 +86,26 @@
   mh_scale_in_load (self->scale_in, entry);
 }
 
+/* What waits for its own team's quota needs no machine. */
 static guint
-count_waiting_tasks (MhCore *core)
+allowed_tasks (const MhCore *core, const MhJob *job)
 {
-  /* What waits for its own team's quota needs no machine. */
   const MhUse none = { 0 };
+  return mh_quota_allowed_tasks (core->settings,
+                                 mh_cluster_team_use (core->cluster, job->spec->team), job, &none,
+                                 mh_task_failure_startable (core->cluster, job));
+}
+
+static guint
+count_waiting_tasks (MhCore *core)
+{
   guint waiting = 0;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, core->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!mh_job_is_over (value))
-      waiting += mh_quota_allowed_tasks (
-          core->settings, mh_cluster_team_use (core->cluster, ((const MhJob *)value)->spec->team),
-          value, &none, mh_task_failure_startable (core->cluster, value));
+      waiting += allowed_tasks (core, value);
   return waiting;
 }
 
--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -1,5 +1,4 @@
 #include "autoscaler/capacity-estimate.h"
-#include "placement/filter.h"
 #include "placement/resources.h"
 
 MhCapacityEstimate
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -218,7 +218,7 @@
 {
   g_auto (GStrv) failed
       = reply->status == 409 ? mh_kv_failed_conditions_decode (reply->body, NULL) : NULL;
-  return failed && g_strv_contains ((const char *const *)failed, "leader");
+  return failed && g_strv_contains ((const char *const *)failed, MH_LEADER_KEY);
 }
 
 static void
@@ -255,7 +255,7 @@
 write_record (MhScaleIn *self, ReleaseBatch *batch)
 {
   MhKvCondition conditions[]
-      = { { "leader", mh_election_key_version (self->context->core->election) },
+      = { { MH_LEADER_KEY, mh_election_key_version (self->context->core->election) },
           { batch->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (batch->machines);
   g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -255,7 +255,8 @@
   g_assert_nonnull (r);
   g_assert_cmpuint (r->tasks->len, ==, 1);
   g_assert_cmpuint (g_array_index (r->tasks, MhTaskStatus, 0).index, ==, 3);
-  g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==, MH_TASK_END_OTHER_ATTEMPT);
+  g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==,
+                   MH_TASK_END_OTHER_ATTEMPT);
   g_assert_cmpint (r->notice_us, ==, 7500000);
   static const char *const needed[]
       = { "box", "endpoint", "rack", "hall", "tenure", "tick", "epoch" };
