--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -6,12 +6,14 @@
 #include <gio/gio.h>
 #include <glib/gstdio.h>
 #include <libsoup/soup.h>
+#include <signal.h>
 #include <string.h>
+#include <sys/prctl.h>
 #include <sys/socket.h>
 
 #define NODES 3
 #define MOST_CONNECTIONS 60u
-#define PATIENCE_US (120 * MH_SECOND_US)
+#define MAX_WAIT_US (120 * MH_SECOND_US)
 
 static const char *program;
 
@@ -20,7 +22,7 @@
   Machine *machine;
   SoupServer *server;
   guint node;
-  bool flying;
+  bool report_pending;
   gint64 next_us, sent_us;
   guint64 session;
 } Worker;
@@ -36,37 +38,38 @@
   GSubprocess *process[NODES];
   GPtrArray *workers;
   GHashTable *waiting; /* paused messages, each the token of its watch */
-} t;
+} cluster;
 
 static guint
 free_port (void)
 {
-  g_autoptr (GSocket) s
+  g_autoptr (GSocket) socket
       = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new_from_string ("127.0.0.1", 0);
-  g_assert_true (g_socket_bind (s, any, FALSE, NULL));
-  g_autoptr (GSocketAddress) got = g_socket_get_local_address (s, NULL);
-  return g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (got));
+  g_assert_true (g_socket_bind (socket, any, FALSE, NULL));
+  g_autoptr (GSocketAddress) bound = g_socket_get_local_address (socket, NULL);
+  return g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (bound));
 }
 
 static void
-respond (SoupServerMessage *m, guint status, MhValue *body)
+respond (SoupServerMessage *message, guint status, MhValue *body)
 {
-  soup_server_message_set_status (m, status, NULL);
+  soup_server_message_set_status (message, status, NULL);
   if (body)
     {
       g_autoptr (GBytes) bytes = mh_value_save (body);
       gsize size;
       const char *data = g_bytes_get_data (bytes, &size);
-      soup_server_message_set_response (m, "application/cbor", SOUP_MEMORY_COPY, data, size);
+      soup_server_message_set_response (message, "application/cbor", SOUP_MEMORY_COPY, data, size);
       mh_value_unref (body);
     }
 }
 
 static MhValue *
-body_of (SoupServerMessage *m)
+body_of (SoupServerMessage *message)
 {
-  g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (m));
+  g_autoptr (GBytes) bytes
+      = soup_message_body_flatten (soup_server_message_get_request_body (message));
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
   return size ? mh_value_load (data, size) : NULL;
@@ -76,126 +79,131 @@
 advance (void)
 {
   g_autoptr (GArray) woken = g_array_new (FALSE, FALSE, sizeof (EndedWatch));
-  environment_advance (t.environment, g_get_monotonic_time (), woken);
+  environment_advance (cluster.environment, g_get_monotonic_time (), woken);
   for (guint i = 0; i < woken->len; i++)
     {
-      const EndedWatch *w = &g_array_index (woken, EndedWatch, i);
-      SoupServerMessage *m = g_hash_table_lookup (t.waiting, w->token);
-      if (m)
+      const EndedWatch *watch = &g_array_index (woken, EndedWatch, i);
+      SoupServerMessage *message = g_hash_table_lookup (cluster.waiting, watch->token);
+      if (message)
         {
-          respond (m, w->status, w->body);
-          soup_server_message_unpause (m);
-          g_hash_table_remove (t.waiting, w->token);
+          respond (message, watch->status, watch->body);
+          soup_server_message_unpause (message);
+          g_hash_table_remove (cluster.waiting, watch->token);
         }
       else
-        mh_value_unref (w->body);
+        mh_value_unref (watch->body);
     }
 }
 
 static void
-serve_outside (SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
+serve_outside (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
                gpointer data)
 {
   (void)server;
   (void)query;
   (void)data;
   advance ();
-  GUri *uri = soup_server_message_get_uri (m);
-  const char *q = g_uri_get_query (uri);
-  g_autofree char *whole = q ? g_strconcat (path, "?", q, NULL) : g_strdup (path);
+  GUri *uri = soup_server_message_get_uri (message);
+  const char *query_text = g_uri_get_query (uri);
+  g_autofree char *whole = query_text ? g_strconcat (path, "?", query_text, NULL) : g_strdup (path);
   MhTarget target = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_STATE;
-  g_autoptr (MhValue) body = body_of (m);
-  ServiceRequest request
-      = { .method = soup_server_message_get_method (m), .path = whole, .body = body, .token = m };
+  g_autoptr (MhValue) body = body_of (message);
+  ServiceRequest request = { .method = soup_server_message_get_method (message),
+                             .path = whole,
+                             .body = body,
+                             .token = message };
   ServiceReply reply;
-  if (environment_serve (t.environment, target, &request, &reply))
+  if (environment_serve (cluster.environment, target, &request, &reply))
     {
-      respond (m, reply.status, reply.body);
+      respond (message, reply.status, reply.body);
       return;
     }
-  soup_server_message_pause (m);
-  g_hash_table_add (t.waiting, g_object_ref (m));
+  soup_server_message_pause (message);
+  g_hash_table_add (cluster.waiting, g_object_ref (message));
 }
 
 static void
-serve_worker (SoupServer *server, SoupServerMessage *m, const char *path, GHashTable *query,
+serve_worker (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
               gpointer data)
 {
-  Worker *w = data;
+  Worker *worker = data;
   MhValue *reply = NULL;
   (void)server;
   (void)path;
   (void)query;
   advance ();
-  g_autoptr (MhValue) body = body_of (m);
-  guint status = w->machine->up ? worker_protocol_commands (w->machine, body, &reply) : 503;
-  respond (m, status, reply);
+  g_autoptr (MhValue) body = body_of (message);
+  guint status
+      = worker->machine->up ? worker_protocol_commands (worker->machine, body, &reply) : 503;
+  respond (message, status, reply);
 }
 
 /* ---- workers ---- */
 
 static void
-hello_done (GObject *source, GAsyncResult *result, gpointer data)
+on_report_answered (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Worker *w = data;
-  SoupMessage *m = soup_session_get_async_result_message (SOUP_SESSION (source), result);
+  Worker *worker = data;
+  SoupMessage *message = soup_session_get_async_result_message (SOUP_SESSION (source), result);
   g_autoptr (GBytes) bytes
       = soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
-  guint status = bytes ? soup_message_get_status (m) : 0;
+  guint status = bytes ? soup_message_get_status (message) : 0;
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
   g_autoptr (MhValue) body = size ? mh_value_load (raw, size) : NULL;
   g_autofree char *node = body ? mh_value_get_text (body, "dispatcher") : NULL;
-  w->flying = false;
+  worker->report_pending = false;
   advance ();
   if (status == 200)
-    worker_protocol_response (w->machine, w->sent_us, w->session, body);
+    worker_protocol_response (worker->machine, worker->sent_us, worker->session, body);
   else if (status == 421 && node)
-    w->node = (guint)(node[strlen (node) - 1] - '0') % NODES;
+    worker->node = (guint)(node[strlen (node) - 1] - '0') % NODES;
   else
-    w->node = (w->node + 1) % NODES;
-  w->next_us = g_get_monotonic_time () + (status == 200 ? 300000 : 100000);
+    worker->node = (worker->node + 1) % NODES;
+  worker->next_us = g_get_monotonic_time () + (status == 200 ? 300000 : 100000);
 }
 
 static void
-worker_turn (Worker *w)
+report_if_due (Worker *worker)
 {
-  gint64 now = g_get_monotonic_time ();
-  if (!w->machine->up || w->machine->gone || w->flying || now < w->next_us)
+  gint64 now_us = g_get_monotonic_time ();
+  if (!worker->machine->up || worker->machine->gone || worker->report_pending
+      || now_us < worker->next_us)
     return;
-  w->flying = true;
-  w->sent_us = now;
-  w->session = w->machine->session;
-  g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", t.front[w->node]);
-  g_autoptr (SoupMessage) m = soup_message_new ("POST", url);
-  g_autoptr (MhValue) report = worker_protocol_report (w->machine);
+  worker->report_pending = true;
+  worker->sent_us = now_us;
+  worker->session = worker->machine->session;
+  g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", cluster.front[worker->node]);
+  g_autoptr (SoupMessage) message = soup_message_new ("POST", url);
+  g_autoptr (MhValue) report = worker_protocol_report (worker->machine);
   g_autoptr (GBytes) bytes = mh_value_save (report);
-  soup_message_set_request_body_from_bytes (m, "application/cbor", bytes);
-  soup_session_send_and_read_async (t.session, m, G_PRIORITY_DEFAULT, NULL, hello_done, w);
+  soup_message_set_request_body_from_bytes (message, "application/cbor", bytes);
+  soup_session_send_and_read_async (cluster.session, message, G_PRIORITY_DEFAULT, NULL,
+                                    on_report_answered, worker);
 }
 
 static gboolean
-turn (gpointer data)
+on_timer (gpointer data)
 {
   (void)data;
   advance ();
-  for (guint i = t.workers->len; i < t.environment->cloud->machines->len; i++)
+  for (guint i = cluster.workers->len; i < cluster.environment->cloud->machines->len; i++)
     {
-      Worker *w = g_new0 (Worker, 1);
+      Worker *worker = g_new0 (Worker, 1);
       g_autoptr (GError) error = NULL;
-      w->machine = g_ptr_array_index (t.environment->cloud->machines, i);
-      w->server = soup_server_new (NULL, NULL);
-      soup_server_add_handler (w->server, NULL, serve_worker, w, NULL);
-      soup_server_listen_local (w->server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
+      worker->machine = g_ptr_array_index (cluster.environment->cloud->machines, i);
+      worker->server = soup_server_new (NULL, NULL);
+      soup_server_add_handler (worker->server, NULL, serve_worker, worker, NULL);
+      soup_server_listen_local (worker->server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
       g_assert_no_error (error);
-      GSList *uris = soup_server_get_uris (w->server);
-      g_free (w->machine->endpoint);
-      w->machine->endpoint = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
+      GSList *uris = soup_server_get_uris (worker->server);
+      g_free (worker->machine->endpoint);
+      worker->machine->endpoint = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
       g_slist_free_full (uris, (GDestroyNotify)g_uri_unref);
-      g_ptr_array_add (t.workers, w);
+      g_ptr_array_add (cluster.workers, worker);
     }
-  for (guint i = 0; i < t.workers->len; i++)
-    worker_turn (g_ptr_array_index (t.workers, i));
+  for (guint i = 0; i < cluster.workers->len; i++)
+    report_if_due (g_ptr_array_index (cluster.workers, i));
   return G_SOURCE_CONTINUE;
 }
 
@@ -210,34 +218,35 @@
 } Reply;
 
 static void
-asked (GObject *source, GAsyncResult *result, gpointer data)
+on_reply (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Reply *r = data;
+  Reply *reply = data;
   g_autoptr (GBytes) bytes
       = soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
-  r->status = bytes ? soup_message_get_status (r->message) : 0;
-  r->body = size ? mh_value_load (raw, size) : NULL;
-  r->done = true;
+  reply->status = bytes ? soup_message_get_status (reply->message) : 0;
+  reply->body = size ? mh_value_load (raw, size) : NULL;
+  reply->done = true;
 }
 
 static guint
 ask (guint node, const char *method, const char *path, GBytes *body, char **state)
 {
-  Reply r = { 0 };
-  g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u%s", t.front[node], path);
-  r.message = soup_message_new (method, url);
+  Reply reply = { 0 };
+  g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u%s", cluster.front[node], path);
+  reply.message = soup_message_new (method, url);
   if (body)
-    soup_message_set_request_body_from_bytes (r.message, "application/cbor", body);
-  soup_session_send_and_read_async (t.session, r.message, G_PRIORITY_DEFAULT, NULL, asked, &r);
-  while (!r.done)
+    soup_message_set_request_body_from_bytes (reply.message, "application/cbor", body);
+  soup_session_send_and_read_async (cluster.session, reply.message, G_PRIORITY_DEFAULT, NULL,
+                                    on_reply, &reply);
+  while (!reply.done)
     g_main_context_iteration (NULL, TRUE);
   if (state)
-    *state = r.body ? mh_value_get_text (r.body, "status") : NULL;
-  mh_value_unref (r.body);
-  g_object_unref (r.message);
-  return r.status;
+    *state = reply.body ? mh_value_get_text (reply.body, "status") : NULL;
+  mh_value_unref (reply.body);
+  g_object_unref (reply.message);
+  return reply.status;
 }
 
 /* Asks until the status is the one wanted, and the state too where one is given. */
@@ -245,29 +254,29 @@
 ask_until (guint node, const char *method, const char *path, GBytes *body, guint status,
            const char *state)
 {
-  gint64 end = g_get_monotonic_time () + PATIENCE_US;
+  gint64 end_us = g_get_monotonic_time () + MAX_WAIT_US;
   for (;;)
     {
       g_autofree char *got_state = NULL;
       guint got = ask (node, method, path, body, &got_state);
       if (got == status && (state == NULL || g_strcmp0 (got_state, state) == 0))
         return;
-      if (g_get_monotonic_time () > end)
+      if (g_get_monotonic_time () > end_us)
         g_error ("%s %s on node %u: %u %s, waited for %u %s", method, path, node, got, got_state,
                  status, state);
-      gint64 pause = g_get_monotonic_time () + 100000;
-      while (g_get_monotonic_time () < pause)
+      gint64 pause_until_us = g_get_monotonic_time () + 100000;
+      while (g_get_monotonic_time () < pause_until_us)
         g_main_context_iteration (NULL, TRUE);
     }
 }
 
 static void
-wait_running (const char *job, guint n)
+wait_for_running_tasks (const char *job, guint tasks)
 {
-  gint64 end = g_get_monotonic_time () + PATIENCE_US;
-  while (environment_running_tasks (t.environment, job) != n)
+  gint64 end_us = g_get_monotonic_time () + MAX_WAIT_US;
+  while (environment_running_tasks (cluster.environment, job) != tasks)
     {
-      g_assert_cmpint (g_get_monotonic_time (), <, end);
+      g_assert_cmpint (g_get_monotonic_time (), <, end_us);
       g_main_context_iteration (NULL, TRUE);
     }
 }
@@ -275,95 +284,106 @@
 static GBytes *
 submission (const char *id, const char *team, MhShape shape, guint tasks, gint64 run_us)
 {
-  MhJobSpec *s = g_new0 (MhJobSpec, 1);
-  s->id = g_strdup (id);
-  s->class_name = g_strdup ("c");
-  s->team = g_strdup (team);
-  s->image = g_strdup ("img");
-  s->image_gb = 0.1;
-  s->shape = shape;
-  s->priority = MH_PRIORITY_NORMAL;
-  s->tasks = tasks;
-  s->cpus = 1;
-  s->mem_gb = 1;
-  s->estimate_us = run_us;
-  s->deadline_us = -1;
-  g_autoptr (MhValue) v = mh_wire_write_submission (s);
-  workload_add (t.environment->workload, s, run_us);
-  return mh_value_save (v);
+  MhJobSpec *spec = g_new0 (MhJobSpec, 1);
+  spec->id = g_strdup (id);
+  spec->class_name = g_strdup ("c");
+  spec->team = g_strdup (team);
+  spec->image = g_strdup ("img");
+  spec->image_gb = 0.1;
+  spec->shape = shape;
+  spec->priority = MH_PRIORITY_NORMAL;
+  spec->tasks = tasks;
+  spec->cpus = 1;
+  spec->mem_gb = 1;
+  spec->estimate_us = run_us;
+  spec->deadline_us = -1;
+  g_autoptr (MhValue) body = mh_wire_write_submission (spec);
+  workload_add (cluster.environment->workload, spec, run_us);
+  return mh_value_save (body);
 }
 
 /* ---- set-up ---- */
 
+/* Runs in the new process. A controller that outlived a failed test would keep ctest waiting for
+   the end of its output. */
+static void
+end_with_parent (gpointer data)
+{
+  (void)data;
+  prctl (PR_SET_PDEATHSIG, SIGKILL);
+}
+
 static void
 start (guint node)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GSubprocessLauncher) launcher = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_NONE);
   g_subprocess_launcher_setenv (launcher, "G_DEBUG", "fatal-criticals", TRUE);
-  t.process[node]
-      = g_subprocess_launcher_spawn (launcher, &error, program, "--config", t.config[node], NULL);
+  g_subprocess_launcher_set_child_setup (launcher, end_with_parent, NULL, NULL);
+  cluster.process[node] = g_subprocess_launcher_spawn (launcher, &error, program, "--config",
+                                                       cluster.config[node], NULL);
   g_assert_no_error (error);
 }
 
 static void
 stop (guint node)
 {
-  g_subprocess_force_exit (t.process[node]);
-  g_subprocess_wait (t.process[node], NULL, NULL);
-  g_clear_object (&t.process[node]);
+  g_subprocess_force_exit (cluster.process[node]);
+  g_subprocess_wait (cluster.process[node], NULL, NULL);
+  g_clear_object (&cluster.process[node]);
 }
 
 static void
 set_up (void)
 {
   g_autoptr (GError) error = NULL;
-  t.dir = g_dir_make_tmp ("minthill-XXXXXX", NULL);
-  t.outside_port = free_port ();
+  cluster.dir = g_dir_make_tmp ("minthill-XXXXXX", NULL);
+  cluster.outside_port = free_port ();
   for (guint i = 0; i < NODES; i++)
     {
-      t.front[i] = free_port ();
-      t.peer[i] = free_port ();
+      cluster.front[i] = free_port ();
+      cluster.peer[i] = free_port ();
     }
   for (guint i = 0; i < NODES; i++)
     {
-      GString *s = g_string_new (NULL);
-      g_string_append_printf (s,
+      GString *text = g_string_new (NULL);
+      g_string_append_printf (text,
                               "node_name = \"node-%u\"\nzone = \"a\"\nfront = \"127.0.0.1:%u\"\n"
                               "peer_bind = \"127.0.0.1:%u\"\n",
-                              i, t.front[i], t.peer[i]);
-      for (guint k = 0; k < NODES; k++)
-        if (k != i)
+                              i, cluster.front[i], cluster.peer[i]);
+      for (guint j = 0; j < NODES; j++)
+        if (j != i)
           g_string_append_printf (
-              s, "[[members]]\nnode_name = \"node-%u\"\nendpoint = \"127.0.0.1:%u\"\n", k,
-              t.peer[k]);
+              text, "[[members]]\nnode_name = \"node-%u\"\nendpoint = \"127.0.0.1:%u\"\n", j,
+              cluster.peer[j]);
       g_string_append_printf (
-          s,
+          text,
           "[endpoints]\ncloud = \"127.0.0.1:%u\"\nstate = \"127.0.0.1:%u\"\n"
           "[[settings.teams]]\nname = \"red\"\ncpus = 8.0\ncpus_max = 16.0\n"
           "[settings.workers]\nreport_s = 2.0\nlease_s = 60.0\ncancel_s = 600.0\n"
           "[settings.state]\nrps = 250.0\nwrite_rps = 50.0\nvalue_kb = 32.0\n"
           "txn_ops = 16\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 0.2\n"
           "[settings.resources]\ncore_share = 1.0\nmax_connections = %u\n",
-          t.outside_port, t.outside_port, MOST_CONNECTIONS);
+          cluster.outside_port, cluster.outside_port, MOST_CONNECTIONS);
       g_autofree char *name = g_strdup_printf ("node-%u.toml", i);
-      t.config[i] = g_build_filename (t.dir, name, NULL);
-      g_file_set_contents (t.config[i], s->str, -1, &error);
+      cluster.config[i] = g_build_filename (cluster.dir, name, NULL);
+      g_file_set_contents (cluster.config[i], text->str, -1, &error);
       g_assert_no_error (error);
-      g_string_free (s, TRUE);
+      g_string_free (text, TRUE);
     }
-  t.settings = mh_settings_load (t.config[0], NULL, &error);
+  cluster.settings = mh_settings_load (cluster.config[0], NULL, &error);
   g_assert_no_error (error);
-  t.environment = environment_new (t.settings, 0);
-  t.environment->cloud->boot_us = MH_SECOND_US;
-  t.workers = g_ptr_array_new ();
-  t.waiting = g_hash_table_new_full (g_direct_hash, g_direct_equal, g_object_unref, NULL);
-  t.session = soup_session_new_with_options ("proxy-resolver", NULL, NULL);
-  t.outside = soup_server_new (NULL, NULL);
-  soup_server_add_handler (t.outside, NULL, serve_outside, NULL, NULL);
-  soup_server_listen_local (t.outside, t.outside_port, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
+  cluster.environment = environment_new (cluster.settings, 0);
+  cluster.environment->cloud->boot_us = MH_SECOND_US;
+  cluster.workers = g_ptr_array_new ();
+  cluster.waiting = g_hash_table_new_full (g_direct_hash, g_direct_equal, g_object_unref, NULL);
+  cluster.session = soup_session_new_with_options ("proxy-resolver", NULL, NULL);
+  cluster.outside = soup_server_new (NULL, NULL);
+  soup_server_add_handler (cluster.outside, NULL, serve_outside, NULL, NULL);
+  soup_server_listen_local (cluster.outside, cluster.outside_port, SOUP_SERVER_LISTEN_IPV4_ONLY,
+                            &error);
   g_assert_no_error (error);
-  g_timeout_add (20, turn, NULL);
+  g_timeout_add (20, on_timer, NULL);
   for (guint i = 0; i < NODES; i++)
     start (i);
   for (guint i = 0; i < NODES; i++)
@@ -374,7 +394,7 @@
 connect_to (guint node)
 {
   g_autoptr (GSocketAddress) to
-      = g_inet_socket_address_new_from_string ("127.0.0.1", t.front[node]);
+      = g_inet_socket_address_new_from_string ("127.0.0.1", cluster.front[node]);
   GSocket *socket
       = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_assert_true (g_socket_connect (socket, to, NULL, NULL));
@@ -387,16 +407,19 @@
 {
   for (guint i = 0; i < 100 * NODES; i++)
     {
-      g_autoptr (GSocket) s = connect_to (i % NODES);
+      g_autoptr (GSocket) socket = connect_to (i % NODES);
       const struct linger at_once = { .l_onoff = 1 };
       g_assert_cmpint (
-          setsockopt (g_socket_get_fd (s), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once), ==, 0);
-      g_socket_close (s, NULL);
+          setsockopt (g_socket_get_fd (socket), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once),
+          ==, 0);
+      g_socket_close (socket, NULL);
     }
   for (guint i = 0; i < NODES; i++)
     ask_until (i, "GET", "/ready", NULL, 200, NULL);
 }
 
+/* A request that is not understood must be refused with its own status, by every controller alike.
+ */
 static void
 test_bad_input (void)
 {
@@ -422,6 +445,8 @@
     }
 }
 
+/* A job that one controller accepted would be unknown to the others, or run again when it is
+   submitted a second time. */
 static void
 test_array (void)
 {
@@ -464,7 +489,7 @@
   g_string_append_printf (request,
                           "POST /hello HTTP/1.1\r\nHost: 127.0.0.1:%u\r\n"
                           "Content-Type: application/cbor\r\nContent-Length: %u\r\n\r\n",
-                          t.front[node], (guint)size);
+                          cluster.front[node], (guint)size);
   g_string_append_len (request, data, (gssize)size);
   g_assert_cmpint (g_socket_send (socket, request->str, request->len, NULL, &error), ==,
                    (gssize)request->len);
@@ -506,12 +531,12 @@
   g_assert_false (report_closes ());
   for (guint i = 0; i < MOST_CONNECTIONS * 2 / 3; i++)
     g_ptr_array_add (sockets, connect_to (0));
-  gint64 end = g_get_monotonic_time () + PATIENCE_US;
+  gint64 end_us = g_get_monotonic_time () + MAX_WAIT_US;
   while (!report_closes ())
-    g_assert_cmpint (g_get_monotonic_time (), <, end);
+    g_assert_cmpint (g_get_monotonic_time (), <, end_us);
   g_ptr_array_set_size (sockets, 0);
   while (report_closes ())
-    g_assert_cmpint (g_get_monotonic_time (), <, end);
+    g_assert_cmpint (g_get_monotonic_time (), <, end_us);
 }
 
 /* Each controller is killed and started again while a service runs: it goes on undisturbed. */
@@ -520,8 +545,8 @@
 {
   g_autoptr (GBytes) body = submission ("j-000003", "red", MH_SHAPE_SERVICE, 2, 0);
   ask_until (0, "POST", "/submissions", body, 201, NULL);
-  wait_running ("j-000003", 2);
-  guint starts = t.environment->rules->task_starts;
+  wait_for_running_tasks ("j-000003", 2);
+  guint starts = cluster.environment->rules->task_starts;
   for (guint i = 0; i < NODES; i++)
     {
       stop (i);
@@ -529,15 +554,17 @@
       start (i);
       ask_until (i, "GET", "/ready", NULL, 200, NULL);
     }
-  g_assert_cmpuint (t.environment->rules->task_starts, ==, starts);
+  g_assert_cmpuint (cluster.environment->rules->task_starts, ==, starts);
   ask_until (2, "POST", "/submissions/j-000003/withdraw", NULL, 200, "aborted");
-  wait_running ("j-000003", 0);
+  wait_for_running_tasks ("j-000003", 0);
   ask_until (1, "GET", "/submissions/j-000003", NULL, 200, "aborted");
-  for (guint i = 0; i < t.environment->rules->violations->len; i++)
-    g_printerr ("rule: %s\n", (char *)g_ptr_array_index (t.environment->rules->violations, i));
-  g_assert_cmpuint (t.environment->rules->violations->len, ==, 0);
+  for (guint i = 0; i < cluster.environment->rules->violations->len; i++)
+    g_printerr ("rule: %s\n",
+                (char *)g_ptr_array_index (cluster.environment->rules->violations, i));
+  g_assert_cmpuint (cluster.environment->rules->violations->len, ==, 0);
 }
 
+/* Scripts tell bad settings from other failures by the exit status, and print the one line. */
 static void
 test_command_line (void)
 {
@@ -547,24 +574,25 @@
     int exit;
     const char *says;
   } rows[] = { { { "--version" }, 0, NULL },
-               { { "--config", t.config[0], "--check" }, 0, NULL },
+               { { "--config", cluster.config[0], "--check" }, 0, NULL },
                { { "--config", "/nonexistent", "--check" }, 2, "/nonexistent" },
                { { "--check" }, 2, "--config" },
                { { "--colour" }, 2, "colour" } };
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autofree char *err = NULL, *out = NULL;
-      g_autoptr (GSubprocess) p = g_subprocess_new (
+      g_autofree char *error_output = NULL, *output = NULL;
+      g_autoptr (GSubprocess) process = g_subprocess_new (
           G_SUBPROCESS_FLAGS_STDERR_PIPE | G_SUBPROCESS_FLAGS_STDOUT_PIPE, &error, program,
           rows[i].args[0], rows[i].args[1], rows[i].args[2], NULL);
       g_assert_no_error (error);
-      g_assert_true (g_subprocess_communicate_utf8 (p, NULL, NULL, &out, &err, &error));
-      g_assert_cmpint (g_subprocess_get_exit_status (p), ==, rows[i].exit);
+      g_assert_true (
+          g_subprocess_communicate_utf8 (process, NULL, NULL, &output, &error_output, &error));
+      g_assert_cmpint (g_subprocess_get_exit_status (process), ==, rows[i].exit);
       if (rows[i].says)
         {
-          g_assert_nonnull (strstr (err, rows[i].says));
-          g_assert_true (strchr (err, '\n') == err + strlen (err) - 1);
+          g_assert_nonnull (strstr (error_output, rows[i].says));
+          g_assert_true (strchr (error_output, '\n') == error_output + strlen (error_output) - 1);
         }
     }
 }
@@ -576,18 +604,18 @@
   g_assert_cmpint (argc, ==, 2);
   program = argv[1];
   set_up ();
-  g_test_add_func ("/loopback/resets", test_resets);
-  g_test_add_func ("/loopback/bad-input", test_bad_input);
-  g_test_add_func ("/loopback/array", test_array);
-  g_test_add_func ("/loopback/crowded", test_crowded);
-  g_test_add_func ("/loopback/restarts", test_restarts);
+  g_test_add_func ("/loopback/connections-reset-before-accept", test_resets);
+  g_test_add_func ("/loopback/refused-requests", test_bad_input);
+  g_test_add_func ("/loopback/job-array-seen-by-all", test_array);
+  g_test_add_func ("/loopback/reports-while-crowded", test_crowded);
+  g_test_add_func ("/loopback/restart-of-each-controller", test_restarts);
   g_test_add_func ("/loopback/command-line", test_command_line);
   int status = g_test_run ();
   for (guint i = 0; i < NODES; i++)
     {
       stop (i);
-      g_unlink (t.config[i]);
+      g_unlink (cluster.config[i]);
     }
-  g_rmdir (t.dir);
+  g_rmdir (cluster.dir);
   return status;
 }
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -2,6 +2,7 @@
 #include "server/http-client.h"
 #include "server/log-output.h"
 #include "server/peer-connection.h"
+#include "server/request-forwarder.h"
 #include "server/socket-address.h"
 
 #include <libsoup/soup.h>
@@ -297,6 +298,119 @@
   g_assert_null (fixture->connected);
 }
 
+/* ---- requests between controllers ---- */
+
+/* A request of a user that is passed on over the fixture's outgoing connection. */
+typedef struct
+{
+  PeerFixture peer; /* its handlers get the fixture's own address */
+  MhPendingRequests *requests;
+  MhRequestForwarder *forwarder;
+  MhPendingRequest *request;
+  guint outcomes;
+  guint status; /* of the last outcome; 0: no answer */
+} ForwardFixture;
+
+static void
+on_outcome (guint64 id, const MhUserAnswer *answer, gpointer data)
+{
+  ForwardFixture *fixture = data;
+  g_assert_cmpuint (id, ==, fixture->request->id);
+  fixture->outcomes++;
+  fixture->status = answer ? answer->status : 0;
+}
+
+static void
+forward_set_up (ForwardFixture *fixture, gconstpointer data)
+{
+  peer_set_up (&fixture->peer, data);
+  fixture->requests = mh_pending_requests_new ();
+  fixture->forwarder = mh_request_forwarder_new (fixture->requests, on_outcome, fixture);
+  fixture->request = mh_pending_requests_add_forwarded (fixture->requests, NULL, 0);
+  fixture->request->verb = MH_USER_STATUS;
+  fixture->request->job = g_strdup ("j-000001");
+}
+
+static void
+forward_tear_down (ForwardFixture *fixture, gconstpointer data)
+{
+  mh_request_forwarder_free (fixture->forwarder);
+  mh_pending_requests_free (fixture->requests);
+  peer_tear_down (&fixture->peer, data);
+}
+
+/* An answer of another connection than the request was passed on over may be one of before a
+ * restart. */
+static void
+test_forward_answer (ForwardFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  MhPeerConnection *connection = fixture->peer.connected;
+  MhPeerMessage answer
+      = { .kind = MH_PEER_ANSWER, .id = fixture->request->id, .answer = { .status = 200 } };
+  mh_request_forwarder_send (fixture->forwarder, fixture->request, connection, 60 * MH_SECOND_US);
+  accept_peer (&fixture->peer);
+  mh_request_forwarder_handle_answer (fixture->forwarder, fixture->peer.accepted, &answer);
+  g_assert_cmpuint (fixture->outcomes, ==, 0);
+  mh_request_forwarder_handle_answer (fixture->forwarder, connection, &answer);
+  g_assert_cmpuint (fixture->outcomes, ==, 1);
+  g_assert_cmpuint (fixture->status, ==, 200);
+  mh_request_forwarder_handle_answer (fixture->forwarder, connection, &answer);
+  g_assert_cmpuint (fixture->outcomes, ==, 1);
+}
+
+/* A user whose request went to a controller that hangs would wait for ever, and the next one too.
+ */
+static void
+test_forward_timeout (ForwardFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  mh_request_forwarder_send (fixture->forwarder, fixture->request, fixture->peer.connected,
+                             MH_SECOND_US / 20);
+  iterate_until_closed (&fixture->peer, 1);
+  g_assert_null (fixture->peer.connected);
+  g_assert_cmpuint (fixture->outcomes, ==, 1);
+  g_assert_cmpuint (fixture->status, ==, 0);
+}
+
+/* Nor may a connection that closes leave requests behind, on either side of it. */
+static void
+test_forward_closed (ForwardFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  MhPeerConnection *connection = fixture->peer.connected;
+  const MhPeerMessage call
+      = { .kind = MH_PEER_CALL, .id = 7, .verb = MH_USER_CANCEL, .job = (char *)"j-000002" };
+  MhJobSpec *spec = NULL;
+  MhPendingRequest *received
+      = mh_request_forwarder_receive (fixture->forwarder, connection, &call, &spec);
+  g_assert_null (spec);
+  g_assert_cmpstr (received->job, ==, "j-000002");
+  g_assert_cmpuint (received->peer_request_id, ==, 7);
+  mh_request_forwarder_send (fixture->forwarder, fixture->request, connection, 60 * MH_SECOND_US);
+  mh_request_forwarder_handle_closed (fixture->forwarder, connection);
+  g_assert_cmpuint (fixture->outcomes, ==, 1);
+  g_assert_cmpuint (fixture->status, ==, 0);
+  g_assert_null (received->peer);
+}
+
+/* A submission that is not understood must be answered there and then, not handed to the
+ * controller. */
+static void
+test_forward_malformed_submission (ForwardFixture *fixture, gconstpointer data)
+{
+  (void)data;
+  g_autoptr (GBytes) body = g_bytes_new_static ("\x80", 1);
+  const MhPeerMessage call = {
+    .kind = MH_PEER_CALL, .id = 7, .verb = MH_USER_SUBMIT, .job = (char *)"j-000002", .body = body
+  };
+  MhJobSpec *spec = NULL;
+  g_assert_null (
+      mh_request_forwarder_receive (fixture->forwarder, fixture->peer.connected, &call, &spec));
+  g_assert_null (spec);
+  g_assert_true (mh_peer_connection_has_queued_output (fixture->peer.connected));
+}
+
 /* ---- log ---- */
 
 /* Runs in a process of its own. */
@@ -346,6 +460,14 @@
               test_peer_malformed, peer_tear_down);
   g_test_add ("/server/peer-connection/closed-by-the-other-side", PeerFixture, NULL, peer_set_up,
               test_peer_closed_by_other_side, peer_tear_down);
+  g_test_add ("/server/request-forwarder/answer", ForwardFixture, NULL, forward_set_up,
+              test_forward_answer, forward_tear_down);
+  g_test_add ("/server/request-forwarder/timeout", ForwardFixture, NULL, forward_set_up,
+              test_forward_timeout, forward_tear_down);
+  g_test_add ("/server/request-forwarder/closed", ForwardFixture, NULL, forward_set_up,
+              test_forward_closed, forward_tear_down);
+  g_test_add ("/server/request-forwarder/malformed-submission", ForwardFixture, NULL,
+              forward_set_up, test_forward_malformed_submission, forward_tear_down);
   g_test_add_func ("/server/log-lines", test_log_lines);
   return g_test_run ();
 }
