--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -3,6 +3,9 @@
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/completion-forecast.h"
 #include "autoscaler/machine-offer.h"
+#include "placement/filter.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
 
 struct MhDemandPlan
 {
