--- a/tests/test-wire.c
+++ b/tests/test-protocol.c
@@ -102,6 +102,7 @@
   g_assert_false (reads (with (submission (), "racks", mh_value_text ("g8"))));
   g_assert_false (reads (with (submission (), "hall", mh_value_uint (1))));
   g_assert_false (reads (with (submission (), "standby", mh_value_uint (1))));
+  g_assert_false (reads (with (submission (), "standby", cbor_build_float8 (1))));
 }
 
 static void
@@ -367,15 +368,15 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/wire/submission", test_submission);
-  g_test_add_func ("/wire/round-trip", test_round_trip);
-  g_test_add_func ("/wire/bytes", test_bytes);
-  g_test_add_func ("/wire/noise", test_noise);
-  g_test_add_func ("/wire/gang", test_gang);
-  g_test_add_data_func ("/wire/record-size/2", GUINT_TO_POINTER (2048), test_record_size);
-  g_test_add_func ("/wire/report", test_report);
-  g_test_add_data_func ("/wire/record-size/8", GUINT_TO_POINTER (8192), test_record_size);
-  g_test_add_data_func ("/wire/record-size/32", GUINT_TO_POINTER (32768), test_record_size);
-  g_test_add_func ("/peer/records", test_peer);
+  g_test_add_func ("/protocol/submission", test_submission);
+  g_test_add_func ("/protocol/round-trip", test_round_trip);
+  g_test_add_func ("/protocol/bytes", test_bytes);
+  g_test_add_func ("/protocol/noise", test_noise);
+  g_test_add_func ("/protocol/gang", test_gang);
+  g_test_add_data_func ("/protocol/record-size/2", GUINT_TO_POINTER (2048), test_record_size);
+  g_test_add_func ("/protocol/report", test_report);
+  g_test_add_data_func ("/protocol/record-size/8", GUINT_TO_POINTER (8192), test_record_size);
+  g_test_add_data_func ("/protocol/record-size/32", GUINT_TO_POINTER (32768), test_record_size);
+  g_test_add_func ("/protocol/controller-records", test_peer);
   return g_test_run ();
 }
