--- a/src/protocol/value.c
+++ b/src/protocol/value.c
@@ -277,7 +277,9 @@
 mh_value_get_bool (const MhValue *map, const char *key, bool *out)
 {
   MhValue *value = mh_value_get (map, key);
-  if (value == NULL || !cbor_is_bool (value))
+  /* cbor_is_bool() aborts the process on a float. */
+  if (value == NULL || !cbor_isa_float_ctrl (value) || !cbor_float_ctrl_is_ctrl (value)
+      || !cbor_is_bool (value))
     return false;
   *out = cbor_get_bool (value);
   return true;
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -130,21 +130,23 @@
 }
 
 static MhValue *
-decode_body (GBytes *bytes)
+decode_body (GBytes *bytes, GError **error)
 {
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return mh_value_load (data, size, NULL);
+  return mh_value_load (data, size, error);
 }
 
 static void
 handle_submission (MhHttpServer *self, SoupServerMessage *message)
 {
+  g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) bytes = get_body (message);
-  g_autoptr (MhValue) body = decode_body (bytes);
-  MhJobSpec *spec = mh_submission_decode (body, NULL);
+  g_autoptr (MhValue) body = decode_body (bytes, &error);
+  MhJobSpec *spec = body ? mh_submission_decode (body, &error) : NULL;
   if (spec == NULL)
     {
+      g_debug ("malformed submission reason=%s", error->message);
       respond (message, SOUP_STATUS_BAD_REQUEST, NULL);
       return;
     }
@@ -158,12 +160,13 @@
 static void
 handle_report (MhHttpServer *self, SoupServerMessage *message)
 {
+  g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) bytes = get_body (message);
-  g_autoptr (MhValue) body = decode_body (bytes);
-  g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (body, NULL);
+  g_autoptr (MhValue) body = decode_body (bytes, &error);
+  g_autoptr (MhHeartbeat) report = body ? mh_heartbeat_decode (body, &error) : NULL;
   if (report == NULL)
     {
-      g_info ("malformed report");
+      g_info ("malformed report reason=%s", error->message);
       respond (message, SOUP_STATUS_BAD_REQUEST, NULL);
       return;
     }
--- a/src/server/peer-connection.c
+++ b/src/server/peer-connection.c
@@ -125,12 +125,13 @@
   while (!self->closed)
     {
       MhControllerMessage message;
-      MhControllerReadResult outcome = mh_controller_message_read (self->input, &message, NULL);
+      g_autoptr (GError) error = NULL;
+      MhControllerReadResult outcome = mh_controller_message_read (self->input, &message, &error);
       if (outcome == MH_CONTROLLER_READ_INCOMPLETE)
         return;
       if (outcome == MH_CONTROLLER_READ_MALFORMED)
         {
-          g_info ("peer connection closed reason=malformed message");
+          g_info ("peer connection closed reason=malformed message problem=%s", error->message);
           mh_peer_connection_close (self);
           return;
         }
