--- a/src/base/token-bucket.c
+++ b/src/base/token-bucket.c
@@ -1,28 +1,33 @@
 #include "base/token-bucket.h"
-
-#define SECOND_US 1000000
+#include "base/time-units.h"
 
 void
-mh_bucket_init (MhBucket *bucket, double rate, double burst, gint64 now_us)
+mh_token_bucket_init (MhTokenBucket *bucket, double rate, double burst, gint64 now_us)
 {
+  g_return_if_fail (bucket != NULL);
+
   bucket->rate = rate;
   bucket->burst = burst;
   bucket->tokens = burst;
-  bucket->at_us = now_us;
+  bucket->updated_us = now_us;
 }
 
 bool
-mh_bucket_has (MhBucket *bucket, double tokens, gint64 now_us)
+mh_token_bucket_has (MhTokenBucket *bucket, double tokens, gint64 now_us)
 {
-  double added = bucket->rate * (double)(now_us - bucket->at_us) / SECOND_US;
+  g_return_val_if_fail (bucket != NULL, false);
+
+  double added = bucket->rate * (double)(now_us - bucket->updated_us) / MH_SECOND_US;
   bucket->tokens = MIN (bucket->burst, bucket->tokens + added);
-  bucket->at_us = now_us;
+  bucket->updated_us = now_us;
   /* A single call that needs more than a full bucket passes when the bucket is full. */
   return bucket->tokens >= MIN (tokens, bucket->burst);
 }
 
 void
-mh_bucket_take (MhBucket *bucket, double tokens)
+mh_token_bucket_take (MhTokenBucket *bucket, double tokens)
 {
+  g_return_if_fail (bucket != NULL);
+
   bucket->tokens -= tokens;
 }
--- a/src/base/token-bucket.h
+++ b/src/base/token-bucket.h
@@ -5,47 +5,49 @@
 #include <stdbool.h>
 
 /**
- * MhBucket:
- * @rate: tokens that are added in a second
+ * MhTokenBucket:
+ * @rate: tokens that are added each second
  * @burst: tokens that it holds at most
- * @tokens: tokens that it held at @at_us; below 0 after more were taken than were there
- * @at_us: steady time of the last look, in microseconds
+ * @tokens: tokens that it held at @updated_us; below 0 after more were taken than it held
+ * @updated_us: monotonic time of the last mh_token_bucket_has(), in microseconds
+ *
+ * A token bucket. Its functions alone change the fields; others may read them.
  */
 typedef struct
 {
   double rate, burst, tokens;
-  gint64 at_us;
-} MhBucket;
+  gint64 updated_us;
+} MhTokenBucket;
 
 /**
- * mh_bucket_init:
+ * mh_token_bucket_init:
  * @bucket: the bucket to be filled in
- * @rate: tokens a second
+ * @rate: tokens that are added each second
  * @burst: tokens that it holds at most
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  *
  * Begins with a full bucket.
  */
 void
-mh_bucket_init (MhBucket *bucket, double rate, double burst, gint64 now_us);
+mh_token_bucket_init (MhTokenBucket *bucket, double rate, double burst, gint64 now_us);
 
 /**
- * mh_bucket_has:
+ * mh_token_bucket_has:
  * @bucket: a bucket
  * @tokens: how many are wanted
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  *
- * Adds what the time since the last look has brought.
+ * Adds the tokens of the time since the last call.
  *
- * Returns: %TRUE if so many tokens are there. More than a full bucket are there when it is full.
+ * Returns: %TRUE if the bucket holds so many tokens, or is full
  */
 bool
-mh_bucket_has (MhBucket *bucket, double tokens, gint64 now_us);
+mh_token_bucket_has (MhTokenBucket *bucket, double tokens, gint64 now_us);
 
 /**
- * mh_bucket_take:
+ * mh_token_bucket_take:
  * @bucket: a bucket
  * @tokens: how many are taken, whether or not they are there
  */
 void
-mh_bucket_take (MhBucket *bucket, double tokens);
+mh_token_bucket_take (MhTokenBucket *bucket, double tokens);
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -58,6 +58,6 @@
   GArray *zones;
   guint fruitless_transfers;
   MhSilenceThresholds silence;
-  MhBucket probe_bucket, direct_bucket;
+  MhTokenBucket probe_bucket, direct_bucket;
   GHashTable *boot_statistics;
 };
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -23,8 +23,8 @@
 mh_direct_command_init (MhCluster *cluster)
 {
   double rate = PATIENT_PER_CORE_S * cluster->settings->core_share;
-  mh_bucket_init (&cluster->direct_bucket, rate, MAX (1, rate / 4),
-                  mh_runtime_now_us (cluster->runtime));
+  mh_token_bucket_init (&cluster->direct_bucket, rate, MAX (1, rate / 4),
+                        mh_runtime_now_us (cluster->runtime));
 }
 
 /* ---- the answer ---- */
@@ -127,7 +127,7 @@
 {
   guint64 token = mh_fencing_token (cluster, machine);
   g_autoptr (GArray) commands = mh_commands_new ();
-  mh_bucket_take (&cluster->direct_bucket, 1);
+  mh_token_bucket_take (&cluster->direct_bucket, 1);
   mh_worker_command_collect_unsent (cluster, machine, commands);
   for (guint i = 0; i < commands->len; i++)
     {
@@ -159,7 +159,8 @@
   MhUnsentCommands unsent = mh_worker_command_unsent (machine);
   if (unsent == MH_UNSENT_URGENT
       || (unsent == MH_UNSENT_PATIENT
-          && mh_bucket_has (&cluster->direct_bucket, 1, mh_runtime_now_us (cluster->runtime))))
+          && mh_token_bucket_has (&cluster->direct_bucket, 1,
+                                  mh_runtime_now_us (cluster->runtime))))
     send_directly (cluster, machine);
 }
 
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -45,7 +45,7 @@
 mh_failure_init (MhCluster *cluster)
 {
   double rate = PROBES_PER_CORE_S * cluster->settings->core_share;
-  mh_bucket_init (&cluster->probe_bucket, rate, rate, mh_runtime_now_us (cluster->runtime));
+  mh_token_bucket_init (&cluster->probe_bucket, rate, rate, mh_runtime_now_us (cluster->runtime));
 }
 
 bool
@@ -137,11 +137,11 @@
 static void
 start_probing (MhCluster *cluster, MhMachine *machine)
 {
-  MhBucket *bucket = &cluster->probe_bucket;
+  MhTokenBucket *bucket = &cluster->probe_bucket;
   if (machine->probe.in_flight || machine->probe.failures || machine->endpoint == NULL
-      || !mh_bucket_has (bucket, 1, mh_runtime_now_us (cluster->runtime)))
+      || !mh_token_bucket_has (bucket, 1, mh_runtime_now_us (cluster->runtime)))
     return;
-  mh_bucket_take (bucket, 1);
+  mh_token_bucket_take (bucket, 1);
   machine->probe.first_sent_us = mh_runtime_now_us (cluster->runtime);
   probe (cluster, machine);
 }
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -42,7 +42,7 @@
   GQueue store_queue[MH_CALL_CLASSES], cloud_queue[MH_CALL_CLASSES]; /* QueuedCall */
   GQueue worker_queue;                                               /* QueuedCall */
   guint worker_calls;                                                /* under way */
-  MhBucket store_bucket, write_bucket, cloud_bucket;
+  MhTokenBucket store_bucket, write_bucket, cloud_bucket;
   gint64 store_paused_until_us, cloud_paused_until_us;
   bool write_rate_lowered;
 };
@@ -73,12 +73,12 @@
   MhCallQueue *queue = g_new0 (MhCallQueue, 1);
   queue->runtime = runtime;
   queue->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_call_free);
-  mh_bucket_init (&queue->store_bucket, settings->state_rps * STORE_SHARE,
-                  settings->state_rps * STORE_BURST_S, now_us);
-  mh_bucket_init (&queue->write_bucket, settings->state_write_rps * WRITE_SHARE,
-                  settings->state_write_rps * WRITE_BURST_S, now_us);
-  mh_bucket_init (&queue->cloud_bucket, settings->cloud_rps * CLOUD_SHARE,
-                  settings->cloud_rps * CLOUD_BURST_S, now_us);
+  mh_token_bucket_init (&queue->store_bucket, settings->state_rps * STORE_SHARE,
+                        settings->state_rps * STORE_BURST_S, now_us);
+  mh_token_bucket_init (&queue->write_bucket, settings->state_write_rps * WRITE_SHARE,
+                        settings->state_write_rps * WRITE_BURST_S, now_us);
+  mh_token_bucket_init (&queue->cloud_bucket, settings->cloud_rps * CLOUD_SHARE,
+                        settings->cloud_rps * CLOUD_BURST_S, now_us);
   return queue;
 }
 
@@ -181,7 +181,8 @@
 store_has_token (MhCallQueue *queue)
 {
   gint64 now_us = mh_runtime_now_us (queue->runtime);
-  return now_us >= queue->store_paused_until_us && mh_bucket_has (&queue->store_bucket, 1, now_us);
+  return now_us >= queue->store_paused_until_us
+         && mh_token_bucket_has (&queue->store_bucket, 1, now_us);
 }
 
 /* Calls of the class in their order. Changes that have to wait hold up other changes, but not
@@ -203,14 +204,14 @@
           return false;
         }
       if (limited && queued->changes > 0)
-        *writes_wait |= !mh_bucket_has (&queue->write_bucket, queued->changes, now_us);
+        *writes_wait |= !mh_token_bucket_has (&queue->write_bucket, queued->changes, now_us);
       if (limited && queued->changes > 0 && *writes_wait)
         {
           mh_runtime_wake_at (queue->runtime, now_us + STORE_RETRY_US);
           continue;
         }
-      mh_bucket_take (&queue->store_bucket, 1);
-      mh_bucket_take (&queue->write_bucket, queued->changes);
+      mh_token_bucket_take (&queue->store_bucket, 1);
+      mh_token_bucket_take (&queue->write_bucket, queued->changes);
       g_queue_delete_link (&queue->store_queue[class], link);
       send_call (queue, queued);
     }
@@ -238,13 +239,13 @@
     while (queue->cloud_queue[class].length)
       {
         if (now_us < queue->cloud_paused_until_us
-            || !mh_bucket_has (&queue->cloud_bucket, 1, now_us))
+            || !mh_token_bucket_has (&queue->cloud_bucket, 1, now_us))
           {
             mh_runtime_wake_at (queue->runtime,
                                 MAX (now_us + CLOUD_RETRY_US, queue->cloud_paused_until_us));
             return;
           }
-        mh_bucket_take (&queue->cloud_bucket, 1);
+        mh_token_bucket_take (&queue->cloud_bucket, 1);
         send_call (queue, g_queue_pop_head (&queue->cloud_queue[class]));
       }
 }
@@ -297,7 +298,7 @@
 {
   gint64 now_us = mh_runtime_now_us (queue->runtime);
   bool may = now_us >= queue->store_paused_until_us
-             && mh_bucket_has (&queue->write_bucket, changes, now_us);
+             && mh_token_bucket_has (&queue->write_bucket, changes, now_us);
   *tokens = queue->write_bucket.tokens;
   return may;
 }
@@ -365,9 +366,9 @@
     return;
   mh_log_info (queue->runtime, "key-value store takes fewer changes: changes_per_second=%.1f",
                next_rate);
-  mh_bucket_init (&queue->write_bucket, next_rate * WRITE_SHARE, next_rate * WRITE_BURST_S,
-                  mh_runtime_now_us (queue->runtime));
-  mh_bucket_take (&queue->write_bucket, queue->write_bucket.burst);
+  mh_token_bucket_init (&queue->write_bucket, next_rate * WRITE_SHARE, next_rate * WRITE_BURST_S,
+                        mh_runtime_now_us (queue->runtime));
+  mh_token_bucket_take (&queue->write_bucket, queue->write_bucket.burst);
 }
 
 bool
