--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -419,6 +419,21 @@
   .gang_stop = gang_stop,
 };
 
+static MhCluster *
+cluster_new (MhCore *core)
+{
+  const MhClusterOptions options = { .runtime = core->runtime,
+                                     .calls = core->calls,
+                                     .election = core->election,
+                                     .jobs = core->jobs,
+                                     .record_loader = core->record_loader,
+                                     .record_writer = core->record_writer,
+                                     .runtime_estimator = core->runtime_estimator,
+                                     .callbacks = &cluster_callbacks,
+                                     .owner = core };
+  return mh_cluster_new (&options);
+}
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -434,11 +449,10 @@
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   mh_core_storage_init (core);
   core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
-  core->cluster
-      = mh_cluster_new (core, core->runtime, core->calls, core->election, &cluster_callbacks, core);
+  core->runtime_estimator = mh_runtime_estimator_new ();
+  core->cluster = cluster_new (core);
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
-  core->runtime_estimator = mh_runtime_estimator_new ();
   core->autoscaler = mh_autoscaler_new (core);
   core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
   if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
