--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -2,11 +2,7 @@
    README.md. */
 #include "storage/record.h"
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
 #include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 #include <string.h>
 
