--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -310,6 +310,51 @@
   g_assert_true (mh_election_is_ready (fixture->election));
 }
 
+/* A process that is back before its earlier life's lease has ended would wait for nothing; what
+   that life still has in flight must not be carried out beside it. */
+static void
+test_own_key_is_replaced (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  assert_call (fixture, "GET", "/kv/leader");
+  reply (fixture, 200, entry_body ("leader", mh_leader_record_write (NODE, 1, LEASE_ID - 1), 5));
+  assert_call (fixture, "POST", "/grants");
+  reply (fixture, 200, number_body ("claim", LEASE_ID));
+  assert_call (fixture, "GET", "/kv/epoch");
+  reply (fixture, 200, entry_body ("epoch", mh_epoch_record_write (1000000), 3));
+  g_autoptr (MhAction) action = pop_call (fixture);
+  const MhValue *conditions = mh_value_get (action->request->body, "if");
+  const guint64 versions[] = { 5, 3 };
+  g_assert_cmpuint (mh_value_size (conditions), ==, G_N_ELEMENTS (versions));
+  for (guint i = 0; i < G_N_ELEMENTS (versions); i++)
+    {
+      guint64 version = 0;
+      g_assert_true (mh_value_get_uint (mh_value_at (conditions, i), "stamp", &version));
+      g_assert_cmpuint (version, ==, versions[i]);
+    }
+}
+
+/* A key that cannot be read belongs to another version: this one must neither lead beside it nor
+   send users to a name that it has made up. When the key goes, it may campaign. */
+static void
+test_unreadable_key_is_watched (Fixture *fixture, gconstpointer data)
+{
+  (void)data;
+  assert_call (fixture, "GET", "/kv/leader");
+  reply (fixture, 200, entry_body ("leader", number_body ("epoch", 1), 5));
+  assert_call (fixture, "GET", "/watch?starts=leader&since=5&hold_ms=5000");
+  g_assert_null (mh_election_leader_name (fixture->election));
+  MhValue *event = number_body ("stamp", 6);
+  mh_value_set_text (event, "drop", "leader");
+  MhValue *events = mh_value_list ();
+  mh_value_push (events, event);
+  MhValue *body = number_body ("ledger", 6);
+  mh_value_set (body, "news", events);
+  reply (fixture, 200, body);
+  assert_call (fixture, "POST", "/grants");
+  g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_CAMPAIGNING);
+}
+
 /* While a renewal is under way the lease may end: nothing may be decided on it then, and who waits
    must not wait for ever. A renewal that comes after all finds nobody else elected. */
 static void
@@ -442,6 +487,8 @@
   ADD ("unanswered-write-is-checked", test_unanswered_write_is_checked);
   ADD ("other-lease-is-not-own", test_other_lease_is_not_own);
   ADD ("conflict-ends-campaign", test_conflict_ends_campaign);
+  ADD ("own-key-is-replaced", test_own_key_is_replaced);
+  ADD ("unreadable-key-is-watched", test_unreadable_key_is_watched);
   ADD ("lease-expires-while-renewing", test_lease_expires_while_renewing);
   ADD ("lost-lease-ends-leadership", test_lost_lease_ends_leadership);
   ADD ("transfer-lets-others-try", test_transfer_lets_others_try);
