--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "cluster/machine-registry.h"
-#include "protocol/wire.h"
+#include "protocol/key-value-messages.h"
 
 typedef struct MhAutoscaler MhAutoscaler;
 
@@ -73,4 +73,4 @@
  * Goes on with releases of an earlier leader; see mh_scale_in_load ().
  */
 void
-mh_autoscaler_load_release (MhAutoscaler *self, const MhEntry *entry);
+mh_autoscaler_load_release (MhAutoscaler *self, const MhKvEntry *entry);
--- a/src/autoscaler/machine-offer.h
+++ b/src/autoscaler/machine-offer.h
@@ -4,6 +4,7 @@
 
 #include "autoscaler/scale-out.h"
 #include "jobs/job.h"
+#include "protocol/cloud-messages.h"
 
 /**
  * MhMachineOffer:
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -1,6 +1,8 @@
 #include "jobs/job.h"
 
-#include "protocol/wire.h"
+#include "base/time-units.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/user-messages.h"
 
 /* Of a record, in JSON: a task, with a machine's name of sixteen characters, and what is neither
    job nor task. A record that turns out larger is re-chunked. */
@@ -15,7 +17,7 @@
 guint
 mh_job_tasks_per_record (const MhJobSpec *spec, guint value_bytes)
 {
-  g_autoptr (MhValue) submission = mh_wire_write_submission (spec);
+  g_autoptr (MhValue) submission = mh_submission_encode (spec);
   gsize used = mh_value_json_size (submission) + RECORD_JSON_BYTES;
   if (used + MIN_TASKS_PER_RECORD * TASK_JSON_BYTES > value_bytes)
     return 0;
@@ -122,7 +124,7 @@
 gint64
 mh_job_grace_us (const MhJob *job)
 {
-  return job->spec->checkpoint_us > 0 ? job->spec->save_us : 0;
+  return job->spec->checkpoint_interval_us > 0 ? job->spec->checkpoint_save_us : 0;
 }
 
 void
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -164,7 +164,7 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *attempt = job->tasks[i].live;
-      if (attempt && attempt->phase == MH_TASK_FETCHING)
+      if (attempt && attempt->phase == MH_TASK_PHASE_FETCHING_IMAGE)
         attempt->machine->no_start_before_us = now_us + LATE_IMAGE_US;
     }
   mh_gang_stop (core, job, 0);
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -217,7 +217,7 @@
     return true;
   if (!pass->is_rebuilt)
     return false;
-  if (spec->shape != MH_SHAPE_SERVICE && !spec->scatter && !spec->one_zone)
+  if (spec->shape != MH_SHAPE_SERVICE && !spec->spread_over_zones && !spec->single_zone)
     return true;
   return !has_task_in_unknown_zone (job);
 }
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -97,7 +97,7 @@
 {
   switch (target)
     {
-    case MH_TARGET_STATE:
+    case MH_TARGET_KEY_VALUE_STORE:
       return &queue->store_queue[class];
     case MH_TARGET_CLOUD:
       return &queue->cloud_queue[class];
@@ -172,7 +172,7 @@
   MhAction *action = mh_runtime_act (queue->runtime, MH_ACTION_CALL, queued->id);
   action->request = g_steal_pointer (&queued->request);
   action->timeout_us = queued->timeout_us;
-  if (action->request->target != MH_TARGET_STATE && action->request->body)
+  if (action->request->target != MH_TARGET_KEY_VALUE_STORE && action->request->body)
     action->lease_until_us = mh_runtime_lease_until_us (queue->runtime);
   queued_call_free (queued);
 }
--- a/src/server/pending-request.h
+++ b/src/server/pending-request.h
@@ -1,7 +1,7 @@
 /* Requests that wait for the controller's answer. */
 #pragma once
 
-#include "protocol/types.h"
+#include "protocol/user-messages.h"
 #include "server/http-listener.h"
 #include "server/peer-connection.h"
 
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -48,8 +48,8 @@
   /* A slow or absent controller that has not taken the last announcement yet needs no second one.
    */
   if (connection && !mh_peer_connection_has_queued_output (connection))
-    mh_peer_connection_send (connection,
-                             mh_peer_write_announcement (server->settings->node, action->id));
+    mh_peer_connection_send (
+        connection, mh_controller_announcement_encode (server->settings->node, action->id));
 }
 
 static void
@@ -61,8 +61,8 @@
   if (request->message == NULL)
     {
       if (request->peer)
-        mh_peer_connection_send (request->peer,
-                                 mh_peer_write_answer (request->peer_request_id, &action->answer));
+        mh_peer_connection_send (request->peer, mh_controller_response_encode (
+                                                    request->peer_request_id, &action->answer));
     }
   else if (action->kind == MH_ACTION_ANSWER_USER)
     mh_http_server_answer_user (server->http_server, request, &action->answer);
@@ -141,7 +141,7 @@
 }
 
 static void
-on_report (const MhPendingRequest *request, const MhReport *report, gpointer data)
+on_report (const MhPendingRequest *request, const MhHeartbeat *report, gpointer data)
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
@@ -168,7 +168,7 @@
 }
 
 static void
-on_forwarded_request (Server *server, MhPeerConnection *connection, const MhPeerMessage *call)
+on_forwarded_request (Server *server, MhPeerConnection *connection, const MhControllerMessage *call)
 {
   MhJobSpec *spec;
   MhNow now = mh_process_clock_read (server->clock);
@@ -181,26 +181,26 @@
 }
 
 static void
-on_announcement (Server *server, const MhPeerMessage *announcement)
+on_announcement (Server *server, const MhControllerMessage *announcement)
 {
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_leader_announced (server->core, &now, announcement->job, announcement->id);
+  mh_core_leader_announced (server->core, &now, announcement->node, announcement->epoch);
   dispatch_actions (server);
 }
 
 static void
-on_peer_message (MhPeerConnection *connection, const MhPeerMessage *message, gpointer data)
+on_peer_message (MhPeerConnection *connection, const MhControllerMessage *message, gpointer data)
 {
   Server *server = data;
   switch (message->kind)
     {
-    case MH_PEER_CALL:
+    case MH_CONTROLLER_REQUEST:
       on_forwarded_request (server, connection, message);
       break;
-    case MH_PEER_ANSWER:
+    case MH_CONTROLLER_RESPONSE:
       mh_request_forwarder_handle_answer (server->forwarder, connection, message);
       break;
-    case MH_PEER_ANNOUNCEMENT:
+    case MH_CONTROLLER_ANNOUNCEMENT:
       on_announcement (server, message);
       break;
     }
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -77,7 +77,7 @@
 leave_job_alone (MhRecordLoader *loader, const char *key, const char *id, const GError *error)
 {
   mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
-                  "record cannot be read; its job is left alone: key=%s job=%s reason=\"%s\"", key,
+                  "record cannot be read, its job is left alone key=%s job=%s reason=\"%s\"", key,
                   id, error->message);
   g_hash_table_add (loader->unreadable, g_strdup (id));
   MhJob *job = g_hash_table_lookup (loader->jobs, id);
@@ -113,7 +113,7 @@
 }
 
 static void
-load_tasks (MhRecordLoader *loader, MhJob *job, guint chunk, const MhEntry *entry)
+load_tasks (MhRecordLoader *loader, MhJob *job, guint chunk, const MhKvEntry *entry)
 {
   g_autoptr (GError) error = NULL;
   TaskReader reader = { .loader = loader, .job = job };
@@ -144,7 +144,7 @@
 }
 
 static void
-load_job (MhRecordLoader *loader, const MhEntry *entry)
+load_job (MhRecordLoader *loader, const MhKvEntry *entry)
 {
   g_autoptr (GError) error = NULL;
   g_auto (MhStoredJob) stored = {};
@@ -157,7 +157,7 @@
 
 /* One whose job is over, or was laid out in fewer records meanwhile, is of no use any more. */
 static void
-load_chunk (MhRecordLoader *loader, const MhEntry *entry)
+load_chunk (MhRecordLoader *loader, const MhKvEntry *entry)
 {
   g_auto (GStrv) parts = g_strsplit (entry->key, "/", 3);
   if (parts[0] && parts[1] && mh_record_loader_is_unreadable (loader, parts[1]))
@@ -173,13 +173,13 @@
 /* An earlier leader found that the limits announced as next hold. Those of settings that were
    changed since are not known to. */
 static void
-load_limits (MhRecordLoader *loader, const MhEntry *entry)
+load_limits (MhRecordLoader *loader, const MhKvEntry *entry)
 {
   g_autoptr (GError) error = NULL;
   double write_rps;
   if (!mh_record_read_limits (entry->value, &write_rps, &error))
     mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
-                    "record cannot be read: key=%s reason=\"%s\"", entry->key, error->message);
+                    "record cannot be read key=%s reason=\"%s\"", entry->key, error->message);
   else if (write_rps <= mh_runtime_settings (loader->runtime)->next_write_rps)
     {
       mh_record_writer_limits_loaded (loader->writer);
@@ -188,7 +188,7 @@
 }
 
 static void
-load_entry (MhRecordLoader *loader, const MhEntry *entry)
+load_entry (MhRecordLoader *loader, const MhKvEntry *entry)
 {
   if (g_str_has_prefix (entry->key, MH_RECORD_RELEASES))
     loader->callbacks->release_found (loader->owner, entry);
@@ -224,7 +224,8 @@
                                   .owner = loader,
                                   .data = page,
                                   .free_data = page_free };
-  mh_call_queue_add (loader->calls, mh_wire_list (prefixes[prefix], after, PAGE_ENTRIES), &options);
+  mh_call_queue_add (loader->calls, mh_kv_request_list (prefixes[prefix], after, PAGE_ENTRIES),
+                     &options);
 }
 
 static void
@@ -247,7 +248,7 @@
   bool more;
   guint64 revision;
   g_autoptr (GPtrArray) entries
-      = reply->status == 200 ? mh_wire_read_entries (reply->body, &more, &revision) : NULL;
+      = reply->status == 200 ? mh_kv_list_decode (reply->body, &more, &revision, NULL) : NULL;
   if (entries == NULL)
     {
       mh_call_queue_pause_store (loader->calls, PAUSE_US, PAUSE_SPREAD_US);
@@ -258,7 +259,7 @@
     load_entry (loader, g_ptr_array_index (entries, i));
   if (more && entries->len)
     {
-      const MhEntry *last = g_ptr_array_index (entries, entries->len - 1);
+      const MhKvEntry *last = g_ptr_array_index (entries, entries->len - 1);
       read_page (loader, page->prefix, last->key);
     }
   else if (page->prefix + 1 < G_N_ELEMENTS (prefixes))
--- a/src/storage/transaction.c
+++ b/src/storage/transaction.c
@@ -2,6 +2,7 @@
 
 #include "election/leader-record.h"
 #include "storage/record.h"
+#include "protocol/key-value-messages.h"
 
 #include <string.h>
 
@@ -16,8 +17,8 @@
   char *tag;
   char *tagged_key;      /* NULL: no record is in it */
   GPtrArray *keys;       /* char *, of conditions and changes */
-  GArray *conditions;    /* MhCondition */
-  GArray *changes;       /* MhChange */
+  GArray *conditions;    /* MhKvCondition */
+  GArray *changes;       /* MhKvChange */
   GPtrArray *values;     /* MhValue, of changes */
   MhRequest *request;    /* NULL: not sent yet */
   bool has_unknown_copy; /* that may have been, or may yet be, applied */
@@ -29,8 +30,8 @@
   switch (reply->status)
     {
     case 200:
-      return mh_wire_read_revision (reply->body, version) ? MH_TRANSACTION_APPLIED
-                                                          : MH_TRANSACTION_UNKNOWN;
+      return mh_kv_revision_decode (reply->body, version, NULL) ? MH_TRANSACTION_APPLIED
+                                                                : MH_TRANSACTION_UNKNOWN;
     case 409:
       return MH_TRANSACTION_CONFLICT;
     case 400:
@@ -58,8 +59,8 @@
   transaction->free_data = free_data;
   transaction->tag = g_strdup (tag);
   transaction->keys = g_ptr_array_new_with_free_func (g_free);
-  transaction->conditions = g_array_new (FALSE, FALSE, sizeof (MhCondition));
-  transaction->changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
+  transaction->conditions = g_array_new (FALSE, FALSE, sizeof (MhKvCondition));
+  transaction->changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
   transaction->values = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
   return transaction;
 }
@@ -109,7 +110,7 @@
 mh_transaction_add_condition (MhTransaction *transaction, const char *key, guint64 version)
 {
   g_return_if_fail (transaction->request == NULL);
-  MhCondition condition = { .key = keep_key (transaction, key), .version = version };
+  MhKvCondition condition = { .key = keep_key (transaction, key), .version = version };
   g_array_append_val (transaction->conditions, condition);
 }
 
@@ -118,7 +119,7 @@
 {
   g_return_if_fail (transaction->request == NULL && value);
   g_ptr_array_add (transaction->values, cbor_incref (value));
-  MhChange change = { .key = keep_key (transaction, key), .value = value };
+  MhKvChange change = { .key = keep_key (transaction, key), .value = value };
   g_array_append_val (transaction->changes, change);
 }
 
@@ -134,7 +135,7 @@
 mh_transaction_delete (MhTransaction *transaction, const char *key)
 {
   g_return_if_fail (transaction->request == NULL);
-  MhChange change = { .key = keep_key (transaction, key) };
+  MhKvChange change = { .key = keep_key (transaction, key) };
   g_array_append_val (transaction->changes, change);
 }
 
@@ -174,9 +175,9 @@
 mh_transaction_send (MhTransaction *transaction)
 {
   g_return_if_fail (transaction->request == NULL && transaction->changes->len > 0);
-  transaction->request
-      = mh_wire_txn ((MhCondition *)transaction->conditions->data, transaction->conditions->len,
-                     (MhChange *)transaction->changes->data, transaction->changes->len);
+  transaction->request = mh_kv_request_transaction (
+      (MhKvCondition *)transaction->conditions->data, transaction->conditions->len,
+      (MhKvChange *)transaction->changes->data, transaction->changes->len);
   send_copy (transaction);
 }
 
@@ -187,12 +188,12 @@
 static bool
 carries_tag (const MhTransaction *transaction, const MhValue *body, guint64 *version)
 {
-  MhEntry *entry = mh_wire_read_entry (body);
+  MhKvEntry *entry = mh_kv_entry_decode (body, NULL);
   if (entry == NULL)
     return false;
   g_autofree char *tag = mh_record_read_tag (entry->value);
   *version = entry->version;
-  mh_entry_free (entry);
+  mh_kv_entry_free (entry);
   return g_strcmp0 (tag, transaction->tag) == 0;
 }
 
@@ -213,13 +214,14 @@
 static void
 read_tagged_record (MhTransaction *transaction)
 {
-  call (transaction, mh_wire_get (transaction->tagged_key), MH_CALL_SAFETY, 0, take_tagged_record);
+  call (transaction, mh_kv_request_get (transaction->tagged_key), MH_CALL_SAFETY, 0,
+        take_tagged_record);
 }
 
 static void
 take_conflict (MhTransaction *transaction, const MhReply *reply)
 {
-  g_auto (GStrv) failed_keys = mh_wire_read_failed (reply->body);
+  g_auto (GStrv) failed_keys = mh_kv_failed_conditions_decode (reply->body, NULL);
   bool other_leads
       = failed_keys && g_strv_contains ((const char *const *)failed_keys, MH_LEADER_KEY);
   bool in_doubt = transaction->has_unknown_copy && !other_leads && transaction->tagged_key
--- a/tests/stand-in/workload.h
+++ b/tests/stand-in/workload.h
@@ -2,7 +2,7 @@
    controllers know nothing of this but what workers report. */
 #pragma once
 
-#include "protocol/types.h"
+#include "protocol/job-spec.h"
 
 /**
  * WorkloadJob:
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -47,7 +47,7 @@
   simulation->cloud->capacity = 6;
   MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 200, 0.05);
   s->mem_gb = 0.1;
-  s->estimate_us = 600 * MH_SECOND_US; /* so that none may wait for another */
+  s->estimated_run_us = 600 * MH_SECOND_US; /* so that none may wait for another */
   User *u = simulation_submit (simulation, s, 30);
   WAIT (simulation, 60, all_run, u);
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
@@ -262,7 +262,7 @@
 {
   Simulation *simulation = simulation_new (42);
   MhJobSpec *s = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
-  s->estimate_us = 600 * MH_SECOND_US;
+  s->estimated_run_us = 600 * MH_SECOND_US;
   User *u = simulation_submit (simulation, s, 5);
   WAIT (simulation, 10, accepted, u);
   simulation_run (simulation, 15);
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -3,6 +3,8 @@
 #include "settings/settings-loader.h"
 #include "stand-in/environment.h"
 
+#include "protocol/route.h"
+#include "protocol/user-messages.h"
 #include <gio/gio.h>
 #include <glib/gstdio.h>
 #include <libsoup/soup.h>
@@ -69,7 +71,7 @@
   g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (m));
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return size ? mh_value_load (data, size) : NULL;
+  return size ? mh_value_load (data, size, NULL) : NULL;
 }
 
 static void
@@ -103,7 +105,8 @@
   GUri *uri = soup_server_message_get_uri (m);
   const char *q = g_uri_get_query (uri);
   g_autofree char *whole = q ? g_strconcat (path, "?", q, NULL) : g_strdup (path);
-  MhTarget target = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_STATE;
+  MhTarget target
+      = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_KEY_VALUE_STORE;
   g_autoptr (MhValue) body = body_of (m);
   ServiceRequest request
       = { .method = soup_server_message_get_method (m), .path = whole, .body = body, .token = m };
@@ -144,7 +147,7 @@
   guint status = bytes ? soup_message_get_status (m) : 0;
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
-  g_autoptr (MhValue) body = size ? mh_value_load (raw, size) : NULL;
+  g_autoptr (MhValue) body = size ? mh_value_load (raw, size, NULL) : NULL;
   g_autofree char *node = body ? mh_value_get_text (body, "dispatcher") : NULL;
   w->flying = false;
   advance ();
@@ -218,7 +221,7 @@
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
   r->status = bytes ? soup_message_get_status (r->message) : 0;
-  r->body = size ? mh_value_load (raw, size) : NULL;
+  r->body = size ? mh_value_load (raw, size, NULL) : NULL;
   r->done = true;
 }
 
@@ -286,9 +289,9 @@
   s->tasks = tasks;
   s->cpus = 1;
   s->mem_gb = 1;
-  s->estimate_us = run_us;
+  s->estimated_run_us = run_us;
   s->deadline_us = -1;
-  g_autoptr (MhValue) v = mh_wire_write_submission (s);
+  g_autoptr (MhValue) v = mh_submission_encode (s);
   workload_add (t.environment->workload, s, run_us);
   return mh_value_save (v);
 }
--- a/tests/test-recovery.c
+++ b/tests/test-recovery.c
@@ -1,7 +1,7 @@
 /* Recovery after failover: when the machines count as known again. */
 #include "cluster/recovery.h"
 
-#include "protocol/types.h"
+#include "base/time-units.h"
 
 #define START_US (100 * MH_SECOND_US)
 #define REPORT_US (5 * MH_SECOND_US)
