--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
+#include "storage/record-writer.h"
 
 static void
 change_state (MhAttempt *attempt, MhAttemptEvent event)
@@ -143,7 +144,7 @@
   if (!over || mh_job_is_finished (job))
     return;
   job->completion = MH_COMPLETION_UNWRITTEN;
-  mh_record_writer_touch (cluster->core->record_writer, &job->records[0],
+  mh_record_writer_touch (cluster->record_writer, &job->records[0],
                           mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
 }
 
@@ -187,7 +188,7 @@
   else
     job->placement.first_pending = MIN (job->placement.first_pending, attempt->index);
   if (!mh_job_is_cancelled (job))
-    mh_record_writer_touch (cluster->core->record_writer, mh_job_record (job, attempt->index),
+    mh_record_writer_touch (cluster->record_writer, mh_job_record (job, attempt->index),
                             MH_URGENCY_PROGRESS);
   if (mh_job_is_gang (job))
     callbacks->gang_task_over (cluster->owner, job, done);
@@ -203,8 +204,7 @@
 {
   job->tasks[index].state = MH_TASK_DONE;
   job->n_done++;
-  mh_record_writer_touch (cluster->core->record_writer, mh_job_record (job, index),
-                          MH_URGENCY_START);
+  mh_record_writer_touch (cluster->record_writer, mh_job_record (job, index), MH_URGENCY_START);
   mh_attempt_finish_job_if_over (cluster, job);
 }
 
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
+#include "storage/record-state.h"
 #include "protocol/worker-messages.h"
 
 /* An attempt that has not ended so long after its grace was over is stopped without any. */
@@ -108,7 +109,7 @@
 static bool
 result_is_unrecorded (const MhCluster *cluster, const MhOrphan *orphan)
 {
-  MhJob *job = g_hash_table_lookup (cluster->core->jobs, orphan->job);
+  MhJob *job = g_hash_table_lookup (cluster->jobs, orphan->job);
   if (job == NULL || orphan->index >= job->spec->tasks
       || job->tasks[orphan->index].state != MH_TASK_DONE)
     return false;
