--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -7,10 +7,8 @@
 /* A leader that stood still and goes on as if nothing had happened would be a second one, and would
    give machines back as silent. */
 static void
-test_stands_still (SimulationFixture *fixture, gconstpointer seed)
+test_stands_still (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 3);
   ControllerNode *old = simulation_leader (simulation);
   guint starts = simulation->rules->task_starts;
@@ -29,10 +27,8 @@
 /* Its lease holds, since the key-value store was away meanwhile; were the time in which it stood
    still taken for silence of the machines, it would give them back. */
 static void
-test_stands_still_in_outage (SimulationFixture *fixture, gconstpointer seed)
+test_stands_still_in_outage (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   running_service (simulation, 1, 3);
   ControllerNode *old = simulation_leader (simulation);
   /* Nothing was queued up for it meanwhile. */
@@ -49,10 +45,8 @@
 /* It stands still between deciding and sending: orders and answers that rested on its lease would
    leave after the end of it. */
 static void
-test_stands_still_deciding (SimulationFixture *fixture, gconstpointer seed)
+test_stands_still_deciding (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
   WAIT (simulation, 60, all_run, user);
@@ -83,10 +77,8 @@
 /* Without questions to the machines that it knows, a new leader would place nothing before their
    workers have found it. */
 static void
-test_new_leader_asks (SimulationFixture *fixture, gconstpointer seed)
+test_new_leader_asks (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   running_service (simulation, 1, 1);
   simulation_run (simulation, 10); /* the cloud lists the machine */
   for (guint i = 0; i < simulation->workers->len; i++)
@@ -100,10 +92,8 @@
 
 /* A successor that did not know what runs would start tasks again. */
 static void
-test_leader_crash (SimulationFixture *fixture, gconstpointer seed)
+test_leader_crash (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 3), *array;
   array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 6);
   WAIT (simulation, 30, accepted, array);
@@ -119,10 +109,8 @@
 /* All controllers end in the middle of everything, and are back within a moment: what was under way
    would be lost or run twice. */
 static void
-test_all_crash (SimulationFixture *fixture, gconstpointer seed)
+test_all_crash (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 14, 1), 8);
   WAIT (simulation, 30, accepted, user);
   for (guint round = 0; round < 4; round++)
@@ -140,10 +128,8 @@
 /* A leader that loses the key-value store alone would go on ordering, or keep its workers from its
    successor, and what runs would be lost. */
 static void
-test_leader_cut_from_state (SimulationFixture *fixture, gconstpointer seed)
+test_leader_cut_from_state (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
@@ -157,10 +143,8 @@
 /* The same, and the peers cannot hear one another either: the old leader holds the workers for a
    while, and the new one would give their machines back, or start their tasks again. */
 static void
-test_leader_cut_off_and_unheard (SimulationFixture *fixture, gconstpointer seed)
+test_leader_cut_off_and_unheard (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   running_service (simulation, 1, 4);
   running_service (simulation, 2, 4);
   running_service (simulation, 3, 4);
@@ -178,10 +162,8 @@
 /* Replicas would end in an outage of the key-value store that is longer than the workers' lease,
    and users would wait for answers that cannot come. */
 static void
-test_state_outage (SimulationFixture *fixture, gconstpointer seed)
+test_state_outage (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   MhUserAnswer answer;
   User *user = running_service (simulation, 1, 3);
   ControllerNode *leader = simulation_leader (simulation);
@@ -202,10 +184,8 @@
 /* A job that is cancelled by the new leader would live on as long as the old one keeps its workers
    alive. */
 static void
-test_cancel_behind_old_leader (SimulationFixture *fixture, gconstpointer seed)
+test_cancel_behind_old_leader (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 2);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = old->peers_cut_until_us
@@ -223,10 +203,8 @@
    does not know who leads, reads the record: the user would be told "done" and then something
    older. */
 static void
-test_no_answer_past_the_leader (SimulationFixture *fixture, gconstpointer seed)
+test_no_answer_past_the_leader (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 3);
   WAIT (simulation, 30, all_run, user);
@@ -254,10 +232,8 @@
 /* The leader keeps its workers and loses all else: they would come to its successor only when it
    lets them go, and what runs would be lost. */
 static void
-test_isolated_leader (SimulationFixture *fixture, gconstpointer seed)
+test_isolated_leader (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
@@ -281,10 +257,8 @@
 /* A controller that cannot reach the leader, which lives, would keep users from it; one whose
    leader has just died must not send them away, as all would do so at once. */
 static void
-test_unreached_leader (SimulationFixture *fixture, gconstpointer seed)
+test_unreached_leader (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   MhUserAnswer answer;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
@@ -315,10 +289,8 @@
    wrote arrives late, with the same node and the same epoch, but attached to a lease that nobody
    renews: taken for its own, it would lead beside another. */
 static void
-test_back_in_mid_election (SimulationFixture *fixture, gconstpointer seed)
+test_back_in_mid_election (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_stop_node (simulation, i);
   g_tree_remove_all (simulation->store->keys);
@@ -351,10 +323,8 @@
 /* The leader is cut off from the workers alone: their leases would run out though another
    controller hears them. */
 static void
-test_leader_loses_workers (SimulationFixture *fixture, gconstpointer seed)
+test_leader_loses_workers (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
@@ -373,10 +343,8 @@
    is left once transferred its leadership to nobody meanwhile, and led again seconds later with
    nothing known. */
 static void
-test_last_controller_waits_for_workers (SimulationFixture *fixture, gconstpointer seed)
+test_last_controller_waits_for_workers (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   for (guint i = 0; i < 6; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
@@ -398,10 +366,8 @@
 
 /* Every controller is cut off from the workers: leadership would be passed round for ever. */
 static void
-test_nobody_hears_workers (SimulationFixture *fixture, gconstpointer seed)
+test_nobody_hears_workers (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
@@ -428,25 +394,27 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  SIMULATION_TEST ("/leader-failover/stands-still", 42, test_stands_still);
-  SIMULATION_TEST ("/leader-failover/stands-still-in-outage", 43, test_stands_still_in_outage);
-  SIMULATION_TEST ("/leader-failover/stands-still-deciding", 44, test_stands_still_deciding);
-  SIMULATION_TEST ("/leader-failover/new-leader-asks", 29, test_new_leader_asks);
-  SIMULATION_TEST ("/leader-failover/leader-crash", 12, test_leader_crash);
-  SIMULATION_TEST ("/leader-failover/all-crash", 13, test_all_crash);
-  SIMULATION_TEST ("/leader-failover/leader-cut-off-from-store", 14, test_leader_cut_from_state);
-  SIMULATION_TEST ("/leader-failover/leader-cut-off-and-unheard", 15,
-                   test_leader_cut_off_and_unheard);
-  SIMULATION_TEST ("/leader-failover/store-outage", 16, test_state_outage);
-  SIMULATION_TEST ("/leader-failover/cancel-behind-old-leader", 17, test_cancel_behind_old_leader);
-  SIMULATION_TEST ("/leader-failover/no-answer-past-the-leader", 25,
-                   test_no_answer_past_the_leader);
-  SIMULATION_TEST ("/leader-failover/isolated-leader", 32, test_isolated_leader);
-  SIMULATION_TEST ("/leader-failover/unreached-leader", 39, test_unreached_leader);
-  SIMULATION_TEST ("/leader-failover/back-in-mid-election", 33, test_back_in_mid_election);
-  SIMULATION_TEST ("/leader-failover/leader-loses-workers", 40, test_leader_loses_workers);
-  SIMULATION_TEST ("/leader-failover/last-controller-waits-for-workers", 46,
-                   test_last_controller_waits_for_workers);
-  SIMULATION_TEST ("/leader-failover/nobody-hears-workers", 47, test_nobody_hears_workers);
+  simulation_test_add ("/leader-failover/stands-still", 42, test_stands_still);
+  simulation_test_add ("/leader-failover/stands-still-in-outage", 43, test_stands_still_in_outage);
+  simulation_test_add ("/leader-failover/stands-still-deciding", 44, test_stands_still_deciding);
+  simulation_test_add ("/leader-failover/new-leader-asks", 29, test_new_leader_asks);
+  simulation_test_add ("/leader-failover/leader-crash", 12, test_leader_crash);
+  simulation_test_add ("/leader-failover/all-crash", 13, test_all_crash);
+  simulation_test_add ("/leader-failover/leader-cut-off-from-store", 14,
+                       test_leader_cut_from_state);
+  simulation_test_add ("/leader-failover/leader-cut-off-and-unheard", 15,
+                       test_leader_cut_off_and_unheard);
+  simulation_test_add ("/leader-failover/store-outage", 16, test_state_outage);
+  simulation_test_add ("/leader-failover/cancel-behind-old-leader", 17,
+                       test_cancel_behind_old_leader);
+  simulation_test_add ("/leader-failover/no-answer-past-the-leader", 25,
+                       test_no_answer_past_the_leader);
+  simulation_test_add ("/leader-failover/isolated-leader", 32, test_isolated_leader);
+  simulation_test_add ("/leader-failover/unreached-leader", 39, test_unreached_leader);
+  simulation_test_add ("/leader-failover/back-in-mid-election", 33, test_back_in_mid_election);
+  simulation_test_add ("/leader-failover/leader-loses-workers", 40, test_leader_loses_workers);
+  simulation_test_add ("/leader-failover/last-controller-waits-for-workers", 46,
+                       test_last_controller_waits_for_workers);
+  simulation_test_add ("/leader-failover/nobody-hears-workers", 47, test_nobody_hears_workers);
   return g_test_run ();
 }
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -8,10 +8,8 @@
    is started there: it takes no work and is given back, and what ran there runs elsewhere; a whole
    zone of them would stop the rest. */
 static void
-test_reports_lost (SimulationFixture *fixture, gconstpointer seed)
+test_reports_lost (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 4);
   Worker *silent = worker_of (simulation, "j-000001/0");
   silent->reports_lost_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
@@ -38,10 +36,8 @@
 /* No heartbeat comes to this leader alone, though the workers answer its questions: their leases
    would run out if no other led. */
 static void
-test_reports_to_the_leader_lost (SimulationFixture *fixture, gconstpointer seed)
+test_reports_to_the_leader_lost (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 4);
   running_service (simulation, 2, 4);
   simulation_run (simulation, 10);
@@ -55,10 +51,8 @@
 /* More work than room, urgent and not, over links on which a part of everything comes late: urgent
    work would come last, or work would wait beside free room. */
 static void
-test_more_work_than_room (SimulationFixture *fixture, gconstpointer seed)
+test_more_work_than_room (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   simulation->cloud->capacity = 4;
   simulation->network->delay_probability = 0.1;
   simulation->network->loss_probability = 0.02;
@@ -75,10 +69,8 @@
 /* The workers of a zone can reach only the leader, which is cut off with them for longer than their
    lease: what runs there would run twice if it ran elsewhere before the machines are gone. */
 static void
-test_zone_cut_with_its_leader (SimulationFixture *fixture, gconstpointer seed)
+test_zone_cut_with_its_leader (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 4);
   User *array = running_array (simulation, 2, 8, 20);
   simulation_run (simulation, 10);
@@ -100,10 +92,8 @@
 /* Jobs of two or three tasks that end far apart, each with a change of leader between: tasks that
    have ended would run again. */
 static void
-test_ends_far_apart (SimulationFixture *fixture, gconstpointer seed)
+test_ends_far_apart (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *users[6];
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
     {
@@ -127,10 +117,8 @@
 /* An array bound to one zone by its first tasks loses machines there: its other tasks would be
    placed, or machines be rented for it, in the emptier one. */
 static void
-test_one_zone_loses_machines (SimulationFixture *fixture, gconstpointer seed)
+test_one_zone_loses_machines (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 12, 1);
   spec->single_zone = true;
   spec->estimated_run_us = 300 * MH_SECOND_US;
@@ -159,10 +147,8 @@
 /* A leader ends while machines with long tasks don't hear its successor, or can't be reached: what
    they ran would run elsewhere before they are given back, or never. */
 static void
-test_answers_of_a_new_leader_lost (SimulationFixture *fixture, gconstpointer seed)
+test_answers_of_a_new_leader_lost (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   running_array (simulation, 2, 12, 90);
   simulation_run (simulation, 10);
   worker_of (simulation, "j-000002/0")->answers_lost_until_us
@@ -177,13 +163,14 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  SIMULATION_TEST ("/partitions/reports-lost", 52, test_reports_lost);
-  SIMULATION_TEST ("/partitions/reports-to-the-leader-lost", 53, test_reports_to_the_leader_lost);
-  SIMULATION_TEST ("/partitions/more-work-than-room", 60, test_more_work_than_room);
-  SIMULATION_TEST ("/partitions/zone-cut-with-its-leader", 62, test_zone_cut_with_its_leader);
-  SIMULATION_TEST ("/partitions/ends-far-apart", 78, test_ends_far_apart);
-  SIMULATION_TEST ("/partitions/one-zone-loses-machines", 80, test_one_zone_loses_machines);
-  SIMULATION_TEST ("/partitions/answers-of-a-new-leader-lost", 83,
-                   test_answers_of_a_new_leader_lost);
+  simulation_test_add ("/partitions/reports-lost", 52, test_reports_lost);
+  simulation_test_add ("/partitions/reports-to-the-leader-lost", 53,
+                       test_reports_to_the_leader_lost);
+  simulation_test_add ("/partitions/more-work-than-room", 60, test_more_work_than_room);
+  simulation_test_add ("/partitions/zone-cut-with-its-leader", 62, test_zone_cut_with_its_leader);
+  simulation_test_add ("/partitions/ends-far-apart", 78, test_ends_far_apart);
+  simulation_test_add ("/partitions/one-zone-loses-machines", 80, test_one_zone_loses_machines);
+  simulation_test_add ("/partitions/answers-of-a-new-leader-lost", 83,
+                       test_answers_of_a_new_leader_lost);
   return g_test_run ();
 }
