--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -90,7 +90,7 @@
 static guint
 allowed_tasks (const MhCore *core, const MhJob *job)
 {
-  const MhUse none = { 0 };
+  const MhTeamUse none = { 0 };
   return mh_quota_allowed_tasks (core->settings,
                                  mh_cluster_team_use (core->cluster, job->spec->team), job, &none,
                                  mh_task_failure_startable (core->cluster, job));
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -14,7 +14,7 @@
   MhMachineOffers *offers; /* NULL: nothing waits */
   MhCompletionForecast *forecast; /* of running tasks, and of those that are laid out */
   double lost_cpus;               /* that no task has been laid out for */
-  GHashTable *team_use;           /* team -> MhUse, of tasks that are laid out */
+  GHashTable *team_use;           /* team -> MhTeamUse, of tasks that are laid out */
 };
 
 /* Tasks of a job that are being laid out. */
@@ -187,13 +187,13 @@
     }
 }
 
-static MhUse *
+static MhTeamUse *
 planned_team_use (MhDemandPlan *plan, const char *team)
 {
-  MhUse *use = g_hash_table_lookup (plan->team_use, team);
+  MhTeamUse *use = g_hash_table_lookup (plan->team_use, team);
   if (use == NULL)
     {
-      use = g_new0 (MhUse, 1);
+      use = g_new0 (MhTeamUse, 1);
       g_hash_table_insert (plan->team_use, (gpointer)team, use);
     }
   return use;
@@ -204,7 +204,7 @@
 {
   MhCore *core = plan->context->core;
   const MhJobSpec *spec = job->spec;
-  MhUse *use = planned_team_use (plan, spec->team);
+  MhTeamUse *use = planned_team_use (plan, spec->team);
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
   guint tasks = mh_quota_allowed_tasks (core->settings,
                                         mh_cluster_team_use (core->cluster, job->spec->team), job,
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -13,14 +13,14 @@
 
 /* ---- what attempts occupy ---- */
 
-static MhUse *
+static MhTeamUse *
 team_use (MhCluster *cluster, const char *team_name)
 {
-  MhUse *use = g_hash_table_lookup (cluster->team_use, team_name);
+  MhTeamUse *use = g_hash_table_lookup (cluster->team_use, team_name);
   if (use == NULL)
     {
       const MhTeam *team = mh_settings_team (cluster->settings, team_name);
-      use = g_new0 (MhUse, 1);
+      use = g_new0 (MhTeamUse, 1);
       /* A team that the settings no longer name still has its name in its jobs' specs, but those
          go away; the settings' copy stays. */
       const char *key = team ? team->name : g_intern_string (team_name);
@@ -35,7 +35,7 @@
 {
   const MhJobSpec *spec = attempt->job->spec;
   MhMachine *machine = attempt->machine;
-  MhUse *team = team_use (cluster, spec->team);
+  MhTeamUse *team = team_use (cluster, spec->team);
   team->cpus += sign * spec->cpus;
   team->gpus += sign * spec->gpus;
   machine->usage.cpus += sign * spec->cpus;
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -29,7 +29,7 @@
  * @index: of the task
  * @attempt: its number among the task's attempts, from 1
  * @machine: where it was placed
- * @need_rev: the revision of its record that must be durable before a start is sent
+ * @required_revision: of its record, which must be durable before a start is sent
  * @state: changes in attempt.c alone
  * @start: what is known of its start command
  * @start_session: the worker's session that the last start was for
@@ -49,7 +49,7 @@
   guint index;
   guint32 attempt;
   MhMachine *machine;
-  guint64 need_rev;
+  guint64 required_revision;
   MhAttemptState state;
   MhAttemptStart start;
   guint64 start_session, start_sequence;
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -33,7 +33,7 @@
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
    commands_due: MhMachine, not owned, that are looked at for commands in this step
    types: MhMachineType; NULL until known
-   team_use: team -> MhUse; the names are the settings' or interned
+   team_use: team -> MhTeamUse; the names are the settings' or interned
    service_replicas: attempts of services, on all machines
    checked_us: monotonic time at which all machines were last checked
    zones: of zone-silence.c
--- a/src/cluster/cluster-types.h
+++ b/src/cluster/cluster-types.h
@@ -1,7 +1,7 @@
 /* Types that the files of the cluster layer share. */
 #pragma once
 
-#include "jobs/job.h"
+#include "cluster/machine.h"
 #include "runtime/call-queue.h"
 
 /**
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -119,7 +119,7 @@
   g_clear_pointer (&old_types, g_ptr_array_unref);
 }
 
-const MhUse *
+const MhTeamUse *
 mh_cluster_team_use (const MhCluster *cluster, const char *team)
 {
   return g_hash_table_lookup (cluster->team_use, team);
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -121,7 +121,7 @@
  * Returns: (transfer none) (nullable): what the attempts of the team's jobs occupy; %NULL: there
  * never were any
  */
-const MhUse *
+const MhTeamUse *
 mh_cluster_team_use (const MhCluster *cluster, const char *team);
 
 /**
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -4,6 +4,8 @@
 #include "cluster/machine-state.h"
 #include "jobs/job.h"
 
+typedef struct MhMachine MhMachine;
+
 /* Answers in a row of which the next report shows nothing, after which nothing is taken to reach
    the machine. */
 #define MH_MAX_IGNORED_ANSWERS 2u
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -12,6 +12,8 @@
 
 /* ---- attempts that have ended ---- */
 
+/* Known fault, kept while decisions may not change: the end that the worker shows has already
+   cleared running_since_us, so that the estimator is never told. */
 static void
 note_done (MhCluster *cluster, const MhAttempt *attempt)
 {
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -38,7 +38,8 @@
 static bool
 is_durable (const MhAttempt *attempt)
 {
-  return mh_record_is_durable (mh_job_record (attempt->job, attempt->index), attempt->need_rev);
+  return mh_record_is_durable (mh_job_record (attempt->job, attempt->index),
+                               attempt->required_revision);
 }
 
 /* Every place of the gang is on record: a successor must not take a part of it for the whole. */
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -86,13 +86,13 @@
          && now_us - job->submitted_us > STARVATION_US;
 }
 
-static MhUse *
+static MhTeamUse *
 team_sum (GHashTable *sums, const char *team)
 {
-  MhUse *sum = g_hash_table_lookup (sums, team);
+  MhTeamUse *sum = g_hash_table_lookup (sums, team);
   if (sum == NULL)
     {
-      sum = g_new0 (MhUse, 1);
+      sum = g_new0 (MhTeamUse, 1);
       g_hash_table_insert (sums, (gpointer)team, sum);
     }
   return sum;
@@ -108,7 +108,7 @@
     {
       MhJob *job = g_ptr_array_index (jobs, i);
       const MhTeam *team = mh_settings_team (settings, job->spec->team);
-      MhUse *sum = team_sum (sums, job->spec->team);
+      MhTeamUse *sum = team_sum (sums, job->spec->team);
       double unfinished = job->spec->tasks - job->n_done;
       sum->cpus += unfinished * job->spec->cpus;
       sum->gpus += unfinished * job->spec->gpus;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -7,6 +7,25 @@
 #include "controller/core-types.h"
 #include "jobs/gang-state.h"
 #include "jobs/job-failures.h"
+#include "protocol/types.h"
+#include "runtime/runtime.h"
+
+typedef struct MhJob MhJob;
+typedef struct MhRecord MhRecord;
+/** MhAttempt: one go at running a task; see src/cluster/attempt.h. Opaque to the jobs layer. */
+typedef struct MhAttempt MhAttempt;
+
+/**
+ * MhTeamUse:
+ * @cpus: processors
+ * @gpus: accelerators
+ *
+ * What tasks of one team occupy, or are planned to.
+ */
+typedef struct
+{
+  double cpus, gpus;
+} MhTeamUse;
 
 /** MhTaskState: whether a task has still to be started, and whether it is done. */
 typedef enum
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -47,7 +47,7 @@
   MhAttempt *attempt = mh_attempt_new (core->cluster, job, index, attempt_number, machine);
   MhRecord *record = mh_job_record (job, index);
   mh_record_writer_touch (core->record_writer, record, urgency);
-  attempt->need_rev = mh_record_revision (record);
+  attempt->required_revision = mh_record_revision (record);
   mh_debug (core, "task placed job=%s task=%u attempt=%u machine=%s zone=%s image=%s",
             job->spec->id, index, attempt->attempt, machine->name, machine->zone,
             mh_machine_has_image (machine, job->image) ? "present" : "absent");
@@ -113,7 +113,7 @@
 static bool
 quota_allows_task (const MhPlacementPass *pass, const MhJob *job)
 {
-  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
+  const MhTeamUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
 }
 
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -185,7 +185,7 @@
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
+  const MhTeamUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   if (!mh_preemption_is_allowed (pass, job, cycle->start_slack_us))
     return;
   double cpus = 0;
--- a/src/placement/quota.c
+++ b/src/placement/quota.c
@@ -3,7 +3,7 @@
 #include "placement/resources.h"
 
 bool
-mh_quota_fits (const MhSettings *settings, const MhUse *use, const MhJob *job, double more_cpus,
+mh_quota_fits (const MhSettings *settings, const MhTeamUse *use, const MhJob *job, double more_cpus,
                double more_gpus)
 {
   const MhTeam *team = mh_settings_team (settings, job->spec->team);
@@ -23,8 +23,8 @@
 }
 
 guint
-mh_quota_allowed_tasks (const MhSettings *settings, const MhUse *use, const MhJob *job,
-                        const MhUse *planned, guint tasks)
+mh_quota_allowed_tasks (const MhSettings *settings, const MhTeamUse *use, const MhJob *job,
+                        const MhTeamUse *planned, guint tasks)
 {
   const MhTeam *team = mh_settings_team (settings, job->spec->team);
   if (team == NULL)
--- a/src/placement/quota.h
+++ b/src/placement/quota.h
@@ -16,7 +16,7 @@
  * for a team that the settings do not know
  */
 bool
-mh_quota_fits (const MhSettings *settings, const MhUse *use, const MhJob *job, double more_cpus,
+mh_quota_fits (const MhSettings *settings, const MhTeamUse *use, const MhJob *job, double more_cpus,
                double more_gpus);
 
 /**
@@ -31,5 +31,5 @@
  * the settings do not know
  */
 guint
-mh_quota_allowed_tasks (const MhSettings *settings, const MhUse *use, const MhJob *job,
-                        const MhUse *planned, guint tasks);
+mh_quota_allowed_tasks (const MhSettings *settings, const MhTeamUse *use, const MhJob *job,
+                        const MhTeamUse *planned, guint tasks);
--- a/tests/test-placement-steps.c
+++ b/tests/test-placement-steps.c
@@ -259,7 +259,7 @@
 {
   (void)unused;
   MhSettings *settings = mh_settings_new ();
-  MhUse use = { .cpus = 3 }, planned = { .cpus = 1 };
+  MhTeamUse use = { .cpus = 3 }, planned = { .cpus = 1 };
   g_assert_false (mh_quota_fits (settings, NULL, &fixture->job, 0, 0)); /* no such team */
   g_assert_cmpuint (mh_quota_allowed_tasks (settings, NULL, &fixture->job, &planned, 9), ==, 0);
   MhTeam *team = g_new0 (MhTeam, 1);
