--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -5,6 +5,7 @@
 
 #include "cluster/machine-registry.h"
 #include "jobs/job.h"
+#include "protocol/cloud-messages.h"
 
 /**
  * MhCapacityEstimate:
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -154,11 +154,12 @@
   gint64 running_since_us = attempt->running_since_us;
   gint64 ran_us = running_since_us ? mh_runtime_now_us (cluster->runtime) - running_since_us : 0;
   /* Too late to save together: it may still end in time, and loses nothing more if not. */
-  if (mh_job_is_gang (attempt->job) && running_since_us && left_us < spec->save_us + MH_SECOND_US)
+  if (mh_job_is_gang (attempt->job) && running_since_us
+      && left_us < spec->checkpoint_save_us + MH_SECOND_US)
     return;
-  if (spec->checkpoint_us > 0 && running_since_us)
-    mh_attempt_stop (cluster, attempt, MAX (0, MIN (spec->save_us, left_us)));
-  else if (spec->shape == MH_SHAPE_SERVICE || spec->estimate_us - ran_us > left_us)
+  if (spec->checkpoint_interval_us > 0 && running_since_us)
+    mh_attempt_stop (cluster, attempt, MAX (0, MIN (spec->checkpoint_save_us, left_us)));
+  else if (spec->shape == MH_SHAPE_SERVICE || spec->estimated_run_us - ran_us > left_us)
     mh_attempt_stop (cluster, attempt, 0);
 }
 
--- a/src/cluster/heartbeat.h
+++ b/src/cluster/heartbeat.h
@@ -6,6 +6,7 @@
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * mh_heartbeat_receive:
@@ -17,7 +18,7 @@
  * worker has seen a higher token.
  */
 void
-mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhReport *report);
+mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhHeartbeat *report);
 
 /**
  * mh_heartbeat_take_answer:
@@ -28,7 +29,7 @@
  * Returns: %FALSE if the answer is of another machine, or tells nothing newer
  */
 bool
-mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhReport *report);
+mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report);
 
 /**
  * mh_heartbeat_keep_alive_us:
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -3,6 +3,7 @@
 
 #include "cluster/machine-state.h"
 #include "jobs/job.h"
+#include "protocol/cloud-messages.h"
 
 typedef struct MhMachine MhMachine;
 
@@ -32,8 +33,8 @@
  * @last_message_us: when its worker was last heard in any way
  * @last_report_us: when the last report came that it sent by itself, or the first message
  * @unverified_us: when a report of unknown age came; 0: none did
- * @session: the worker's incarnation, in its newest message
- * @sequence: the report's number in the session
+ * @incarnation: the worker's incarnation, in its newest message
+ * @sequence: the report's number in the incarnation
  * @token: the highest fencing token that the worker has seen
  * @unreadable_tasks: tasks in the newest message whose jobs have records that are not understood
  * @answer_pending: the last answer must show in the next report
@@ -48,7 +49,7 @@
 {
   bool reported;
   gint64 last_message_us, last_report_us, unverified_us;
-  guint64 session, sequence, token;
+  guint64 incarnation, sequence, token;
   guint unreadable_tasks;
   bool answer_pending;
   guint64 answered_token, answered_sequence;
@@ -60,7 +61,7 @@
  * @in_flight: a question to its worker has no answer yet
  * @failures: questions in a row without an answer
  * @first_sent_us: when it was first asked since it was last heard
- * @session: of the newest message that was known when it was last asked
+ * @incarnation: of the newest message that was known when it was last asked
  * @sequence: of that message
  *
  * Questions to a silent machine's worker whether it is alive.
@@ -70,7 +71,7 @@
   bool in_flight;
   guint failures;
   gint64 first_sent_us;
-  guint64 session, sequence;
+  guint64 incarnation, sequence;
 } MhMachineProbe;
 
 /**
@@ -79,18 +80,18 @@
  * @index: of the task
  * @attempt: of the task
  * @token: the fencing token of the command
- * @session: the worker's session that the command is for
+ * @incarnation: the worker's incarnation that the command is for
  * @answered: it was carried out
  * @lost: no answer will come
  *
  * A start that was sent straight to the worker: it, or a late copy of it, may be carried out at any
- * later time, as long as session and token still match.
+ * later time, as long as incarnation and token still match.
  */
 typedef struct
 {
   char *job;
   guint index;
-  guint64 attempt, token, session;
+  guint64 attempt, token, incarnation;
   bool answered, lost;
 } MhUnacknowledgedStart;
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -2,6 +2,10 @@
    what is to be sent, written, answered or logged is then taken with mh_core_pop(). */
 #pragma once
 
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/user-messages.h"
+#include "protocol/worker-messages.h"
 #include "runtime/runtime.h"
 
 typedef struct MhCore MhCore;
@@ -19,7 +23,7 @@
 mh_core_user (MhCore *core, const MhNow *now, guint64 id, MhUserVerb verb, const char *job,
               MhJobSpec *spec, bool forwarded);
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report);
+mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report);
 /* status 0: no answer, so that whether the request was carried out is unknown. */
 void
 mh_core_reply (MhCore *core, const MhNow *now, guint64 id, guint status, const MhValue *body);
--- a/src/election/campaign.c
+++ b/src/election/campaign.c
@@ -2,6 +2,7 @@
 
 #include "election/election-state.h"
 #include "election/leader-record.h"
+#include "protocol/key-value-messages.h"
 
 #include <string.h>
 
@@ -62,7 +63,7 @@
 /* An earlier life of this controller that ended in the middle of its campaign may have written its
    name late, with the very same epoch, but attached to a lease that nobody renews any more. */
 static bool
-is_own_transaction (const MhElection *election, const MhEntry *entry)
+is_own_transaction (const MhElection *election, const MhKvEntry *entry)
 {
   g_autofree char *node = NULL;
   guint64 epoch = 0;
@@ -77,10 +78,10 @@
 {
   MhElection *election = owner;
   (void)data;
-  MhEntry *entry = reply->status == 200 ? mh_wire_read_entry (reply->body) : NULL;
+  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   bool elected = is_own_transaction (election, entry);
   guint64 key_version = entry ? entry->version : 0;
-  mh_entry_free (entry);
+  mh_kv_entry_free (entry);
   if (elected)
     become_leader (election, key_version);
   else
@@ -93,11 +94,11 @@
   MhElection *election = owner;
   guint64 key_version = 0;
   (void)data;
-  if (reply->status == 200 && mh_wire_read_revision (reply->body, &key_version))
+  if (reply->status == 200 && mh_kv_revision_decode (reply->body, &key_version, NULL))
     become_leader (election, key_version);
   else if (reply->status == 0 || reply->status == 200)
     /* Whether it was carried out is unknown: the key tells. */
-    call (election, mh_wire_get (MH_LEADER_KEY), 0, handle_check_reply);
+    call (election, mh_kv_request_get (MH_LEADER_KEY), 0, handle_check_reply);
   else
     give_up (election, reply->status == 409 ? RETRY_CONFLICT_US : RETRY_STORE_US);
 }
@@ -107,17 +108,18 @@
 static void
 write_leader_key (MhElection *election, guint64 epoch_key_version)
 {
-  MhCondition conditions[]
+  MhKvCondition conditions[]
       = { { MH_LEADER_KEY, election->leader_key_version }, { MH_EPOCH_KEY, epoch_key_version } };
   const char *node = mh_runtime_settings (election->runtime)->node;
   g_autoptr (MhValue) leader
       = mh_leader_record_write (node, election->own_epoch, election->lease.id);
   g_autoptr (MhValue) last_epoch
       = mh_epoch_record_write (election->own_epoch + MH_EPOCHS_PER_LEADERSHIP - 1);
-  MhChange changes[]
+  MhKvChange changes[]
       = { { MH_LEADER_KEY, leader, election->lease.id }, { MH_EPOCH_KEY, last_epoch, 0 } };
   call (election,
-        mh_wire_txn (conditions, G_N_ELEMENTS (conditions), changes, G_N_ELEMENTS (changes)),
+        mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions), changes,
+                                   G_N_ELEMENTS (changes)),
         G_N_ELEMENTS (changes), handle_write_reply);
 }
 
@@ -131,10 +133,10 @@
   bool readable = reply->status == 404; /* nobody has led yet */
   if (reply->status == 200)
     {
-      MhEntry *entry = mh_wire_read_entry (reply->body);
+      MhKvEntry *entry = mh_kv_entry_decode (reply->body, NULL);
       readable = entry && mh_epoch_record_read (entry->value, &last_epoch);
       key_version = entry ? entry->version : 0;
-      mh_entry_free (entry);
+      mh_kv_entry_free (entry);
     }
   if (!readable)
     {
@@ -150,14 +152,14 @@
 {
   MhElection *election = owner;
   (void)data;
-  if (reply->status != 200 || !mh_wire_read_lease (reply->body, &election->lease.id))
+  if (reply->status != 200 || !mh_kv_lease_decode (reply->body, &election->lease.id, NULL))
     {
       give_up (election, RETRY_STORE_US);
       return;
     }
   mh_lease_confirm (&election->lease, election->lease_request_sent_us,
                     mh_runtime_settings (election->runtime)->lease_us);
-  call (election, mh_wire_get (MH_EPOCH_KEY), 0, handle_epoch_reply);
+  call (election, mh_kv_request_get (MH_EPOCH_KEY), 0, handle_epoch_reply);
 }
 
 void
@@ -174,6 +176,6 @@
   election->request_pending = true;
   election->lease = (MhLease){ 0 };
   election->lease_request_sent_us = now_us;
-  call (election, mh_wire_lease_grant (mh_runtime_settings (election->runtime)->lease_us), 0,
+  call (election, mh_kv_request_grant_lease (mh_runtime_settings (election->runtime)->lease_us), 0,
         handle_lease_reply);
 }
--- a/src/election/election-state.c
+++ b/src/election/election-state.c
@@ -1,4 +1,5 @@
 #include "election/election-state.h"
+#include "protocol/key-value-messages.h"
 
 bool
 mh_election_apply (MhElection *election, MhLeadershipEvent event)
@@ -24,7 +25,7 @@
 void
 mh_election_revoke_lease (MhElection *election, MhCallClass class)
 {
-  mh_election_call (election, mh_wire_lease_revoke (election->lease.id),
+  mh_election_call (election, mh_kv_request_revoke_lease (election->lease.id),
                     (MhCallOptions){ .class = class,
                                      .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
                                      .func = ignore_reply });
--- a/src/election/leader-contact.c
+++ b/src/election/leader-contact.c
@@ -1,6 +1,6 @@
 #include "election/leader-contact.h"
 
-#include "protocol/types.h"
+#include "base/time-units.h"
 
 /* A controller that has had no usable leader for so long is rather cut off by itself. */
 #define NO_LEADER_US (30 * MH_SECOND_US)
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -7,7 +7,9 @@
 #include "controller/core-types.h"
 #include "jobs/gang-state.h"
 #include "jobs/job-failures.h"
-#include "protocol/types.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/job-spec.h"
+#include "protocol/user-messages.h"
 #include "runtime/runtime.h"
 
 typedef struct MhJob MhJob;
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -128,7 +128,8 @@
 {
   const MhJobSpec *spec = cycle->job->spec;
   /* Counting walks all tasks of the job; most arrays need no counts. */
-  if (cycle->job->n_live == 0 || !(cycle->is_service || spec->one_zone || spec->scatter))
+  if (cycle->job->n_live == 0
+      || !(cycle->is_service || spec->single_zone || spec->spread_over_zones))
     return;
   for (guint i = 0; i < spec->tasks; i++)
     count_task (cycle, cycle->job->tasks[i].live);
--- a/src/placement/filter.c
+++ b/src/placement/filter.c
@@ -7,7 +7,7 @@
 const char *
 mh_filter_required_zone (const MhJob *job)
 {
-  if (!job->spec->one_zone || job->n_live == 0)
+  if (!job->spec->single_zone || job->n_live == 0)
     return job->zone;
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
@@ -58,13 +58,14 @@
 {
   const MhJobSpec *spec = cycle->job->spec;
   guint limit = (spec->tasks + 1) / 2;
-  return !spec->scatter || g_array_index (cycle->zones, MhZoneCount, zone).count + 1 <= limit;
+  return !spec->spread_over_zones
+         || g_array_index (cycle->zones, MhZoneCount, zone).count + 1 <= limit;
 }
 
 bool
 mh_filter_one_zone (const MhJobCycle *cycle, guint zone)
 {
-  if (!cycle->job->spec->one_zone)
+  if (!cycle->job->spec->single_zone)
     return true;
   for (guint i = 0; i < cycle->zones->len; i++)
     if (i != zone && g_array_index (cycle->zones, MhZoneCount, i).count)
--- a/src/placement/gang-site.c
+++ b/src/placement/gang-site.c
@@ -164,10 +164,11 @@
   const MhJobSpec *spec = sites->job->spec;
   double gang_wait_us = (double)sites->pass->settings->gang_wait_us;
   g_autofree guint *in_zone = g_new0 (guint, sites->zones->len + 1);
-  Selecting selecting = { .first_image_us = G_MAXINT64,
-                          .max_apart_us = (gint64)(gang_wait_us * MAX_APART_SHARE),
-                          .max_in_zone = spec->scatter ? (spec->tasks + 1) / 2 : spec->tasks,
-                          .in_zone = in_zone };
+  Selecting selecting
+      = { .first_image_us = G_MAXINT64,
+          .max_apart_us = (gint64)(gang_wait_us * MAX_APART_SHARE),
+          .max_in_zone = spec->spread_over_zones ? (spec->tasks + 1) / 2 : spec->tasks,
+          .in_zone = in_zone };
   for (guint i = 0; i < sites->sites->len; i++)
     {
       MhGangSite *site = &g_array_index (sites->sites, MhGangSite, i);
@@ -196,10 +197,10 @@
   MhGangSelection best = { 0 };
   const char *best_zone = NULL;
   bool found = false;
-  guint groups = spec->one_zone ? sites->zones->len : MIN (sites->zones->len, 1);
+  guint groups = spec->single_zone ? sites->zones->len : MIN (sites->zones->len, 1);
   for (guint i = 0; i < groups; i++)
     {
-      const char *zone = spec->one_zone ? g_ptr_array_index (sites->zones, i) : NULL;
+      const char *zone = spec->single_zone ? g_ptr_array_index (sites->zones, i) : NULL;
       MhGangSelection selection = mh_gang_sites_select (sites, zone, room);
       if (selection.tasks < spec->tasks || selection.last_image_us > max_wait_us
           || (found && !is_better (room, &selection, &best)))
--- a/src/server/http-client.h
+++ b/src/server/http-client.h
@@ -1,7 +1,7 @@
 /* Requests of this controller to the key-value store, the cloud and the workers. */
 #pragma once
 
-#include "protocol/wire.h"
+#include "protocol/request.h"
 
 /**
  * MhHttpClient:
--- a/src/server/request-forwarder.c
+++ b/src/server/request-forwarder.c
@@ -1,6 +1,7 @@
 #include "server/request-forwarder.h"
 
-#include "protocol/wire.h"
+#include "protocol/user-messages.h"
+#include "protocol/controller-messages.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
@@ -72,13 +73,13 @@
   request->forwarded_to = connection;
   request->forward_timeout = g_timeout_add_full (
       G_PRIORITY_DEFAULT, (guint)(timeout_us / MILLISECOND_US), on_timeout, timeout, g_free);
-  mh_peer_connection_send (
-      connection, mh_peer_write_call (request->id, request->verb, request->job, request->body));
+  mh_peer_connection_send (connection, mh_controller_request_encode (request->id, request->verb,
+                                                                     request->job, request->body));
 }
 
 void
 mh_request_forwarder_handle_answer (MhRequestForwarder *self, MhPeerConnection *connection,
-                                    const MhPeerMessage *message)
+                                    const MhControllerMessage *message)
 {
   MhPendingRequest *request = mh_pending_requests_lookup (self->requests, message->id);
   if (request == NULL || request->forwarded_to != connection)
@@ -97,12 +98,12 @@
 
 /* NULL when the call holds no submission of the job that it names. */
 static MhJobSpec *
-read_submission (const MhPeerMessage *call)
+read_submission (const MhControllerMessage *call)
 {
   gsize size;
   const void *data = g_bytes_get_data (call->body, &size);
-  g_autoptr (MhValue) body = mh_value_load (data, size);
-  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (body);
+  g_autoptr (MhValue) body = mh_value_load (data, size, NULL);
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (body, NULL);
   if (spec == NULL || strcmp (spec->id, call->job) != 0)
     return NULL;
   return g_steal_pointer (&spec);
@@ -110,7 +111,7 @@
 
 MhPendingRequest *
 mh_request_forwarder_receive (MhRequestForwarder *self, MhPeerConnection *connection,
-                              const MhPeerMessage *call, MhJobSpec **spec)
+                              const MhControllerMessage *call, MhJobSpec **spec)
 {
   *spec = NULL;
   if (call->verb == MH_USER_SUBMIT)
@@ -119,7 +120,7 @@
       if (*spec == NULL)
         {
           const MhUserAnswer refused = { .status = SOUP_STATUS_BAD_REQUEST };
-          mh_peer_connection_send (connection, mh_peer_write_answer (call->id, &refused));
+          mh_peer_connection_send (connection, mh_controller_response_encode (call->id, &refused));
           return NULL;
         }
     }
--- a/src/storage/load.h
+++ b/src/storage/load.h
@@ -7,7 +7,11 @@
 
 #include "storage/record-writer.h"
 
-#include "protocol/wire.h"
+#include "base/time-units.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/user-messages.h"
+#include "protocol/worker-messages.h"
 
 typedef struct MhRecordLoader MhRecordLoader;
 
@@ -27,7 +31,7 @@
   void (*attempt_found) (gpointer owner, MhJob *job, guint index, guint32 attempt,
                          const char *machine);
   void (*back_off_found) (gpointer owner, MhJob *job, guint level);
-  void (*release_found) (gpointer owner, const MhEntry *entry);
+  void (*release_found) (gpointer owner, const MhKvEntry *entry);
   void (*job_unreadable) (gpointer owner, MhJob *job);
   void (*loaded) (gpointer owner);
 } MhRecordLoaderCallbacks;
--- a/tests/stand-in/worker-runtime.c
+++ b/tests/stand-in/worker-runtime.c
@@ -1,4 +1,5 @@
 #include "stand-in/worker-runtime.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -23,7 +24,7 @@
 static void
 end_task (MachineTask *task, const char *cause)
 {
-  task->phase = MH_TASK_ENDED;
+  task->phase = MH_TASK_PHASE_ENDED;
   task->cause = cause;
 }
 
@@ -41,7 +42,7 @@
         continue;
       if (other->attempt == attempt)
         return true;
-      *other_runs |= other->phase != MH_TASK_ENDED;
+      *other_runs |= other->phase != MH_TASK_PHASE_ENDED;
     }
   return false;
 }
@@ -64,9 +65,10 @@
   bool cached = g_hash_table_contains (machine->images, job->spec->image);
   gint64 fetch_us = cached ? 0 : (gint64)(job->spec->image_gb * 1e6);
   if (!cached)
-    task->phase = MH_TASK_FETCHING;
+    task->phase = MH_TASK_PHASE_FETCHING_IMAGE;
   else
-    task->phase = workload_job_is_gang (job) ? MH_TASK_GATHERING : MH_TASK_RUNNING;
+    task->phase
+        = workload_job_is_gang (job) ? MH_TASK_PHASE_WAITING_FOR_GANG : MH_TASK_PHASE_RUNNING;
   task->ready_us = runtime->now_us + fetch_us;
   if (job->run_us)
     task->end_us = task->ready_us + job->run_us + job->stagger_us * task->index;
@@ -101,13 +103,14 @@
 saves_first (const WorkerRuntime *runtime, MachineTask *task, double grace_s)
 {
   WorkloadJob *job = workload_find (runtime->workload, task->job_id);
-  if (task->phase == MH_TASK_SAVING)
+  if (task->phase == MH_TASK_PHASE_CHECKPOINTING)
     return grace_s > 0;
-  if (job == NULL || !workload_job_is_gang (job) || task->phase != MH_TASK_RUNNING)
+  if (job == NULL || !workload_job_is_gang (job) || task->phase != MH_TASK_PHASE_RUNNING)
     return false;
-  if (job->spec->checkpoint_us == 0 || grace_s * 1e6 < (double)job->spec->save_us)
+  if (job->spec->checkpoint_interval_us == 0
+      || grace_s * 1e6 < (double)job->spec->checkpoint_save_us)
     return false;
-  task->phase = MH_TASK_SAVING;
+  task->phase = MH_TASK_PHASE_CHECKPOINTING;
   task->stop_requested_us = runtime->now_us;
   if (job->stop_requested_us == 0)
     job->stop_requested_us = runtime->now_us;
@@ -117,7 +120,7 @@
 void
 worker_runtime_stop_task (WorkerRuntime *runtime, MachineTask *task, double grace_s)
 {
-  if (!saves_first (runtime, task, grace_s) && task->phase != MH_TASK_ENDED)
+  if (!saves_first (runtime, task, grace_s) && task->phase != MH_TASK_PHASE_ENDED)
     end_task (task, "stopped");
 }
 
@@ -162,17 +165,18 @@
   gint64 now_us = runtime->now_us;
   WorkloadJob *job = task->workload_job;
   bool gang = job && workload_job_is_gang (job);
-  if (task->phase == MH_TASK_FETCHING && now_us >= task->ready_us)
+  if (task->phase == MH_TASK_PHASE_FETCHING_IMAGE && now_us >= task->ready_us)
     {
-      task->phase = gang ? MH_TASK_GATHERING : MH_TASK_RUNNING;
+      task->phase = gang ? MH_TASK_PHASE_WAITING_FOR_GANG : MH_TASK_PHASE_RUNNING;
       g_hash_table_add (machine->images, g_strdup (job->spec->image));
     }
-  if (task->phase == MH_TASK_RUNNING && (machine->faulty || (job && job->fails))
+  if (task->phase == MH_TASK_PHASE_RUNNING && (machine->faulty || (job && job->fails))
       && now_us >= task->ready_us + FAILS_AFTER_US)
     end_task (task, "error");
-  if (task->phase == MH_TASK_GATHERING && now_us > task->ready_us + runtime->settings->gang_wait_us)
+  if (task->phase == MH_TASK_PHASE_WAITING_FOR_GANG
+      && now_us > task->ready_us + runtime->settings->gang_wait_us)
     end_task (task, "incomplete");
-  if (task->phase == MH_TASK_RUNNING && !gang && task->end_us && now_us >= task->end_us)
+  if (task->phase == MH_TASK_PHASE_RUNNING && !gang && task->end_us && now_us >= task->end_us)
     {
       end_task (task, "done");
       workload_job_finish_task (job, task->index);
--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -11,7 +11,7 @@
 {
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
   spec->types = g_strsplit ("small", ",", 1);
-  spec->estimate_us = 300 * MH_SECOND_US;
+  spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 120);
   WAIT (simulation, 20, accepted, user);
   simulation_run (simulation, 3);
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -132,8 +132,8 @@
   Simulation *simulation = fixture->simulation;
   (void)seed;
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 12, 1);
-  spec->one_zone = true;
-  spec->estimate_us = 300 * MH_SECOND_US;
+  spec->single_zone = true;
+  spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 300);
   WAIT (simulation, 60, all_run, user);
   Worker *kept = worker_of (simulation, "j-000002/0");
