--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -5,6 +5,8 @@
 #include "jobs/job.h"
 #include "protocol/cloud-messages.h"
 
+typedef struct MhMachine MhMachine;
+
 /* Answers in a row of which the next report shows nothing, after which nothing is taken to reach
    the machine. */
 #define MH_MAX_IGNORED_ANSWERS 2u
