--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -32,9 +32,13 @@
 mh_autoscaler_new (MhCore *core)
 {
   MhAutoscaler *self = g_new0 (MhAutoscaler, 1);
-  self->context = (MhAutoscalerContext){
-    .core = core, .runtime = core->runtime, .calls = core->calls, .settings = core->settings
-  };
+  self->context = (MhAutoscalerContext){ .core = core,
+                                         .runtime = core->runtime,
+                                         .calls = core->calls,
+                                         .settings = core->settings,
+                                         .election = core->election,
+                                         .recovery = core->recovery,
+                                         .runtime_estimator = core->runtime_estimator };
   self->lost = mh_lost_capacity_new ();
   self->scale_out = mh_scale_out_new (&self->context, self->lost);
   mh_scale_out_set_done_func (self->scale_out, scale_out_done, self);
@@ -88,38 +92,39 @@
 
 /* What waits for its own team's quota needs no machine. */
 static guint
-allowed_tasks (const MhCore *core, const MhJob *job)
+allowed_tasks (const MhAutoscalerContext *context, const MhJob *job)
 {
   const MhUse none = { 0 };
-  return mh_quota_allowed_tasks (core->settings, mh_cluster_team_use (core, job->spec->team), job,
-                                 &none, mh_task_failure_startable (core, job));
+  return mh_quota_allowed_tasks (context->settings,
+                                 mh_cluster_team_use (context->core, job->spec->team), job, &none,
+                                 mh_task_failure_startable (context->core, job));
 }
 
 static guint
-count_waiting_tasks (MhCore *core)
+count_waiting_tasks (const MhAutoscalerContext *context)
 {
   guint waiting = 0;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, core->jobs);
+  g_hash_table_iter_init (&iter, context->core->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!mh_job_is_over (value))
-      waiting += allowed_tasks (core, value);
+      waiting += allowed_tasks (context, value);
   return waiting;
 }
 
 /* ---- the log ---- */
 
 static const char *
-waiting_reason (MhCore *core, const MhJob *job)
+waiting_reason (const MhAutoscalerContext *context, const MhJob *job)
 {
   if (mh_job_backs_off (job))
     return "back_off";
-  if (core->now.mono_us < job->placement.retry_after_us)
+  if (mh_runtime_now_us (context->runtime) < job->placement.retry_after_us)
     return "retry_delay";
-  if (job->n_unreported && !mh_recovery_is_complete (core->recovery))
+  if (job->n_unreported && !mh_recovery_is_complete (context->recovery))
     return "unreported_machines";
-  if (!mh_quota_fits (core->settings, mh_cluster_team_use (core, job->spec->team), job,
+  if (!mh_quota_fits (context->settings, mh_cluster_team_use (context->core, job->spec->team), job,
                       job->spec->cpus, job->spec->gpus))
     return "team_quota";
   return "no_capacity";
@@ -127,12 +132,12 @@
 
 /* The job that has waited longest without a place for all its tasks; NULL: none. */
 static const MhJob *
-find_longest_waiting_job (MhCore *core)
+find_longest_waiting_job (const MhAutoscalerContext *context)
 {
   const MhJob *longest = NULL;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, core->jobs);
+  g_hash_table_iter_init (&iter, context->core->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhJob *job = value;
@@ -149,15 +154,14 @@
 static void
 log_longest_waiting_job (const MhAutoscaler *self)
 {
-  MhCore *core = self->context.core;
-  const MhJob *job = find_longest_waiting_job (core);
+  const MhJob *job = find_longest_waiting_job (&self->context);
   if (job == NULL)
     return;
   gint64 waited_us = mh_runtime_now_us (self->context.runtime) - job->placement.unplaced_since_us;
   mh_log_info (self->context.runtime,
                "longest waiting job job=%s team=%s tasks=%u waited_s=%.0f reason=%s", job->spec->id,
                job->spec->team, mh_job_pending_tasks (job), (double)waited_us / MH_SECOND_US,
-               waiting_reason (core, job));
+               waiting_reason (&self->context, job));
 }
 
 /* Machines by what they do, and what they cost an hour. */
@@ -194,18 +198,18 @@
 static void
 log_cluster_summary (const MhAutoscaler *self)
 {
-  MhCore *core = self->context.core;
   ClusterSummary summary = { 0 };
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context.core));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     summarize_machine (&summary, value);
   mh_log_info (self->context.runtime,
                "cluster summary machines=%u idle=%u coming=%u releasing=%u hourly_price=%.2f "
                "used_cpus=%.0f cpus=%.0f waiting_tasks=%u",
                summary.reporting, summary.idle, summary.coming, summary.releasing,
-               summary.hourly_price, summary.cpus_in_use, summary.cpus, count_waiting_tasks (core));
+               summary.hourly_price, summary.cpus_in_use, summary.cpus,
+               count_waiting_tasks (&self->context));
 }
 
 static void
@@ -224,12 +228,11 @@
 static bool
 may_scale_out (const MhAutoscaler *self)
 {
-  const MhCore *core = self->context.core;
   gint64 leading_us
-      = mh_runtime_now_us (self->context.runtime) - mh_election_elected_us (core->election);
-  return mh_recovery_is_complete (core->recovery) && mh_cluster_types (core)
+      = mh_runtime_now_us (self->context.runtime) - mh_election_elected_us (self->context.election);
+  return mh_recovery_is_complete (self->context.recovery) && mh_cluster_types (self->context.core)
          && mh_inventory_is_listed (self->inventory) && !mh_scale_out_is_busy (self->scale_out)
-         && (mh_election_epoch (core->election) == 1
+         && (mh_election_epoch (self->context.election) == 1
              || leading_us > self->context.settings->list_lag_us);
 }
 
@@ -246,13 +249,13 @@
   if (now_us < self->step_due_us)
     return;
   self->step_due_us = now_us + STEP_INTERVAL_US;
-  bool tasks_wait = count_waiting_tasks (self->context.core) > 0;
+  bool tasks_wait = count_waiting_tasks (&self->context) > 0;
   /* What ran on machines that are being released waits only when that is confirmed. */
   if (!tasks_wait && mh_scale_in_is_idle (self->scale_in))
     mh_lost_capacity_clear (self->lost);
   if (may_scale_out (self))
     scale_out (self);
-  if (mh_recovery_is_complete (self->context.core->recovery))
+  if (mh_recovery_is_complete (self->context.recovery))
     mh_consolidation_step (&self->context, tasks_wait);
 }
 
--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "cluster/machine-registry.h"
-#include "jobs/job.h"
+#include "placement/resources.h"
 
 /**
  * MhCapacityEstimate:
@@ -14,9 +14,7 @@
  * the offer
  * @spot: whether it is a spot machine
  * @to_create: whether it would have to be created
- * @free_cpus: cpus that are free
- * @free_gpus: gpus that are free
- * @free_mem_gb: memory that is free, in GB
+ * @available: what is not in use
  *
  * Capacity of one machine.
  */
@@ -26,7 +24,7 @@
   const MhMachineType *type;
   const GRefString *zone;
   bool spot, to_create;
-  double free_cpus, free_gpus, free_mem_gb;
+  MhResources available;
 } MhCapacityEstimate;
 
 /**
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -50,9 +50,9 @@
   MhCapacityEstimate estimate
       = mh_capacity_estimate_for_type (machine->type, machine->zone, machine->spot);
   estimate.machine = machine;
-  estimate.free_cpus -= machine->usage.cpus;
-  estimate.free_gpus -= machine->usage.gpus;
-  estimate.free_mem_gb -= machine->usage.mem_gb;
+  estimate.available.cpus -= machine->usage.cpus;
+  estimate.available.gpus -= machine->usage.gpus;
+  estimate.available.mem_gb -= machine->usage.mem_gb;
   remaining->cpus += machine->type->cpus;
   remaining->cpus_in_use += machine->usage.cpus;
   g_array_append_val (remaining->estimates, estimate);
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -28,7 +28,7 @@
 static gint64
 plan_now_us (const MhDemandPlan *plan)
 {
-  return plan->context->core->now.mono_us;
+  return mh_runtime_now_us (plan->context->runtime);
 }
 
 /* A machine that has to be created for these tasks; NULL: none can be had. */
@@ -206,8 +206,9 @@
   const MhJobSpec *spec = job->spec;
   MhUse *use = planned_team_use (plan, spec->team);
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
-  guint tasks = mh_quota_allowed_tasks (core->settings, mh_cluster_team_use (core, spec->team), job,
-                                        use, mh_task_failure_rentable (core, job));
+  guint tasks
+      = mh_quota_allowed_tasks (plan->context->settings, mh_cluster_team_use (core, spec->team),
+                                job, use, mh_task_failure_rentable (core, job));
   use->cpus += spec->cpus * tasks;
   use->gpus += spec->gpus * tasks;
   if (tasks > 0)
@@ -215,8 +216,9 @@
 }
 
 static void
-renew_expected_times (MhCore *core)
+renew_expected_times (const MhAutoscalerContext *context)
 {
+  MhCore *core = context->core;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, core->jobs);
@@ -224,7 +226,7 @@
     {
       MhJob *job = value;
       job->placement.expected_run_us
-          = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
+          = mh_runtime_estimator_run_us (context->runtime_estimator, job->spec);
       job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
     }
 }
@@ -252,7 +254,7 @@
   g_autoptr (GPtrArray) jobs = jobs_to_plan (context->core);
   if (jobs->len == 0)
     return plan;
-  renew_expected_times (context->core);
+  renew_expected_times (context);
   add_coming_machines (plan);
   plan->offers = mh_machine_offers_new (context, scale_out, plan->estimates);
   mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->core),
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -222,11 +222,10 @@
 {
   MhScaleIn *self = owner;
   ReleaseBatch *batch = data;
-  MhCore *core = self->context->core;
   if (is_leader_condition_refused (reply))
     {
       advance (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
-      mh_election_step_down (core->election, MH_LOSS_ANOTHER_LEADER);
+      mh_election_step_down (self->context->election, MH_LOSS_ANOTHER_LEADER);
     }
   /* Refused because it is there: a copy that was not answered has been carried out. */
   else if (reply->status == 200 || reply->status == 409)
@@ -237,7 +236,7 @@
   else if (reply->status == 400)
     {
       advance (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
-      mh_election_step_down (core->election, MH_LOSS_RECORD_REFUSED);
+      mh_election_step_down (self->context->election, MH_LOSS_RECORD_REFUSED);
     }
   else
     {
@@ -251,8 +250,7 @@
 write_record (MhScaleIn *self, ReleaseBatch *batch)
 {
   MhCondition conditions[]
-      = { { MH_LEADER_KEY, mh_election_key_version (self->context->core->election) },
-          { batch->key, 0 } };
+      = { { MH_LEADER_KEY, mh_election_key_version (self->context->election) }, { batch->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (batch->machines);
   g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
   MhChange put = { .key = batch->key, .value = value };
@@ -324,9 +322,8 @@
   ReleaseBatch *batch = g_rc_box_new0 (ReleaseBatch);
   batch->state = MH_RELEASE_REQUESTED;
   /* The epoch is this leadership's alone. */
-  batch->key
-      = g_strdup_printf ("%s%" G_GUINT64_FORMAT "/%u", MH_RECORD_RELEASES,
-                         mh_election_epoch (self->context->core->election), ++self->n_batches);
+  batch->key = g_strdup_printf ("%s%" G_GUINT64_FORMAT "/%u", MH_RECORD_RELEASES,
+                                mh_election_epoch (self->context->election), ++self->n_batches);
   batch->machines = g_strv_builder_end (machines);
   batch->replaced_records = g_strv_builder_end (replaced_records);
   return batch;
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -221,9 +221,8 @@
     return;
   CreateRequest *request = g_rc_box_new0 (CreateRequest);
   /* The epoch is this leadership's alone, so the name was never used before. */
-  request->name
-      = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
-                         mh_election_epoch (self->context->core->election), ++self->n_requests);
+  request->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+                                   mh_election_epoch (self->context->election), ++self->n_requests);
   request->type = g_strdup (kind->type->name);
   request->zone = g_strdup (kind->zone);
   request->spot = kind->spot;
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -241,9 +241,13 @@
   add_type (types, "small", 4, 0.4);
   add_type (types, "large", 32, 3.3);
   mh_cluster_set_types (core, types);
-  fixture->context = (MhAutoscalerContext){
-    .core = core, .runtime = core->runtime, .calls = core->calls, .settings = fixture->settings
-  };
+  fixture->context = (MhAutoscalerContext){ .core = core,
+                                            .runtime = core->runtime,
+                                            .calls = core->calls,
+                                            .settings = fixture->settings,
+                                            .election = core->election,
+                                            .recovery = core->recovery,
+                                            .runtime_estimator = core->runtime_estimator };
   fixture->lost = mh_lost_capacity_new ();
   fixture->scale_out = mh_scale_out_new (&fixture->context, fixture->lost);
   mh_scale_out_set_done_func (fixture->scale_out, count_ended, fixture);
@@ -349,7 +353,7 @@
   g_assert_cmpuint (mh_capacity_estimate_count_tasks (&estimate, job->spec, 10), ==, 2);
   mh_capacity_estimate_reserve (&estimate, job->spec, 1);
   g_assert_cmpuint (mh_capacity_estimate_count_tasks (&estimate, job->spec, 10), ==, 1);
-  g_assert_cmpfloat (estimate.free_cpus, ==, 3);
+  g_assert_cmpfloat (estimate.available.cpus, ==, 3);
 }
 
 /* A large machine would be created for a few tasks, or small ones for many; and all of them in one
