--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -1,11 +1,11 @@
 #include "autoscaler/autoscaler.h"
-#include "autoscaler/context.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
 #include "autoscaler/inventory.h"
 #include "autoscaler/scale-in.h"
 #include "autoscaler/scale-out.h"
 #include "placement/quota.h"
+#include "cluster/task-failure.h"
 
 #define STEP_INTERVAL_US (MH_SECOND_US / 2)
 #define SUMMARY_INTERVAL_US (10 * MH_SECOND_US)
@@ -29,16 +29,11 @@
 }
 
 MhAutoscaler *
-mh_autoscaler_new (MhCore *core)
+mh_autoscaler_new (const MhAutoscalerContext *context)
 {
+  g_return_val_if_fail (context != NULL, NULL);
   MhAutoscaler *self = g_new0 (MhAutoscaler, 1);
-  self->context = (MhAutoscalerContext){ .core = core,
-                                         .runtime = core->runtime,
-                                         .calls = core->calls,
-                                         .settings = core->settings,
-                                         .election = core->election,
-                                         .recovery = core->recovery,
-                                         .runtime_estimator = core->runtime_estimator };
+  self->context = *context;
   self->lost = mh_lost_capacity_new ();
   self->scale_out = mh_scale_out_new (&self->context, self->lost);
   mh_scale_out_set_done_func (self->scale_out, scale_out_done, self);
@@ -106,7 +101,7 @@
   guint waiting = 0;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, context->core->jobs);
+  g_hash_table_iter_init (&iter, context->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!mh_job_is_over (value))
       waiting += allowed_tasks (context, value);
@@ -137,7 +132,7 @@
   const MhJob *longest = NULL;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, context->core->jobs);
+  g_hash_table_iter_init (&iter, context->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhJob *job = value;
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -2,6 +2,7 @@
    plan, scale-out, scale-in and consolidation. */
 #pragma once
 
+#include "autoscaler/context.h"
 #include "cluster/machine-registry.h"
 #include "protocol/wire.h"
 
@@ -9,12 +10,12 @@
 
 /**
  * mh_autoscaler_new:
- * @core: (not transferred): jobs, machines, records; must outlive the object
+ * @context: what lies below; it is copied
  *
  * Returns: (transfer full): an autoscaler that has done nothing yet
  */
 MhAutoscaler *
-mh_autoscaler_new (MhCore *core);
+mh_autoscaler_new (const MhAutoscalerContext *context);
 
 /**
  * mh_autoscaler_free:
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -1,7 +1,7 @@
 #include "autoscaler/consolidation.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/scale-in.h"
+#include "cluster/attempt.h"
 
 /* A machine is drained when no more of it is in use, and the others would not be fuller than this.
    Replicas younger than this are left alone: a start that is undone at once is none. */
--- a/src/autoscaler/consolidation.h
+++ b/src/autoscaler/consolidation.h
@@ -3,9 +3,9 @@
    zone. The state is in each machine's flag `draining`. */
 #pragma once
 
-#include <stdbool.h>
+#include "autoscaler/context.h"
 
-typedef struct MhAutoscalerContext MhAutoscalerContext;
+#include <stdbool.h>
 
 /**
  * mh_consolidation_step:
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -1,11 +1,12 @@
 #include "autoscaler/demand.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/completion-forecast.h"
 #include "autoscaler/machine-offer.h"
 #include "placement/filter.h"
 #include "placement/quota.h"
 #include "placement/resources.h"
+#include "cluster/task-failure.h"
+#include "cluster/zone-silence.h"
 
 struct MhDemandPlan
 {
@@ -221,7 +222,7 @@
   MhCore *core = context->core;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, core->jobs);
+  g_hash_table_iter_init (&iter, context->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       MhJob *job = value;
@@ -235,11 +236,12 @@
    come. But what is not on record has not been placed either: once there are machines, those jobs
    may find room on them, and machines were created for each beside free ones. */
 static GPtrArray *
-jobs_to_plan (MhCore *core)
+jobs_to_plan (const MhAutoscalerContext *context)
 {
+  MhCore *core = context->core;
   MhJobQueueScope scope = mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
-  return mh_job_queue_pending (core->job_queue, scope, mh_cluster_types (core),
-                               mh_runtime_now_us (core->runtime));
+  return mh_job_queue_pending (context->job_queue, scope, mh_cluster_types (core),
+                               mh_runtime_now_us (context->runtime));
 }
 
 MhDemandPlan *
@@ -252,7 +254,7 @@
   plan->forecast = mh_completion_forecast_new ();
   plan->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   plan->lost_cpus = mh_lost_capacity_cpus (lost);
-  g_autoptr (GPtrArray) jobs = jobs_to_plan (context->core);
+  g_autoptr (GPtrArray) jobs = jobs_to_plan (context);
   if (jobs->len == 0)
     return plan;
   renew_expected_times (context);
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,5 +1,4 @@
 #include "autoscaler/inventory.h"
-#include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
 
 #define TYPES_INTERVAL_US (60 * MH_SECOND_US)
--- a/src/autoscaler/machine-offer.c
+++ b/src/autoscaler/machine-offer.c
@@ -1,6 +1,6 @@
 #include "autoscaler/machine-offer.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
+#include "cluster/zone-silence.h"
 
 /* Spot machines are taken back now and then, with what they run: their price counts as this much
    more. */
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -1,7 +1,9 @@
 #include "autoscaler/scale-in.h"
-#include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/release-state.h"
+#include "storage/record.h"
+#include "storage/record-writer.h"
+#include "election/leader-record.h"
 
 #include <string.h>
 
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -3,6 +3,7 @@
    and a call. */
 #pragma once
 
+#include "autoscaler/context.h"
 #include "autoscaler/lost-capacity.h"
 #include "cluster/machine-registry.h"
 #include "protocol/wire.h"
@@ -10,7 +11,6 @@
 /* A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
 #define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
 
-typedef struct MhAutoscalerContext MhAutoscalerContext;
 typedef struct MhScaleIn MhScaleIn;
 
 /**
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -1,5 +1,4 @@
 #include "autoscaler/scale-out.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
 
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -3,10 +3,10 @@
    "POST /machines"). A kind of machine that the cloud refused is left alone for a while. */
 #pragma once
 
+#include "autoscaler/context.h"
 #include "autoscaler/lost-capacity.h"
 #include "protocol/types.h"
 
-typedef struct MhAutoscalerContext MhAutoscalerContext;
 typedef struct MhScaleOut MhScaleOut;
 
 /**
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -393,6 +393,21 @@
   .gang_stop = mh_gang_stop,
 };
 
+static MhAutoscaler *
+create_autoscaler (MhCore *core)
+{
+  MhAutoscalerContext context = { .core = core,
+                                  .settings = core->settings,
+                                  .runtime = core->runtime,
+                                  .calls = core->calls,
+                                  .election = core->election,
+                                  .recovery = core->recovery,
+                                  .jobs = core->jobs,
+                                  .job_queue = core->job_queue,
+                                  .runtime_estimator = core->runtime_estimator };
+  return mh_autoscaler_new (&context);
+}
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -413,8 +428,8 @@
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
   core->runtime_estimator = mh_runtime_estimator_new ();
-  core->autoscaler = mh_autoscaler_new (core);
   core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
+  core->autoscaler = create_autoscaler (core);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -1,6 +1,5 @@
 /* The autoscaler's parts: errors of the cloud, the states of a release, estimates and forecasts,
    what is offered, and scale-out and scale-in by the replies that they get. */
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/completion-forecast.h"
@@ -8,6 +7,7 @@
 #include "autoscaler/machine-offer.h"
 #include "autoscaler/release-state.h"
 #include "autoscaler/scale-in.h"
+#include "controller/core-private.h"
 
 #define START_US (1000 * MH_SECOND_US)
 
@@ -247,6 +247,8 @@
                                             .settings = fixture->settings,
                                             .election = core->election,
                                             .recovery = core->recovery,
+                                            .jobs = core->jobs,
+                                            .job_queue = core->job_queue,
                                             .runtime_estimator = core->runtime_estimator };
   fixture->lost = mh_lost_capacity_new ();
   fixture->scale_out = mh_scale_out_new (&fixture->context, fixture->lost);
