--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -91,8 +91,8 @@
 {
   const MhUse none = { 0 };
   return mh_quota_allowed_tasks (context->settings,
-                                 mh_cluster_team_use (context->core, job->spec->team), job, &none,
-                                 mh_task_failure_startable (context->core, job));
+                                 mh_cluster_team_use (context->cluster, job->spec->team), job,
+                                 &none, mh_task_failure_startable (context->cluster, job));
 }
 
 static guint
@@ -119,8 +119,8 @@
     return "retry_delay";
   if (job->n_unreported && !mh_recovery_is_complete (context->recovery))
     return "unreported_machines";
-  if (!mh_quota_fits (context->settings, mh_cluster_team_use (context->core, job->spec->team), job,
-                      job->spec->cpus, job->spec->gpus))
+  if (!mh_quota_fits (context->settings, mh_cluster_team_use (context->cluster, job->spec->team),
+                      job, job->spec->cpus, job->spec->gpus))
     return "team_quota";
   return "no_capacity";
 }
@@ -196,7 +196,7 @@
   ClusterSummary summary = { 0 };
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context.core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context.cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     summarize_machine (&summary, value);
   mh_log_info (self->context.runtime,
@@ -225,8 +225,9 @@
 {
   gint64 leading_us
       = mh_runtime_now_us (self->context.runtime) - mh_election_elected_us (self->context.election);
-  return mh_recovery_is_complete (self->context.recovery) && mh_cluster_types (self->context.core)
-         && mh_inventory_is_listed (self->inventory) && !mh_scale_out_is_busy (self->scale_out)
+  return mh_recovery_is_complete (self->context.recovery)
+         && mh_cluster_types (self->context.cluster) && mh_inventory_is_listed (self->inventory)
+         && !mh_scale_out_is_busy (self->scale_out)
          && (mh_election_epoch (self->context.election) == 1
              || leading_us > self->context.settings->list_lag_us);
 }
--- a/src/autoscaler/context.h
+++ b/src/autoscaler/context.h
@@ -9,7 +9,8 @@
 
 /**
  * MhAutoscalerContext:
- * @core: for the functions of the cluster and of storage, which still take it
+ * @core: for the functions of storage, which still take it
+ * @cluster: machines, and what runs on them
  * @settings: of this controller
  * @runtime: time, wake-ups and the log
  * @calls: calls to the cloud and to the key-value store
@@ -25,6 +26,7 @@
 typedef struct
 {
   MhCore *core;
+  MhCluster *cluster;
   const MhSettings *settings;
   MhRuntime *runtime;
   MhCallQueue *calls;
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -54,7 +54,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (plan->context->core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (plan->context->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhMachine *machine = value;
@@ -91,7 +91,7 @@
   if (job->spec->shape != MH_SHAPE_ARRAY)
     return 0;
   gint64 now_us = plan_now_us (plan);
-  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->core), job->spec);
+  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->cluster), job->spec);
   /* Estimates are often wrong by half. */
   gint64 latest_us = job->placement.objectives_missed
                          ? now_us
@@ -203,13 +203,13 @@
 static void
 plan_job (MhDemandPlan *plan, const MhJob *job)
 {
-  MhCore *core = plan->context->core;
+  MhCluster *cluster = plan->context->cluster;
   const MhJobSpec *spec = job->spec;
   MhUse *use = planned_team_use (plan, spec->team);
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
   guint tasks
-      = mh_quota_allowed_tasks (plan->context->settings, mh_cluster_team_use (core, spec->team),
-                                job, use, mh_task_failure_rentable (core, job));
+      = mh_quota_allowed_tasks (plan->context->settings, mh_cluster_team_use (cluster, spec->team),
+                                job, use, mh_task_failure_rentable (cluster, job));
   use->cpus += spec->cpus * tasks;
   use->gpus += spec->gpus * tasks;
   if (tasks > 0)
@@ -219,7 +219,7 @@
 static void
 renew_expected_times (const MhAutoscalerContext *context)
 {
-  MhCore *core = context->core;
+  MhCluster *cluster = context->cluster;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, context->jobs);
@@ -228,7 +228,8 @@
       MhJob *job = value;
       job->placement.expected_run_us
           = mh_runtime_estimator_run_us (context->runtime_estimator, job->spec);
-      job->placement.expected_fetch_us = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core));
+      job->placement.expected_fetch_us
+          = mh_job_spec_fetch_us (job->spec, mh_cluster_types (cluster));
     }
 }
 
@@ -238,9 +239,9 @@
 static GPtrArray *
 jobs_to_plan (const MhAutoscalerContext *context)
 {
-  MhCore *core = context->core;
-  MhJobQueueScope scope = mh_zone_any_heard (core) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
-  return mh_job_queue_pending (context->job_queue, scope, mh_cluster_types (core),
+  MhCluster *cluster = context->cluster;
+  MhJobQueueScope scope = mh_zone_any_heard (cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  return mh_job_queue_pending (context->job_queue, scope, mh_cluster_types (cluster),
                                mh_runtime_now_us (context->runtime));
 }
 
@@ -260,7 +261,7 @@
   renew_expected_times (context);
   add_coming_machines (plan);
   plan->offers = mh_machine_offers_new (context, scale_out, plan->estimates);
-  mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->core),
+  mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->cluster),
                                       plan_now_us (plan));
   for (guint i = 0; i < jobs->len; i++)
     plan_job (plan, g_ptr_array_index (jobs, i));
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -130,16 +130,16 @@
 static void
 add_created_machines (MhScaleOut *self, const CreateRequest *request, char **names)
 {
-  MhCore *core = self->context->core;
+  MhCluster *cluster = self->context->cluster;
   guint created = g_strv_length (names);
   mh_log_info (self->context->runtime,
                "machines created count=%u requested=%u type=%s zone=%s spot=%d", created,
                request->count, request->type, request->zone, request->spot);
   mh_lost_capacity_replace (self->lost, request->cpus_per_machine * created);
   for (guint i = 0; i < created; i++)
-    if (mh_cluster_find_machine (core, names[i]) == NULL
-        && !mh_cluster_was_released (core, names[i]))
-      mh_cluster_add_machine (core, names[i], request->type, request->zone, request->spot)
+    if (mh_cluster_find_machine (cluster, names[i]) == NULL
+        && !mh_cluster_was_released (cluster, names[i]))
+      mh_cluster_add_machine (cluster, names[i], request->type, request->zone, request->spot)
           ->boot.rented_here
           = true;
   if (created < request->count)
