--- a/src/autoscaler/context.h
+++ b/src/autoscaler/context.h
@@ -6,16 +6,17 @@
 #include "election/election.h"
 #include "jobs/job-queue.h"
 #include "runtime/call-queue.h"
+#include "storage/record-writer.h"
 
 /**
  * MhAutoscalerContext:
- * @core: for the functions of storage, which still take it
  * @cluster: machines, and what runs on them
  * @settings: of this controller
  * @runtime: time, wake-ups and the log
  * @calls: calls to the cloud and to the key-value store
  * @election: whether, and under which epoch, this controller leads
  * @recovery: whether the machines have reported to this leader
+ * @record_writer: drops records that are of no use any more
  * @jobs: (element-type utf8 MhJob): all jobs by id
  * @job_queue: which jobs have tasks to start
  * @runtime_estimator: how long tasks are expected to run
@@ -25,13 +26,13 @@
  */
 typedef struct
 {
-  MhCore *core;
   MhCluster *cluster;
   const MhSettings *settings;
   MhRuntime *runtime;
   MhCallQueue *calls;
   MhElection *election;
   const MhRecovery *recovery;
+  MhRecordWriter *record_writer;
   GHashTable *jobs;
   MhJobQueue *job_queue;
   const MhRuntimeEstimator *runtime_estimator;
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -37,7 +37,7 @@
 static bool
 is_durable (const MhAttempt *attempt)
 {
-  return mh_job_record (attempt->job, attempt->index)->durable >= attempt->need_rev;
+  return mh_record_is_durable (mh_job_record (attempt->job, attempt->index), attempt->need_rev);
 }
 
 /* Every place of the gang is on record: a successor must not take a part of it for the whole. */
@@ -112,7 +112,7 @@
       || job->tasks[orphan->index].state != MH_TASK_DONE)
     return false;
   const MhRecord *record = mh_job_record (job, orphan->index);
-  return mh_job_is_finished (job) || record->durable < record->rev;
+  return mh_job_is_finished (job) || mh_record_has_unwritten_changes (record);
 }
 
 static void
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -241,13 +241,13 @@
   add_type (types, "small", 4, 0.4);
   add_type (types, "large", 32, 3.3);
   mh_cluster_set_types (core->cluster, types);
-  fixture->context = (MhAutoscalerContext){ .core = core,
-                                            .cluster = core->cluster,
+  fixture->context = (MhAutoscalerContext){ .cluster = core->cluster,
                                             .runtime = core->runtime,
                                             .calls = core->calls,
                                             .settings = fixture->settings,
                                             .election = core->election,
                                             .recovery = core->recovery,
+                                            .record_writer = core->record_writer,
                                             .jobs = core->jobs,
                                             .job_queue = core->job_queue,
                                             .runtime_estimator = core->runtime_estimator };
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -250,7 +250,7 @@
         simulation_start_node (simulation, i);
       WAIT (simulation, 10, told_cancelled, cancelled);
       WAIT (simulation, 120, told_done, u);
-      g_assert_true (simulation_logged (simulation, "re-chunked into"));
+      g_assert_true (simulation_logged (simulation, "job re-chunked"));
       g_assert_false (simulation_logged (simulation, "refused by the state service"));
       g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 322);
