--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -72,7 +72,7 @@
 }
 
 void
-mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, const char *reason)
+mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, MhReleaseReason reason)
 {
   g_return_if_fail (self != NULL);
   mh_scale_in_release_machine (self->scale_in, machine, reason);
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -4,8 +4,14 @@
 
 #include "autoscaler/context.h"
 #include "cluster/machine-registry.h"
+#include "cluster/release-reason.h"
 #include "protocol/wire.h"
 
+/**
+ * MhAutoscaler:
+ *
+ * The autoscaler, with all its parts.
+ */
 typedef struct MhAutoscaler MhAutoscaler;
 
 /**
@@ -59,12 +65,12 @@
  * mh_autoscaler_release_machine:
  * @self: an autoscaler
  * @machine: a machine
- * @reason: for the log
+ * @reason: why
  *
  * Decides that the machine is given back; see mh_scale_in_release_machine ().
  */
 void
-mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, const char *reason);
+mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, MhReleaseReason reason);
 
 /**
  * mh_autoscaler_load_release:
--- a/src/autoscaler/completion-forecast.h
+++ b/src/autoscaler/completion-forecast.h
@@ -4,6 +4,11 @@
 
 #include "cluster/machine-registry.h"
 
+/**
+ * MhCompletionForecast:
+ *
+ * Ends of tasks in the order of time, and which of their cpus are given away.
+ */
 typedef struct MhCompletionForecast MhCompletionForecast;
 
 /**
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -8,6 +8,11 @@
 #include "autoscaler/lost-capacity.h"
 #include "autoscaler/scale-out.h"
 
+/**
+ * MhDemandPlan:
+ *
+ * A layout of all waiting tasks, for one step.
+ */
 typedef struct MhDemandPlan MhDemandPlan;
 
 /**
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -108,7 +108,7 @@
     machine = add_listed_machine (self, machine, listed);
   machine->listed_running = listed->state == MH_LISTED_RUNNING;
   if (listed->state == MH_LISTED_FAILED)
-    mh_scale_in_release_machine (self->scale_in, machine, "failed");
+    mh_scale_in_release_machine (self->scale_in, machine, MH_RELEASE_REASON_FAILED);
 }
 
 static gint64
--- a/src/autoscaler/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -6,6 +6,11 @@
 
 #include "autoscaler/scale-in.h"
 
+/**
+ * MhInventory:
+ *
+ * Reads what the cloud has, and knows when it is to be read again.
+ */
 typedef struct MhInventory MhInventory;
 
 /**
--- a/src/autoscaler/lost-capacity.h
+++ b/src/autoscaler/lost-capacity.h
@@ -5,6 +5,11 @@
 
 #include <glib.h>
 
+/**
+ * MhLostCapacity:
+ *
+ * An account of cpus.
+ */
 typedef struct MhLostCapacity MhLostCapacity;
 
 /**
--- a/src/autoscaler/machine-offer.h
+++ b/src/autoscaler/machine-offer.h
@@ -22,6 +22,11 @@
   guint *machines_in_zone;
 } MhMachineOffer;
 
+/**
+ * MhMachineOffers:
+ *
+ * All kinds of machine that can be created now, for one step.
+ */
 typedef struct MhMachineOffers MhMachineOffers;
 
 /**
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -118,13 +118,13 @@
 }
 
 void
-mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, const char *reason)
+mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, MhReleaseReason reason)
 {
   g_return_if_fail (self != NULL);
   if (mh_machine_is_releasing (machine))
     return;
-  mh_log_info (self->context->runtime, "releasing machine reason=%s machine=%s", reason,
-               machine->name);
+  mh_log_info (self->context->runtime, "releasing machine reason=%s machine=%s",
+               mh_release_reason_text (reason), machine->name);
   mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
   mh_lost_capacity_add (self->lost, machine->usage.cpus);
   const char *names[] = { machine->name, NULL };
@@ -341,10 +341,10 @@
       || machine->heartbeat.unreadable_tasks)
     return;
   if (machine->notice_until_us >= 0 || mh_machine_is_draining (machine))
-    mh_scale_in_release_machine (self, machine, "drained");
+    mh_scale_in_release_machine (self, machine, MH_RELEASE_REASON_DRAINED);
   else if (now_us - machine->idle_since_us > self->context->settings->idle_us
            && now_us - machine->boot.rented_us > MH_MINIMUM_BILLED_US)
-    mh_scale_in_release_machine (self, machine, "idle");
+    mh_scale_in_release_machine (self, machine, MH_RELEASE_REASON_IDLE);
 }
 
 static void
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -6,11 +6,17 @@
 #include "autoscaler/context.h"
 #include "autoscaler/lost-capacity.h"
 #include "cluster/machine-registry.h"
+#include "cluster/release-reason.h"
 #include "protocol/wire.h"
 
 /* A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
 #define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
 
+/**
+ * MhScaleIn:
+ *
+ * Gives machines back, and knows which releases are pending or in flight.
+ */
 typedef struct MhScaleIn MhScaleIn;
 
 /**
@@ -47,13 +53,13 @@
  * mh_scale_in_release_machine:
  * @self: an object
  * @machine: a machine
- * @reason: for the log
+ * @reason: why
  *
  * Decides that the machine is given back. It takes no new work from now on, but only the cloud's
  * confirmation proves that its tasks are gone. Nothing happens if it is being released already.
  */
 void
-mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, const char *reason);
+mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, MhReleaseReason reason);
 
 /**
  * mh_scale_in_load:
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -7,6 +7,11 @@
 #include "autoscaler/lost-capacity.h"
 #include "protocol/types.h"
 
+/**
+ * MhScaleOut:
+ *
+ * Makes requests for machines, one at a time.
+ */
 typedef struct MhScaleOut MhScaleOut;
 
 /**
--- a/src/cluster/cluster-types.h
+++ b/src/cluster/cluster-types.h
@@ -1,6 +1,7 @@
 /* Types that the files of the cluster layer share. */
 #pragma once
 
+#include "cluster/release-reason.h"
 #include "jobs/job.h"
 #include "runtime/call-queue.h"
 
@@ -14,7 +15,7 @@
 
 /**
  * MhClusterCallbacks:
- * @release_machine: gives @machine back to the cloud; @reason is a static string, for the log
+ * @release_machine: gives @machine back to the cloud
  * @capacity_changed: tasks can be placed that could not be before; @urgent: the next placement pass
  *   must not wait, since somebody made room on purpose or a replica of a service is gone
  * @gang_loaded: a gang was read from its records, with all its attempts
@@ -27,7 +28,7 @@
  */
 typedef struct
 {
-  void (*release_machine) (gpointer owner, MhMachine *machine, const char *reason);
+  void (*release_machine) (gpointer owner, MhMachine *machine, MhReleaseReason reason);
   void (*capacity_changed) (gpointer owner, bool urgent);
   void (*gang_loaded) (gpointer owner, MhJob *job);
   void (*gang_task_over) (gpointer owner, MhJob *job, bool done);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -61,7 +61,7 @@
 }
 
 static void
-release (MhCluster *cluster, MhMachine *machine, const char *reason)
+release (MhCluster *cluster, MhMachine *machine, MhReleaseReason reason)
 {
   cluster->callbacks->release_machine (cluster->owner, machine, reason);
 }
@@ -114,7 +114,7 @@
         mh_direct_command_send_token (cluster, machine);
     }
   else if (worker_has_begun_anew (machine, report))
-    release (cluster, machine, "worker_restarted");
+    release (cluster, machine, MH_RELEASE_REASON_WORKER_RESTARTED);
 }
 
 static void
@@ -181,7 +181,7 @@
 check_in_partition (MhCluster *cluster, MhMachine *machine)
 {
   if (mh_cluster_is_silent (cluster, machine, cluster->settings->worker_lease_us + LEASE_SPARE_US))
-    release (cluster, machine, "silent_zone");
+    release (cluster, machine, MH_RELEASE_REASON_SILENT_ZONE);
 }
 
 static bool
@@ -202,11 +202,13 @@
   gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
   guint ignored_answers = machine->heartbeat.ignored_answers;
   if (reports_are_lost (cluster, machine))
-    release (cluster, machine, "heartbeats_missing");
+    release (cluster, machine, MH_RELEASE_REASON_HEARTBEATS_MISSING);
   else if (is_believed_unreachable (cluster, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
-    release (cluster, machine, "unreachable");
+    release (cluster, machine, MH_RELEASE_REASON_UNREACHABLE);
   else if (has_failed (cluster, machine))
-    release (cluster, machine, machine->probe.failures ? "silent_no_answer" : "silent");
+    release (cluster, machine,
+             machine->probe.failures ? MH_RELEASE_REASON_SILENT_NO_ANSWER
+                                     : MH_RELEASE_REASON_SILENT);
   else if (ignored_answers || mh_cluster_is_silent (cluster, machine, suspect_us))
     start_probing (cluster, machine);
 }
@@ -224,7 +226,7 @@
   if (unheard_us > silence->unheard_us
       || (is_believed_unreachable (cluster, machine) && others_are_heard (cluster, machine)
           && unheard_us > silence->report_us))
-    release (cluster, machine, "silent_since_failover");
+    release (cluster, machine, MH_RELEASE_REASON_SILENT_SINCE_FAILOVER);
 }
 
 void
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -161,7 +161,8 @@
 {
   if (machine->failures.consecutive >= FAULTY_FAILURES
       || jobs_failing_here_alone (cluster, machine) >= FAULTY_FAILURES)
-    cluster->callbacks->release_machine (cluster->owner, machine, "fails_every_task");
+    cluster->callbacks->release_machine (cluster->owner, machine,
+                                         MH_RELEASE_REASON_FAILS_EVERY_TASK);
 }
 
 static void
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -377,7 +377,7 @@
 /* ---- what the cluster tells the layers above it ---- */
 
 static void
-release_machine (gpointer owner, MhMachine *machine, const char *reason)
+release_machine (gpointer owner, MhMachine *machine, MhReleaseReason reason)
 {
   MhCore *core = owner;
   mh_autoscaler_release_machine (core->autoscaler, machine, reason);
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -9,6 +9,8 @@
 #include "autoscaler/scale-in.h"
 #include "controller/core-private.h"
 
+#include <string.h>
+
 #define START_US (1000 * MH_SECOND_US)
 
 /* ---- the states of a release ---- */
@@ -114,6 +116,23 @@
   g_assert_true (g_strv_equal ((const char *const *)created, names));
 }
 
+/* ---- reasons ---- */
+
+/* Two reasons would share a word, or have none, and the log would not tell why a machine went. */
+static void
+test_release_reasons (void)
+{
+  g_autoptr (GHashTable) words = g_hash_table_new (g_str_hash, g_str_equal);
+  for (guint reason = 0; reason <= MH_RELEASE_REASON_FAILS_EVERY_TASK; reason++)
+    {
+      const char *word = mh_release_reason_text ((MhReleaseReason)reason);
+      g_assert_nonnull (word);
+      g_assert_null (strchr (word, ' '));
+      g_assert_true (g_hash_table_add (words, (gpointer)word));
+    }
+  g_assert_cmpstr (mh_release_reason_text (MH_RELEASE_REASON_SILENT_ZONE), ==, "silent_zone");
+}
+
 /* ---- lost capacity ---- */
 
 /* Machines beyond what was lost would count as lost work of negative size, and later losses would
@@ -479,8 +498,9 @@
   (void)data;
   MhMachine *machine = add_machine (fixture, "vm-1", "a");
   machine->usage.cpus = 3;
-  mh_scale_in_release_machine (fixture->scale_in, machine, "failed");
-  mh_scale_in_release_machine (fixture->scale_in, machine, "failed"); /* once only */
+  mh_scale_in_release_machine (fixture->scale_in, machine, MH_RELEASE_REASON_FAILED);
+  mh_scale_in_release_machine (fixture->scale_in, machine,
+                               MH_RELEASE_REASON_FAILED); /* once only */
   g_assert_true (mh_machine_is_releasing (machine));
   g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost), ==, 3);
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
@@ -498,7 +518,8 @@
 test_release_is_retried (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"), "failed");
+  mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"),
+                               MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
   reply (fixture, 0, NULL);   /* the record: not known */
   reply (fixture, 409, NULL); /* it is there: the first copy was carried out */
@@ -519,7 +540,8 @@
   const char *failed[] = { "leader", NULL };
   g_autoptr (MhValue) body = mh_value_map ();
   mh_value_set_names (body, "failed", (char **)failed);
-  mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"), "failed");
+  mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"),
+                               MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
   reply (fixture, 409, body);
   reply (fixture, 200, NULL); /* of no call */
@@ -628,6 +650,7 @@
     }
   g_test_add_func ("/autoscaler/cloud-error/replies", test_cloud_errors);
   g_test_add_func ("/autoscaler/cloud-error/malformed-reply", test_malformed_reply);
+  g_test_add_func ("/autoscaler/release-reason/words", test_release_reasons);
   g_test_add_func ("/autoscaler/lost-capacity/never-negative", test_lost_capacity);
   g_test_add_func ("/autoscaler/forecast/in-time", test_forecast_in_time);
   g_test_add_func ("/autoscaler/forecast/tasks-end-again", test_forecast_tasks_end_again);
