--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -5,7 +5,7 @@
 #include "autoscaler/context.h"
 #include "cluster/machine-registry.h"
 #include "cluster/release-reason.h"
-#include "protocol/wire.h"
+#include "protocol/key-value-messages.h"
 
 /**
  * MhAutoscaler:
@@ -80,4 +80,4 @@
  * Goes on with releases of an earlier leader; see mh_scale_in_load ().
  */
 void
-mh_autoscaler_load_release (MhAutoscaler *self, const MhEntry *entry);
+mh_autoscaler_load_release (MhAutoscaler *self, const MhKvEntry *entry);
--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -5,6 +5,7 @@
 
 #include "cluster/machine-registry.h"
 #include "placement/resources.h"
+#include "protocol/cloud-messages.h"
 
 /**
  * MhCapacityEstimate:
--- a/src/autoscaler/cloud-error.c
+++ b/src/autoscaler/cloud-error.c
@@ -1,4 +1,5 @@
 #include "autoscaler/cloud-error.h"
+#include "protocol/cloud-messages.h"
 
 G_DEFINE_QUARK (mh - cloud - error - quark, mh_cloud_error)
 
@@ -41,9 +42,11 @@
 {
   if (!mh_cloud_check_reply (status, body, error))
     return NULL;
-  char **names = mh_wire_read_rented (body);
+  g_autoptr (GError) decode_error = NULL;
+  char **names = mh_created_machines_decode (body, &decode_error);
   if (names == NULL)
-    g_set_error_literal (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_REPLY, "malformed reply");
+    g_set_error (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_REPLY, "malformed reply: %s",
+                 decode_error->message);
   return names;
 }
 
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -5,9 +5,10 @@
 
 #include "autoscaler/context.h"
 #include "autoscaler/lost-capacity.h"
+#include "base/time-units.h"
 #include "cluster/machine-registry.h"
 #include "cluster/release-reason.h"
-#include "protocol/wire.h"
+#include "protocol/key-value-messages.h"
 
 /* A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
 #define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
@@ -69,7 +70,7 @@
  * Goes on with the releases of the record: they are written and asked for once more.
  */
 void
-mh_scale_in_load (MhScaleIn *self, const MhEntry *entry);
+mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry);
 
 /**
  * mh_scale_in_is_idle:
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -5,7 +5,9 @@
 
 #include "autoscaler/context.h"
 #include "autoscaler/lost-capacity.h"
-#include "protocol/types.h"
+#include "protocol/cloud-messages.h"
+#include <glib.h>
+#include <stdbool.h>
 
 /**
  * MhScaleOut:
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -59,7 +59,7 @@
   attempt->attempt = task->attempt = number;
   attempt->machine = machine;
   attempt->placed_us = mh_runtime_now_us (cluster->runtime);
-  attempt->phase = MH_TASK_FETCHING;
+  attempt->phase = MH_TASK_PHASE_FETCHING_IMAGE;
   task->live = attempt;
   task->state = MH_TASK_LIVE;
   job->n_live++;
@@ -84,7 +84,7 @@
 {
   change_state (attempt, MH_ATTEMPT_EVENT_START_SENT);
   attempt->start = MH_START_SENT;
-  attempt->start_session = attempt->machine->heartbeat.session;
+  attempt->start_incarnation = attempt->machine->heartbeat.incarnation;
   if (answers_report)
     attempt->start_sequence = attempt->machine->heartbeat.sequence;
 }
@@ -122,14 +122,14 @@
 void
 mh_attempt_note_shown (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase)
 {
-  bool running = phase == MH_TASK_RUNNING || phase == MH_TASK_SAVING;
+  bool running = phase == MH_TASK_PHASE_RUNNING || phase == MH_TASK_PHASE_CHECKPOINTING;
   attempt->shown = attempt->shown_now = true;
   attempt->phase = phase;
-  if (phase != MH_TASK_ENDED)
+  if (phase != MH_TASK_PHASE_ENDED)
     change_state (attempt,
                   running ? MH_ATTEMPT_EVENT_SHOWN_RUNNING : MH_ATTEMPT_EVENT_SHOWN_WAITING);
   set_running (cluster, attempt, running);
-  if (phase == MH_TASK_GATHERING)
+  if (phase == MH_TASK_PHASE_WAITING_FOR_GANG)
     mh_job_gang_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING,
                        mh_runtime_now_us (cluster->runtime));
 }
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -5,6 +5,7 @@
 #include "cluster/heartbeat.h"
 #include "cluster/machine-registry.h"
 #include "cluster/worker-command.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -16,7 +17,7 @@
 
 #define STATUS_OK 200
 #define STATUS_BAD_REQUEST 400
-#define STATUS_CONFLICT 409 /* other session, or a token that the worker has outgrown */
+#define STATUS_CONFLICT 409 /* other incarnation, or a token that the worker has outgrown */
 
 void
 mh_direct_command_init (MhCluster *cluster)
@@ -90,9 +91,9 @@
   MhCluster *cluster = owner;
   const DirectCall *call = data;
   MhMachine *machine = mh_cluster_find_machine (cluster, call->machine);
-  g_autoptr (MhReport) report = NULL;
+  g_autoptr (MhHeartbeat) report = NULL;
   if (reply->status == STATUS_OK || reply->status == STATUS_CONFLICT)
-    report = mh_wire_read_report (reply->body);
+    report = mh_heartbeat_decode (reply->body, NULL);
   if (machine == NULL)
     return;
   machine->direct_commands_in_flight--;
@@ -144,9 +145,10 @@
                                   .owner = cluster,
                                   .data = call,
                                   .free_data = direct_call_free };
-  mh_call_queue_add (
-      cluster->calls,
-      mh_wire_commands (machine->endpoint, token, machine->heartbeat.session, commands), &options);
+  mh_call_queue_add (cluster->calls,
+                     mh_worker_request_commands (machine->endpoint, token,
+                                                 machine->heartbeat.incarnation, commands),
+                     &options);
 }
 
 void
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -1,6 +1,7 @@
 #include "cluster/fencing.h"
 #include "cluster/cluster-state.h"
 #include "election/election.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -38,7 +39,7 @@
                                   .index = command->index,
                                   .attempt = command->attempt,
                                   .token = token,
-                                  .session = machine->heartbeat.session };
+                                  .incarnation = machine->heartbeat.incarnation };
   g_array_append_val (machine->fencing.unacknowledged, start);
 }
 
@@ -65,7 +66,7 @@
   for (guint i = 0; i < machine->fencing.unacknowledged->len;)
     {
       const MhUnacknowledgedStart *start = start_at (machine, i);
-      if (start->session < heartbeat->session || start->token < heartbeat->token)
+      if (start->incarnation < heartbeat->incarnation || start->token < heartbeat->token)
         g_array_remove_index_fast (machine->fencing.unacknowledged, i);
       else
         i++;
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -23,7 +23,7 @@
 /* ---- taking in ---- */
 
 static void
-note_first_message (MhCluster *cluster, MhMachine *machine, const MhReport *report)
+note_first_message (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   mh_boot_time_joined (cluster, machine);
   for (guint i = 0; i < machine->attempts->len; i++)
@@ -36,7 +36,7 @@
 }
 
 static void
-update_heartbeat (MhCluster *cluster, MhMachine *machine, const MhReport *report,
+update_heartbeat (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report,
                   MhMessageSource source)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
@@ -53,15 +53,15 @@
   /* What it shows may call for commands; a report is answered with them at once. */
   if (source == MH_MESSAGE_ANSWER)
     mh_machine_schedule_commands (cluster, machine);
-  heartbeat->session = report->session;
+  heartbeat->incarnation = report->incarnation;
   heartbeat->sequence = report->sequence;
-  heartbeat->token = report->token;
+  heartbeat->token = report->fencing_token;
   if (first)
     note_first_message (cluster, machine, report);
 }
 
 static void
-update_notice (MhCluster *cluster, MhMachine *machine, const MhReport *report)
+update_notice (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   bool noticed = report->notice_us >= 0;
   if (noticed && machine->notice_until_us < 0)
@@ -72,7 +72,7 @@
 }
 
 static void
-take_in (MhCluster *cluster, MhMachine *machine, const MhReport *report, MhMessageSource source)
+take_in (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report, MhMessageSource source)
 {
   update_heartbeat (cluster, machine, report, source);
   if (g_strcmp0 (machine->endpoint, report->endpoint) != 0)
@@ -88,19 +88,20 @@
 }
 
 static bool
-is_newer (const MhMachine *machine, const MhReport *report)
+is_newer (const MhMachine *machine, const MhHeartbeat *report)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  return !heartbeat->reported || report->session > heartbeat->session
-         || (report->session == heartbeat->session && report->sequence > heartbeat->sequence);
+  return !heartbeat->reported || report->incarnation > heartbeat->incarnation
+         || (report->incarnation == heartbeat->incarnation
+             && report->sequence > heartbeat->sequence);
 }
 
 bool
-mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhReport *report)
+mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   if (strcmp (report->machine, machine->name) != 0 || !is_newer (machine, report))
     return false;
-  if (report->token > mh_fencing_token (cluster, machine))
+  if (report->fencing_token > mh_fencing_token (cluster, machine))
     {
       mh_election_step_down (cluster->election, MH_LOSS_HIGHER_TOKEN);
       return false;
@@ -111,7 +112,7 @@
 
 /* A report of unknown age: at most it tells where to ask. */
 static void
-note_unverified_report (MhCluster *cluster, MhMachine *machine, const MhReport *report)
+note_unverified_report (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   if (machine == NULL || machine->heartbeat.reported || mh_machine_is_releasing (machine))
     return;
@@ -123,11 +124,11 @@
 /* ---- whether the last answer has arrived ---- */
 
 static bool
-report_shows (const MhReport *report, const MhAttempt *attempt)
+report_shows (const MhHeartbeat *report, const MhAttempt *attempt)
 {
   for (guint i = 0; i < report->tasks->len; i++)
     {
-      const MhReportTask *shown = &g_array_index (report->tasks, MhReportTask, i);
+      const MhTaskStatus *shown = &g_array_index (report->tasks, MhTaskStatus, i);
       if (shown->index == attempt->index && shown->attempt == attempt->attempt
           && strcmp (shown->job, attempt->job->spec->id) == 0)
         return true;
@@ -152,10 +153,11 @@
 } AnswerEffect;
 
 static AnswerEffect
-effect_of_answer (const MhMachine *machine, const MhReport *report)
+effect_of_answer (const MhMachine *machine, const MhHeartbeat *report)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  if (report->token < heartbeat->answered_token || report->session > heartbeat->session)
+  if (report->fencing_token < heartbeat->answered_token
+      || report->incarnation > heartbeat->incarnation)
     return ANSWER_IGNORED;
   AnswerEffect effect
       = heartbeat->token < heartbeat->answered_token ? ANSWER_FOLLOWED : ANSWER_SAID_NOTHING;
@@ -175,7 +177,7 @@
    that what the answer said must show. A machine whose reports arrive while nothing reaches it
    looks alive, and does nothing that it is told. */
 static void
-check_answer_received (MhCluster *cluster, MhMachine *machine, const MhReport *report)
+check_answer_received (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   if (!heartbeat->answer_pending)
@@ -227,11 +229,12 @@
 
 /* One that this leadership knew is known no more when it has been given back. */
 static bool
-is_of_released_machine (const MhCluster *cluster, const MhMachine *machine, const MhReport *report)
+is_of_released_machine (const MhCluster *cluster, const MhMachine *machine,
+                        const MhHeartbeat *report)
 {
   guint64 first_token = mh_fencing_token (cluster, NULL);
-  bool was_ours = machine == NULL && report->token > first_token
-                  && report->token < first_token + MH_EPOCHS_PER_LEADERSHIP;
+  bool was_ours = machine == NULL && report->fencing_token > first_token
+                  && report->fencing_token < first_token + MH_EPOCHS_PER_LEADERSHIP;
   return mh_election_has_loaded (cluster->election)
          && (was_ours || mh_cluster_was_released (cluster, report->machine));
 }
@@ -239,7 +242,7 @@
 /* Takes in a report that was surely sent in this leadership; returns whether the machine is told
    what to do. */
 static bool
-take_in_report (MhCluster *cluster, MhMachine *machine, const MhReport *report, GArray *commands)
+take_in_report (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report, GArray *commands)
 {
   if (!is_newer (machine, report))
     return false;
@@ -256,7 +259,7 @@
 }
 
 static MhMachine *
-find_or_add (MhCluster *cluster, MhMachine *machine, const MhReport *report)
+find_or_add (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   if (machine)
     return machine;
@@ -266,7 +269,7 @@
 }
 
 static void
-answer_with_commands (MhCluster *cluster, guint64 request_id, const MhReport *report)
+answer_with_commands (MhCluster *cluster, guint64 request_id, const MhHeartbeat *report)
 {
   MhMachine *machine = mh_cluster_find_machine (cluster, report->machine);
   g_autoptr (GArray) commands = mh_commands_new ();
@@ -274,7 +277,7 @@
   /* Copies of reports come late, also of machines that are long gone and to a leader that has
      heard nothing newer. Only one with a token of this leadership was surely sent in it; by
      any other the worker is merely answered, and it reports again when it has seen the token. */
-  if (report->token < mh_fencing_token (cluster, NULL))
+  if (report->fencing_token < mh_fencing_token (cluster, NULL))
     note_unverified_report (cluster, machine, report);
   else
     {
@@ -286,7 +289,7 @@
   if (!told && machine)
     mh_worker_command_collect_cancelled (machine, commands);
   answer_report (cluster, request_id, STATUS_OK,
-                 mh_wire_write_commands (mh_fencing_token (cluster, machine), NULL, commands));
+                 mh_commands_encode (mh_fencing_token (cluster, machine), NULL, commands));
 }
 
 /* One that has not read the records yet does not know what is cancelled: each of its answers would
@@ -299,14 +302,14 @@
 }
 
 void
-mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhReport *report)
+mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhHeartbeat *report)
 {
   const MhMachine *machine = mh_cluster_find_machine (cluster, report->machine);
   bool released = is_of_released_machine (cluster, machine, report);
-  if (!released && report->token > mh_fencing_token (cluster, machine))
+  if (!released && report->fencing_token > mh_fencing_token (cluster, machine))
     {
       mh_election_step_down (cluster->election, MH_LOSS_HIGHER_TOKEN);
-      answer_report (cluster, request_id, STATUS_MISDIRECTED, mh_wire_write_redirect (NULL));
+      answer_report (cluster, request_id, STATUS_MISDIRECTED, mh_redirect_encode (NULL));
     }
   else if (released || !may_answer (cluster))
     answer_report (cluster, request_id, STATUS_UNAVAILABLE, NULL);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -2,6 +2,7 @@
 
 #include "election/election-state.h"
 #include "election/follower.h"
+#include "protocol/key-value-messages.h"
 
 #include <string.h>
 
@@ -106,7 +107,7 @@
     {
       election->renewal_pending = true;
       election->lease_request_sent_us = now_us;
-      mh_election_call (election, mh_wire_lease_renew (election->lease.id),
+      mh_election_call (election, mh_kv_request_renew_lease (election->lease.id),
                         (MhCallOptions){ .class = MH_CALL_LEASE,
                                          .timeout_us = MIN (MH_ELECTION_CALL_TIMEOUT_US,
                                                             lease_us / RENEWAL_TIMEOUTS_PER_LEASE),
--- a/src/jobs/runtime-estimate.c
+++ b/src/jobs/runtime-estimate.c
@@ -1,4 +1,5 @@
 #include "jobs/runtime-estimate.h"
+#include "base/time-units.h"
 
 #define MIN_SAMPLES 3
 #define MIN_RATIO 0.25
@@ -35,7 +36,7 @@
 void
 mh_runtime_estimator_observe (MhRuntimeEstimator *estimator, const MhJobSpec *spec, gint64 ran_us)
 {
-  if (spec->estimate_us < MH_SECOND_US)
+  if (spec->estimated_run_us < MH_SECOND_US)
     return;
   ClassStatistics *statistics = g_hash_table_lookup (estimator->classes, spec->class_name);
   if (statistics == NULL)
@@ -45,7 +46,8 @@
     }
   statistics->samples++;
   double weight = MAX (1.0 / statistics->samples, MIN_WEIGHT);
-  statistics->ratio += weight * ((double)ran_us / (double)spec->estimate_us - statistics->ratio);
+  statistics->ratio
+      += weight * ((double)ran_us / (double)spec->estimated_run_us - statistics->ratio);
 }
 
 double
@@ -60,6 +62,6 @@
 gint64
 mh_runtime_estimator_run_us (const MhRuntimeEstimator *estimator, const MhJobSpec *spec)
 {
-  return (gint64)((double)spec->estimate_us
+  return (gint64)((double)spec->estimated_run_us
                   * mh_runtime_estimator_ratio (estimator, spec->class_name));
 }
--- a/src/placement/score.c
+++ b/src/placement/score.c
@@ -33,7 +33,7 @@
   if (spec->shape == MH_SHAPE_SERVICE)
     return service_cost (candidate, start_slack_us);
   return mh_machine_hourly_cpu_price (candidate->machine)
-         * (double)(candidate->image_wait_us + spec->estimate_us + MH_SECOND_US)
+         * (double)(candidate->image_wait_us + spec->estimated_run_us + MH_SECOND_US)
          * (candidate->image_wait_us > start_slack_us ? TOO_LATE_FACTOR : 1);
 }
 
--- a/src/server/http-client.c
+++ b/src/server/http-client.c
@@ -93,7 +93,7 @@
 {
   switch (request->target)
     {
-    case MH_TARGET_STATE:
+    case MH_TARGET_KEY_VALUE_STORE:
       return client->endpoints.key_value_store;
     case MH_TARGET_CLOUD:
       return client->endpoints.cloud;
@@ -122,7 +122,7 @@
   const void *data = g_bytes_get_data (bytes, &size);
   if (size == 0)
     return soup_message_get_status (message);
-  *body = mh_value_load (data, size);
+  *body = mh_value_load (data, size, NULL);
   if (*body == NULL)
     {
       g_info ("malformed reply method=%s", soup_message_get_method (message));
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -1,4 +1,5 @@
 #include "server/http-server.h"
+#include "protocol/route.h"
 
 #include <string.h>
 
@@ -55,7 +56,7 @@
   g_return_if_fail (self != NULL);
   g_return_if_fail (request->message != NULL);
   if (answer->status == SOUP_STATUS_OK || answer->status == SOUP_STATUS_CREATED)
-    body = mh_wire_write_status (request->job, answer, request->verb == MH_USER_STATUS);
+    body = mh_job_status_encode (request->job, answer, request->verb == MH_USER_STATUS);
   else if (answer->retry_after_s)
     {
       g_autofree char *retry_after = g_strdup_printf ("%u", answer->retry_after_s);
@@ -133,7 +134,7 @@
 {
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return mh_value_load (data, size);
+  return mh_value_load (data, size, NULL);
 }
 
 static void
@@ -141,7 +142,7 @@
 {
   g_autoptr (GBytes) bytes = get_body (message);
   g_autoptr (MhValue) body = decode_body (bytes);
-  MhJobSpec *spec = mh_wire_read_submission (body);
+  MhJobSpec *spec = mh_submission_decode (body, NULL);
   if (spec == NULL)
     {
       respond (message, SOUP_STATUS_BAD_REQUEST, NULL);
@@ -159,7 +160,7 @@
 {
   g_autoptr (GBytes) bytes = get_body (message);
   g_autoptr (MhValue) body = decode_body (bytes);
-  g_autoptr (MhReport) report = mh_wire_read_report (body);
+  g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (body, NULL);
   if (report == NULL)
     {
       g_info ("malformed report");
@@ -173,7 +174,7 @@
 handle_job_request (MhHttpServer *self, SoupServerMessage *message, MhUserVerb verb,
                     const char *job)
 {
-  if (!mh_wire_job_id_valid (job))
+  if (!mh_job_id_is_valid (job))
     {
       respond (message, SOUP_STATUS_NOT_FOUND, NULL);
       return;
@@ -202,7 +203,7 @@
     case MH_ROUTE_READY:
       handle_readiness (self, message);
       break;
-    case MH_ROUTE_REPORT:
+    case MH_ROUTE_HEARTBEAT:
       handle_report (self, message);
       break;
     case MH_ROUTE_SUBMIT:
@@ -232,7 +233,7 @@
       respond (message, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE, NULL);
       return;
     }
-  MhRoute route = mh_wire_route (path, &allowed, &job);
+  MhRoute route = mh_route_find (path, &allowed, &job);
   if (route != MH_ROUTE_NONE && strcmp (soup_server_message_get_method (message), allowed) != 0)
     {
       set_response_header (message, "Allow", allowed);
--- a/src/server/peer-network.c
+++ b/src/server/peer-network.c
@@ -1,6 +1,7 @@
 #include "server/peer-network.h"
 
 #include "server/socket-address.h"
+#include "protocol/controller-messages.h"
 
 #include <string.h>
 
@@ -14,7 +15,7 @@
 };
 
 static void
-on_message (MhPeerConnection *connection, const MhPeerMessage *message, gpointer data)
+on_message (MhPeerConnection *connection, const MhControllerMessage *message, gpointer data)
 {
   MhPeerNetwork *self = data;
   self->handlers->message (connection, message, self->user_data);
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -2,6 +2,7 @@
 
 #include "election/leader-record.h"
 #include "storage/record.h"
+#include "protocol/key-value-messages.h"
 
 #define CALL_TIMEOUT_US MH_SECOND_US
 /* Questions that may wait for the key-value store: what it serves in so long. A user gives up on an
@@ -163,7 +164,7 @@
                                   .owner = read->lookup,
                                   .data = g_rc_box_acquire (read),
                                   .free_data = job_read_unref };
-  mh_call_queue_add (read->lookup->calls, mh_wire_get (key), &options);
+  mh_call_queue_add (read->lookup->calls, mh_kv_request_get (key), &options);
 }
 
 static void
@@ -188,7 +189,7 @@
 /* ---- what was read ---- */
 
 static bool
-read_running (JobRead *read, const MhEntry *entry)
+read_running (JobRead *read, const MhKvEntry *entry)
 {
   g_auto (MhStoredJob) stored = {};
   if (!mh_record_read_job (entry->value, read->job, &stored, NULL))
@@ -208,13 +209,13 @@
       read->found = (MhUserAnswer){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
       return true;
     }
-  MhEntry *entry = reply->status == 200 ? mh_wire_read_entry (reply->body) : NULL;
+  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   if (entry == NULL)
     return false;
   bool understood = read->stage == READ_FINAL
                         ? mh_record_read_final (entry->value, &read->found, NULL)
                         : read_running (read, entry);
-  mh_entry_free (entry);
+  mh_kv_entry_free (entry);
   return understood;
 }
 
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -2,7 +2,11 @@
    README.md. */
 #include "storage/record.h"
 
-#include "protocol/wire.h"
+#include "base/time-units.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/user-messages.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -59,7 +63,7 @@
 static void
 write_job (MhValue *map, const MhJob *job)
 {
-  mh_value_set (map, "s", mh_wire_write_submission (job->spec));
+  mh_value_set (map, "s", mh_submission_encode (job->spec));
   mh_value_set_uint (map, "at", (guint64)MAX (job->submitted_wall_us, 0));
   mh_value_set_uint (map, "c", job->chunk);
   if (mh_job_is_cancelled (job))
@@ -114,7 +118,7 @@
 {
   guint64 submitted_wall_us, level;
   *stored = (MhStoredJob){};
-  g_autoptr (MhJobSpec) spec = mh_wire_read_submission (mh_value_get (value, "s"));
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (mh_value_get (value, "s"), NULL);
   if (spec == NULL)
     return fail_missing (error, "s", "description of a job");
   if (strcmp (spec->id, id) != 0)
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -3,6 +3,7 @@
 
 #include "election/leader-record.h"
 #include "storage/rechunk.h"
+#include "protocol/key-value-messages.h"
 
 #include <string.h>
 
@@ -225,9 +226,9 @@
       return;
     }
   MhUserAnswer answer = { .status = 503, .retry_after_s = 1 };
-  MhEntry *entry = reply->status == 200 ? mh_wire_read_entry (reply->body) : NULL;
+  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   bool is_final = entry && mh_record_read_final (entry->value, &answer, NULL);
-  mh_entry_free (entry);
+  mh_kv_entry_free (entry);
   answer_all_waiters (writer, job, &answer);
   if (is_final)
     writer->callbacks->job_over (writer->owner, job, &answer);
@@ -246,7 +247,7 @@
                                   .owner = writer,
                                   .data = g_strdup (id),
                                   .free_data = g_free };
-  mh_call_queue_add (writer->calls, mh_wire_get (key), &options);
+  mh_call_queue_add (writer->calls, mh_kv_request_get (key), &options);
 }
 
 /* NULL: the key is of no job in memory, or of a further record. */
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -25,8 +25,8 @@
 MhJobSpec *
 job_spec_copy (const MhJobSpec *spec)
 {
-  g_autoptr (MhValue) message = mh_wire_write_submission (spec);
-  MhJobSpec *copy = mh_wire_read_submission (message);
+  g_autoptr (MhValue) message = mh_submission_encode (spec);
+  MhJobSpec *copy = mh_submission_decode (message, NULL);
   g_assert_nonnull (copy);
   return copy;
 }
--- a/tests/stand-in/gang-runtime.c
+++ b/tests/stand-in/gang-runtime.c
@@ -1,5 +1,6 @@
 /* The part of worker-runtime.h that runs gangs: what their workers do together. */
 #include "stand-in/worker-runtime.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -15,13 +16,13 @@
 collect_task (const WorkerRuntime *runtime, const MhJobSpec *spec, MachineTask *task,
               GangState *state)
 {
-  if (strcmp (task->job_id, spec->id) != 0 || task->phase == MH_TASK_ENDED)
+  if (strcmp (task->job_id, spec->id) != 0 || task->phase == MH_TASK_PHASE_ENDED)
     return;
   state->attempt = task->attempt;
-  state->gathered += task->phase == MH_TASK_GATHERING;
-  state->saved += task->phase == MH_TASK_SAVING
-                  && runtime->now_us >= task->stop_requested_us + spec->save_us;
-  if (task->phase >= MH_TASK_RUNNING)
+  state->gathered += task->phase == MH_TASK_PHASE_WAITING_FOR_GANG;
+  state->saved += task->phase == MH_TASK_PHASE_CHECKPOINTING
+                  && runtime->now_us >= task->stop_requested_us + spec->checkpoint_save_us;
+  if (task->phase >= MH_TASK_PHASE_RUNNING)
     g_ptr_array_add (state->started, task);
 }
 
@@ -52,8 +53,9 @@
       for (guint j = 0; j < machine->tasks->len; j++)
         {
           MachineTask *task = machine_task (machine, j);
-          if (strcmp (task->job_id, job->spec->id) == 0 && task->phase == MH_TASK_GATHERING)
-            task->phase = MH_TASK_RUNNING;
+          if (strcmp (task->job_id, job->spec->id) == 0
+              && task->phase == MH_TASK_PHASE_WAITING_FOR_GANG)
+            task->phase = MH_TASK_PHASE_RUNNING;
         }
     }
 }
@@ -64,7 +66,7 @@
   for (guint i = 0; i < tasks->len; i++)
     {
       MachineTask *task = g_ptr_array_index (tasks, i);
-      task->phase = MH_TASK_ENDED;
+      task->phase = MH_TASK_PHASE_ENDED;
       task->cause = cause;
     }
   job->running_attempt = 0;
@@ -79,7 +81,7 @@
   if (job->incomplete_since_us && runtime->now_us > job->incomplete_since_us + patience_us)
     return true;
   return job->stop_requested_us
-         && runtime->now_us > job->stop_requested_us + job->spec->save_us + patience_us;
+         && runtime->now_us > job->stop_requested_us + job->spec->checkpoint_save_us + patience_us;
 }
 
 static void
@@ -99,8 +101,9 @@
     }
   else if (gives_up (runtime, job))
     {
-      if (spec->checkpoint_us)
-        job->saved_progress_us = progress_us / spec->checkpoint_us * spec->checkpoint_us;
+      if (spec->checkpoint_interval_us)
+        job->saved_progress_us
+            = progress_us / spec->checkpoint_interval_us * spec->checkpoint_interval_us;
       end_gang (job, state->started, "peers");
     }
   else if (job->run_us && progress_us >= job->run_us && undisturbed)
--- a/tests/stand-in/machine.c
+++ b/tests/stand-in/machine.c
@@ -91,7 +91,7 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const MachineTask *task = machine_task (machine, i);
-      count += task->phase != MH_TASK_ENDED && strcmp (task->job_id, job_id) == 0;
+      count += task->phase != MH_TASK_PHASE_ENDED && strcmp (task->job_id, job_id) == 0;
     }
   return count;
 }
@@ -104,7 +104,7 @@
     {
       const MachineTask *task = machine_task (machine, i);
       const WorkloadJob *job = workload_find (workload, task->job_id);
-      if (task->phase == MH_TASK_ENDED || (team && strcmp (job->spec->team, team) != 0))
+      if (task->phase == MH_TASK_PHASE_ENDED || (team && strcmp (job->spec->team, team) != 0))
         continue;
       *cpus += job->spec->cpus;
       *mem_gb += job->spec->mem_gb;
