--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -7,21 +7,44 @@
 
 #include "cluster/cluster-types.h"
 #include "election/election.h"
+#include "jobs/runtime-estimate.h"
+#include "storage/load.h"
 
 /**
- * mh_cluster_new:
- * @core: (not transferred): jobs and records, until they are objects too
- * @runtime: (not transferred): must outlive the cluster
- * @calls: (not transferred): must outlive the cluster
- * @election: (not transferred): must outlive the cluster
- * @callbacks: (not transferred): must outlive the cluster
+ * MhClusterOptions:
+ * @runtime: time, wake-ups, the log and answers to reports
+ * @calls: calls to workers
+ * @election: whether this controller may act as leader, and its epoch
+ * @jobs: (element-type utf8 MhJob): the jobs in memory, by id
+ * @record_loader: knows which jobs have records that are not understood
+ * @record_writer: writes what becomes of attempts
+ * @runtime_estimator: learns how long tasks run
+ * @callbacks: what the layers above are told
  * @owner: passed to the callbacks
  *
+ * What a cluster works with. Nothing is transferred, and all must outlive the cluster.
+ */
+typedef struct
+{
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  MhElection *election;
+  GHashTable *jobs;
+  MhRecordLoader *record_loader;
+  MhRecordWriter *record_writer;
+  MhRuntimeEstimator *runtime_estimator;
+  const MhClusterCallbacks *callbacks;
+  gpointer owner;
+} MhClusterOptions;
+
+/**
+ * mh_cluster_new:
+ * @options: what it works with
+ *
  * Returns: (transfer full): a cluster without machines; free with mh_cluster_free()
  */
 MhCluster *
-mh_cluster_new (MhCore *core, MhRuntime *runtime, MhCallQueue *calls, MhElection *election,
-                const MhClusterCallbacks *callbacks, gpointer owner);
+mh_cluster_new (const MhClusterOptions *options);
 
 /**
  * mh_cluster_free:
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -6,6 +6,10 @@
 #include "cluster/heartbeat.h"
 #include "cluster/machine-registry.h"
 #include "cluster/zone-silence.h"
+#include "base/time-units.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/user-messages.h"
 #include "protocol/worker-messages.h"
 
 #include <string.h>
