--- a/tests/steps.c
+++ b/tests/steps.c
@@ -19,16 +19,16 @@
 bool
 all_run (Simulation *simulation, gpointer data)
 {
-  const User *u = data;
-  return simulation_running_tasks (simulation, u->job->spec->id) == u->job->spec->tasks;
+  const User *user = data;
+  return simulation_running_tasks (simulation, user->job->spec->id) == user->job->spec->tasks;
 }
 
 bool
 all_done (Simulation *simulation, gpointer data)
 {
-  const User *u = data;
+  const User *user = data;
   (void)simulation;
-  return u->job->done_count == u->job->spec->tasks;
+  return user->job->done_count == user->job->spec->tasks;
 }
 
 bool
@@ -59,14 +59,14 @@
 }
 
 Worker *
-worker_of (Simulation *simulation, const char *leg)
+worker_of (Simulation *simulation, const char *task_id)
 {
   for (guint i = 0; i < simulation->workers->len; i++)
     {
-      Worker *w = g_ptr_array_index (simulation->workers, i);
-      for (guint k = 0; k < w->machine->tasks->len; k++)
-        if (strcmp (g_array_index (w->machine->tasks, MachineTask, k).task_id, leg) == 0)
-          return w;
+      Worker *worker = g_ptr_array_index (simulation->workers, i);
+      for (guint k = 0; k < worker->machine->tasks->len; k++)
+        if (strcmp (g_array_index (worker->machine->tasks, MachineTask, k).task_id, task_id) == 0)
+          return worker;
     }
   return NULL;
 }
@@ -81,19 +81,62 @@
 User *
 running_service (Simulation *simulation, guint number, guint tasks)
 {
-  User *u = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_SERVICE, tasks, 1), 0);
-  WAIT (simulation, 60, all_run, u);
-  return u;
+  User *user = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_SERVICE, tasks, 1), 0);
+  WAIT (simulation, 60, all_run, user);
+  return user;
 }
 
 User *
 running_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
-  MhJobSpec *s = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
-  s->estimated_run_us = 300 * MH_SECOND_US;
-  User *u = simulation_submit (simulation, s, run_s);
-  WAIT (simulation, 60, all_run, u);
-  return u;
+  MhJobSpec *spec = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
+  spec->estimated_run_us = 300 * MH_SECOND_US;
+  User *user = simulation_submit (simulation, spec, run_s);
+  WAIT (simulation, 60, all_run, user);
+  return user;
+}
+
+void
+use_small_machines (MhJobSpec *spec)
+{
+  spec->types = g_strsplit ("small", ",", -1);
+}
+
+MhJobSpec *
+gang_spec (guint number, guint tasks, double cpus)
+{
+  MhJobSpec *spec = job_spec_new (number, MH_SHAPE_GANG, tasks, cpus);
+  spec->spot = false;
+  spec->single_zone = true;
+  spec->estimated_run_us = 20 * MH_SECOND_US;
+  spec->checkpoint_interval_us = 5 * MH_SECOND_US;
+  spec->checkpoint_save_us = 2 * MH_SECOND_US;
+  return spec;
+}
+
+bool
+gang_runs (Simulation *simulation, gpointer data)
+{
+  (void)simulation;
+  return ((User *)data)->job->running_attempt != 0;
+}
+
+User *
+running_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s)
+{
+  User *user = simulation_submit (simulation, gang_spec (number, tasks, cpus), run_s);
+  WAIT (simulation, 60, gang_runs, user);
+  return user;
+}
+
+User *
+gang_on_small_machines (Simulation *simulation, guint machines, double run_s)
+{
+  simulation->cloud->capacity = 0;
+  add_small_machines (simulation, machines);
+  MhJobSpec *spec = gang_spec (1, 4, 2);
+  use_small_machines (spec);
+  return simulation_submit (simulation, spec, run_s);
 }
 
 void
@@ -114,15 +157,26 @@
   simulation_free (simulation);
 }
 
-void
-simulation_fixture_set_up (SimulationFixture *fixture, gconstpointer seed)
+/* What every scenario runs in. */
+typedef struct
+{
+  guint32 seed;
+  SimulationTest test;
+} SimulationCase;
+
+static void
+run_case (gconstpointer data)
 {
-  fixture->simulation = simulation_new (GPOINTER_TO_UINT (seed));
+  const SimulationCase *self = data;
+  Simulation *simulation = simulation_new (self->seed);
+  self->test (simulation);
+  finish (simulation);
 }
 
 void
-simulation_fixture_tear_down (SimulationFixture *fixture, gconstpointer seed)
+simulation_test_add (const char *path, guint32 seed, SimulationTest test)
 {
-  (void)seed;
-  finish (fixture->simulation);
+  SimulationCase *self = g_new (SimulationCase, 1);
+  *self = (SimulationCase){ .seed = seed, .test = test };
+  g_test_add_data_func_full (path, self, run_case, g_free);
 }
