--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -377,7 +377,7 @@
 /* ---- what the cluster tells the layers above it ---- */
 
 static void
-release_machine (gpointer owner, MhMachine *machine, const char *reason)
+release_machine (gpointer owner, MhMachine *machine, MhReleaseReason reason)
 {
   MhCore *core = owner;
   mh_autoscaler_release_machine (core->autoscaler, machine, reason);
@@ -434,6 +434,22 @@
   return mh_cluster_new (&options);
 }
 
+static MhAutoscaler *
+autoscaler_new (MhCore *core)
+{
+  MhAutoscalerContext context = { .cluster = core->cluster,
+                                  .settings = core->settings,
+                                  .runtime = core->runtime,
+                                  .calls = core->calls,
+                                  .election = core->election,
+                                  .recovery = core->recovery,
+                                  .record_writer = core->record_writer,
+                                  .jobs = core->jobs,
+                                  .job_queue = core->job_queue,
+                                  .runtime_estimator = core->runtime_estimator };
+  return mh_autoscaler_new (&context);
+}
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -453,8 +469,8 @@
   core->cluster = cluster_new (core);
   core->gang_attempts = mh_gang_attempts_new ();
   core->placement = mh_placement_new ();
-  core->autoscaler = mh_autoscaler_new (core);
   core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
+  core->autoscaler = autoscaler_new (core);
   if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
