--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -74,8 +74,8 @@
   guint parts = 0;
   for (guint i = 0; i < 600 && !user->told_done; i++)
     {
-      guint n = simulation_running_tasks (simulation, "j-000001");
-      parts += n > 0 && n < 4 && user->job->done_count == 0;
+      guint running = simulation_running_tasks (simulation, "j-000001");
+      parts += running > 0 && running < 4 && user->job->done_count == 0;
       simulation_run (simulation, 0.1);
     }
   g_assert_true (user->told_done);
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -41,7 +41,7 @@
 
 /* The announced rate holds, and the leader has met it. */
 static Simulation *
-sim_after_rate_fell (guint32 seed)
+simulation_after_rate_fell (guint32 seed)
 {
   Simulation *simulation = simulation_new (seed);
   announce_write_rps (simulation);
@@ -58,7 +58,7 @@
 static void
 test_rate_for_good (void)
 {
-  Simulation *simulation = sim_after_rate_fell (1);
+  Simulation *simulation = simulation_after_rate_fell (1);
   guint first_leader = simulation->store->throttled_writes;
   g_assert_cmpuint (first_leader, <=, 6); /* those that were under way together */
   g_assert_true (simulation_logged (simulation, "takes fewer changes"));
@@ -98,7 +98,7 @@
 static void
 test_rate_of_earlier_settings (void)
 {
-  Simulation *simulation = sim_after_rate_fell (3);
+  Simulation *simulation = simulation_after_rate_fell (3);
   simulation->store->write_rps = 0;
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -14,14 +14,14 @@
 {
   g_test_init (&argc, &argv, NULL);
   const char *extra = g_getenv ("MINTHILL_SEEDS");
-  guint n = extra ? (guint)g_ascii_strtoull (extra, NULL, 10) : 40;
-  for (guint seed = 1; seed <= n; seed++)
+  guint days = extra ? (guint)g_ascii_strtoull (extra, NULL, 10) : 40;
+  for (guint seed = 1; seed <= days; seed++)
     {
       g_autofree char *path = g_strdup_printf ("/random/%u", seed);
       g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_day);
     }
-  n = extra ? n : VERSIONS_DAYS;
-  for (guint seed = RANDOM_DAY_VERSIONS + 1; seed <= RANDOM_DAY_VERSIONS + n; seed++)
+  days = extra ? days : VERSIONS_DAYS;
+  for (guint seed = RANDOM_DAY_VERSIONS + 1; seed <= RANDOM_DAY_VERSIONS + days; seed++)
     {
       g_autofree char *path = g_strdup_printf ("/random/versions/%u", seed);
       g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_day);
