--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -3,7 +3,11 @@
 
 #include "base/token-bucket.h"
 #include "cluster/cluster-types.h"
-#include "controller/core-private.h"
+#include "election/election.h"
+#include "jobs/runtime-estimate.h"
+#include "runtime/call-queue.h"
+#include "storage/load.h"
+#include "storage/record-writer.h"
 
 /**
  * MhSilenceThresholds:
@@ -23,7 +27,7 @@
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
-   core: jobs and records, until they are objects too; for nothing else
+   runtime to runtime_estimator: see MhClusterOptions
    callbacks, owner: the layers above, and what they are called with
    machines: name -> MhMachine, which owns its name
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
@@ -40,10 +44,13 @@
    boot_statistics: name of a type -> statistics of boot-time.c */
 struct MhCluster
 {
-  MhCore *core;
   MhRuntime *runtime;
   MhCallQueue *calls;
   MhElection *election;
+  GHashTable *jobs;
+  MhRecordLoader *record_loader;
+  MhRecordWriter *record_writer;
+  MhRuntimeEstimator *runtime_estimator;
   const MhSettings *settings;
   const MhClusterCallbacks *callbacks;
   gpointer owner;
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -3,7 +3,7 @@
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
 #include "cluster/task-failure.h"
-#include "protocol/worker-messages.h"
+#include "storage/load.h"
 
 /* A machine that refused a task gets no other before, and its report shows then what it holds. */
 #define REFUSED_HOLD_US MH_SECOND_US
@@ -16,7 +16,7 @@
 note_done (MhCluster *cluster, const MhAttempt *attempt)
 {
   if (attempt->running_since_us && !mh_attempt_is_from_record (attempt))
-    mh_runtime_estimator_observe (cluster->core->runtime_estimator, attempt->job->spec,
+    mh_runtime_estimator_observe (cluster->runtime_estimator, attempt->job->spec,
                                   mh_runtime_now_us (cluster->runtime) - attempt->running_since_us);
   mh_task_failure_record_success (cluster, attempt->machine, attempt->job);
 }
@@ -67,16 +67,16 @@
       note_failed (cluster, attempt);
       break;
     case MH_TASK_END_INSUFFICIENT_RESOURCES:
-      note_refused (cluster, attempt, "no-room");
+      note_refused (cluster, attempt, "no_room");
       break;
     case MH_TASK_END_OTHER_ATTEMPT:
-      note_refused (cluster, attempt, "other-attempt-there");
+      note_refused (cluster, attempt, "other_attempt_there");
       break;
     case MH_TASK_END_GANG_MEMBER_LOST:
-      note_gang_broken (cluster, attempt, "other-task-gone");
+      note_gang_broken (cluster, attempt, "other_task_gone");
       break;
     case MH_TASK_END_GANG_INCOMPLETE:
-      note_gang_broken (cluster, attempt, "incomplete-in-time");
+      note_gang_broken (cluster, attempt, "incomplete_in_time");
       break;
     case MH_TASK_END_UNKNOWN_TASK:
       note_job_unknown (cluster, attempt);
@@ -105,7 +105,7 @@
 static const MhTask *
 find_task (const MhCluster *cluster, const MhTaskStatus *shown)
 {
-  const MhJob *job = g_hash_table_lookup (cluster->core->jobs, shown->job);
+  const MhJob *job = g_hash_table_lookup (cluster->jobs, shown->job);
   if (job == NULL || !job->accepted || shown->index >= job->spec->tasks)
     return NULL;
   return &job->tasks[shown->index];
@@ -135,7 +135,7 @@
 read_shown_task (MhCluster *cluster, MhMachine *machine, const MhTaskStatus *shown)
 {
   /* What it may do is not known: it is left alone. */
-  if (mh_record_loader_is_unreadable (cluster->core->record_loader, shown->job))
+  if (mh_record_loader_is_unreadable (cluster->record_loader, shown->job))
     {
       machine->heartbeat.unreadable_tasks++;
       return;
--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -47,7 +47,7 @@
   for (guint i = 0; i < late->tasks->len; i++)
     g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
   WAIT (simulation, 60, told_done, user);
-  g_assert_true (simulation_logged (simulation, "incomplete-in-time"));
+  g_assert_true (simulation_logged (simulation, "incomplete_in_time"));
 }
 
 /* It fails on every machine. Without back-off its attempts would take all writes and machines from
@@ -196,7 +196,7 @@
   task->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   WAIT (simulation, 150, told_done, user);
   g_assert_true (simulation_logged (simulation, "taken back"));
-  g_assert_false (simulation_logged (simulation, "incomplete-in-time"));
+  g_assert_false (simulation_logged (simulation, "incomplete_in_time"));
 }
 
 /* The gang is done, and one of its machines fails before it has told so. If the others' word were
