--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -1,6 +1,7 @@
 #include "stand-in/controller.h"
 
 #include "production-core.h"
+#include "protocol/worker-messages.h"
 
 #include <glib/gstdio.h>
 #include <unistd.h>
