--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -343,7 +343,7 @@
     return;
   if (machine->notice_until_us >= 0 || mh_machine_is_draining (machine))
     mh_scale_in_release_machine (self, machine, "drained");
-  else if (now_us - machine->idle_since_us > self->context->settings->idle_us
+  else if (now_us - machine->idle_since_us > self->context->settings->idle_limit_us
            && now_us - machine->boot.rented_us > MH_MINIMUM_BILLED_US)
     mh_scale_in_release_machine (self, machine, "idle");
 }
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -51,7 +51,7 @@
 mh_failure_is_report_overdue (const MhCluster *cluster, const MhMachine *machine)
 {
   return mh_cluster_silence_us (cluster, machine->heartbeat.last_report_us)
-         > cluster->settings->report_us * 5 / 2;
+         > cluster->settings->report_interval_us * 5 / 2;
 }
 
 bool
@@ -170,7 +170,8 @@
 reports_are_lost (const MhCluster *cluster, const MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  return mh_cluster_silence_us (cluster, heartbeat->last_message_us) < cluster->settings->silence_us
+  return mh_cluster_silence_us (cluster, heartbeat->last_message_us)
+             < cluster->settings->silence_limit_us
          && mh_cluster_silence_us (cluster, heartbeat->last_report_us)
                 > cluster->settings->worker_lease_us + LEASE_SPARE_US;
 }
@@ -266,7 +267,7 @@
     zone->machines++;
   census->silent += machine->probe.failures || heartbeat->ignored_answers
                     || mh_cluster_silence_us (cluster, heartbeat->last_report_us)
-                           > cluster->settings->silence_us;
+                           > cluster->settings->silence_limit_us;
 }
 
 static Census
@@ -307,11 +308,11 @@
   const MhSettings *settings = cluster->settings;
   Census census = take_census (cluster);
   mh_zone_check_all (cluster);
-  MhSilenceThresholds silence = { .silent_us = settings->silence_us };
-  silence.report_us = settings->report_us * 5 / 4 + REPORT_SPARE_US;
+  MhSilenceThresholds silence = { .silent_us = settings->silence_limit_us };
+  silence.report_us = settings->report_interval_us * 5 / 4 + REPORT_SPARE_US;
   silence.suspect_us = silence.report_us + SUSPECT_SPARE_US;
   silence.replica_us = replica_suspect_us (cluster, &census, &silence);
-  silence.unheard_us = settings->silence_us + FIND_LEADER_US;
+  silence.unheard_us = settings->silence_limit_us + FIND_LEADER_US;
   /* When most are silent at once it is rather this side that is cut off; and a former leader that
      is cut off from the state service alone may hold all workers for a while. Without this, a new
      leader once gave back a whole fleet of working machines. */
@@ -337,8 +338,9 @@
   const MhSettings *settings = cluster->settings;
   gint64 limit_us;
   if (any_report)
-    limit_us = CLAMP (settings->report_us * UNHEARD_REPORTS / MAX (machines, 1), UNHEARD_LEADER_US,
-                      MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
+    limit_us
+        = CLAMP (settings->report_interval_us * UNHEARD_REPORTS / MAX (machines, 1),
+                 UNHEARD_LEADER_US, MAX (UNHEARD_LEADER_US, settings->report_interval_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
   return limit_us << MIN (cluster->fruitless_transfers, MAX_DOUBLINGS);
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -201,7 +201,7 @@
 mh_heartbeat_keep_alive_us (const MhCluster *cluster)
 {
   const MhSettings *settings = cluster->settings;
-  return settings->cancel_us - settings->worker_lease_us
+  return settings->cancel_limit_us - settings->worker_lease_us
          - settings->worker_lease_us / CLOCK_DRIFT_PART - KEEP_ALIVE_SPARE_US;
 }
 
--- a/src/election/campaign.c
+++ b/src/election/campaign.c
@@ -48,7 +48,7 @@
       return;
     }
   mh_election_apply (election, MH_LEADERSHIP_EVENT_ELECTED);
-  mh_election_set_leader (election, mh_runtime_settings (election->runtime)->node);
+  mh_election_set_leader (election, mh_runtime_settings (election->runtime)->node_name);
   election->own_key_version = election->leader_key_version = key_version;
   election->leader_epoch = election->own_epoch;
   election->elected_us = now_us;
@@ -68,7 +68,7 @@
   guint64 epoch = 0;
   guint64 lease_id = 0;
   return entry && mh_leader_record_read (entry->value, &node, &epoch, &lease_id)
-         && strcmp (node, mh_runtime_settings (election->runtime)->node) == 0
+         && strcmp (node, mh_runtime_settings (election->runtime)->node_name) == 0
          && epoch == election->own_epoch && lease_id == election->lease.id;
 }
 
@@ -109,7 +109,7 @@
 {
   MhCondition conditions[]
       = { { MH_LEADER_KEY, election->leader_key_version }, { MH_EPOCH_KEY, epoch_key_version } };
-  const char *node = mh_runtime_settings (election->runtime)->node;
+  const char *node = mh_runtime_settings (election->runtime)->node_name;
   g_autoptr (MhValue) leader
       = mh_leader_record_write (node, election->own_epoch, election->lease.id);
   g_autoptr (MhValue) last_epoch
@@ -156,7 +156,7 @@
       return;
     }
   mh_lease_confirm (&election->lease, election->lease_request_sent_us,
-                    mh_runtime_settings (election->runtime)->lease_us);
+                    mh_runtime_settings (election->runtime)->leader_lease_us);
   call (election, mh_wire_get (MH_EPOCH_KEY), 0, handle_epoch_reply);
 }
 
@@ -174,6 +174,6 @@
   election->request_pending = true;
   election->lease = (MhLease){ 0 };
   election->lease_request_sent_us = now_us;
-  call (election, mh_wire_lease_grant (mh_runtime_settings (election->runtime)->lease_us), 0,
+  call (election, mh_wire_lease_grant (mh_runtime_settings (election->runtime)->leader_lease_us), 0,
         handle_lease_reply);
 }
--- a/src/election/election-state.c
+++ b/src/election/election-state.c
@@ -40,7 +40,7 @@
 bool
 mh_election_is_own_key (const MhElection *election)
 {
-  return g_strcmp0 (election->leader_name, mh_runtime_settings (election->runtime)->node) == 0;
+  return g_strcmp0 (election->leader_name, mh_runtime_settings (election->runtime)->node_name) == 0;
 }
 
 bool
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -67,7 +67,7 @@
 lease_renewed (MhElection *election)
 {
   gint64 now_us = mh_runtime_now_us (election->runtime);
-  gint64 lease_us = mh_runtime_settings (election->runtime)->lease_us;
+  gint64 lease_us = mh_runtime_settings (election->runtime)->leader_lease_us;
   if (!mh_lease_is_valid (&election->lease, now_us))
     {
       mh_log_info (election->runtime,
@@ -88,7 +88,7 @@
   election->renewal_pending = false;
   election->next_renewal_us
       = mh_runtime_now_us (election->runtime)
-        + mh_runtime_settings (election->runtime)->lease_us / RENEWAL_RETRIES_PER_LEASE;
+        + mh_runtime_settings (election->runtime)->leader_lease_us / RENEWAL_RETRIES_PER_LEASE;
   if (reply->status == 200)
     lease_renewed (election);
   else if (reply->status == 404)
@@ -101,7 +101,7 @@
 renew_lease (MhElection *election)
 {
   gint64 now_us = mh_runtime_now_us (election->runtime);
-  gint64 lease_us = mh_runtime_settings (election->runtime)->lease_us;
+  gint64 lease_us = mh_runtime_settings (election->runtime)->leader_lease_us;
   if (!election->renewal_pending && now_us >= election->next_renewal_us)
     {
       election->renewal_pending = true;
@@ -185,7 +185,7 @@
 {
   return epoch < election->leader_epoch
          || (epoch == election->leader_epoch && election->leader_name == NULL)
-         || strcmp (node, mh_runtime_settings (election->runtime)->node) == 0
+         || strcmp (node, mh_runtime_settings (election->runtime)->node_name) == 0
          || (mh_election_is_elected (election) && epoch <= election->own_epoch);
 }
 
--- a/src/placement/topology-spread.c
+++ b/src/placement/topology-spread.c
@@ -5,10 +5,10 @@
 MhSpreadConstraint
 mh_topology_spread_constraint (const MhSettings *settings, const char *class_name)
 {
-  MhSpreadConstraint constraint = { .max_skew = settings->max_skew, .soft = settings->soft };
-  for (guint i = 0; i < settings->spread->len; i++)
+  MhSpreadConstraint constraint = { .max_skew = settings->max_skew, .soft = settings->soft_spread };
+  for (guint i = 0; i < settings->spread_rules->len; i++)
     {
-      const MhSpreadRule *rule = g_ptr_array_index (settings->spread, i);
+      const MhSpreadRule *rule = g_ptr_array_index (settings->spread_rules, i);
       if (strcmp (rule->class_name, class_name) == 0)
         {
           constraint.max_skew = rule->max_skew;
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -73,10 +73,10 @@
   MhCallQueue *queue = g_new0 (MhCallQueue, 1);
   queue->runtime = runtime;
   queue->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_call_free);
-  mh_bucket_init (&queue->store_bucket, settings->state_rps * STORE_SHARE,
-                  settings->state_rps * STORE_BURST_S, now_us);
-  mh_bucket_init (&queue->write_bucket, settings->state_write_rps * WRITE_SHARE,
-                  settings->state_write_rps * WRITE_BURST_S, now_us);
+  mh_bucket_init (&queue->store_bucket, settings->store_rps * STORE_SHARE,
+                  settings->store_rps * STORE_BURST_S, now_us);
+  mh_bucket_init (&queue->write_bucket, settings->store_write_rps * WRITE_SHARE,
+                  settings->store_write_rps * WRITE_BURST_S, now_us);
   mh_bucket_init (&queue->cloud_bucket, settings->cloud_rps * CLOUD_SHARE,
                   settings->cloud_rps * CLOUD_BURST_S, now_us);
   return queue;
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -49,7 +49,7 @@
    */
   if (connection && !mh_peer_connection_has_queued_output (connection))
     mh_peer_connection_send (connection,
-                             mh_peer_write_announcement (server->settings->node, action->id));
+                             mh_peer_write_announcement (server->settings->node_name, action->id));
 }
 
 static void
@@ -90,7 +90,7 @@
       answer_request (server, action);
       break;
     case MH_ACTION_LOG:
-      mh_log_output_write (action->level, server->settings->node, action->line);
+      mh_log_output_write (action->level, server->settings->node_name, action->line);
       break;
     }
 }
@@ -290,7 +290,7 @@
 {
   g_return_val_if_fail (settings != NULL, false);
   const MhHttpEndpoints endpoints
-      = { .key_value_store = settings->state, .cloud = settings->cloud };
+      = { .key_value_store = settings->key_value_store, .cloud = settings->cloud };
   g_auto (Server) server = { .settings = settings };
   server.clock = mh_process_clock_new ();
   server.requests = mh_pending_requests_new ();
@@ -301,7 +301,7 @@
     return false;
   start_controller (&server);
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
-  g_info ("%s: users and workers on %s, controllers on %s", settings->node, settings->front,
+  g_info ("%s: users and workers on %s, controllers on %s", settings->node_name, settings->front,
           settings->peer_bind);
   g_main_loop_run (loop);
   return true;
--- a/src/settings/operator-file.c
+++ b/src/settings/operator-file.c
@@ -79,7 +79,7 @@
 read_spread_rule (cfg_t *section, MhSettings *settings, GError **error)
 {
   long max_skew = cfg_getint (section, "max_skew"); /* 0: not named */
-  bool soft = settings->soft;
+  bool soft = settings->soft_spread;
   if (!read_when_unsatisfiable (section, &soft, error))
     return false;
   if (max_skew < 0)
@@ -88,24 +88,24 @@
   rule->class_name = g_strdup (cfg_title (section));
   rule->max_skew = max_skew ? (guint)max_skew : settings->max_skew;
   rule->soft = soft;
-  g_ptr_array_add (settings->spread, rule);
+  g_ptr_array_add (settings->spread_rules, rule);
   return true;
 }
 
 static bool
 read_values (cfg_t *file, MhSettings *settings, GError **error)
 {
-  read_time (file, "lease_s", &settings->lease_us);
-  read_time (file, "silence_s", &settings->silence_us);
-  read_time (file, "idle_s", &settings->idle_us);
+  read_time (file, "lease_s", &settings->leader_lease_us);
+  read_time (file, "silence_s", &settings->silence_limit_us);
+  read_time (file, "idle_s", &settings->idle_limit_us);
   if (is_set (file, "direct"))
-    settings->direct = cfg_getbool (file, "direct");
-  if (!read_count (file, "batch", 2, &settings->batch, error)
+    settings->direct_commands = cfg_getbool (file, "direct");
+  if (!read_count (file, "batch", 2, &settings->max_batch, error)
       || !read_count (file, "max_skew", 1, &settings->max_skew, error))
     return false;
-  if (settings->idle_us < 0 || settings->silence_us < 0)
+  if (settings->idle_limit_us < 0 || settings->silence_limit_us < 0)
     return invalid (error, "idle_s and silence_s must not be negative");
-  if (!read_when_unsatisfiable (file, &settings->soft, error))
+  if (!read_when_unsatisfiable (file, &settings->soft_spread, error))
     return false;
   for (guint i = 0; i < cfg_size (file, "spread"); i++)
     if (!read_spread_rule (cfg_getnsec (file, "spread", i), settings, error))
--- a/src/settings/platform-file.cpp
+++ b/src/settings/platform-file.cpp
@@ -81,12 +81,12 @@
 void
 read_identity (Node root, MhSettings *settings)
 {
-  settings->node = read_text (root["node_name"]);
+  settings->node_name = read_text (root["node_name"]);
   settings->zone = read_text (root["zone"]);
   settings->front = read_text (root["front"]);
   settings->peer_bind = read_text (root["peer_bind"]);
   settings->cloud = read_text (root["endpoints"]["cloud"]);
-  settings->state = read_text (root["endpoints"]["state"]);
+  settings->key_value_store = read_text (root["endpoints"]["state"]);
 }
 
 void
@@ -143,9 +143,9 @@
 void
 read_workers (Node workers, MhSettings *settings)
 {
-  settings->report_us = read_time (workers["report_s"]);
+  settings->report_interval_us = read_time (workers["report_s"]);
   settings->worker_lease_us = read_time (workers["lease_s"]);
-  settings->cancel_us = read_time (workers["cancel_s"]);
+  settings->cancel_limit_us = read_time (workers["cancel_s"]);
   settings->gang_wait_us = read_time (workers["gang_wait_s"]);
   settings->gang_peer_us = read_time (workers["gang_peer_s"]);
 }
@@ -153,8 +153,8 @@
 void
 read_key_value_store (Node state, MhSettings *settings)
 {
-  settings->state_rps = read_number (state["rps"]);
-  settings->state_write_rps = read_number (state["write_rps"]);
+  settings->store_rps = read_number (state["rps"]);
+  settings->store_write_rps = read_number (state["write_rps"]);
   settings->value_bytes = read_value_bytes (state["value_kb"]);
   settings->txn_ops = read_txn_ops (state["txn_ops"]);
   Node next = state["next"];
--- a/src/settings/settings-check.c
+++ b/src/settings/settings-check.c
@@ -64,12 +64,12 @@
 static bool
 check_names (const MhSettings *settings, GError **error)
 {
-  if (is_empty (settings->node))
+  if (is_empty (settings->node_name))
     return missing (error, "node_name");
   return check_address ("front", settings->front, error)
          && check_address ("peer_bind", settings->peer_bind, error)
          && check_address ("endpoints.cloud", settings->cloud, error)
-         && check_address ("endpoints.state", settings->state, error)
+         && check_address ("endpoints.state", settings->key_value_store, error)
          && check_members (settings, error);
 }
 
@@ -108,11 +108,11 @@
   {
     const char *name;
     double value;
-  } amounts[] = { { "settings.workers.report_s", (double)settings->report_us },
+  } amounts[] = { { "settings.workers.report_s", (double)settings->report_interval_us },
                   { "settings.workers.lease_s", (double)settings->worker_lease_us },
-                  { "settings.workers.cancel_s", (double)settings->cancel_us },
-                  { "settings.state.rps", settings->state_rps },
-                  { "settings.state.write_rps", settings->state_write_rps },
+                  { "settings.workers.cancel_s", (double)settings->cancel_limit_us },
+                  { "settings.state.rps", settings->store_rps },
+                  { "settings.state.write_rps", settings->store_write_rps },
                   { "settings.state.value_kb", settings->value_bytes },
                   { "settings.state.txn_ops", settings->txn_ops },
                   { "settings.cloud.rps", settings->cloud_rps } };
@@ -134,7 +134,7 @@
   bool next_is_set = settings->next_txn_ops != 0;
   if (settings->txn_ops < MIN_TXN_OPS || (next_is_set && settings->next_txn_ops < MIN_TXN_OPS))
     return invalid (error, "settings.state.txn_ops must be at least 2");
-  if (settings->lease_us < MIN_LEASE_US || settings->lease_us > MAX_LEASE_US)
+  if (settings->leader_lease_us < MIN_LEASE_US || settings->leader_lease_us > MAX_LEASE_US)
     return invalid (error, "lease_s must be between 0.5 and 60");
   if (settings->max_skew == 0)
     return invalid (error, "max_skew must be at least 1");
@@ -150,7 +150,7 @@
     settings->value_bytes = MIN (settings->value_bytes, settings->next_value_bytes);
   if (settings->next_txn_ops)
     settings->txn_ops = MIN (settings->txn_ops, settings->next_txn_ops);
-  settings->batch = CLAMP (settings->batch, MIN_TXN_OPS, settings->txn_ops);
+  settings->max_batch = CLAMP (settings->max_batch, MIN_TXN_OPS, settings->txn_ops);
 }
 
 static void
@@ -161,9 +161,9 @@
     settings->gang_wait_us = DEFAULT_GANG_WAIT_US;
   if (settings->gang_peer_us == 0)
     settings->gang_peer_us = DEFAULT_GANG_PEER_US;
-  if (settings->silence_us == 0)
-    settings->silence_us
-        = MAX (3 * settings->report_us + MH_SECOND_US, settings->worker_lease_us / 2);
+  if (settings->silence_limit_us == 0)
+    settings->silence_limit_us
+        = MAX (3 * settings->report_interval_us + MH_SECOND_US, settings->worker_lease_us / 2);
 }
 
 bool
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -50,12 +50,12 @@
   settings->members = g_ptr_array_new_with_free_func (member_free);
   settings->teams = g_ptr_array_new_with_free_func (team_free);
   settings->objectives = g_ptr_array_new_with_free_func (objective_free);
-  settings->spread = g_ptr_array_new_with_free_func (spread_rule_free);
-  settings->lease_us = DEFAULT_LEASE_US;
-  settings->idle_us = DEFAULT_IDLE_US;
-  settings->batch = G_MAXUINT; /* lowered to txn_ops when it is checked */
+  settings->spread_rules = g_ptr_array_new_with_free_func (spread_rule_free);
+  settings->leader_lease_us = DEFAULT_LEASE_US;
+  settings->idle_limit_us = DEFAULT_IDLE_US;
+  settings->max_batch = G_MAXUINT; /* lowered to txn_ops when it is checked */
   settings->max_skew = 1;
-  settings->direct = true;
+  settings->direct_commands = true;
   settings->core_share = DEFAULT_CORE_SHARE;
   settings->max_connections = DEFAULT_MAX_CONNECTIONS;
   return settings;
@@ -66,16 +66,16 @@
 {
   if (settings == NULL)
     return;
-  g_free (settings->node);
+  g_free (settings->node_name);
   g_free (settings->zone);
   g_free (settings->front);
   g_free (settings->peer_bind);
   g_free (settings->cloud);
-  g_free (settings->state);
+  g_free (settings->key_value_store);
   g_ptr_array_unref (settings->members);
   g_ptr_array_unref (settings->teams);
   g_ptr_array_unref (settings->objectives);
-  g_ptr_array_unref (settings->spread);
+  g_ptr_array_unref (settings->spread_rules);
   g_free (settings);
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -119,20 +119,20 @@
 
 /**
  * MhSettings:
- * @node: name of this controller (platform: node_name)
+ * @node_name: name of this controller (platform: node_name)
  * @zone: (nullable): the zone it is in (platform: zone)
  * @front: "ADDRESS:PORT" where it listens for users and workers (platform: front)
  * @peer_bind: "ADDRESS:PORT" where it listens for controllers (platform: peer_bind)
  * @cloud: "HOST:PORT" of the cloud (platform: endpoints.cloud)
- * @state: "HOST:PORT" of the key-value store (platform: endpoints.state)
+ * @key_value_store: "HOST:PORT" of the key-value store (platform: endpoints.state)
  * @members: (element-type MhMember): the other controllers (platform: members)
  * @teams: (element-type MhTeam): quotas (platform: settings.teams)
  * @objectives: (element-type MhObjective): service-level objectives (platform: settings.objectives)
- * @report_us: time between two heartbeats of a worker, in microseconds (platform:
+ * @report_interval_us: time between two heartbeats of a worker, in microseconds (platform:
  *   settings.workers.report_s)
  * @worker_lease_us: a worker that has had no answer for so long stops its tasks, in microseconds
  *   (platform: settings.workers.lease_s)
- * @cancel_us: time within which a cancelled task has to be gone, in microseconds (platform:
+ * @cancel_limit_us: time within which a cancelled task has to be gone, in microseconds (platform:
  *   settings.workers.cancel_s)
  * @list_lag_us: how old the cloud's list of machines may be, in microseconds (platform:
  *   settings.cloud.list_lag_s)
@@ -140,8 +140,8 @@
  *   settings.workers.gang_wait_s); 50 s when it is not said
  * @gang_peer_us: time within which all tasks of a gang have to be told, or notice a loss, in
  * microseconds (platform: settings.workers.gang_peer_s); 5 s when it is not said
- * @state_rps: requests a second that the key-value store takes (platform: settings.state.rps)
- * @state_write_rps: changes a second that the key-value store takes (platform:
+ * @store_rps: requests a second that the key-value store takes (platform: settings.state.rps)
+ * @store_write_rps: changes a second that the key-value store takes (platform:
  * settings.state.write_rps)
  * @cloud_rps: requests a second that the cloud takes (platform: settings.cloud.rps)
  * @value_bytes: largest value in the key-value store, in bytes (platform: settings.state.value_kb);
@@ -160,40 +160,41 @@
  *   settings.resources.max_connections); 1000 when it is not said
  * @memory_bytes: memory that this controller has, in bytes (platform: settings.resources.ram_mb);
  * 0: not said
- * @lease_us: the leader's lease in the key-value store, in microseconds (operator: lease_s)
- * @silence_us: a machine that has been silent for so long is given back, in microseconds (operator:
- *   silence_s); once checked never 0
- * @idle_us: a machine that has been idle for so long is given back, in microseconds (operator:
- * idle_s)
- * @batch: most records in one transaction (operator: batch); once checked at most @txn_ops
+ * @leader_lease_us: the leader's lease in the key-value store, in microseconds (operator: lease_s)
+ * @silence_limit_us: a machine that has been silent for so long is given back, in microseconds
+ * (operator: silence_s); once checked never 0
+ * @idle_limit_us: a machine that has been idle for so long is given back, in microseconds
+ * (operator: idle_s)
+ * @max_batch: most records in one transaction (operator: batch); once checked at most @txn_ops
  * @max_skew: MaxSkew of classes without a rule (operator: max_skew)
- * @soft: whether classes without a rule are spread by ScheduleAnyway (operator: when_unsatisfiable)
- * @direct: whether commands are sent straight to workers too, not only in answers to their
+ * @soft_spread: whether classes without a rule are spread by ScheduleAnyway (operator:
+ * when_unsatisfiable)
+ * @direct_commands: whether commands are sent straight to workers too, not only in answers to their
  * heartbeats (operator: direct)
- * @spread: (element-type MhSpreadRule): rules of single classes (operator: spread)
+ * @spread_rules: (element-type MhSpreadRule): rules of single classes (operator: spread)
  *
  * All settings. "platform" and "operator" above name the file and the field that a value comes
  * from.
  */
 typedef struct
 {
-  char *node;
+  char *node_name;
   char *zone;
   char *front;
   char *peer_bind;
   char *cloud;
-  char *state;
+  char *key_value_store;
   GPtrArray *members;
   GPtrArray *teams;
   GPtrArray *objectives;
-  gint64 report_us;
+  gint64 report_interval_us;
   gint64 worker_lease_us;
-  gint64 cancel_us;
+  gint64 cancel_limit_us;
   gint64 list_lag_us;
   gint64 gang_wait_us;
   gint64 gang_peer_us;
-  double state_rps;
-  double state_write_rps;
+  double store_rps;
+  double store_write_rps;
   double cloud_rps;
   guint value_bytes;
   guint txn_ops;
@@ -203,14 +204,14 @@
   double core_share;
   guint max_connections;
   gint64 memory_bytes;
-  gint64 lease_us;
-  gint64 silence_us;
-  gint64 idle_us;
-  guint batch;
+  gint64 leader_lease_us;
+  gint64 silence_limit_us;
+  gint64 idle_limit_us;
+  guint max_batch;
   guint max_skew;
-  bool soft;
-  bool direct;
-  GPtrArray *spread;
+  bool soft_spread;
+  bool direct_commands;
+  GPtrArray *spread_rules;
 } MhSettings;
 
 /**
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -303,7 +303,7 @@
       return 0;
     }
   double allowed = MAX (MIN (tokens, for_users), tokens - kept);
-  return (guint)CLAMP (allowed, 1, settings->batch);
+  return (guint)CLAMP (allowed, 1, settings->max_batch);
 }
 
 /* A transaction is put together only when there are tokens for it: what waited in a finished one
--- a/tests/controller.c
+++ b/tests/controller.c
@@ -49,13 +49,13 @@
   g_string_append_printf (text,
                           "[settings.workers]\nreport_s = %f\nlease_s = %f\ncancel_s = %f\n"
                           "gang_wait_s = %f\ngang_peer_s = %f\n",
-                          seconds (settings->report_us), seconds (settings->worker_lease_us),
-                          seconds (settings->cancel_us), seconds (settings->gang_wait_us),
-                          seconds (settings->gang_peer_us));
+                          seconds (settings->report_interval_us),
+                          seconds (settings->worker_lease_us), seconds (settings->cancel_limit_us),
+                          seconds (settings->gang_wait_us), seconds (settings->gang_peer_us));
   g_string_append_printf (text,
                           "[settings.state]\nrps = %f\nwrite_rps = %f\nvalue_kb = %f\n"
                           "txn_ops = %u\n",
-                          settings->state_rps, settings->state_write_rps,
+                          settings->store_rps, settings->store_write_rps,
                           settings->value_bytes / 1024.0, settings->txn_ops);
   if (settings->next_write_rps > 0)
     g_string_append_printf (text, "[settings.state.next]\nwrite_rps = %f\n",
@@ -68,12 +68,12 @@
 write_settings (const MhSettings *settings)
 {
   g_autoptr (GString) text = g_string_new (NULL);
-  g_string_append_printf (text,
-                          "node_name = \"%s\"\nzone = \"%s\"\nfront = \"%s\"\npeer_bind = \"%s\"\n",
-                          settings->node, settings->zone, settings->front, settings->peer_bind);
+  g_string_append_printf (
+      text, "node_name = \"%s\"\nzone = \"%s\"\nfront = \"%s\"\npeer_bind = \"%s\"\n",
+      settings->node_name, settings->zone, settings->front, settings->peer_bind);
   write_members (text, settings);
   g_string_append_printf (text, "[endpoints]\ncloud = \"%s\"\nstate = \"%s\"\n", settings->cloud,
-                          settings->state);
+                          settings->key_value_store);
   write_teams (text, settings);
   write_limits (text, settings);
 
--- a/tests/random-day.c
+++ b/tests/random-day.c
@@ -124,7 +124,7 @@
       if (limits)
         {
           simulation->nodes[i].settings->value_bytes = NEXT_VALUE_BYTES;
-          simulation->nodes[i].settings->txn_ops = simulation->nodes[i].settings->batch
+          simulation->nodes[i].settings->txn_ops = simulation->nodes[i].settings->max_batch
               = NEXT_TXN_OPS;
           simulation->nodes[i].settings->next_write_rps = NEXT_WRITE_RPS;
         }
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -38,7 +38,7 @@
   node->simulation = simulation;
   node->index = index;
   node->settings = settings;
-  node->name = g_strdup (settings->node);
+  node->name = g_strdup (settings->node_name);
   node->clock_drift = g_rand_double_range (simulation->random, -LARGEST_DRIFT, LARGEST_DRIFT);
   node->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_request_free);
 }
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -38,7 +38,7 @@
 static bool
 past_cancel_limit (const RuleChecks *rules, const WorkloadJob *job)
 {
-  return job->cancelled_us && rules->now_us > job->cancelled_us + rules->settings->cancel_us;
+  return job->cancelled_us && rules->now_us > job->cancelled_us + rules->settings->cancel_limit_us;
 }
 
 /* ---- a task starts ---- */
--- a/tests/stand-in/simulation-settings.c
+++ b/tests/stand-in/simulation-settings.c
@@ -33,12 +33,12 @@
 static void
 set_limits (MhSettings *settings)
 {
-  settings->report_us = 3 * MH_SECOND_US;
+  settings->report_interval_us = 3 * MH_SECOND_US;
   settings->worker_lease_us = 16 * MH_SECOND_US;
-  settings->cancel_us = 41 * MH_SECOND_US;
+  settings->cancel_limit_us = 41 * MH_SECOND_US;
   settings->list_lag_us = 2 * MH_SECOND_US;
-  settings->state_rps = 200;
-  settings->state_write_rps = 50;
+  settings->store_rps = 200;
+  settings->store_write_rps = 50;
   settings->cloud_rps = 3;
   settings->value_bytes = 8192;
   settings->txn_ops = 16;
@@ -49,12 +49,12 @@
 {
   g_autoptr (GError) error = NULL;
   MhSettings *settings = mh_settings_new ();
-  settings->node = g_strdup_printf ("node-%u", index);
+  settings->node_name = g_strdup_printf ("node-%u", index);
   settings->zone = g_strdup ("a");
   settings->front = g_strdup ("127.0.0.1:1");
   settings->peer_bind = g_strdup ("127.0.0.1:2");
   settings->cloud = g_strdup ("127.0.0.1:3");
-  settings->state = g_strdup ("127.0.0.1:4");
+  settings->key_value_store = g_strdup ("127.0.0.1:4");
   add_members (settings, index);
   add_teams (settings);
   set_limits (settings);
--- a/tests/stand-in/simulation.c
+++ b/tests/stand-in/simulation.c
@@ -57,7 +57,7 @@
       ControllerNode *node = &simulation->nodes[i];
       controller_node_stop (node);
       node->settings->value_bytes = value_bytes;
-      node->settings->txn_ops = node->settings->batch = txn_ops;
+      node->settings->txn_ops = node->settings->max_batch = txn_ops;
       controller_node_start (node);
     }
   simulation->settings->value_bytes = value_bytes;
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -230,12 +230,12 @@
   (void)data;
   MhNow now = { .mono_us = START_US, .wall_us = START_US };
   fixture->settings = mh_settings_new ();
-  fixture->settings->report_us = 3 * MH_SECOND_US;
+  fixture->settings->report_interval_us = 3 * MH_SECOND_US;
   fixture->settings->value_bytes = 32768;
   fixture->settings->txn_ops = 64;
-  fixture->settings->state_rps = fixture->settings->state_write_rps = 100;
+  fixture->settings->store_rps = fixture->settings->store_write_rps = 100;
   fixture->settings->cloud_rps = 100;
-  fixture->settings->idle_us = 8 * MH_SECOND_US;
+  fixture->settings->idle_limit_us = 8 * MH_SECOND_US;
   MhCore *core = fixture->core = mh_core_new (fixture->settings, &now);
   GPtrArray *types = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
   add_type (types, "small", 4, 0.4);
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -74,9 +74,9 @@
   (void)data;
   fixture->now = (MhNow){ .mono_us = START_US };
   fixture->settings = mh_settings_new ();
-  fixture->settings->node = g_strdup (NODE);
-  fixture->settings->lease_us = LEASE_US;
-  fixture->settings->state_rps = 100;
+  fixture->settings->node_name = g_strdup (NODE);
+  fixture->settings->leader_lease_us = LEASE_US;
+  fixture->settings->store_rps = 100;
   MhMember *member = g_new0 (MhMember, 1);
   member->name = g_strdup (OTHER);
   g_ptr_array_add (fixture->settings->members, member);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -206,7 +206,7 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation_stop_node (simulation, i);
-      simulation->nodes[i].settings->state_write_rps = 1.5;
+      simulation->nodes[i].settings->store_write_rps = 1.5;
       simulation_start_node (simulation, i);
     }
   WAIT (simulation, 10, has_leader, NULL);
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -236,7 +236,7 @@
   Simulation *simulation = simulation_new (30);
   /* So long that the worker's next try, after it has given up on an answer, is not even late. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
-    simulation->nodes[i].settings->report_us = 5 * MH_SECOND_US;
+    simulation->nodes[i].settings->report_interval_us = 5 * MH_SECOND_US;
   User *u = running_service (simulation, 1, 1);
   Worker *w = worker_of (simulation, "j-000001/0");
   w->only_node = (gint)simulation_leader (simulation)->index;
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -88,9 +88,9 @@
 settings_new (void)
 {
   MhSettings *settings = mh_settings_new ();
-  settings->report_us = 3 * MH_SECOND_US;
+  settings->report_interval_us = 3 * MH_SECOND_US;
   settings->value_bytes = 32768;
-  settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
+  settings->store_rps = settings->store_write_rps = settings->cloud_rps = 100;
   MhTeam *team = g_new0 (MhTeam, 1);
   *team = (MhTeam){ .name = g_strdup ("red"), .cpus = 1e6, .cpus_max = 1e6 };
   g_ptr_array_add (settings->teams, team);
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -84,9 +84,9 @@
 {
   (void)unused;
   MhSettings *settings = fixture->settings = mh_settings_new ();
-  settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
+  settings->store_rps = settings->store_write_rps = settings->cloud_rps = 100;
   settings->value_bytes = 2048;
-  settings->txn_ops = settings->batch = 16;
+  settings->txn_ops = settings->max_batch = 16;
   fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   fixture->runtime = mh_runtime_new (settings, &fixture->now);
   fixture->calls = mh_call_queue_new (fixture->runtime);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -46,15 +46,15 @@
                                           "  when_unsatisfiable = \"ScheduleAnyway\"\n}\n",
                                           &error);
   g_assert_nonnull (settings);
-  g_assert_cmpint (settings->report_us, ==, 3 * MH_SECOND_US);
+  g_assert_cmpint (settings->report_interval_us, ==, 3 * MH_SECOND_US);
   g_assert_cmpuint (settings->value_bytes, ==, 8192);
   g_assert_cmpuint (settings->teams->len, ==, 1);
   g_assert_cmpfloat (mh_settings_team (settings, "desk")->cpus_max, ==, 24);
-  g_assert_cmpint (settings->lease_us, ==, 2500000);
-  g_assert_cmpuint (settings->batch, ==, 4);
+  g_assert_cmpint (settings->leader_lease_us, ==, 2500000);
+  g_assert_cmpuint (settings->max_batch, ==, 4);
   g_assert_cmpuint (settings->max_skew, ==, 3);
-  g_assert_cmpuint (settings->spread->len, ==, 1);
-  const MhSpreadRule *rule = g_ptr_array_index (settings->spread, 0);
+  g_assert_cmpuint (settings->spread_rules->len, ==, 1);
+  const MhSpreadRule *rule = g_ptr_array_index (settings->spread_rules, 0);
   g_assert_cmpuint (rule->max_skew, ==, 2);
   g_assert_true (rule->soft);
 }
@@ -98,8 +98,8 @@
   g_assert_nonnull (settings);
   g_assert_cmpuint (settings->value_bytes, ==, 2048);
   g_assert_cmpuint (settings->txn_ops, ==, 5);
-  g_assert_cmpuint (settings->batch, ==, 5);
-  g_assert_cmpfloat (settings->state_write_rps, ==, 20);
+  g_assert_cmpuint (settings->max_batch, ==, 5);
+  g_assert_cmpfloat (settings->store_write_rps, ==, 20);
   g_assert_cmpfloat (settings->next_write_rps, ==, 15);
   g_assert_cmpint (settings->gang_wait_us, ==, 50 * MH_SECOND_US); /* not named: as before gangs */
   g_autoptr (MhSettings) partly = load (part, NULL, &error);
@@ -116,8 +116,8 @@
   g_autoptr (GError) error = NULL;
   g_autoptr (MhSettings) settings = load (valid_file, NULL, &error);
   g_assert_cmpuint (settings->max_skew, ==, 1);
-  g_assert_false (settings->soft);
-  g_assert_cmpuint (settings->batch, ==, 16);
+  g_assert_false (settings->soft_spread);
+  g_assert_cmpuint (settings->max_batch, ==, 16);
 }
 
 /* A controller would start with settings that cannot work, or its operator would not be told in one
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -16,15 +16,15 @@
 static void
 allow_large_fleet (MhSettings *settings, guint machines)
 {
-  settings->report_us = 5 * MH_SECOND_US;
+  settings->report_interval_us = 5 * MH_SECOND_US;
   settings->worker_lease_us = 24 * MH_SECOND_US;
-  settings->cancel_us = 54 * MH_SECOND_US;
+  settings->cancel_limit_us = 54 * MH_SECOND_US;
   settings->core_share = 0.7;
   settings->max_connections = machines / 2;
-  settings->state_rps = 800;
-  settings->state_write_rps = 200;
+  settings->store_rps = 800;
+  settings->store_write_rps = 200;
   settings->cloud_rps = 2.5;
-  settings->idle_us = 600 * MH_SECOND_US;
+  settings->idle_limit_us = 600 * MH_SECOND_US;
   for (guint i = 0; i < settings->teams->len; i++)
     ((MhTeam *)g_ptr_array_index (settings->teams, i))->cpus_max = 1e6;
 }
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -78,11 +78,11 @@
 {
   Simulation *simulation = fixture->simulation;
   (void)seed;
-  simulation->settings->cancel_us = 18 * MH_SECOND_US;
+  simulation->settings->cancel_limit_us = 18 * MH_SECOND_US;
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation_stop_node (simulation, i);
-      simulation->nodes[i].settings->cancel_us = 18 * MH_SECOND_US;
+      simulation->nodes[i].settings->cancel_limit_us = 18 * MH_SECOND_US;
       simulation_start_node (simulation, i);
     }
   User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 3, 1);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -97,8 +97,8 @@
   g_auto (MhStoredJob) read = {};
   g_autoptr (MhSettings) settings = mh_settings_new ();
   settings->value_bytes = 32768;
-  settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
-  settings->cancel_us = 60 * MH_SECOND_US;
+  settings->store_rps = settings->store_write_rps = settings->cloud_rps = 100;
+  settings->cancel_limit_us = 60 * MH_SECOND_US;
   MhNow now = { .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   g_autoptr (MhCore) core = mh_core_new (settings, &now);
   g_autoptr (MhValue) stored = LOAD (production_job);
@@ -170,8 +170,8 @@
   (void)unused;
   MhSettings *settings = fixture->settings = mh_settings_new ();
   settings->value_bytes = 2048;
-  settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
-  settings->cancel_us = 60 * MH_SECOND_US;
+  settings->store_rps = settings->store_write_rps = settings->cloud_rps = 100;
+  settings->cancel_limit_us = 60 * MH_SECOND_US;
   fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   fixture->core = mh_core_new (settings, &fixture->now);
   fixture->machines[0]
@@ -357,7 +357,7 @@
           bool small = turn % 2 == 0 || turn > 3;
           simulation_stop_node (simulation, index);
           simulation->nodes[index].settings->value_bytes = small ? 2048 : 8192;
-          simulation->nodes[index].settings->txn_ops = simulation->nodes[index].settings->batch
+          simulation->nodes[index].settings->txn_ops = simulation->nodes[index].settings->max_batch
               = small ? 5 : 16;
           simulation_run (simulation, 0.3 * turn);
           simulation_start_node (simulation, index);
