--- a/src/autoscaler/cloud-error.h
+++ b/src/autoscaler/cloud-error.h
@@ -1,7 +1,7 @@
 /* Errors of calls to the cloud, by what the caller can do about them. */
 #pragma once
 
-#include "protocol/wire.h"
+#include "protocol/value.h"
 
 /**
  * MhCloudError:
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,6 +1,7 @@
 #include "autoscaler/inventory.h"
 #include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
+#include "protocol/cloud-messages.h"
 
 #define TYPES_INTERVAL_US (60 * MH_SECOND_US)
 #define MIN_LIST_INTERVAL_US (5 * MH_SECOND_US)
@@ -59,7 +60,7 @@
   MhInventory *self = owner;
   (void)data;
   GPtrArray *types = mh_cloud_check_reply (reply->status, reply->body, NULL)
-                         ? mh_wire_read_machine_types (reply->body)
+                         ? mh_machine_types_decode (reply->body, NULL)
                          : NULL;
   self->types_in_flight = false;
   self->types_due_us = mh_runtime_now_us (self->context->runtime)
@@ -78,7 +79,7 @@
           .func = handle_types_reply,
           .owner = self };
   self->types_in_flight = true;
-  mh_call_queue_add (self->context->calls, mh_wire_machine_types (), &options);
+  mh_call_queue_add (self->context->calls, mh_cloud_request_machine_types (), &options);
 }
 
 /* ---- the list of machines ---- */
@@ -129,7 +130,7 @@
   (void)data;
   bool more = false;
   g_autoptr (GPtrArray) list = mh_cloud_check_reply (reply->status, reply->body, NULL)
-                                   ? mh_wire_read_machine_list (reply->body, &more)
+                                   ? mh_machine_list_decode (reply->body, &more, NULL)
                                    : NULL;
   gint64 now_us = mh_runtime_now_us (self->context->runtime);
   self->list_in_flight = false;
@@ -160,7 +161,7 @@
   self->list_in_flight = true;
   if (after == NULL)
     self->list_pages = 0;
-  mh_call_queue_add (self->context->calls, mh_wire_machines (after), &options);
+  mh_call_queue_add (self->context->calls, mh_cloud_request_machine_list (after), &options);
 }
 
 void
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -2,6 +2,7 @@
 #include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/release-state.h"
+#include "protocol/cloud-messages.h"
 
 #include <string.h>
 
@@ -130,7 +131,7 @@
 }
 
 void
-mh_scale_in_load (MhScaleIn *self, const MhEntry *entry)
+mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry)
 {
   g_return_if_fail (self != NULL);
   MhCore *core = self->context->core;
@@ -203,7 +204,8 @@
                             .owner = self,
                             .data = g_rc_box_acquire (batch),
                             .free_data = release_batch_unref };
-  mh_call_queue_add (self->context->calls, mh_wire_release (batch->machines), &options);
+  mh_call_queue_add (self->context->calls, mh_cloud_request_delete_machines (batch->machines),
+                     &options);
 }
 
 /* ---- the record ---- */
@@ -214,7 +216,8 @@
 static bool
 is_leader_condition_refused (const MhReply *reply)
 {
-  g_auto (GStrv) failed = reply->status == 409 ? mh_wire_read_failed (reply->body) : NULL;
+  g_auto (GStrv) failed
+      = reply->status == 409 ? mh_kv_failed_conditions_decode (reply->body, NULL) : NULL;
   return failed && g_strv_contains ((const char *const *)failed, MH_LEADER_KEY);
 }
 
@@ -251,16 +254,16 @@
 static void
 write_record (MhScaleIn *self, ReleaseBatch *batch)
 {
-  MhCondition conditions[]
+  MhKvCondition conditions[]
       = { { MH_LEADER_KEY, mh_election_key_version (self->context->core->election) },
           { batch->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (batch->machines);
-  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
-  MhChange put = { .key = batch->key, .value = value };
+  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
+  MhKvChange put = { .key = batch->key, .value = value };
   g_array_append_val (changes, put);
   for (char **key = batch->replaced_records; *key; key++)
     {
-      MhChange drop = { .key = *key };
+      MhKvChange drop = { .key = *key };
       g_array_append_val (changes, drop);
     }
   MhCallOptions options = { .class = MH_CALL_SAFETY,
@@ -270,10 +273,10 @@
                             .owner = self,
                             .data = g_rc_box_acquire (batch),
                             .free_data = release_batch_unref };
-  mh_call_queue_add (
-      self->context->calls,
-      mh_wire_txn (conditions, G_N_ELEMENTS (conditions), (MhChange *)changes->data, changes->len),
-      &options);
+  mh_call_queue_add (self->context->calls,
+                     mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions),
+                                                (MhKvChange *)changes->data, changes->len),
+                     &options);
 }
 
 /* ---- batches ---- */
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -7,6 +7,7 @@
 #include "cluster/attempt-state.h"
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
+#include "protocol/worker-messages.h"
 
 /**
  * MhAttemptStart:
@@ -32,7 +33,7 @@
  * @need_rev: the revision of its record that must be durable before a start is sent
  * @state: changes in attempt.c alone
  * @start: what is known of its start command
- * @start_session: the worker's session that the last start was for
+ * @start_incarnation: the worker's incarnation that the last start was for
  * @start_sequence: number of the report whose answer last carried a start; 0: none did
  * @shown: the worker has shown it, in this leadership
  * @shown_now: the message that is being read shows it
@@ -52,7 +53,7 @@
   guint64 need_rev;
   MhAttemptState state;
   MhAttemptStart start;
-  guint64 start_session, start_sequence;
+  guint64 start_incarnation, start_sequence;
   bool shown, shown_now;
   bool of_starved_job;
   gint64 grace_us, stop_sent_us;
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -1,5 +1,6 @@
 #include "cluster/boot-time.h"
 #include "cluster/cluster-state.h"
+#include "protocol/cloud-messages.h"
 
 #define MEAN_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
@@ -58,7 +59,7 @@
 mh_boot_time_joined (MhCluster *cluster, const MhMachine *machine)
 {
   /* Of one that another leader rented, or that was up before, nothing is known. */
-  if (machine->type && machine->boot.rented_here && machine->heartbeat.session <= 1)
+  if (machine->type && machine->boot.rented_here && machine->heartbeat.incarnation <= 1)
     add_sample (statistics_of (cluster, machine->type),
                 (double)(mh_runtime_now_us (cluster->runtime) - machine->boot.rented_us));
 }
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -6,6 +6,7 @@
 #include "cluster/heartbeat.h"
 #include "cluster/machine-registry.h"
 #include "cluster/zone-silence.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -84,12 +85,12 @@
    the beginning comes from a worker that has lost its memory, of the tokens that it has seen too:
    nothing that is still on its way there is fenced any more. */
 static bool
-worker_has_begun_anew (const MhMachine *machine, const MhReport *report)
+worker_has_begun_anew (const MhMachine *machine, const MhHeartbeat *report)
 {
   const MhMachineProbe *asked = &machine->probe;
   return machine->heartbeat.reported && !mh_machine_is_releasing (machine)
-         && (report->session < asked->session
-             || (report->session == asked->session && report->sequence < asked->sequence));
+         && (report->incarnation < asked->incarnation
+             || (report->incarnation == asked->incarnation && report->sequence < asked->sequence));
 }
 
 static void
@@ -98,8 +99,8 @@
   MhCluster *cluster = owner;
   const char *name = data;
   MhMachine *machine = mh_cluster_find_machine (cluster, name);
-  g_autoptr (MhReport) report
-      = reply->status == STATUS_OK ? mh_wire_read_report (reply->body) : NULL;
+  g_autoptr (MhHeartbeat) report
+      = reply->status == STATUS_OK ? mh_heartbeat_decode (reply->body, NULL) : NULL;
   if (machine == NULL)
     return;
   machine->probe.in_flight = false;
@@ -109,7 +110,7 @@
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (report->token < mh_election_epoch (cluster->election)
+      if (report->fencing_token < mh_election_epoch (cluster->election)
           && mh_election_is_leader (cluster->election))
         mh_direct_command_send_token (cluster, machine);
     }
@@ -122,7 +123,7 @@
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   machine->probe.in_flight = true;
-  machine->probe.session = heartbeat->reported ? heartbeat->session : 0;
+  machine->probe.incarnation = heartbeat->reported ? heartbeat->incarnation : 0;
   machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
   const MhCallOptions options = { .class = MH_CALL_SAFETY,
                                   .timeout_us = PROBE_TIMEOUT_US,
@@ -130,7 +131,7 @@
                                   .owner = cluster,
                                   .data = g_strdup (machine->name),
                                   .free_data = g_free };
-  mh_call_queue_add (cluster->calls, mh_wire_show (machine->endpoint), &options);
+  mh_call_queue_add (cluster->calls, mh_worker_request_status (machine->endpoint), &options);
 }
 
 static void
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -3,6 +3,7 @@
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
 #include "cluster/task-failure.h"
+#include "protocol/worker-messages.h"
 
 /* A machine that refused a task gets no other before, and its report shows then what it holds. */
 #define REFUSED_HOLD_US MH_SECOND_US
@@ -55,46 +56,46 @@
 }
 
 static void
-attempt_ended (MhCluster *cluster, MhAttempt *attempt, MhCause cause)
+attempt_ended (MhCluster *cluster, MhAttempt *attempt, MhTaskEndReason cause)
 {
   switch (cause)
     {
-    case MH_CAUSE_DONE:
+    case MH_TASK_END_COMPLETED:
       note_done (cluster, attempt);
       break;
-    case MH_CAUSE_ERROR:
+    case MH_TASK_END_FAILED:
       note_failed (cluster, attempt);
       break;
-    case MH_CAUSE_NO_ROOM:
+    case MH_TASK_END_INSUFFICIENT_RESOURCES:
       note_refused (cluster, attempt, "no-room");
       break;
-    case MH_CAUSE_BUSY:
+    case MH_TASK_END_OTHER_ATTEMPT:
       note_refused (cluster, attempt, "other-attempt-there");
       break;
-    case MH_CAUSE_PEERS:
+    case MH_TASK_END_GANG_MEMBER_LOST:
       note_gang_broken (cluster, attempt, "other-task-gone");
       break;
-    case MH_CAUSE_INCOMPLETE:
+    case MH_TASK_END_GANG_INCOMPLETE:
       note_gang_broken (cluster, attempt, "incomplete-in-time");
       break;
-    case MH_CAUSE_UNKNOWN:
+    case MH_TASK_END_UNKNOWN_TASK:
       note_job_unknown (cluster, attempt);
       break;
     default:
       break;
     }
-  mh_attempt_proven_over (cluster, attempt, cause == MH_CAUSE_DONE);
+  mh_attempt_proven_over (cluster, attempt, cause == MH_TASK_END_COMPLETED);
 }
 
 /* ---- what is shown ---- */
 
 static void
-add_orphan (MhMachine *machine, const MhReportTask *shown)
+add_orphan (MhMachine *machine, const MhTaskStatus *shown)
 {
   MhOrphan orphan = { .job = g_strdup (shown->job),
                       .index = shown->index,
                       .attempt = shown->attempt,
-                      .ended = shown->phase == MH_TASK_ENDED };
+                      .ended = shown->phase == MH_TASK_PHASE_ENDED };
   g_array_append_val (machine->orphans, orphan);
 }
 
@@ -102,7 +103,7 @@
    tasks: what is shown is left of a job that was over before, and whose user repeats himself. Such
    a repetition once cost a leader its lead. */
 static const MhTask *
-find_task (const MhCluster *cluster, const MhReportTask *shown)
+find_task (const MhCluster *cluster, const MhTaskStatus *shown)
 {
   const MhJob *job = g_hash_table_lookup (cluster->core->jobs, shown->job);
   if (job == NULL || !job->accepted || shown->index >= job->spec->tasks)
@@ -112,25 +113,26 @@
 
 /* One that was stopped while it waited for its image ends without it. */
 static bool
-proves_image (const MhReportTask *shown)
+proves_image (const MhTaskStatus *shown)
 {
-  return shown->phase == MH_TASK_GATHERING || shown->phase == MH_TASK_RUNNING
-         || shown->phase == MH_TASK_SAVING || shown->cause == MH_CAUSE_DONE;
+  return shown->phase == MH_TASK_PHASE_WAITING_FOR_GANG || shown->phase == MH_TASK_PHASE_RUNNING
+         || shown->phase == MH_TASK_PHASE_CHECKPOINTING
+         || shown->end_reason == MH_TASK_END_COMPLETED;
 }
 
 static void
-read_shown_attempt (MhCluster *cluster, MhAttempt *attempt, const MhReportTask *shown)
+read_shown_attempt (MhCluster *cluster, MhAttempt *attempt, const MhTaskStatus *shown)
 {
   const MhJob *job = attempt->job;
   mh_attempt_note_shown (cluster, attempt, shown->phase);
   if (proves_image (shown))
     mh_machine_add_image (attempt->machine, job->image, job->spec->image_gb);
-  if (shown->phase == MH_TASK_ENDED)
-    attempt_ended (cluster, attempt, shown->cause);
+  if (shown->phase == MH_TASK_PHASE_ENDED)
+    attempt_ended (cluster, attempt, shown->end_reason);
 }
 
 static void
-read_shown_task (MhCluster *cluster, MhMachine *machine, const MhReportTask *shown)
+read_shown_task (MhCluster *cluster, MhMachine *machine, const MhTaskStatus *shown)
 {
   /* What it may do is not known: it is left alone. */
   if (mh_record_loader_is_unreadable (cluster->core->record_loader, shown->job))
@@ -150,7 +152,7 @@
   if (is_ours)
     read_shown_attempt (cluster, attempt, shown);
   /* One that has just ended is to be cleared at the worker. */
-  if (!is_ours || shown->phase == MH_TASK_ENDED)
+  if (!is_ours || shown->phase == MH_TASK_PHASE_ENDED)
     add_orphan (machine, shown);
 }
 
@@ -168,7 +170,7 @@
     return heartbeat->token >= mh_fencing_token (cluster, NULL);
   if (!mh_attempt_start_was_sent (attempt))
     return false;
-  if (attempt->start_session < heartbeat->session)
+  if (attempt->start_incarnation < heartbeat->incarnation)
     return true;
   /* One that was never shown is simply started again. */
   if (source == MH_MESSAGE_ANSWER || (!attempt->shown && !mh_attempt_is_stopping (attempt)))
@@ -195,7 +197,7 @@
 }
 
 void
-mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhReport *report,
+mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report,
               MhMessageSource source)
 {
   for (guint i = 0; i < machine->attempts->len; i++)
@@ -203,6 +205,6 @@
   g_array_set_size (machine->orphans, 0);
   machine->heartbeat.unreadable_tasks = 0;
   for (guint i = 0; i < report->tasks->len; i++)
-    read_shown_task (cluster, machine, &g_array_index (report->tasks, MhReportTask, i));
+    read_shown_task (cluster, machine, &g_array_index (report->tasks, MhTaskStatus, i));
   end_attempts_proven_gone (cluster, machine, source);
 }
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -2,6 +2,7 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -100,7 +101,8 @@
   for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_job_is_gang (job); i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
-      if (attempt && attempt->phase == MH_TASK_FETCHING && !mh_attempt_is_stopping (attempt))
+      if (attempt && attempt->phase == MH_TASK_PHASE_FETCHING_IMAGE
+          && !mh_attempt_is_stopping (attempt))
         mh_attempt_stop (cluster, attempt, 0);
     }
 }
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -10,6 +10,7 @@
 #include "placement/preemption.h"
 #include "placement/quota.h"
 #include "placement/victim.h"
+#include "protocol/cloud-messages.h"
 
 #include <string.h>
 
@@ -34,9 +35,9 @@
 bool
 mh_gang_is_feasible (const GPtrArray *types, const MhJobSpec *spec)
 {
-  if (!spec->scatter || spec->tasks == 1)
+  if (!spec->spread_over_zones || spec->tasks == 1)
     return true;
-  if (spec->one_zone || spec->zone)
+  if (spec->single_zone || spec->zone)
     return false;
   const char *first = NULL;
   for (guint i = 0; types && i < types->len; i++)
@@ -141,7 +142,7 @@
   if (best == NULL)
     return;
   gang->held_tasks = mh_gang_sites_select (sites, best, MH_GANG_ROOM_NOW).tasks;
-  gang->held_zone = sites->job->spec->one_zone ? best : NULL;
+  gang->held_zone = sites->job->spec->single_zone ? best : NULL;
   mh_gang_sites_reserve (sites);
 }
 
--- a/src/server/http-server.h
+++ b/src/server/http-server.h
@@ -1,7 +1,8 @@
 /* HTTP requests of users and workers: their routes, limits and answers. */
 #pragma once
 
-#include "protocol/wire.h"
+#include "protocol/user-messages.h"
+#include "protocol/worker-messages.h"
 #include "server/pending-request.h"
 
 /**
@@ -23,7 +24,7 @@
 {
   bool (*is_ready) (gpointer user_data);
   void (*user_request) (const MhPendingRequest *request, MhJobSpec *spec, gpointer user_data);
-  void (*report) (const MhPendingRequest *request, const MhReport *report, gpointer user_data);
+  void (*report) (const MhPendingRequest *request, const MhHeartbeat *report, gpointer user_data);
 } MhHttpServerHandlers;
 
 /**
--- a/src/server/peer-connection.h
+++ b/src/server/peer-connection.h
@@ -1,7 +1,7 @@
 /* A connection to or from another controller, which carries XDR records (protocol/peer_xdr.x). */
 #pragma once
 
-#include "protocol/peer.h"
+#include "protocol/controller-messages.h"
 
 #include <gio/gio.h>
 #include <stdbool.h>
@@ -23,7 +23,8 @@
  */
 typedef struct
 {
-  void (*message) (MhPeerConnection *connection, const MhPeerMessage *message, gpointer user_data);
+  void (*message) (MhPeerConnection *connection, const MhControllerMessage *message,
+                   gpointer user_data);
   void (*closed) (MhPeerConnection *connection, gpointer user_data);
 } MhPeerHandlers;
 
@@ -73,8 +74,8 @@
 /**
  * mh_peer_connection_send:
  * @self: a connection
- * @record: (transfer full) (nullable): a whole record, as of mh_peer_write_call(); %NULL does
- * nothing
+ * @record: (transfer full) (nullable): a whole record, as of mh_controller_request_encode(); %NULL
+ * does nothing
  */
 void
 mh_peer_connection_send (MhPeerConnection *self, GByteArray *record);
--- a/src/server/request-forwarder.h
+++ b/src/server/request-forwarder.h
@@ -2,9 +2,10 @@
    and those that others pass on to it. */
 #pragma once
 
-#include "protocol/types.h"
+#include "protocol/user-messages.h"
 #include "server/peer-network.h"
 #include "server/pending-request.h"
+#include "protocol/controller-messages.h"
 
 /**
  * MhRequestForwarder:
@@ -62,7 +63,7 @@
  */
 void
 mh_request_forwarder_handle_answer (MhRequestForwarder *self, MhPeerConnection *connection,
-                                    const MhPeerMessage *message);
+                                    const MhControllerMessage *message);
 
 /**
  * mh_request_forwarder_handle_closed:
@@ -89,4 +90,4 @@
  */
 MhPendingRequest *
 mh_request_forwarder_receive (MhRequestForwarder *self, MhPeerConnection *connection,
-                              const MhPeerMessage *call, MhJobSpec **spec);
+                              const MhControllerMessage *call, MhJobSpec **spec);
--- a/tests/stand-in/network.c
+++ b/tests/stand-in/network.c
@@ -1,6 +1,6 @@
 #include "stand-in/network.h"
 
-#include "protocol/types.h"
+#include "base/time-units.h"
 
 #define SHORTEST_DELAY_US 500
 #define LONGEST_DELAY_US 8000
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -1,4 +1,5 @@
 #include "stand-in/rule-checks.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -76,7 +77,7 @@
     {
       const MachineTask *other = machine_task (machine, i);
       const WorkloadJob *other_job = workload_find (rules->workload, other->job_id);
-      if (other->phase == MH_TASK_ENDED)
+      if (other->phase == MH_TASK_PHASE_ENDED)
         continue;
       if (strcmp (other_job->spec->team, start->job->spec->team) == 0)
         start->team_cpus += other_job->spec->cpus;
@@ -90,9 +91,9 @@
   const MhJobSpec *spec = start->job->spec;
   if (!machine_allowed (start->machine, spec))
     return false;
-  if (spec->one_zone && start->other_zones)
+  if (spec->single_zone && start->other_zones)
     return false;
-  return !spec->scatter || start->same_zone + 1 <= (spec->tasks + 1) / 2;
+  return !spec->spread_over_zones || start->same_zone + 1 <= (spec->tasks + 1) / 2;
 }
 
 void
@@ -118,7 +119,7 @@
 rule_checks_task_running (RuleChecks *rules, const Machine *machine, const MachineTask *task,
                           WorkloadJob *job)
 {
-  if (task->phase == MH_TASK_ENDED || !past_cancel_limit (rules, job))
+  if (task->phase == MH_TASK_PHASE_ENDED || !past_cancel_limit (rules, job))
     return;
   rule_checks_report (rules, "ran_cancelled: %s is still on %s", task->task_id, machine->name);
   job->cancelled_us = G_MAXINT64 / 2; /* once is enough */
@@ -135,7 +136,7 @@
     {
       const MachineTask *task = machine_task (machine, i);
       count += strcmp (task->job_id, job->spec->id) == 0
-               && (task->phase != MH_TASK_ENDED || !job->task_done[task->index]);
+               && (task->phase != MH_TASK_PHASE_ENDED || !job->task_done[task->index]);
     }
   return count;
 }
@@ -185,8 +186,8 @@
 must_not_wait (const RuleChecks *rules, const WorkloadJob *job)
 {
   const MhJobSpec *spec = job->spec;
-  return spec->shape == MH_SHAPE_ARRAY && !spec->one_zone && !spec->scatter && job->accepted
-         && !job->cancelled_us && could_start (rules, job);
+  return spec->shape == MH_SHAPE_ARRAY && !spec->single_zone && !spec->spread_over_zones
+         && job->accepted && !job->cancelled_us && could_start (rules, job);
 }
 
 void
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -23,7 +23,7 @@
   spec->cpus = cpus;
   spec->mem_gb = 1;
   spec->spot = shape == MH_SHAPE_ARRAY;
-  spec->estimate_us = shape == MH_SHAPE_ARRAY ? 5 * MH_SECOND_US : 0;
+  spec->estimated_run_us = shape == MH_SHAPE_ARRAY ? 5 * MH_SECOND_US : 0;
   spec->deadline_us = -1;
   return spec;
 }
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -90,7 +90,7 @@
 running_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
   MhJobSpec *s = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
-  s->estimate_us = 300 * MH_SECOND_US;
+  s->estimated_run_us = 300 * MH_SECOND_US;
   User *u = simulation_submit (simulation, s, run_s);
   WAIT (simulation, 60, all_run, u);
   return u;
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -134,7 +134,7 @@
 {
   (void)unused;
   g_autoptr (MhRuntimeEstimator) estimator = mh_runtime_estimator_new ();
-  fixture->spec.estimate_us = 10 * MH_SECOND_US;
+  fixture->spec.estimated_run_us = 10 * MH_SECOND_US;
   for (guint i = 0; i < 2; i++)
     mh_runtime_estimator_observe (estimator, &fixture->spec, 20 * MH_SECOND_US);
   g_assert_cmpfloat (mh_runtime_estimator_ratio (estimator, "batch"), ==, 1);
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -235,7 +235,7 @@
       simulation->cloud->capacity = 6;
       MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
       s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
+      s->estimated_run_us = 600 * MH_SECOND_US;
       User *u = simulation_submit (simulation, s, 40);
       WAIT (simulation, 60, all_run, u);
       User *cancelled = running_service (simulation, 3, 2);
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -3,6 +3,8 @@
 #include "settings/settings-loader.h"
 #include "stand-in/environment.h"
 
+#include "protocol/route.h"
+#include "protocol/user-messages.h"
 #include <gio/gio.h>
 #include <glib/gstdio.h>
 #include <libsoup/soup.h>
@@ -72,7 +74,7 @@
       = soup_message_body_flatten (soup_server_message_get_request_body (message));
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return size ? mh_value_load (data, size) : NULL;
+  return size ? mh_value_load (data, size, NULL) : NULL;
 }
 
 static void
@@ -106,7 +108,8 @@
   GUri *uri = soup_server_message_get_uri (message);
   const char *query_text = g_uri_get_query (uri);
   g_autofree char *whole = query_text ? g_strconcat (path, "?", query_text, NULL) : g_strdup (path);
-  MhTarget target = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_STATE;
+  MhTarget target
+      = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_KEY_VALUE_STORE;
   g_autoptr (MhValue) body = body_of (message);
   ServiceRequest request = { .method = soup_server_message_get_method (message),
                              .path = whole,
@@ -150,7 +153,7 @@
   guint status = bytes ? soup_message_get_status (message) : 0;
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
-  g_autoptr (MhValue) body = size ? mh_value_load (raw, size) : NULL;
+  g_autoptr (MhValue) body = size ? mh_value_load (raw, size, NULL) : NULL;
   g_autofree char *node = body ? mh_value_get_text (body, "dispatcher") : NULL;
   worker->report_pending = false;
   advance ();
@@ -226,7 +229,7 @@
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
   reply->status = bytes ? soup_message_get_status (reply->message) : 0;
-  reply->body = size ? mh_value_load (raw, size) : NULL;
+  reply->body = size ? mh_value_load (raw, size, NULL) : NULL;
   reply->done = true;
 }
 
@@ -295,9 +298,9 @@
   spec->tasks = tasks;
   spec->cpus = 1;
   spec->mem_gb = 1;
-  spec->estimate_us = run_us;
+  spec->estimated_run_us = run_us;
   spec->deadline_us = -1;
-  g_autoptr (MhValue) body = mh_wire_write_submission (spec);
+  g_autoptr (MhValue) body = mh_submission_encode (spec);
   workload_add (cluster.environment->workload, spec, run_us);
   return mh_value_save (body);
 }
--- a/tests/test-machine.c
+++ b/tests/test-machine.c
@@ -75,7 +75,7 @@
 test_start_is_kept_until_fenced (void)
 {
   MhMachine *machine = mh_machine_new ("vm-1", 0);
-  machine->heartbeat.session = 3;
+  machine->heartbeat.incarnation = 3;
   add_start (machine, 0, 7);
   add_start (machine, 1, 8);
   machine->heartbeat.token = 7;
@@ -85,7 +85,7 @@
   mh_fencing_forget_fenced (machine);
   g_assert_false (has_start (machine, 0));
   g_assert_true (has_start (machine, 1));
-  machine->heartbeat.session = 4;
+  machine->heartbeat.incarnation = 4;
   mh_fencing_forget_fenced (machine);
   g_assert_false (has_start (machine, 1));
   mh_machine_free (machine);
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -65,9 +65,9 @@
   spec->mem_gb = 1 + random_below (fixture, 5);
   spec->spot = !service;
   spec->zone = random_below (fixture, 5) ? NULL : g_strdup (zones[random_below (fixture, ZONES)]);
-  spec->one_zone = !service && random_below (fixture, 6) == 0;
-  spec->scatter = random_below (fixture, 6) == 0;
-  spec->estimate_us = service ? 0 : (gint64)(5 + random_below (fixture, 60)) * MH_SECOND_US;
+  spec->single_zone = !service && random_below (fixture, 6) == 0;
+  spec->spread_over_zones = random_below (fixture, 6) == 0;
+  spec->estimated_run_us = service ? 0 : (gint64)(5 + random_below (fixture, 60)) * MH_SECOND_US;
   spec->deadline_us = -1;
   return spec;
 }
@@ -157,7 +157,7 @@
     {
       MhMachine *machine = fixture->machines[random_below (fixture, MACHINES)];
       if (has_room (machine, job->spec) && random_below (fixture, 3))
-        mh_attempt_new (fixture->core->cluster, job, i, 1, machine)->phase = MH_TASK_RUNNING;
+        mh_attempt_new (fixture->core->cluster, job, i, 1, machine)->phase = MH_TASK_PHASE_RUNNING;
     }
 }
 
@@ -195,7 +195,7 @@
   /* Within a quota and without an objective: soon. */
   double slack_us = 3e6;
   if (spec->shape != MH_SHAPE_SERVICE)
-    return cpu_price * (wait_us + (double)spec->estimate_us + 1e6)
+    return cpu_price * (wait_us + (double)spec->estimated_run_us + 1e6)
            * (wait_us > slack_us ? 1000 : 1);
   if (wait_us <= 0)
     return 0;
@@ -229,7 +229,7 @@
 static const char *
 only_zone (const Fixture *fixture, const MhJobSpec *spec)
 {
-  if (spec->one_zone && fixture->live_zones->len)
+  if (spec->single_zone && fixture->live_zones->len)
     return g_array_index (fixture->live_zones, const char *, 0);
   return spec->zone;
 }
@@ -271,7 +271,7 @@
   for (guint i = 0; i < ZONES; i++)
     if (zone_counts (fixture, only, zones[i]))
       least = MIN (least, tasks_in (fixture, zones[i]));
-  if (spec->scatter && here + 1 > (spec->tasks + 1) / 2)
+  if (spec->spread_over_zones && here + 1 > (spec->tasks + 1) / 2)
     return false;
   return spec->shape != MH_SHAPE_SERVICE || here < least + 1;
 }
--- a/tests/test-placement-steps.c
+++ b/tests/test-placement-steps.c
@@ -112,7 +112,7 @@
   (void)unused;
   set_counts (fixture, 0, 2);
   g_assert_true (mh_filter_scatter (&fixture->cycle, 1));
-  fixture->spec.scatter = true;
+  fixture->spec.spread_over_zones = true;
   g_assert_false (mh_filter_scatter (&fixture->cycle, 1));
   g_assert_true (mh_filter_scatter (&fixture->cycle, 0));
   g_assert_false (mh_filter_admits (&fixture->cycle, &fixture->machine));
@@ -125,7 +125,7 @@
   (void)unused;
   set_counts (fixture, 1, 0);
   g_assert_true (mh_filter_one_zone (&fixture->cycle, 1));
-  fixture->spec.one_zone = true;
+  fixture->spec.single_zone = true;
   g_assert_false (mh_filter_one_zone (&fixture->cycle, 1));
   g_assert_true (mh_filter_one_zone (&fixture->cycle, 0));
 }
@@ -154,7 +154,7 @@
   fixture->job.tasks = tasks;
   fixture->job.n_live = 1;
   g_assert_null (mh_filter_required_zone (&fixture->job));
-  fixture->spec.one_zone = true;
+  fixture->spec.single_zone = true;
   g_assert_cmpstr (mh_filter_required_zone (&fixture->job), ==, "");
   g_autoptr (GRefString) zone = g_ref_string_new_intern ("a");
   fixture->machine.zone = zone;
@@ -169,7 +169,7 @@
 {
   (void)unused;
   MhCandidate candidate = { .machine = &fixture->machine, .image_wait_us = MH_SECOND_US };
-  fixture->spec.estimate_us = 8 * MH_SECOND_US;
+  fixture->spec.estimated_run_us = 8 * MH_SECOND_US;
   double in_time = mh_score_cost (&fixture->spec, &candidate, MH_SECOND_US);
   g_assert_cmpfloat_with_epsilon (in_time, 0.1 * 10e6, 1);
   g_assert_cmpfloat (mh_score_cost (&fixture->spec, &candidate, 0), ==, 1000 * in_time);
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -3,7 +3,11 @@
 #include "storage/record-writer.h"
 #include "storage/transaction.h"
 
-#include "protocol/wire.h"
+#include "base/time-units.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/user-messages.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -748,7 +752,7 @@
       g_autoptr (GError) error = NULL;
       g_auto (MhStoredJob) stored = {};
       g_autoptr (MhValue) value = mh_value_map ();
-      mh_value_set (value, "s", mh_wire_write_submission (job->spec));
+      mh_value_set (value, "s", mh_submission_encode (job->spec));
       cases[i].set (value);
       g_assert_false (mh_record_read_job (value, cases[i].id, &stored, &error));
       g_assert_error (error, MH_STORAGE_ERROR, (gint)cases[i].code);
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -1,4 +1,5 @@
 /* The modules of the server layer, each by itself on loopback. */
+#include "base/time-units.h"
 #include "server/http-client.h"
 #include "server/log-output.h"
 #include "server/peer-connection.h"
@@ -159,13 +160,13 @@
 } PeerFixture;
 
 static void
-on_message (MhPeerConnection *connection, const MhPeerMessage *message, gpointer data)
+on_message (MhPeerConnection *connection, const MhControllerMessage *message, gpointer data)
 {
   PeerFixture *fixture = data;
-  g_assert_cmpint (message->kind, ==, MH_PEER_ANNOUNCEMENT);
-  g_assert_cmpstr (message->job, ==, "node-1");
+  g_assert_cmpint (message->kind, ==, MH_CONTROLLER_ANNOUNCEMENT);
+  g_assert_cmpstr (message->node, ==, "node-1");
   fixture->announcements++;
-  fixture->epoch = message->id;
+  fixture->epoch = message->epoch;
   if (fixture->close_at_message)
     mh_peer_connection_close (connection);
 }
@@ -245,7 +246,8 @@
 {
   (void)data;
   for (guint64 epoch = 1; epoch <= 3; epoch++)
-    mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", epoch));
+    mh_peer_connection_send (fixture->connected,
+                             mh_controller_announcement_encode ("node-1", epoch));
   g_assert_true (mh_peer_connection_has_queued_output (fixture->connected));
   accept_peer (fixture);
   while (fixture->announcements < 3)
@@ -261,8 +263,8 @@
 {
   (void)data;
   fixture->close_at_message = true;
-  mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", 1));
-  mh_peer_connection_send (fixture->connected, mh_peer_write_announcement ("node-1", 2));
+  mh_peer_connection_send (fixture->connected, mh_controller_announcement_encode ("node-1", 1));
+  mh_peer_connection_send (fixture->connected, mh_controller_announcement_encode ("node-1", 2));
   accept_peer (fixture);
   iterate_until_closed (fixture, 1);
   g_assert_null (fixture->accepted);
@@ -346,8 +348,8 @@
 {
   (void)data;
   MhPeerConnection *connection = fixture->peer.connected;
-  MhPeerMessage answer
-      = { .kind = MH_PEER_ANSWER, .id = fixture->request->id, .answer = { .status = 200 } };
+  MhControllerMessage answer
+      = { .kind = MH_CONTROLLER_RESPONSE, .id = fixture->request->id, .answer = { .status = 200 } };
   mh_request_forwarder_send (fixture->forwarder, fixture->request, connection, 60 * MH_SECOND_US);
   accept_peer (&fixture->peer);
   mh_request_forwarder_handle_answer (fixture->forwarder, fixture->peer.accepted, &answer);
@@ -379,8 +381,9 @@
 {
   (void)data;
   MhPeerConnection *connection = fixture->peer.connected;
-  const MhPeerMessage call
-      = { .kind = MH_PEER_CALL, .id = 7, .verb = MH_USER_CANCEL, .job = (char *)"j-000002" };
+  const MhControllerMessage call = {
+    .kind = MH_CONTROLLER_REQUEST, .id = 7, .verb = MH_USER_CANCEL, .job = (char *)"j-000002"
+  };
   MhJobSpec *spec = NULL;
   MhPendingRequest *received
       = mh_request_forwarder_receive (fixture->forwarder, connection, &call, &spec);
@@ -401,9 +404,11 @@
 {
   (void)data;
   g_autoptr (GBytes) body = g_bytes_new_static ("\x80", 1);
-  const MhPeerMessage call = {
-    .kind = MH_PEER_CALL, .id = 7, .verb = MH_USER_SUBMIT, .job = (char *)"j-000002", .body = body
-  };
+  const MhControllerMessage call = { .kind = MH_CONTROLLER_REQUEST,
+                                     .id = 7,
+                                     .verb = MH_USER_SUBMIT,
+                                     .job = (char *)"j-000002",
+                                     .body = body };
   MhJobSpec *spec = NULL;
   g_assert_null (
       mh_request_forwarder_receive (fixture->forwarder, fixture->peer.connected, &call, &spec));
