--- a/tests/stand-in/random-day.c
+++ b/tests/stand-in/random-day.c
@@ -41,7 +41,7 @@
       if (day->limits)
         {
           settings->value_bytes = NEXT_VALUE_BYTES;
-          settings->txn_ops = settings->batch = NEXT_TXN_OPS;
+          settings->txn_ops = settings->max_batch = NEXT_TXN_OPS;
           settings->next_write_rps = NEXT_WRITE_RPS;
         }
       simulation_restart_node (day->simulation, i, CONTROLLER_PRODUCTION, 0);
