--- a/src/storage/load.h
+++ b/src/storage/load.h
@@ -7,11 +7,7 @@
 
 #include "storage/record-writer.h"
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
 #include "protocol/key-value-messages.h"
-#include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 typedef struct MhRecordLoader MhRecordLoader;
 
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -2,11 +2,7 @@
    README.md. */
 #include "storage/record.h"
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
-#include "protocol/key-value-messages.h"
 #include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -113,20 +109,41 @@
   return true;
 }
 
-bool
-mh_record_read_job (const MhValue *value, const char *id, MhStoredJob *stored, GError **error)
+/* NULL: not understood. */
+static MhJobSpec *
+read_spec (const MhValue *value, const char *id, GError **error)
 {
-  guint64 submitted_wall_us, level;
-  *stored = (MhStoredJob){};
-  g_autoptr (MhJobSpec) spec = mh_submission_decode (mh_value_get (value, "s"), NULL);
+  g_autoptr (GError) problem = NULL;
+  const MhValue *submission = mh_value_get (value, "s");
+  if (submission == NULL)
+    {
+      fail_missing (error, "s", "description of a job");
+      return NULL;
+    }
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (submission, &problem);
   if (spec == NULL)
-    return fail_missing (error, "s", "description of a job");
+    {
+      g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_INVALID_FIELD,
+                   "field 's' is no description of a job: %s", problem->message);
+      return NULL;
+    }
   if (strcmp (spec->id, id) != 0)
     {
       g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_WRONG_JOB, "field 's' is of job '%s'",
                    spec->id);
-      return false;
+      return NULL;
     }
+  return g_steal_pointer (&spec);
+}
+
+bool
+mh_record_read_job (const MhValue *value, const char *id, MhStoredJob *stored, GError **error)
+{
+  guint64 submitted_wall_us, level;
+  *stored = (MhStoredJob){};
+  g_autoptr (MhJobSpec) spec = read_spec (value, id, error);
+  if (spec == NULL)
+    return false;
   if (!mh_value_get_uint (value, "at", &submitted_wall_us))
     return fail_missing (error, "at", "number");
   if (!read_chunk (value, &stored->chunk, error))
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -1,13 +1,11 @@
 /* The record writer and its transactions, with scripted replies of the key-value store. */
+#include "storage/load.h"
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
 #include "storage/transaction.h"
 
-#include "base/time-units.h"
-#include "protocol/cloud-messages.h"
 #include "protocol/key-value-messages.h"
 #include "protocol/user-messages.h"
-#include "protocol/worker-messages.h"
 
 #include <string.h>
 
@@ -31,6 +29,7 @@
   MhUserAnswer answer;
   guint n_answers, n_accepted, n_over, n_recorded, n_rechunked;
   MhLossReason lost_reason;
+  char *critical_line; /* the last one */
 } Fixture;
 
 static void
@@ -112,6 +111,7 @@
   g_hash_table_unref (fixture->jobs);
   mh_runtime_free (fixture->runtime);
   mh_settings_free (fixture->settings);
+  g_free (fixture->critical_line);
 }
 
 static void
@@ -129,6 +129,11 @@
           fixture->n_answers++;
           fixture->answer = action->answer;
         }
+      if (action->kind == MH_ACTION_LOG && action->level == G_LOG_LEVEL_CRITICAL)
+        {
+          g_free (fixture->critical_line);
+          fixture->critical_line = g_strdup (action->line);
+        }
       mh_action_free (action);
     }
 }
@@ -764,6 +769,39 @@
   g_autoptr (MhValue) empty = mh_value_map ();
   g_assert_false (mh_record_read_job (empty, JOB, &stored, &error));
   g_assert_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_MISSING_FIELD);
+  g_clear_error (&error);
+  mh_value_set_uint (empty, "s", 1);
+  g_assert_false (mh_record_read_job (empty, JOB, &stored, &error));
+  g_assert_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_INVALID_FIELD);
+}
+
+static const MhRecordLoaderCallbacks loader_callbacks = {};
+
+/* A job whose record is damaged must be neither forgotten nor started anew, and the log names the
+ * field. */
+static void
+test_unreadable_job_is_left_alone (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  g_autoptr (MhRecordLoader) loader = mh_record_loader_new (
+      fixture->runtime, fixture->calls, fixture->jobs, fixture->writer, &loader_callbacks, fixture);
+  MhJob *job = add_job (fixture, OTHER_JOB, 1);
+  MhValue *value = mh_value_map (), *entries = mh_value_list (), *page = mh_value_map ();
+  mh_value_set (value, "s", mh_submission_encode (job->spec));
+  mh_value_push (entries, entry ("j/" OTHER_JOB, value, 7));
+  mh_value_set (page, "entries", entries);
+  mh_value_set_uint (page, "ledger", 7);
+  mh_record_writer_remove_job (fixture->writer, job);
+  mh_record_loader_start (loader);
+  step_after (fixture, 0);
+  reply (fixture, 200, page);
+  g_assert_true (mh_record_loader_is_unreadable (loader, OTHER_JOB));
+  g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
+  g_assert_nonnull (strstr (fixture->critical_line, "key=j/" OTHER_JOB " job=" OTHER_JOB));
+  g_assert_nonnull (strstr (fixture->critical_line, "field 'at'"));
+  mh_call_queue_forget_all (fixture->calls);
+  mh_record_loader_clear (loader);
+  g_assert_false (mh_record_loader_is_unreadable (loader, OTHER_JOB));
 }
 
 #define ADD(path, data, test) g_test_add (path, Fixture, data, set_up, test, tear_down)
@@ -796,5 +834,6 @@
   ADD ("/storage/malformed/after-unknown-copy", NULL, test_malformed_after_unknown_copy);
   ADD ("/storage/rechunk/order", NULL, test_rechunk_order);
   ADD ("/storage/record/unreadable-job", NULL, test_unreadable_job);
+  ADD ("/storage/load/unreadable-job-is-left-alone", NULL, test_unreadable_job_is_left_alone);
   return g_test_run ();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -12,17 +12,17 @@
 static MhValue *
 load (const guint8 *data, gsize size)
 {
-  MhValue *v = mh_value_load (data, size, NULL);
-  g_assert_nonnull (v);
-  return v;
+  MhValue *value = mh_value_load (data, size, NULL);
+  g_assert_nonnull (value);
+  return value;
 }
 #define LOAD(fixture) load ((fixture), sizeof (fixture))
 
 static void
 assert_written (MhValue *written, const guint8 *data, gsize size)
 {
-  g_autoptr (MhValue) v = written;
-  g_autoptr (GBytes) bytes = mh_value_save (v);
+  g_autoptr (MhValue) value = written;
+  g_autoptr (GBytes) bytes = mh_value_save (value);
   g_assert_cmpmem (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes), data, size);
 }
 #define ASSERT_WRITTEN(value, fixture) assert_written ((value), (fixture), sizeof (fixture))
@@ -56,6 +56,7 @@
     }
 }
 
+/* A record of the version in production that is not understood would leave its job alone. */
 static void
 test_records_are_read (void)
 {
@@ -91,6 +92,7 @@
   g_assert_cmpuint (g_strv_length (names), ==, 2);
 }
 
+/* The version in production would not understand, after a roll-back, what this one has written. */
 static void
 test_records_are_the_same (void)
 {
@@ -105,9 +107,9 @@
   g_assert_true (mh_record_read_job (stored, "j-000412", &read, NULL));
   MhJob *job = mh_job_new (g_steal_pointer (&read.spec), read.chunk, settings->value_bytes,
                            read.submitted_wall_us, &now);
-  MhMachine *m = mh_cluster_add_machine (core->cluster, "vm-000231", "g8", "b", true);
+  MhMachine *machine = mh_cluster_add_machine (core->cluster, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
-    mh_attempt_new (core->cluster, job, i * 15, 2 + i, m);
+    mh_attempt_new (core->cluster, job, i * 15, 2 + i, machine);
   job->tasks[1] = (MhTask){ .attempt = 4, .state = MH_TASK_DONE };
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
   job->cancellation = MH_CANCELLATION_REQUESTED;
@@ -134,25 +136,26 @@
   g_byte_array_unref (written);
 }
 
+/* Controllers of the two versions would not pass users on to each other. */
 static void
 test_messages_are_the_same (void)
 {
-  MhControllerMessage m = {};
+  MhControllerMessage message = {};
   const MhUserAnswer answer
       = { .status = 200, .retry_after_s = 3, .state = MH_JOB_CANCELLED, .done = 3, .running = 13 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
   assert_message (mh_controller_request_encode (41, MH_USER_SUBMIT, "j-000412", body),
-                  production_call, sizeof production_call, &m);
-  g_assert_cmpint (m.verb, ==, MH_USER_SUBMIT);
-  mh_controller_message_clear (&m);
+                  production_call, sizeof production_call, &message);
+  g_assert_cmpint (message.verb, ==, MH_USER_SUBMIT);
+  mh_controller_message_clear (&message);
   assert_message (mh_controller_response_encode (42, &answer), production_answer,
-                  sizeof production_answer, &m);
-  g_assert_cmpint (m.answer.state, ==, MH_JOB_CANCELLED);
-  mh_controller_message_clear (&m);
+                  sizeof production_answer, &message);
+  g_assert_cmpint (message.answer.state, ==, MH_JOB_CANCELLED);
+  mh_controller_message_clear (&message);
   assert_message (mh_controller_announcement_encode ("worker-1", 1000001), production_news,
-                  sizeof production_news, &m);
-  g_assert_cmpuint (m.epoch, ==, 1000001);
-  mh_controller_message_clear (&m);
+                  sizeof production_news, &message);
+  g_assert_cmpuint (message.epoch, ==, 1000001);
+  mh_controller_message_clear (&message);
 }
 
 /* ---- with gangs, and under the limits that come next ---- */
@@ -238,6 +241,7 @@
   mh_job_free (job);
 }
 
+/* An attempt of a gang that is read wrongly would run twice, or never end. */
 static void
 test_gang_record (Fixture *fixture, gconstpointer unused)
 {
@@ -272,6 +276,7 @@
   forget_job (fixture, job);
 }
 
+/* Tasks in further records would be lost when the other version takes over. */
 static void
 test_rechunked_records (Fixture *fixture, gconstpointer unused)
 {
@@ -295,6 +300,7 @@
   forget_job (fixture, job);
 }
 
+/* Two leaders of different versions would not see each other. */
 static void
 test_gang_leadership (void)
 {
@@ -309,6 +315,7 @@
   g_assert_cmpuint (lease_id, ==, 9);
 }
 
+/* A gang could not be submitted, asked about or cancelled at a controller of the other version. */
 static void
 test_gang_messages (void)
 {
