--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -94,7 +94,6 @@
   guint64 rev;
   MhCluster *cluster;
   MhRuntimeEstimator *runtime_estimator;
-  gint64 log_us[MH_LOG_SUBJECTS]; /* no further line on the subject before */
   MhGangAttempts *gang_attempts;
   MhPlacement *placement;
   GHashTable *forwards; /* request id -> job id */
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -373,9 +373,9 @@
   mh_leader_step (core);
   if (core->leader.phase == MH_PHASE_LEAD && mh_leader_valid (core))
     {
-      mh_gang_reconcile (core);
+      mh_gang_attempts_reconcile (core->gang_attempts);
       mh_cluster_step (core);
-      mh_placement_run (core->placement, core);
+      mh_placement_run (core->placement, core->leader.rebuilt);
       mh_scale_step (core);
       mh_release_step (core);
       mh_store_step (core);
@@ -396,12 +396,30 @@
   mh_placement_request_pass (core->placement, urgent);
 }
 
+static void
+restore_gang (MhCore *core, MhJob *job)
+{
+  mh_gang_attempts_restore (core->gang_attempts, job);
+}
+
+static void
+note_gang_task_ended (MhCore *core, MhJob *job, bool done)
+{
+  mh_gang_attempts_task_ended (core->gang_attempts, job, done);
+}
+
+static void
+stop_gang (MhCore *core, MhJob *job, gint64 grace_us)
+{
+  mh_gang_attempts_stop (core->gang_attempts, job, grace_us);
+}
+
 static const MhClusterCallbacks cluster_callbacks = {
   .release_machine = mh_release_machine,
   .capacity_changed = note_capacity_changed,
-  .gang_loaded = mh_gang_restore,
-  .gang_task_over = mh_gang_task_ended,
-  .gang_stop = mh_gang_stop,
+  .gang_loaded = restore_gang,
+  .gang_task_over = note_gang_task_ended,
+  .gang_stop = stop_gang,
 };
 
 static gint64
@@ -427,10 +445,10 @@
   core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
   core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
-  core->gang_attempts = mh_gang_attempts_new ();
-  core->placement = mh_placement_new ();
+  core->gang_attempts = mh_gang_attempts_new (core, core->runtime, core->jobs);
   core->runtime_estimator = mh_runtime_estimator_new ();
   core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
+  core->placement = mh_placement_new (core, core->runtime, core->job_queue);
   core->scale.refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   mh_leader_start (core);
   if (mh_heartbeat_keep_alive_us (core) <= 0)
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -1,7 +1,5 @@
 #include "placement/candidate.h"
 
-#include "placement/resources.h"
-
 #include "cluster/attempt.h"
 #include "cluster/cluster.h"
 #include "cluster/failure-detection.h"
@@ -9,6 +7,7 @@
 #include "cluster/machine-registry.h"
 #include "jobs/objective.h"
 #include "placement/filter.h"
+#include "placement/resources.h"
 #include "placement/score.h"
 
 /* A machine that has not come after so many of its type's boot times is not counted on. */
--- a/src/placement/filter.c
+++ b/src/placement/filter.c
@@ -1,8 +1,7 @@
 #include "placement/filter.h"
 
-#include "placement/resources.h"
-
 #include "cluster/attempt.h"
+#include "placement/resources.h"
 
 const char *
 mh_filter_required_zone (const MhJob *job)
--- a/src/placement/gang-attempt.h
+++ b/src/placement/gang-attempt.h
@@ -7,17 +7,21 @@
 #pragma once
 
 #include "cluster/cluster.h"
+#include "runtime/runtime.h"
 
 /** MhGangAttempts: the gangs that a task's end has consequences for. */
 typedef struct MhGangAttempts MhGangAttempts;
 
 /**
  * mh_gang_attempts_new:
+ * @core: (transfer none): the controller whose attempts are told to stop
+ * @runtime: (transfer none): must outlive the gangs
+ * @jobs: (element-type utf8 MhJob): all jobs by id; a reference is held
  *
  * Returns: (transfer full): free it with mh_gang_attempts_free()
  */
 MhGangAttempts *
-mh_gang_attempts_new (void);
+mh_gang_attempts_new (MhCore *core, MhRuntime *runtime, GHashTable *jobs);
 
 /**
  * mh_gang_attempts_free:
@@ -36,43 +40,43 @@
 mh_gang_attempts_clear (MhGangAttempts *attempts);
 
 /**
- * mh_gang_reconcile:
- * @core: the controller, which leads
+ * mh_gang_attempts_reconcile:
+ * @attempts: the gangs; this controller leads
  *
  * Carries on what the end of tasks means for their gangs; and takes back gangs that have not become
  * complete when their workers are about to give up.
  */
 void
-mh_gang_reconcile (MhCore *core);
+mh_gang_attempts_reconcile (MhGangAttempts *attempts);
 
 /**
- * mh_gang_restore:
- * @core: the controller, which has begun to lead
+ * mh_gang_attempts_restore:
+ * @attempts: the gangs; this controller has begun to lead
  * @job: a gang whose records have been read
  *
  * A task that is done, or missing, on record: so is the attempt.
  */
 void
-mh_gang_restore (MhCore *core, MhJob *job);
+mh_gang_attempts_restore (MhGangAttempts *attempts, MhJob *job);
 
 /**
- * mh_gang_task_ended:
- * @core: the controller
+ * mh_gang_attempts_task_ended:
+ * @attempts: the gangs
  * @job: a gang
  * @done: whether the task is done
  *
- * A task is over; what that means for the others follows in mh_gang_reconcile().
+ * A task is over; what that means for the others follows in mh_gang_attempts_reconcile().
  */
 void
-mh_gang_task_ended (MhCore *core, MhJob *job, bool done);
+mh_gang_attempts_task_ended (MhGangAttempts *attempts, MhJob *job, bool done);
 
 /**
- * mh_gang_stop:
- * @core: the controller
+ * mh_gang_attempts_stop:
+ * @attempts: the gangs
  * @job: a gang
  * @grace_us: what a task needs to save its checkpoint
  *
  * All tasks are told together, with the time to save and to wait for each other.
  */
 void
-mh_gang_stop (MhCore *core, MhJob *job, gint64 grace_us);
+mh_gang_attempts_stop (MhGangAttempts *attempts, MhJob *job, gint64 grace_us);
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -1,14 +1,12 @@
 #include "placement/gang-placement.h"
 
-#include "placement/resources.h"
-
-#include "placement/gang-site.h"
-
 #include "cluster/cluster.h"
 #include "jobs/objective.h"
-#include "placement/placement.h"
+#include "placement/gang-site.h"
 #include "placement/preemption.h"
 #include "placement/quota.h"
+#include "placement/resources.h"
+#include "placement/task-start.h"
 #include "placement/victim.h"
 
 #include <string.h>
@@ -70,8 +68,7 @@
     {
       const MhGangSite *site = &g_array_index (sites->sites, MhGangSite, i);
       for (guint j = 0; j < site->taken; j++)
-        mh_placement_start_task (sites->pass->core, job, index++, attempt, site->machine,
-                                 MH_URGENCY_USER);
+        mh_task_start (sites->pass, job, index++, attempt, site->machine, MH_URGENCY_USER);
     }
 }
 
@@ -83,7 +80,7 @@
   MhResources preemptible;
   MhResources soon = mh_victims_capacity (sites->job, site->machine, &preemptible);
   mh_victims_select (sites->pass->now_us, sites->job, site->machine, soon, site->taken, victims);
-  mh_preemption_stop_victims (sites->pass->core, sites->job, victims);
+  mh_preemption_stop_victims (sites->pass, sites->job, victims);
 }
 
 /* Stops lesser work for as many tasks as there is no room for. */
--- a/src/placement/gang-site.c
+++ b/src/placement/gang-site.c
@@ -1,9 +1,8 @@
 #include "placement/gang-site.h"
 
-#include "placement/resources.h"
-
 #include "cluster/image-wait.h"
 #include "placement/filter.h"
+#include "placement/resources.h"
 #include "placement/victim.h"
 
 #include <string.h>
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -7,6 +7,7 @@
 #include "cluster/machine.h"
 #include "placement/infeasible.h"
 #include "placement/topology-spread.h"
+#include "runtime/runtime.h"
 
 /**
  * MhArrival:
@@ -29,6 +30,7 @@
 /**
  * MhPlacementPass:
  * @core: the controller
+ * @runtime: its time, log and wake-ups
  * @settings: its settings
  * @types: (element-type MhMachineType): the machine types
  * @now_us: the present, by the steady clock
@@ -49,6 +51,7 @@
 typedef struct
 {
   MhCore *core;
+  MhRuntime *runtime;
   const MhSettings *settings;
   const GPtrArray *types;
   gint64 now_us;
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -1,6 +1,17 @@
 #include "placement/placement.h"
 
-#include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster.h"
+#include "cluster/task-failure.h"
+#include "jobs/objective.h"
+#include "placement/candidate.h"
+#include "placement/filter.h"
+#include "placement/gang-placement.h"
+#include "placement/preemption.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
+#include "placement/score.h"
+#include "placement/task-start.h"
 
 /* A pass looks at the machines for every job that waits, which on a small share of a core is
    expensive: only what is expected to start within seconds calls for one at once. Looking for tasks
@@ -15,14 +26,21 @@
 
 struct MhPlacement
 {
+  MhCore *core;
+  MhRuntime *runtime;
+  MhJobQueue *queue;
   bool pass_requested, urgent;
   gint64 last_pass_us, last_preemption_us;
 };
 
 MhPlacement *
-mh_placement_new (void)
+mh_placement_new (MhCore *core, MhRuntime *runtime, MhJobQueue *queue)
 {
-  return g_new0 (MhPlacement, 1);
+  MhPlacement *placement = g_new0 (MhPlacement, 1);
+  placement->core = core;
+  placement->runtime = runtime;
+  placement->queue = queue;
+  return placement;
 }
 
 void
@@ -40,28 +58,14 @@
 
 /* ---- tasks ---- */
 
-MhAttempt *
-mh_placement_start_task (MhCore *core, MhJob *job, guint index, guint32 attempt_number,
-                         MhMachine *machine, guint urgency)
-{
-  MhAttempt *attempt = mh_attempt_new (core, job, index, attempt_number, machine);
-  MhRecord *record = mh_job_record (job, index);
-  mh_store_touch (core, record, urgency);
-  attempt->need_rev = record->rev;
-  mh_debug (core, "task placed job=%s task=%u attempt=%u machine=%s zone=%s image=%s",
-            job->spec->id, index, attempt->attempt, machine->name, machine->zone,
-            mh_machine_has_image (machine, job->image) ? "present" : "absent");
-  return attempt;
-}
-
 static void
 start_next_task (MhJobCycle *cycle, MhCandidate *candidate)
 {
   MhJob *job = cycle->job;
   guint index = cycle->next_task;
-  MhAttempt *attempt = mh_placement_start_task (
-      cycle->pass->core, job, index, job->tasks[index].attempt + 1, candidate->machine,
-      cycle->is_service ? MH_URGENCY_USER : MH_URGENCY_START);
+  MhAttempt *attempt
+      = mh_task_start (cycle->pass, job, index, job->tasks[index].attempt + 1, candidate->machine,
+                       cycle->is_service ? MH_URGENCY_USER : MH_URGENCY_START);
   attempt->of_starved_job = job->placement.starved;
   candidate->replicas_on_machine = mh_score_replicas_on_machine (
       candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->core));
@@ -227,7 +231,7 @@
 {
   if (pass->now_us < job->placement.retry_after_us)
     {
-      mh_core_wake_at (pass->core, job->placement.retry_after_us);
+      mh_runtime_wake_at (pass->runtime, job->placement.retry_after_us);
       return;
     }
   if (mh_task_failure_startable (pass->core, job) == 0 || !counts_are_known (pass, job)
@@ -253,37 +257,39 @@
 
 /* A stop that frees room at once is used in the next pass. */
 static void
-run_pass (MhPlacement *placement, MhCore *core, const GPtrArray *queue)
+run_pass (MhPlacement *placement, const GPtrArray *jobs, bool is_rebuilt)
 {
-  gint64 now = core->now.mono_us;
+  gint64 now = mh_runtime_now_us (placement->runtime);
   MhPlacementPass pass
-      = { .core = core,
-          .settings = core->settings,
-          .types = mh_cluster_types (core),
+      = { .core = placement->core,
+          .runtime = placement->runtime,
+          .settings = mh_runtime_settings (placement->runtime),
+          .types = mh_cluster_types (placement->core),
           .now_us = now,
-          .is_rebuilt = core->leader.rebuilt,
+          .is_rebuilt = is_rebuilt,
           .may_preempt = now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
           .last_preemption_us = placement->last_preemption_us };
   mh_placement_pass_init (&pass);
-  for (guint i = 0; i < queue->len; i++)
-    place_job (&pass, g_ptr_array_index (queue, i));
+  for (guint i = 0; i < jobs->len; i++)
+    place_job (&pass, g_ptr_array_index (jobs, i));
   placement->last_preemption_us = pass.last_preemption_us;
   mh_placement_pass_clear (&pass);
 }
 
 void
-mh_placement_run (MhPlacement *placement, MhCore *core)
+mh_placement_run (MhPlacement *placement, bool is_rebuilt)
 {
-  gint64 now = core->now.mono_us, next = next_pass_us (placement);
-  if (now < next || mh_cluster_types (core) == NULL)
+  const GPtrArray *types = mh_cluster_types (placement->core);
+  gint64 now = mh_runtime_now_us (placement->runtime), next = next_pass_us (placement);
+  if (now < next || types == NULL)
     {
-      mh_core_wake_at (core, MAX (next, now + MIN_WAKE_UP_US));
+      mh_runtime_wake_at (placement->runtime, MAX (next, now + MIN_WAKE_UP_US));
       return;
     }
   placement->last_pass_us = now;
   placement->pass_requested = placement->urgent = false;
-  g_autoptr (GPtrArray) queue
-      = mh_job_queue_pending (core->job_queue, MH_JOB_QUEUE_ACCEPTED, mh_cluster_types (core), now);
-  if (queue->len > 0)
-    run_pass (placement, core, queue);
+  g_autoptr (GPtrArray) jobs
+      = mh_job_queue_pending (placement->queue, MH_JOB_QUEUE_ACCEPTED, types, now);
+  if (jobs->len > 0)
+    run_pass (placement, jobs, is_rebuilt);
 }
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -4,19 +4,22 @@
    best is taken; for what finds none, lesser tasks may be preempted. See README.md. */
 #pragma once
 
-#include "cluster/machine-registry.h"
-#include "jobs/job.h"
+#include "jobs/job-queue.h"
+#include "runtime/runtime.h"
 
 /** MhPlacement: when the next pass is due, and when tasks were last preempted. */
 typedef struct MhPlacement MhPlacement;
 
 /**
  * mh_placement_new:
+ * @core: (transfer none): the controller whose machines are used
+ * @runtime: (transfer none): must outlive the placement
+ * @queue: (transfer none): must outlive the placement
  *
  * Returns: (transfer full): free it with mh_placement_free()
  */
 MhPlacement *
-mh_placement_new (void);
+mh_placement_new (MhCore *core, MhRuntime *runtime, MhJobQueue *queue);
 
 /**
  * mh_placement_free:
@@ -38,26 +41,9 @@
 /**
  * mh_placement_run:
  * @placement: a placement
- * @core: the controller, which leads
+ * @is_rebuilt: whether every machine that should has reported to this leader, or has had the time
  *
  * Runs a pass if one is due; else asks to be woken for it.
  */
 void
-mh_placement_run (MhPlacement *placement, MhCore *core);
-
-/**
- * mh_placement_start_task:
- * @core: the controller
- * @job: a job
- * @index: a pending task of it
- * @attempt: the attempt's number, greater than that of any earlier attempt of the task
- * @machine: where it is to run
- * @urgency: of its record, a MhUrgency
- *
- * Creates the attempt and queues its record. The start leaves when the record is durable.
- *
- * Returns: (transfer none): the attempt
- */
-MhAttempt *
-mh_placement_start_task (MhCore *core, MhJob *job, guint index, guint32 attempt, MhMachine *machine,
-                         guint urgency);
+mh_placement_run (MhPlacement *placement, bool is_rebuilt);
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -1,6 +1,14 @@
 #include "placement/preemption.h"
 
-#include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "cluster/cluster.h"
+#include "cluster/image-wait.h"
+#include "jobs/job-queue.h"
+#include "placement/candidate.h"
+#include "placement/filter.h"
+#include "placement/quota.h"
+#include "placement/resources.h"
+#include "placement/victim.h"
 
 #include <string.h>
 
@@ -26,7 +34,7 @@
   gint64 waits_until_us = job->placement.unplaced_since_us + start_slack_us / WAIT_PART;
   if (waits_for_endings (job->spec) && pass->now_us < waits_until_us)
     {
-      mh_core_wake_at (pass->core, waits_until_us);
+      mh_runtime_wake_at (pass->runtime, waits_until_us);
       return false;
     }
   return true;
@@ -132,14 +140,16 @@
 }
 
 void
-mh_preemption_stop_victims (MhCore *core, const MhJob *preemptor, const GPtrArray *victims)
+mh_preemption_stop_victims (const MhPlacementPass *pass, const MhJob *preemptor,
+                            const GPtrArray *victims)
 {
   for (guint i = 0; i < victims->len; i++)
     {
       MhAttempt *victim = g_ptr_array_index (victims, i);
-      mh_info (core, "task stopped to make room job=%s task=%u machine=%s for_job=%s",
-               victim->job->spec->id, victim->index, victim->machine->name, preemptor->spec->id);
-      mh_attempt_stop (core, victim, mh_job_grace_us (victim->job));
+      mh_log_info (pass->runtime, "task stopped to make room job=%s task=%u machine=%s for_job=%s",
+                   victim->job->spec->id, victim->index, victim->machine->name,
+                   preemptor->spec->id);
+      mh_attempt_stop (pass->core, victim, mh_job_grace_us (victim->job));
     }
 }
 
@@ -158,7 +168,7 @@
   MhResources preemptible;
   MhResources available = mh_victims_capacity (cycle->job, site.machine, &preemptible);
   mh_victims_select (cycle->pass->now_us, cycle->job, site.machine, available, 1, victims);
-  mh_preemption_stop_victims (cycle->pass->core, cycle->job, victims);
+  mh_preemption_stop_victims (cycle->pass, cycle->job, victims);
   mh_resources_reserve (site.machine, cycle->job->spec, 1);
   return true;
 }
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -44,11 +44,12 @@
 
 /**
  * mh_preemption_stop_victims:
- * @core: the controller
+ * @pass: the pass
  * @preemptor: the job for which they are stopped
  * @victims: (element-type MhAttempt): on one machine
  *
  * Stops the victims gracefully.
  */
 void
-mh_preemption_stop_victims (MhCore *core, const MhJob *preemptor, const GPtrArray *victims);
+mh_preemption_stop_victims (const MhPlacementPass *pass, const MhJob *preemptor,
+                            const GPtrArray *victims);
--- /dev/null
+++ b/src/placement/task-start.c
@@ -0,0 +1,18 @@
+#include "placement/task-start.h"
+
+#include "cluster/attempt.h"
+#include "storage/record-writer.h"
+
+MhAttempt *
+mh_task_start (const MhPlacementPass *pass, MhJob *job, guint index, guint32 attempt_number,
+               MhMachine *machine, guint urgency)
+{
+  MhAttempt *attempt = mh_attempt_new (pass->core, job, index, attempt_number, machine);
+  MhRecord *record = mh_job_record (job, index);
+  mh_store_touch (pass->core, record, urgency);
+  attempt->need_rev = record->rev;
+  mh_log_debug (pass->runtime, "task placed job=%s task=%u attempt=%u machine=%s zone=%s image=%s",
+                job->spec->id, index, attempt->attempt, machine->name, machine->zone,
+                mh_machine_has_image (machine, job->image) ? "present" : "absent");
+  return attempt;
+}
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -432,7 +432,7 @@
   g_autoptr (GHashTable) before = g_hash_table_new (NULL, NULL);
   NewAttempts attempts = { .before = before, .placed = g_ptr_array_new_with_free_func (g_free) };
   for_each_attempt (fixture, add_to_set, before);
-  mh_placement_run (fixture->core->placement, fixture->core);
+  mh_placement_run (fixture->core->placement, fixture->core->leader.rebuilt);
   for_each_attempt (fixture, add_if_new, &attempts);
   return attempts.placed;
 }
