--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -107,7 +107,8 @@
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
-      if (report->token < core->leader.own_epoch && mh_leader_valid (core))
+      if (report->token < mh_election_epoch (core->election)
+          && mh_election_is_leader (core->election))
         mh_direct_command_send_token (core, machine);
     }
   else if (worker_has_begun_anew (machine, report))
@@ -209,8 +210,8 @@
 check_unheard (MhCore *core, MhMachine *machine)
 {
   const MhSilenceThresholds *silence = &core->cluster->silence;
-  gint64 unheard_us
-      = mh_cluster_silence_us (core, MAX (core->leader.since_us, machine->discovered_us));
+  gint64 unheard_us = mh_cluster_silence_us (
+      core, MAX (mh_election_elected_us (core->election), machine->discovered_us));
   if (core->now.mono_us - machine->heartbeat.unverified_us > SECOND_REPORT_US)
     start_probing (core, machine);
   if (unheard_us > silence->unheard_us
@@ -332,7 +333,7 @@
                       MAX (UNHEARD_LEADER_US, settings->report_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return limit_us << MIN (core->leader.vain_hand_overs, MAX_DOUBLINGS);
+  return limit_us << MIN (core->cluster->fruitless_transfers, MAX_DOUBLINGS);
 }
 
 void
@@ -348,9 +349,10 @@
     }
   if (machines < MH_LEAST_MACHINES_OF_ZONE || core->settings->members->len == 0)
     return;
-  gint64 unheard_us = mh_cluster_silence_us (core, MAX (last_report_us, core->leader.since_us));
+  gint64 unheard_us
+      = mh_cluster_silence_us (core, MAX (last_report_us, mh_election_elected_us (core->election)));
   if (unheard_us <= max_unheard_us (core, machines, last_report_us > 0))
     return;
-  core->leader.vain_hand_overs++;
-  mh_leader_hand_over (core, "no worker is heard any more");
+  core->cluster->fruitless_transfers++;
+  mh_election_transfer_leadership (core->election, MH_LOSS_NO_HEARTBEATS);
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -9,15 +9,18 @@
 #include "cluster/heartbeat.h"
 #include "cluster/image-wait.h"
 #include "base/token-bucket.h"
+#include "runtime/call-queue.h"
 #include "autoscaler/consolidation.h"
 #include "autoscaler/demand.h"
 #include "cluster/failure-detection.h"
 #include "cluster/task-failure.h"
 #include "cluster/machine-registry.h"
+#include "cluster/recovery.h"
 #include "cluster/zone-silence.h"
 #include "autoscaler/inventory.h"
 #include "jobs/job.h"
 #include "election/election.h"
+#include "election/leader-record.h"
 #include "storage/load.h"
 #include "storage/lookup.h"
 #include "placement/candidate.h"
@@ -52,31 +55,8 @@
   MhRuntime *runtime;
   MhCallQueue *calls;
 
-  struct
-  {
-    MhPhase phase;
-    char *node;    /* who leads, as far as known */
-    guint64 epoch; /* that node's */
-    guint64 key_version;
-    guint64 own_epoch; /* while leading: the first of MH_EPOCHS_EACH */
-    guint64 own_version;
-    guint64 lease_id;
-    gint64 valid_until_us; /* of the lease, by the steady clock */
-    gint64 confirmed_us;   /* a renewal that was answered was sent then */
-    gint64 renew_us;
-    bool renewing, busy;
-    gint64 retry_us;
-    gint64 since_us;               /* leading since */
-    gint64 usable_us;              /* when a usable leader was last known */
-    gint64 unreached_us, tried_us; /* users' requests have not reached it since; the last one */
-    const char *lost;              /* why, until the next step */
-    bool hands_over;               /* ... and another one shall lead */
-    gint64 shy_until_us;
-    guint vain_hand_overs; /* because no worker was heard, and none has been since */
-    bool rebuilt;          /* every machine that should has reported, or has had the time */
-    gint64 rebuild_until_us;
-    gint64 announced_us;
-  } leader;
+  MhElection *election;
+  MhRecovery *recovery;
 
   /* leader's memory */
   GHashTable *jobs;       /* id -> MhJob */
@@ -119,6 +99,12 @@
 
 void
 mh_core_step (MhCore *core);
+/* leadership.c: what the controller does as leadership comes and goes. */
+const MhElectionCallbacks *
+mh_core_election_callbacks (void);
+/* leadership.c: notes whether the machines have reported to a new leader. */
+void
+mh_core_update_recovery (MhCore *core);
 /* For modules that still take the whole core; see src/runtime. */
 typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
 void
