--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -157,7 +157,7 @@
 {
   if (machine->failures.consecutive >= FAULTY_FAILURES
       || jobs_failing_here_alone (core, machine) >= FAULTY_FAILURES)
-    core->cluster->callbacks->release_machine (core, machine, "fails every task");
+    core->cluster->callbacks->release_machine (core, machine, "fails_every_task");
 }
 
 static void
