--- a/src/autoscaler/cloud-error.c
+++ b/src/autoscaler/cloud-error.c
@@ -1,4 +1,5 @@
 #include "autoscaler/cloud-error.h"
+#include "protocol/cloud-messages.h"
 
 G_DEFINE_QUARK (mh - cloud - error - quark, mh_cloud_error)
 
@@ -41,7 +42,7 @@
 {
   if (!mh_cloud_check_reply (status, body, error))
     return NULL;
-  char **names = mh_wire_read_rented (body);
+  char **names = mh_created_machines_decode (body, NULL);
   if (names == NULL)
     g_set_error_literal (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_REPLY, "malformed reply");
   return names;
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,6 +1,7 @@
 #include "autoscaler/inventory.h"
 #include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
+#include "protocol/cloud-messages.h"
 
 #define TYPES_INTERVAL_US (60 * MH_SECOND_US)
 #define MIN_LIST_INTERVAL_US (5 * MH_SECOND_US)
@@ -59,13 +60,13 @@
   MhInventory *self = owner;
   (void)data;
   GPtrArray *types = mh_cloud_check_reply (reply->status, reply->body, NULL)
-                         ? mh_wire_read_machine_types (reply->body)
+                         ? mh_machine_types_decode (reply->body, NULL)
                          : NULL;
   self->types_in_flight = false;
   self->types_due_us = mh_runtime_now_us (self->context->runtime)
                        + (types ? TYPES_INTERVAL_US : RETRY_INTERVAL_US);
   if (types)
-    mh_cluster_set_types (self->context->core, types);
+    mh_cluster_set_types (self->context->core->cluster, types);
 }
 
 static void
@@ -73,12 +74,12 @@
 {
   /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
   MhCallOptions options
-      = { .class = mh_cluster_types (self->context->core) ? MH_CALL_WORK : MH_CALL_LEASE,
+      = { .class = mh_cluster_types (self->context->core->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
           .timeout_us = MH_CLOUD_TIMEOUT_US,
           .func = handle_types_reply,
           .owner = self };
   self->types_in_flight = true;
-  mh_call_queue_add (self->context->calls, mh_wire_machine_types (), &options);
+  mh_call_queue_add (self->context->calls, mh_cloud_request_machine_types (), &options);
 }
 
 /* ---- the list of machines ---- */
@@ -88,9 +89,10 @@
 {
   MhCore *core = self->context->core;
   if (machine == NULL)
-    machine = mh_cluster_add_machine (core, listed->name, listed->type, listed->zone, listed->spot);
+    machine = mh_cluster_add_machine (core->cluster, listed->name, listed->type, listed->zone,
+                                      listed->spot);
   else
-    mh_cluster_identify_machine (core, machine, listed->type, listed->zone, listed->spot);
+    mh_cluster_identify_machine (core->cluster, machine, listed->type, listed->zone, listed->spot);
   machine->boot.rented_us = mh_runtime_now_us (self->context->runtime) - listed->age_us;
   machine->endpoint = machine->endpoint ? machine->endpoint : g_strdup (listed->endpoint);
   return machine;
@@ -100,8 +102,8 @@
 take_listed_machine (MhInventory *self, const MhListedMachine *listed)
 {
   MhCore *core = self->context->core;
-  MhMachine *machine = mh_cluster_find_machine (core, listed->name);
-  if (mh_cluster_was_released (core, listed->name)
+  MhMachine *machine = mh_cluster_find_machine (core->cluster, listed->name);
+  if (mh_cluster_was_released (core->cluster, listed->name)
       || (machine && mh_machine_is_releasing (machine)))
     return; /* lists lag */
   if (machine == NULL || machine->type_name == NULL)
@@ -128,7 +130,7 @@
   (void)data;
   bool more = false;
   g_autoptr (GPtrArray) list = mh_cloud_check_reply (reply->status, reply->body, NULL)
-                                   ? mh_wire_read_machine_list (reply->body, &more)
+                                   ? mh_machine_list_decode (reply->body, &more, NULL)
                                    : NULL;
   gint64 now_us = mh_runtime_now_us (self->context->runtime);
   self->list_in_flight = false;
@@ -159,7 +161,7 @@
   self->list_in_flight = true;
   if (after == NULL)
     self->list_pages = 0;
-  mh_call_queue_add (self->context->calls, mh_wire_machines (after), &options);
+  mh_call_queue_add (self->context->calls, mh_cloud_request_machine_list (after), &options);
 }
 
 void
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -2,6 +2,7 @@
 #include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/release-state.h"
+#include "protocol/cloud-messages.h"
 
 #include <string.h>
 
@@ -130,23 +131,24 @@
 }
 
 void
-mh_scale_in_load (MhScaleIn *self, const MhEntry *entry)
+mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry)
 {
   g_return_if_fail (self != NULL);
   MhCore *core = self->context->core;
-  char **names = mh_record_read_release (entry->value);
+  g_autoptr (GError) error = NULL;
+  char **names = mh_record_read_release (entry->value, &error);
   for (char **name = names; name && *name; name++)
     {
-      MhMachine *machine = mh_cluster_find_machine (core, *name);
+      MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
       if (machine == NULL)
-        machine = mh_cluster_add_machine (core, *name, NULL, NULL, false);
+        machine = mh_cluster_add_machine (core->cluster, *name, NULL, NULL, false);
       mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
     queue_request (self, names, g_strdup (entry->key));
   else
-    mh_runtime_log (self->context->runtime, G_LOG_LEVEL_CRITICAL, "record cannot be read key=%s",
-                    entry->key);
+    mh_runtime_log (self->context->runtime, G_LOG_LEVEL_CRITICAL,
+                    "record cannot be read key=%s reason=\"%s\"", entry->key, error->message);
 }
 
 /* ---- the call to the cloud ---- */
@@ -168,12 +170,12 @@
   advance (batch, MH_RELEASE_EVENT_DELETION_CONFIRMED);
   for (char **name = batch->machines; *name; name++)
     {
-      MhMachine *machine = mh_cluster_find_machine (core, *name);
+      MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
       mh_log_debug (self->context->runtime, "machine deleted machine=%s", *name);
       if (machine)
-        mh_cluster_machine_released (core, machine);
+        mh_cluster_machine_released (core->cluster, machine);
     }
-  mh_store_drop (core, batch->key);
+  mh_record_writer_delete (core->record_writer, batch->key);
   self->batches_in_flight--;
 }
 
@@ -202,7 +204,8 @@
                             .owner = self,
                             .data = g_rc_box_acquire (batch),
                             .free_data = release_batch_unref };
-  mh_call_queue_add (self->context->calls, mh_wire_release (batch->machines), &options);
+  mh_call_queue_add (self->context->calls, mh_cloud_request_delete_machines (batch->machines),
+                     &options);
 }
 
 /* ---- the record ---- */
@@ -213,8 +216,9 @@
 static bool
 is_leader_condition_refused (const MhReply *reply)
 {
-  g_auto (GStrv) failed = reply->status == 409 ? mh_wire_read_failed (reply->body) : NULL;
-  return failed && g_strv_contains ((const char *const *)failed, "leader");
+  g_auto (GStrv) failed
+      = reply->status == 409 ? mh_kv_failed_conditions_decode (reply->body, NULL) : NULL;
+  return failed && g_strv_contains ((const char *const *)failed, MH_LEADER_KEY);
 }
 
 static void
@@ -250,16 +254,16 @@
 static void
 write_record (MhScaleIn *self, ReleaseBatch *batch)
 {
-  MhCondition conditions[]
-      = { { "leader", mh_election_key_version (self->context->core->election) },
+  MhKvCondition conditions[]
+      = { { MH_LEADER_KEY, mh_election_key_version (self->context->core->election) },
           { batch->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (batch->machines);
-  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhChange));
-  MhChange put = { .key = batch->key, .value = value };
+  g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
+  MhKvChange put = { .key = batch->key, .value = value };
   g_array_append_val (changes, put);
   for (char **key = batch->replaced_records; *key; key++)
     {
-      MhChange drop = { .key = *key };
+      MhKvChange drop = { .key = *key };
       g_array_append_val (changes, drop);
     }
   MhCallOptions options = { .class = MH_CALL_SAFETY,
@@ -269,10 +273,10 @@
                             .owner = self,
                             .data = g_rc_box_acquire (batch),
                             .free_data = release_batch_unref };
-  mh_call_queue_add (
-      self->context->calls,
-      mh_wire_txn (conditions, G_N_ELEMENTS (conditions), (MhChange *)changes->data, changes->len),
-      &options);
+  mh_call_queue_add (self->context->calls,
+                     mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions),
+                                                (MhKvChange *)changes->data, changes->len),
+                     &options);
 }
 
 /* ---- batches ---- */
@@ -352,7 +356,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context->core));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context->core->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     release_if_idle (self, value, now_us);
 }
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -5,7 +5,8 @@
 
 #include "autoscaler/lost-capacity.h"
 #include "cluster/machine-registry.h"
-#include "protocol/wire.h"
+#include "base/time-units.h"
+#include "protocol/key-value-messages.h"
 
 /* A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
 #define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
@@ -63,7 +64,7 @@
  * Goes on with the releases of the record: they are written and asked for once more.
  */
 void
-mh_scale_in_load (MhScaleIn *self, const MhEntry *entry);
+mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry);
 
 /**
  * mh_scale_in_is_idle:
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -2,6 +2,7 @@
 #include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
+#include "protocol/cloud-messages.h"
 
 /* A kind of machine of which there was none, or that was refused for another reason, is asked for
    again after this. */
@@ -138,9 +139,9 @@
                request->count, request->type, request->zone, request->spot);
   mh_lost_capacity_replace (self->lost, request->cpus_per_machine * created);
   for (guint i = 0; i < created; i++)
-    if (mh_cluster_find_machine (core, names[i]) == NULL
-        && !mh_cluster_was_released (core, names[i]))
-      mh_cluster_add_machine (core, names[i], request->type, request->zone, request->spot)
+    if (mh_cluster_find_machine (core->cluster, names[i]) == NULL
+        && !mh_cluster_was_released (core->cluster, names[i]))
+      mh_cluster_add_machine (core->cluster, names[i], request->type, request->zone, request->spot)
           ->boot.rented_here
           = true;
   if (created < request->count)
@@ -183,7 +184,8 @@
   self->request_in_flight = true;
   mh_call_queue_add (
       self->context->calls,
-      mh_wire_rent (request->name, request->type, request->zone, request->spot, request->count),
+      mh_cloud_request_create_machines (&(MhMachineOrder){
+          request->name, request->type, request->zone, request->spot, request->count }),
       &options);
 }
 
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -4,7 +4,9 @@
 #pragma once
 
 #include "autoscaler/lost-capacity.h"
-#include "protocol/types.h"
+#include "protocol/cloud-messages.h"
+#include <glib.h>
+#include <stdbool.h>
 
 typedef struct MhAutoscalerContext MhAutoscalerContext;
 typedef struct MhScaleOut MhScaleOut;
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -3,7 +3,11 @@
 
 #include "base/token-bucket.h"
 #include "cluster/cluster-types.h"
-#include "controller/core-private.h"
+#include "election/election.h"
+#include "jobs/runtime-estimate.h"
+#include "runtime/call-queue.h"
+#include "storage/load.h"
+#include "storage/record-writer.h"
 
 /**
  * MhSilenceThresholds:
@@ -23,6 +27,8 @@
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
+   runtime to runtime_estimator: see MhClusterOptions
+   callbacks, owner: the layers above, and what they are called with
    machines: name -> MhMachine, which owns its name
    released, released_order: names of machines that are gone; the queue owns them, the oldest first
    commands_due: MhMachine, not owned, that are looked at for commands in this step
@@ -38,8 +44,16 @@
    boot_statistics: name of a type -> statistics of boot-time.c */
 struct MhCluster
 {
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  MhElection *election;
+  GHashTable *jobs;
+  MhRecordLoader *record_loader;
+  MhRecordWriter *record_writer;
+  MhRuntimeEstimator *runtime_estimator;
   const MhSettings *settings;
   const MhClusterCallbacks *callbacks;
+  gpointer owner;
   GHashTable *machines;
   GHashTable *released;
   GQueue released_order;
--- /dev/null
+++ b/src/controller/core-storage.c
@@ -0,0 +1,131 @@
+/* Connects src/storage with the layers above it: what follows from a record that was written or
+ * read. */
+#include "controller/core-private.h"
+
+/* ---- the writer ---- */
+
+static void
+job_accepted (gpointer owner, MhJob *job)
+{
+  MhCore *core = owner;
+  mh_placement_request_pass (core->placement, job->spec->shape == MH_SHAPE_SERVICE);
+}
+
+static void
+job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+{
+  mh_core_final (owner, job->spec->id, answer);
+}
+
+/* What was waiting for the record to be durable may be sent now. */
+static void
+attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
+{
+  MhCore *core = owner;
+  for (guint i = first_task; i < end_task; i++)
+    if (job->tasks[i].live && !mh_attempt_start_was_sent (job->tasks[i].live))
+      mh_machine_schedule_commands (core->cluster, job->tasks[i].live->machine);
+}
+
+static void
+job_rechunked (gpointer owner, MhJob *job)
+{
+  MhCore *core = owner;
+  for (guint i = 0; i < job->spec->tasks; i++)
+    if (job->tasks[i].live)
+      mh_machine_schedule_commands (core->cluster, job->tasks[i].live->machine);
+}
+
+static void
+leadership_lost (gpointer owner, MhLossReason reason)
+{
+  MhCore *core = owner;
+  mh_election_step_down (core->election, reason);
+}
+
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  return attempt->machine->name;
+}
+
+static const MhRecordWriterCallbacks writer_callbacks = { .job_accepted = job_accepted,
+                                                          .job_over = job_over,
+                                                          .attempts_recorded = attempts_recorded,
+                                                          .job_rechunked = job_rechunked,
+                                                          .leadership_lost = leadership_lost,
+                                                          .machine_name = machine_name };
+
+/* ---- the loader ---- */
+
+static void
+attempt_found (gpointer owner, MhJob *job, guint index, guint32 attempt, const char *machine)
+{
+  MhCore *core = owner;
+  MhMachine *found = mh_cluster_find_machine (core->cluster, machine);
+  if (found == NULL)
+    found = mh_cluster_add_machine (core->cluster, machine, NULL, NULL, false);
+  mh_attempt_new_from_record (core->cluster, job, index, attempt, found);
+}
+
+static void
+back_off_found (gpointer owner, MhJob *job, guint level)
+{
+  MhCore *core = owner;
+  mh_task_failure_load_back_off (core->cluster, job, level);
+}
+
+static void
+release_found (gpointer owner, const MhKvEntry *entry)
+{
+  MhCore *core = owner;
+  mh_autoscaler_load_release (core->autoscaler, entry);
+}
+
+static void
+job_unreadable (gpointer owner, MhJob *job)
+{
+  MhCore *core = owner;
+  for (guint i = 0; i < job->spec->tasks; i++)
+    if (job->tasks[i].live)
+      mh_attempt_discard (core->cluster, job->tasks[i].live);
+}
+
+static void
+loaded (gpointer owner)
+{
+  MhCore *core = owner;
+  mh_election_records_loaded (core->election);
+}
+
+static const MhRecordLoaderCallbacks loader_callbacks = { .attempt_found = attempt_found,
+                                                          .back_off_found = back_off_found,
+                                                          .release_found = release_found,
+                                                          .job_unreadable = job_unreadable,
+                                                          .loaded = loaded };
+
+/* ---- questions ---- */
+
+static void
+final_read (gpointer owner, const char *job, const MhUserAnswer *answer)
+{
+  mh_core_final (owner, job, answer);
+}
+
+void
+mh_core_storage_init (MhCore *core)
+{
+  core->record_writer
+      = mh_record_writer_new (core->runtime, core->calls, core->jobs, &writer_callbacks, core);
+  core->record_loader = mh_record_loader_new (core->runtime, core->calls, core->jobs,
+                                              core->record_writer, &loader_callbacks, core);
+  core->job_lookup = mh_job_lookup_new (core->runtime, core->calls, core->jobs, final_read, core);
+}
+
+void
+mh_core_storage_free (MhCore *core)
+{
+  mh_job_lookup_free (core->job_lookup);
+  mh_record_loader_free (core->record_loader);
+  mh_record_writer_free (core->record_writer);
+}
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -119,11 +119,12 @@
   double n = spec->shape == MH_SHAPE_ARRAY ? 1 : spec->tasks;
   if (spec->cpus * n > team->cpus_max + 1e-9 || spec->gpus * n > team->gpus_max + 1e-9)
     return 422;
-  if (mh_cluster_types (core) == NULL)
+  if (mh_cluster_types (core->cluster) == NULL)
     return 503;
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
-    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core), i)))
-      return spec->shape == MH_SHAPE_GANG && !mh_gang_is_feasible (mh_cluster_types (core), spec)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
+    if (mh_job_spec_fits_type (spec, g_ptr_array_index (mh_cluster_types (core->cluster), i)))
+      return spec->shape == MH_SHAPE_GANG
+                     && !mh_gang_is_feasible (mh_cluster_types (core->cluster), spec)
                  ? 422
                  : 0;
   return 422;
@@ -134,12 +135,12 @@
 static void
 keep_known_types (const MhCore *core, MhJobSpec *spec)
 {
-  if (spec->types == NULL || mh_cluster_types (core) == NULL)
+  if (spec->types == NULL || mh_cluster_types (core->cluster) == NULL)
     return;
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
-  for (guint i = 0; i < mh_cluster_types (core)->len; i++)
+  for (guint i = 0; i < mh_cluster_types (core->cluster)->len; i++)
     {
-      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core), i);
+      const MhMachineType *t = g_ptr_array_index (mh_cluster_types (core->cluster), i);
       if (g_strv_contains ((const char *const *)spec->types, t->name))
         g_strv_builder_add (known, t->name);
     }
@@ -170,7 +171,7 @@
       if (status == 422)
         {
           /* An accepted job is never refused later, whatever the settings have become. */
-          mh_lookup_job (core, id, spec->id, MH_USER_SUBMIT, true);
+          mh_job_lookup_ask (core->job_lookup, id, spec->id, MH_USER_SUBMIT, MH_LOOKUP_LEADER);
           mh_job_spec_free (spec);
           return;
         }
@@ -182,7 +183,7 @@
         }
       job = mh_job_new (spec, 0, core->settings->value_bytes, core->now.wall_us, &core->now);
       g_hash_table_insert (core->jobs, job->spec->id, job);
-      mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
     }
   else
     mh_job_spec_free (spec);
@@ -202,8 +203,8 @@
     {
       mh_info (core, "job %s: cancelled by its user", job->spec->id);
       job->cancellation = MH_CANCELLATION_REQUESTED;
-      mh_store_touch (core, &job->records[0], MH_URGENCY_USER);
-      mh_attempt_stop_job (core, job);
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
+      mh_attempt_stop_job (core->cluster, job);
     }
   MhWaiter w = { .id = id, .verb = MH_USER_CANCEL };
   g_array_append_val (job->waiters, w);
@@ -232,7 +233,7 @@
     forward (core, id, job_id);
   else if (!forwarded && !mh_election_is_elected (core->election)
            && (verb == MH_USER_STATUS || (spec && judge (core, spec) == 422)))
-    mh_lookup_job (core, id, job_id, verb, false);
+    mh_job_lookup_ask (core->job_lookup, id, job_id, verb, MH_LOOKUP_LEADERLESS);
   else
     mh_core_answer (core, id, 503, 1);
 }
@@ -252,7 +253,7 @@
     }
 
   MhJob *job = g_hash_table_lookup (core->jobs, job_id);
-  if (g_hash_table_contains (core->unreadable, job_id))
+  if (mh_record_loader_is_unreadable (core->record_loader, job_id))
     {
       mh_job_spec_free (spec);
       mh_core_answer (core, id, 503, 1);
@@ -264,7 +265,7 @@
   /* Perhaps one that was over long ago and is submitted again: its final record tells, however long
      the write that would find out has to wait. */
   else if (job == NULL || !job->accepted)
-    mh_lookup_job (core, id, job_id, verb, true);
+    mh_job_lookup_ask (core->job_lookup, id, job_id, verb, MH_LOOKUP_LEADER);
   else if (verb == MH_USER_STATUS)
     mh_core_answer_job (core, id, job, 200);
   else
@@ -313,16 +314,16 @@
 /* ---- workers ---- */
 
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhReport *report)
+mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report)
 {
   enter (core, now);
   if (mh_election_is_elected (core->election))
-    mh_heartbeat_receive (core, id, report);
+    mh_heartbeat_receive (core->cluster, id, report);
   else
     {
       MhAction *a = mh_core_act (core, MH_ACTION_ANSWER_REPORT, id);
       a->status = 421;
-      a->body = mh_wire_write_redirect (mh_election_leader_name (core->election));
+      a->body = mh_redirect_encode (mh_election_leader_name (core->election));
     }
   mh_core_step (core);
 }
@@ -358,10 +359,10 @@
     {
       mh_core_update_recovery (core);
       mh_gang_attempts_reconcile (core->gang_attempts);
-      mh_cluster_step (core);
+      mh_cluster_step (core->cluster);
       mh_placement_run (core->placement, mh_recovery_is_complete (core->recovery));
       mh_autoscaler_step (core->autoscaler);
-      mh_store_step (core);
+      mh_record_writer_step (core->record_writer);
     }
   mh_call_queue_flush (core->calls);
 }
@@ -373,44 +374,66 @@
   mh_core_step (core);
 }
 
+/* ---- what the cluster tells the layers above it ---- */
+
 static void
-note_capacity_changed (MhCore *core, bool urgent)
+release_machine (gpointer owner, MhMachine *machine, const char *reason)
 {
-  mh_placement_request_pass (core->placement, urgent);
+  MhCore *core = owner;
+  mh_autoscaler_release_machine (core->autoscaler, machine, reason);
 }
 
 static void
-restore_gang (MhCore *core, MhJob *job)
+capacity_changed (gpointer owner, bool urgent)
 {
-  mh_gang_attempts_restore (core->gang_attempts, job);
+  MhCore *core = owner;
+  mh_placement_request_pass (core->placement, urgent);
 }
 
 static void
-note_gang_task_ended (MhCore *core, MhJob *job, bool done)
+gang_loaded (gpointer owner, MhJob *job)
 {
-  mh_gang_attempts_task_ended (core->gang_attempts, job, done);
+  MhCore *core = owner;
+  mh_gang_attempts_restore (core->gang_attempts, job);
 }
 
 static void
-stop_gang (MhCore *core, MhJob *job, gint64 grace_us)
+gang_task_over (gpointer owner, MhJob *job, bool done)
 {
-  mh_gang_attempts_stop (core->gang_attempts, job, grace_us);
+  MhCore *core = owner;
+  mh_gang_attempts_task_ended (core->gang_attempts, job, done);
 }
 
 static void
-release_machine (MhCore *core, MhMachine *machine, const char *reason)
+gang_stop (gpointer owner, MhJob *job, gint64 grace_us)
 {
-  mh_autoscaler_release_machine (core->autoscaler, machine, reason);
+  MhCore *core = owner;
+  mh_gang_attempts_stop (core->gang_attempts, job, grace_us);
 }
 
 static const MhClusterCallbacks cluster_callbacks = {
   .release_machine = release_machine,
-  .capacity_changed = note_capacity_changed,
-  .gang_loaded = restore_gang,
-  .gang_task_over = note_gang_task_ended,
-  .gang_stop = stop_gang,
+  .capacity_changed = capacity_changed,
+  .gang_loaded = gang_loaded,
+  .gang_task_over = gang_task_over,
+  .gang_stop = gang_stop,
 };
 
+static MhCluster *
+cluster_new (MhCore *core)
+{
+  const MhClusterOptions options = { .runtime = core->runtime,
+                                     .calls = core->calls,
+                                     .election = core->election,
+                                     .jobs = core->jobs,
+                                     .record_loader = core->record_loader,
+                                     .record_writer = core->record_writer,
+                                     .runtime_estimator = core->runtime_estimator,
+                                     .callbacks = &cluster_callbacks,
+                                     .owner = core };
+  return mh_cluster_new (&options);
+}
+
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now)
 {
@@ -423,17 +446,17 @@
       = mh_election_new (core->runtime, core->calls, mh_core_election_callbacks (), core);
   core->recovery = mh_recovery_new ();
   core->forwards = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  core->lookups = g_hash_table_new (g_str_hash, g_str_equal);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
-  core->unreadable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  mh_core_storage_init (core);
   core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
-  core->cluster = mh_cluster_new (settings, &cluster_callbacks, now->mono_us);
-  core->gang_attempts = mh_gang_attempts_new (core, core->runtime, core->jobs);
   core->runtime_estimator = mh_runtime_estimator_new ();
+  core->cluster = cluster_new (core);
+  core->gang_attempts = mh_gang_attempts_new (core->cluster, core->runtime, core->jobs);
   core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
-  core->placement = mh_placement_new (core, core->runtime, core->job_queue);
+  core->placement
+      = mh_placement_new (core->cluster, core->runtime, core->record_writer, core->job_queue);
   core->autoscaler = mh_autoscaler_new (core);
-  if (mh_heartbeat_keep_alive_us (core) <= 0)
+  if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_core_log (
         core, G_LOG_LEVEL_WARNING,
         "cancel_s leaves no room beside the workers' lease_s: without the state service no "
@@ -446,14 +469,13 @@
 {
   if (core == NULL)
     return;
-  mh_store_clear (core);
-  mh_cluster_clear (core);
+  mh_record_writer_clear (core->record_writer);
+  mh_cluster_clear (core->cluster);
   mh_gang_attempts_clear (core->gang_attempts);
   mh_call_queue_forget_all (core->calls);
+  mh_core_storage_free (core);
   g_hash_table_unref (core->forwards);
-  g_hash_table_unref (core->lookups);
   g_hash_table_unref (core->jobs);
-  g_hash_table_unref (core->unreadable);
   mh_final_answers_free (core->final_answers);
   mh_job_queue_free (core->job_queue);
   g_clear_pointer (&core->cluster, mh_cluster_free);
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -12,7 +12,7 @@
 
 struct MhGangAttempts
 {
-  MhCore *core;
+  MhCluster *cluster;
   MhRuntime *runtime;
   GHashTable *jobs;      /* id -> MhJob */
   GHashTable *unsettled; /* ids of jobs: a task's end has consequences for the others */
@@ -26,10 +26,10 @@
 }
 
 MhGangAttempts *
-mh_gang_attempts_new (MhCore *core, MhRuntime *runtime, GHashTable *jobs)
+mh_gang_attempts_new (MhCluster *cluster, MhRuntime *runtime, GHashTable *jobs)
 {
   MhGangAttempts *attempts = g_new0 (MhGangAttempts, 1);
-  attempts->core = core;
+  attempts->cluster = cluster;
   attempts->runtime = runtime;
   attempts->jobs = g_hash_table_ref (jobs);
   attempts->unsettled = job_set_new ();
@@ -86,7 +86,7 @@
     {
       const MhAttempt *attempt = job->tasks[i].live;
       if (attempt == NULL || !mh_attempt_start_was_sent (attempt)
-          || mh_direct_command_can_send (attempts->core, attempt->machine))
+          || mh_direct_command_can_send (attempts->cluster, attempt->machine))
         continue;
       mh_log_info (
           attempts->runtime,
@@ -109,7 +109,7 @@
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt)
         mh_attempt_send_stop (
-            attempts->core, attempt,
+            attempts->cluster, attempt,
             saves ? grace_us + mh_runtime_settings (attempts->runtime)->gang_peer_us : 0);
     }
   settle_later (attempts, job);
@@ -124,9 +124,9 @@
   mh_job_gang_apply (&job->gang, MH_GANG_EVENT_COMPLETED, mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_proven_over (attempts->core, job->tasks[i].live, true);
+      mh_attempt_proven_over (attempts->cluster, job->tasks[i].live, true);
     else if (job->tasks[i].state != MH_TASK_DONE)
-      mh_attempt_task_done (attempts->core, job, i);
+      mh_attempt_task_done (attempts->cluster, job, i);
 }
 
 /* The attempt is over: what is left of it would wait for the others, or notice that one is gone. */
@@ -139,9 +139,9 @@
       if (attempt == NULL)
         continue;
       if (!mh_attempt_start_was_sent (attempt) && !mh_attempt_is_from_record (attempt))
-        mh_attempt_proven_over (attempts->core, attempt, false);
+        mh_attempt_proven_over (attempts->cluster, attempt, false);
       else if (!mh_attempt_is_stopping (attempt))
-        mh_attempt_send_stop (attempts->core, attempt, 0);
+        mh_attempt_send_stop (attempts->cluster, attempt, 0);
     }
   if (job->n_live == 0)
     mh_job_gang_apply (&job->gang, MH_GANG_EVENT_GONE, mh_runtime_now_us (attempts->runtime));
@@ -175,7 +175,7 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *attempt = job->tasks[i].live;
-      if (attempt && attempt->phase == MH_TASK_FETCHING)
+      if (attempt && attempt->phase == MH_TASK_PHASE_FETCHING_IMAGE)
         attempt->machine->no_start_before_us = now_us + LATE_IMAGE_US;
     }
   mh_gang_attempts_stop (attempts, job, 0);
--- a/src/placement/gang-attempt.h
+++ b/src/placement/gang-attempt.h
@@ -14,14 +14,14 @@
 
 /**
  * mh_gang_attempts_new:
- * @core: (transfer none): the controller whose attempts are told to stop
+ * @cluster: (transfer none): whose attempts are told to stop; must outlive the gangs
  * @runtime: (transfer none): must outlive the gangs
  * @jobs: (element-type utf8 MhJob): all jobs by id; a reference is held
  *
  * Returns: (transfer full): free it with mh_gang_attempts_free()
  */
 MhGangAttempts *
-mh_gang_attempts_new (MhCore *core, MhRuntime *runtime, GHashTable *jobs);
+mh_gang_attempts_new (MhCluster *cluster, MhRuntime *runtime, GHashTable *jobs);
 
 /**
  * mh_gang_attempts_free:
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -8,6 +8,7 @@
 #include "placement/resources.h"
 #include "placement/task-start.h"
 #include "placement/victim.h"
+#include "protocol/cloud-messages.h"
 
 #include <string.h>
 
@@ -32,9 +33,9 @@
 bool
 mh_gang_is_feasible (const GPtrArray *types, const MhJobSpec *spec)
 {
-  if (!spec->scatter || spec->tasks == 1)
+  if (!spec->spread_over_zones || spec->tasks == 1)
     return true;
-  if (spec->one_zone || spec->zone)
+  if (spec->single_zone || spec->zone)
     return false;
   const char *first = NULL;
   for (guint i = 0; types && i < types->len; i++)
@@ -138,7 +139,7 @@
   if (best == NULL)
     return;
   gang->held_tasks = mh_gang_sites_select (sites, best, MH_GANG_ROOM_NOW).tasks;
-  gang->held_zone = sites->job->spec->one_zone ? best : NULL;
+  gang->held_zone = sites->job->spec->single_zone ? best : NULL;
   mh_gang_sites_reserve (sites);
 }
 
@@ -190,7 +191,7 @@
   job->gang.held_tasks = 0;
   job->gang.held_zone = NULL;
   if (job->n_live || job->gang.state == MH_GANG_STATE_ENDING
-      || !mh_quota_fits (pass->settings, mh_cluster_team_use (pass->core, spec->team), job,
+      || !mh_quota_fits (pass->settings, mh_cluster_team_use (pass->cluster, spec->team), job,
                          spec->cpus * spec->tasks, spec->gpus * spec->tasks))
     return MH_GANG_PENDING;
   MhGangSites sites;
--- a/src/placement/infeasible.c
+++ b/src/placement/infeasible.c
@@ -29,7 +29,7 @@
 void
 mh_infeasible_remember (MhInfeasible *infeasible, const MhJobSpec *spec)
 {
-  if (spec->types || spec->zone || spec->one_zone)
+  if (spec->types || spec->zone || spec->single_zone)
     return;
   Request request
       = { .cpus = spec->cpus, .gpus = spec->gpus, .mem_gb = spec->mem_gb, .spot = spec->spot };
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -4,10 +4,12 @@
    else. They hold nothing beyond the pass. */
 #pragma once
 
+#include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 #include "placement/infeasible.h"
 #include "placement/topology-spread.h"
 #include "runtime/runtime.h"
+#include "storage/record-writer.h"
 
 /**
  * MhArrival:
@@ -29,8 +31,9 @@
 
 /**
  * MhPlacementPass:
- * @core: the controller
- * @runtime: its time, log and wake-ups
+ * @cluster: the machines
+ * @runtime: time, log and wake-ups
+ * @record_writer: writes the attempts
  * @settings: its settings
  * @types: (element-type MhMachineType): the machine types
  * @now_us: the present, by the steady clock
@@ -50,7 +53,8 @@
  */
 typedef struct
 {
-  MhCore *core;
+  MhCluster *cluster;
+  MhRecordWriter *record_writer;
   MhRuntime *runtime;
   const MhSettings *settings;
   const GPtrArray *types;
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -26,19 +26,22 @@
 
 struct MhPlacement
 {
-  MhCore *core;
+  MhCluster *cluster;
   MhRuntime *runtime;
+  MhRecordWriter *record_writer;
   MhJobQueue *queue;
   bool pass_requested, urgent;
   gint64 last_pass_us, last_preemption_us;
 };
 
 MhPlacement *
-mh_placement_new (MhCore *core, MhRuntime *runtime, MhJobQueue *queue)
+mh_placement_new (MhCluster *cluster, MhRuntime *runtime, MhRecordWriter *record_writer,
+                  MhJobQueue *queue)
 {
   MhPlacement *placement = g_new0 (MhPlacement, 1);
-  placement->core = core;
+  placement->cluster = cluster;
   placement->runtime = runtime;
+  placement->record_writer = record_writer;
   placement->queue = queue;
   return placement;
 }
@@ -68,7 +71,7 @@
                        cycle->is_service ? MH_URGENCY_USER : MH_URGENCY_START);
   attempt->of_starved_job = job->placement.starved;
   candidate->replicas_on_machine = mh_score_replicas_on_machine (
-      candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->core));
+      candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->cluster));
   g_array_index (cycle->zones, MhZoneCount, candidate->zone).count++;
   cycle->pass->starts++;
 }
@@ -117,7 +120,7 @@
 static bool
 quota_allows_task (const MhPlacementPass *pass, const MhJob *job)
 {
-  const MhUse *use = mh_cluster_team_use (pass->core, job->spec->team);
+  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
 }
 
@@ -127,7 +130,7 @@
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  guint startable = mh_task_failure_startable (pass->core, job);
+  guint startable = mh_task_failure_startable (pass->cluster, job);
   while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < STARTS_PER_PASS)
     {
       /* Not past a task that was passed over: it once was forgotten with that, and a replica never
@@ -221,7 +224,7 @@
     return true;
   if (!pass->is_rebuilt)
     return false;
-  if (spec->shape != MH_SHAPE_SERVICE && !spec->scatter && !spec->one_zone)
+  if (spec->shape != MH_SHAPE_SERVICE && !spec->spread_over_zones && !spec->single_zone)
     return true;
   return !has_task_in_unknown_zone (job);
 }
@@ -234,7 +237,7 @@
       mh_runtime_wake_at (pass->runtime, job->placement.retry_after_us);
       return;
     }
-  if (mh_task_failure_startable (pass->core, job) == 0 || !counts_are_known (pass, job)
+  if (mh_task_failure_startable (pass->cluster, job) == 0 || !counts_are_known (pass, job)
       || !quota_allows_task (pass, job))
     return;
   if (mh_job_is_gang (job))
@@ -261,10 +264,11 @@
 {
   gint64 now = mh_runtime_now_us (placement->runtime);
   MhPlacementPass pass
-      = { .core = placement->core,
+      = { .cluster = placement->cluster,
           .runtime = placement->runtime,
+          .record_writer = placement->record_writer,
           .settings = mh_runtime_settings (placement->runtime),
-          .types = mh_cluster_types (placement->core),
+          .types = mh_cluster_types (placement->cluster),
           .now_us = now,
           .is_rebuilt = is_rebuilt,
           .may_preempt = now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
@@ -279,7 +283,7 @@
 void
 mh_placement_run (MhPlacement *placement, bool is_rebuilt)
 {
-  const GPtrArray *types = mh_cluster_types (placement->core);
+  const GPtrArray *types = mh_cluster_types (placement->cluster);
   gint64 now = mh_runtime_now_us (placement->runtime), next = next_pass_us (placement);
   if (now < next || types == NULL)
     {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -5,21 +5,25 @@
 #pragma once
 
 #include "jobs/job-queue.h"
+#include "cluster/cluster-types.h"
 #include "runtime/runtime.h"
+#include "storage/record-writer.h"
 
 /** MhPlacement: when the next pass is due, and when tasks were last preempted. */
 typedef struct MhPlacement MhPlacement;
 
 /**
  * mh_placement_new:
- * @core: (transfer none): the controller whose machines are used
+ * @cluster: (transfer none): whose machines are used; must outlive the placement
  * @runtime: (transfer none): must outlive the placement
+ * @record_writer: (transfer none): must outlive the placement
  * @queue: (transfer none): must outlive the placement
  *
  * Returns: (transfer full): free it with mh_placement_free()
  */
 MhPlacement *
-mh_placement_new (MhCore *core, MhRuntime *runtime, MhJobQueue *queue);
+mh_placement_new (MhCluster *cluster, MhRuntime *runtime, MhRecordWriter *record_writer,
+                  MhJobQueue *queue);
 
 /**
  * mh_placement_free:
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -67,7 +67,8 @@
 may_go_anywhere (const MhJobCycle *cycle)
 {
   const MhJobSpec *spec = cycle->job->spec;
-  return !cycle->is_service && !spec->types && !spec->zone && !spec->one_zone && !spec->scatter;
+  return !cycle->is_service && !spec->types && !spec->zone && !spec->single_zone
+         && !spec->spread_over_zones;
 }
 
 /* ---- making it ---- */
@@ -86,7 +87,7 @@
         continue;
       MhResources available = mh_victims_capacity (cycle->job, machine, &preemptible);
       if (!mh_victims_suffice (&available, spec, 1)
-          || mh_machine_image_wait_us (cycle->pass->core, machine, cycle->job->image,
+          || mh_machine_image_wait_us (cycle->pass->cluster, machine, cycle->job->image,
                                        spec->image_gb)
                  > image_wait_us)
         continue;
@@ -115,7 +116,7 @@
   MhResources available = mh_victims_capacity (cycle->job, site->machine, &preemptible);
   if (!mh_victims_suffice (&preemptible, spec, 1))
     return false;
-  site->image_wait_us = mh_machine_image_wait_us (cycle->pass->core, site->machine,
+  site->image_wait_us = mh_machine_image_wait_us (cycle->pass->cluster, site->machine,
                                                   cycle->job->image, spec->image_gb);
   if (site->image_wait_us > max_wait_us)
     return false;
@@ -149,7 +150,7 @@
       mh_log_info (pass->runtime, "task stopped to make room job=%s task=%u machine=%s for_job=%s",
                    victim->job->spec->id, victim->index, victim->machine->name,
                    preemptor->spec->id);
-      mh_attempt_stop (pass->core, victim, mh_job_grace_us (victim->job));
+      mh_attempt_stop (pass->cluster, victim, mh_job_grace_us (victim->job));
     }
 }
 
@@ -195,7 +196,7 @@
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  const MhUse *use = mh_cluster_team_use (pass->core, job->spec->team);
+  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   if (!mh_preemption_is_allowed (pass, job, cycle->start_slack_us))
     return;
   double cpus = 0;
--- a/tests/stand-in/environment.h
+++ b/tests/stand-in/environment.h
@@ -3,7 +3,7 @@
    own: it can stand behind a simulated network or behind real servers. */
 #pragma once
 
-#include "protocol/wire.h"
+#include "protocol/request.h"
 #include "stand-in/cloud.h"
 #include "stand-in/key-value-store.h"
 #include "stand-in/rule-checks.h"
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -1,10 +1,14 @@
 #include "stand-in/worker-protocol.h"
+#include "protocol/worker-messages.h"
 
 #include <string.h>
 
 static const char *const phase_words[] = {
-  [MH_TASK_FETCHING] = "pulling", [MH_TASK_GATHERING] = "gathering", [MH_TASK_RUNNING] = "running",
-  [MH_TASK_SAVING] = "saving",    [MH_TASK_ENDED] = "ended",
+  [MH_TASK_PHASE_FETCHING_IMAGE] = "pulling",
+  [MH_TASK_PHASE_WAITING_FOR_GANG] = "gathering",
+  [MH_TASK_PHASE_RUNNING] = "running",
+  [MH_TASK_PHASE_CHECKPOINTING] = "saving",
+  [MH_TASK_PHASE_ENDED] = "ended",
 };
 
 static MhValue *
@@ -14,7 +18,7 @@
   mh_value_set_text (item, "leg", task->task_id);
   mh_value_set_uint (item, "try", task->attempt);
   mh_value_set_text (item, "status", phase_words[task->phase]);
-  if (task->phase == MH_TASK_ENDED)
+  if (task->phase == MH_TASK_PHASE_ENDED)
     mh_value_set_text (item, "cause", task->cause);
   return item;
 }
@@ -49,7 +53,7 @@
   mh_value_get_number (command, "wind_down_s", &grace_s);
   if (strcmp (verb, "kill") == 0)
     worker_runtime_stop_task (machine->runtime, task, grace_s);
-  else if (strcmp (verb, "clear") == 0 && task->phase == MH_TASK_ENDED)
+  else if (strcmp (verb, "clear") == 0 && task->phase == MH_TASK_PHASE_ENDED)
     g_array_remove_index (machine->tasks, position);
 }
 
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -90,7 +90,7 @@
 running_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
   MhJobSpec *s = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
-  s->estimate_us = 300 * MH_SECOND_US;
+  s->estimated_run_us = 300 * MH_SECOND_US;
   User *u = simulation_submit (simulation, s, run_s);
   WAIT (simulation, 60, all_run, u);
   return u;
@@ -113,3 +113,16 @@
   simulation_assert_rules (simulation);
   simulation_free (simulation);
 }
+
+void
+simulation_fixture_set_up (SimulationFixture *fixture, gconstpointer seed)
+{
+  fixture->simulation = simulation_new (GPOINTER_TO_UINT (seed));
+}
+
+void
+simulation_fixture_tear_down (SimulationFixture *fixture, gconstpointer seed)
+{
+  (void)seed;
+  finish (fixture->simulation);
+}
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -1,6 +1,6 @@
 /* Compound failures: two or three things go wrong at once. Those that the operators named first are
-   in test-outages.c, test-partitions.c and test-late-messages.c; docs/meetings.md has a row for
-   each. */
+   in test-store-outages.c, test-partitions.c and test-late-messages.c; docs/meetings.md has a row
+   for each. */
 #include "steps.h"
 
 #include <string.h>
@@ -288,7 +288,7 @@
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
         {
           MhJobSpec *spec = job_spec_new (1 + i, MH_SHAPE_ARRAY, 8, 1);
-          spec->estimate_us = 300 * MH_SECOND_US;
+          spec->estimated_run_us = 300 * MH_SECOND_US;
           running[i] = simulation_submit (simulation, spec, 300);
         }
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -30,7 +30,7 @@
       simulation_run (simulation, 30);
       simulation->network->late_write_probability = 0;
       wait_all (simulation, 200);
-      g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
+      g_assert_false (simulation_logged (simulation, "reason=write-outcome-unknown"));
       finish (simulation);
     }
 }
@@ -60,7 +60,7 @@
       break;
   g_assert_cmpint (a.state, ==, MH_JOB_DONE);
   g_assert_true (simulation_leader (simulation) == leader);
-  g_assert_false (simulation_logged (simulation, "cannot be accounted for"));
+  g_assert_false (simulation_logged (simulation, "reason=write-outcome-unknown"));
   finish (simulation);
 }
 
@@ -235,7 +235,7 @@
       simulation->cloud->capacity = 6;
       MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
       s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
+      s->estimated_run_us = 600 * MH_SECOND_US;
       User *u = simulation_submit (simulation, s, 40);
       WAIT (simulation, 60, all_run, u);
       User *cancelled = running_service (simulation, 3, 2);
@@ -250,7 +250,7 @@
         simulation_start_node (simulation, i);
       WAIT (simulation, 10, told_cancelled, cancelled);
       WAIT (simulation, 120, told_done, u);
-      g_assert_true (simulation_logged (simulation, "re-chunked into"));
+      g_assert_true (simulation_logged (simulation, "job re-chunked"));
       g_assert_false (simulation_logged (simulation, "refused by the state service"));
       g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 322);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -2,7 +2,7 @@
    the byte as long as no gang is in it. */
 #include "election/leader-record.h"
 #include "controller/core-private.h"
-#include "protocol/peer.h"
+#include "protocol/controller-messages.h"
 #include "production-gang-records.h"
 #include "production-records.h"
 #include "steps.h"
@@ -12,7 +12,7 @@
 static MhValue *
 load (const guint8 *data, gsize size)
 {
-  MhValue *v = mh_value_load (data, size);
+  MhValue *v = mh_value_load (data, size, NULL);
   g_assert_nonnull (v);
   return v;
 }
@@ -27,6 +27,12 @@
 }
 #define ASSERT_WRITTEN(value, fixture) assert_written ((value), (fixture), sizeof (fixture))
 
+static const char *
+machine_name (const MhAttempt *attempt)
+{
+  return attempt->machine->name;
+}
+
 static void
 count_task (gpointer data, guint index, guint32 attempt, const char *machine)
 {
@@ -53,18 +59,19 @@
 static void
 test_records_are_read (void)
 {
-  gint64 at;
-  guint chunk, counts[3] = {};
-  bool cancelled;
+  guint counts[3] = {};
+  g_auto (MhStoredJob) stored = {};
+  g_autoptr (GError) error = NULL;
   g_autoptr (MhValue) job = LOAD (production_job), tasks = LOAD (production_tasks);
-  g_autoptr (MhJobSpec) s = mh_record_read_job (job, "j-000412", &at, &chunk, &cancelled);
-  g_assert_nonnull (s);
-  g_assert_cmpuint (s->tasks, ==, 40);
-  g_assert_cmpint (s->deadline_us, ==, 900 * MH_SECOND_US);
-  g_assert_cmpuint (chunk, ==, 32);
-  g_assert_true (cancelled);
-  g_assert_true (mh_record_read_tasks (job, count_task, counts));
-  g_assert_true (mh_record_read_tasks (tasks, count_task, counts));
+  g_assert_true (mh_record_read_job (job, "j-000412", &stored, &error));
+  g_assert_no_error (error);
+  g_assert_nonnull (stored.spec);
+  g_assert_cmpuint (stored.spec->tasks, ==, 40);
+  g_assert_cmpint (stored.spec->deadline_us, ==, 900 * MH_SECOND_US);
+  g_assert_cmpuint (stored.chunk, ==, 32);
+  g_assert_true (stored.cancelled);
+  g_assert_true (mh_record_read_tasks (job, count_task, counts, &error));
+  g_assert_true (mh_record_read_tasks (tasks, count_task, counts, &error));
   g_assert_cmpuint (counts[0], ==, 1);
   g_assert_cmpuint (counts[1], ==, 1);
   g_assert_cmpuint (counts[2], ==, 3);
@@ -74,22 +81,20 @@
   g_autofree char *node = NULL;
   g_autoptr (MhValue) final = LOAD (production_final), leader = LOAD (production_leader);
   g_autoptr (MhValue) last = LOAD (production_epoch), release = LOAD (production_release);
-  g_assert_true (mh_record_read_final (final, &a));
+  g_assert_true (mh_record_read_final (final, &a, &error));
   g_assert_cmpint (a.state, ==, MH_JOB_CANCELLED);
   g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpstr (node, ==, "worker-1");
   g_assert_true (mh_epoch_record_read (last, &epoch));
   g_assert_cmpuint (epoch, ==, 2000000);
-  g_auto (GStrv) names = mh_record_read_release (release);
+  g_auto (GStrv) names = mh_record_read_release (release, &error);
   g_assert_cmpuint (g_strv_length (names), ==, 2);
 }
 
 static void
 test_records_are_the_same (void)
 {
-  gint64 at;
-  guint chunk;
-  bool cancelled;
+  g_auto (MhStoredJob) read = {};
   g_autoptr (MhSettings) settings = mh_settings_new ();
   settings->value_bytes = 32768;
   settings->state_rps = settings->state_write_rps = settings->cloud_rps = 100;
@@ -97,32 +102,34 @@
   MhNow now = { .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   g_autoptr (MhCore) core = mh_core_new (settings, &now);
   g_autoptr (MhValue) stored = LOAD (production_job);
-  MhJobSpec *s = mh_record_read_job (stored, "j-000412", &at, &chunk, &cancelled);
-  MhJob *job = mh_job_new (s, chunk, settings->value_bytes, at, &now);
-  MhMachine *m = mh_cluster_add_machine (core, "vm-000231", "g8", "b", true);
+  g_assert_true (mh_record_read_job (stored, "j-000412", &read, NULL));
+  MhJob *job = mh_job_new (g_steal_pointer (&read.spec), read.chunk, settings->value_bytes,
+                           read.submitted_wall_us, &now);
+  MhMachine *m = mh_cluster_add_machine (core->cluster, "vm-000231", "g8", "b", true);
   for (guint i = 0; i < 3; i++)
-    mh_attempt_new (core, job, i * 15, 2 + i, m);
+    mh_attempt_new (core->cluster, job, i * 15, 2 + i, m);
   job->tasks[1] = (MhTask){ .attempt = 4, .state = MH_TASK_DONE };
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
   job->cancellation = MH_CANCELLATION_REQUESTED;
   job->n_done = 1;
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17"), production_job);
-  ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17"), production_tasks);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17", machine_name), production_job);
+  ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17", machine_name), production_tasks);
   ASSERT_WRITTEN (mh_record_write_final (job, "5.18"), production_final);
   ASSERT_WRITTEN (mh_leader_record_write ("worker-1", 1000001, 7), production_leader);
   ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_epoch);
   const char *names[] = { "vm-000231", "vm-000232", NULL };
   ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_release);
   for (guint i = 0; i < 3; i++)
-    mh_attempt_discard (core, job->tasks[(gsize)i * 15].live);
+    mh_attempt_discard (core->cluster, job->tasks[(gsize)i * 15].live);
   mh_job_free (job);
 }
 
 static void
-assert_message (GByteArray *written, const guint8 *data, gsize size, MhPeerMessage *message)
+assert_message (GByteArray *written, const guint8 *data, gsize size, MhControllerMessage *message)
 {
   g_assert_cmpmem (written->data, written->len, data, size);
-  g_assert_cmpint (mh_peer_read (written, message), ==, MH_PEER_READ);
+  g_assert_cmpint (mh_controller_message_read (written, message, NULL), ==,
+                   MH_CONTROLLER_READ_MESSAGE);
   g_assert_cmpuint (written->len, ==, 0);
   g_byte_array_unref (written);
 }
@@ -130,22 +137,22 @@
 static void
 test_messages_are_the_same (void)
 {
-  MhPeerMessage m = {};
+  MhControllerMessage m = {};
   const MhUserAnswer answer
       = { .status = 200, .retry_after_s = 3, .state = MH_JOB_CANCELLED, .done = 3, .running = 13 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
-  assert_message (mh_peer_write_call (41, MH_USER_SUBMIT, "j-000412", body), production_call,
-                  sizeof production_call, &m);
+  assert_message (mh_controller_request_encode (41, MH_USER_SUBMIT, "j-000412", body),
+                  production_call, sizeof production_call, &m);
   g_assert_cmpint (m.verb, ==, MH_USER_SUBMIT);
-  mh_peer_message_clear (&m);
-  assert_message (mh_peer_write_answer (42, &answer), production_answer, sizeof production_answer,
-                  &m);
+  mh_controller_message_clear (&m);
+  assert_message (mh_controller_response_encode (42, &answer), production_answer,
+                  sizeof production_answer, &m);
   g_assert_cmpint (m.answer.state, ==, MH_JOB_CANCELLED);
-  mh_peer_message_clear (&m);
-  assert_message (mh_peer_write_announcement ("worker-1", 1000001), production_news,
+  mh_controller_message_clear (&m);
+  assert_message (mh_controller_announcement_encode ("worker-1", 1000001), production_news,
                   sizeof production_news, &m);
-  g_assert_cmpuint (m.id, ==, 1000001);
-  mh_peer_message_clear (&m);
+  g_assert_cmpuint (m.epoch, ==, 1000001);
+  mh_controller_message_clear (&m);
 }
 
 /* ---- with gangs, and under the limits that come next ---- */
@@ -168,8 +175,10 @@
   settings->cancel_us = 60 * MH_SECOND_US;
   fixture->now = (MhNow){ .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   fixture->core = mh_core_new (settings, &fixture->now);
-  fixture->machines[0] = mh_cluster_add_machine (fixture->core, "vm-000231", "g8", "b", false);
-  fixture->machines[1] = mh_cluster_add_machine (fixture->core, "vm-000232", "g8", "b", false);
+  fixture->machines[0]
+      = mh_cluster_add_machine (fixture->core->cluster, "vm-000231", "g8", "b", false);
+  fixture->machines[1]
+      = mh_cluster_add_machine (fixture->core->cluster, "vm-000232", "g8", "b", false);
 }
 
 static void
@@ -184,12 +193,13 @@
 static MhJob *
 fixture_job (const Fixture *fixture, MhValue *stored, const char *id, bool *cancelled)
 {
-  gint64 submitted_us;
-  guint chunk;
-  MhJobSpec *spec = mh_record_read_job (stored, id, &submitted_us, &chunk, cancelled);
-  g_assert_nonnull (spec);
-  g_assert_cmpint (submitted_us, ==, fixture->now.wall_us);
-  return mh_job_new (spec, chunk, fixture->settings->value_bytes, submitted_us, &fixture->now);
+  g_auto (MhStoredJob) read = {};
+  g_assert_true (mh_record_read_job (stored, id, &read, NULL));
+  g_assert_nonnull (read.spec);
+  g_assert_cmpint (read.submitted_wall_us, ==, fixture->now.wall_us);
+  *cancelled = read.cancelled;
+  return mh_job_new (g_steal_pointer (&read.spec), read.chunk, fixture->settings->value_bytes,
+                     read.submitted_wall_us, &fixture->now);
 }
 
 typedef struct
@@ -205,8 +215,8 @@
   MhTask *task = &loading->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *on = mh_cluster_find_machine (loading->fixture->core, machine);
-      mh_attempt_new (loading->fixture->core, loading->job, index, attempt, on);
+      MhMachine *on = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
+      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, on);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
@@ -216,7 +226,7 @@
 load_tasks (Fixture *fixture, MhJob *job, const MhValue *stored)
 {
   Loading loading = { .fixture = fixture, .job = job };
-  g_assert_true (mh_record_read_tasks (stored, load_stored_task, &loading));
+  g_assert_true (mh_record_read_tasks (stored, load_stored_task, &loading, NULL));
 }
 
 static void
@@ -224,7 +234,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_discard (fixture->core, job->tasks[i].live);
+      mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
   mh_job_free (job);
 }
 
@@ -239,23 +249,24 @@
   MhJob *job = fixture_job (fixture, stored, "j-000500", &cancelled);
   g_assert_false (cancelled);
   g_assert_cmpint (job->spec->shape, ==, MH_SHAPE_GANG);
-  g_assert_true (job->spec->one_zone);
-  g_assert_cmpint (job->spec->checkpoint_us, ==, 20 * MH_SECOND_US);
+  g_assert_true (job->spec->single_zone);
+  g_assert_cmpint (job->spec->checkpoint_interval_us, ==, 20 * MH_SECOND_US);
   load_tasks (fixture, job, stored);
   g_assert_cmpuint (job->n_live, ==, 4);
   g_assert_cmpuint (job->tasks[3].attempt, ==, 3);
   g_assert_true (job->tasks[3].live->machine == fixture->machines[1]);
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40"), production_gang);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40", machine_name), production_gang);
 
   for (guint i = 0; i < 4; i++)
-    mh_attempt_discard (fixture->core, job->tasks[i].live);
+    mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
   load_tasks (fixture, job, done);
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (job->tasks[i].state, ==, MH_TASK_DONE);
   job->n_done = 4;
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.41"), production_gang_done);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.41", machine_name),
+                  production_gang_done);
   ASSERT_WRITTEN (mh_record_write_final (job, "1000001.42"), production_gang_final);
-  g_assert_true (mh_record_read_final (final, &answer));
+  g_assert_true (mh_record_read_final (final, &answer, NULL));
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_cmpuint (answer.done, ==, 4);
   forget_job (fixture, job);
@@ -275,8 +286,10 @@
   g_assert_nonnull (job->tasks[59].live);
   g_assert_cmpuint (job->tasks[30].attempt, ==, 5);
   g_assert_cmpuint (job->tasks[31].state, ==, MH_TASK_DONE);
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.43"), production_rechunked_0);
-  ASSERT_WRITTEN (mh_record_write (&job->records[1], "1000001.43"), production_rechunked_1);
+  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.43", machine_name),
+                  production_rechunked_0);
+  ASSERT_WRITTEN (mh_record_write (&job->records[1], "1000001.43", machine_name),
+                  production_rechunked_1);
   g_autofree char *key = mh_record_key ("j-000501", 1);
   g_assert_cmpstr (key, ==, "t/j-000501/00001");
   forget_job (fixture, job);
@@ -299,29 +312,29 @@
 static void
 test_gang_messages (void)
 {
-  MhPeerMessage message = {};
+  MhControllerMessage message = {};
   const MhUserAnswer answer = { .status = 201, .state = MH_JOB_RUNNING, .running = 4 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
-  assert_message (mh_peer_write_call (43, MH_USER_SUBMIT, "j-000500", body), production_gang_submit,
-                  sizeof production_gang_submit, &message);
+  assert_message (mh_controller_request_encode (43, MH_USER_SUBMIT, "j-000500", body),
+                  production_gang_submit, sizeof production_gang_submit, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_SUBMIT);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_call (44, MH_USER_STATUS, "j-000500", NULL), production_gang_status,
-                  sizeof production_gang_status, &message);
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_request_encode (44, MH_USER_STATUS, "j-000500", NULL),
+                  production_gang_status, sizeof production_gang_status, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_STATUS);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_call (45, MH_USER_CANCEL, "j-000500", NULL), production_gang_cancel,
-                  sizeof production_gang_cancel, &message);
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_request_encode (45, MH_USER_CANCEL, "j-000500", NULL),
+                  production_gang_cancel, sizeof production_gang_cancel, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_CANCEL);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_answer (43, &answer), production_gang_answer,
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_response_encode (43, &answer), production_gang_answer,
                   sizeof production_gang_answer, &message);
   g_assert_cmpuint (message.answer.running, ==, 4);
-  mh_peer_message_clear (&message);
-  assert_message (mh_peer_write_announcement ("worker-2", 1000001), production_gang_announcement,
-                  sizeof production_gang_announcement, &message);
-  g_assert_cmpstr (message.job, ==, "worker-2");
-  mh_peer_message_clear (&message);
+  mh_controller_message_clear (&message);
+  assert_message (mh_controller_announcement_encode ("worker-2", 1000001),
+                  production_gang_announcement, sizeof production_gang_announcement, &message);
+  g_assert_cmpstr (message.node, ==, "worker-2");
+  mh_controller_message_clear (&message);
 }
 
 /* Controllers that write large records and such that write small ones lead in turn, in any order,
@@ -335,7 +348,7 @@
       simulation->cloud->capacity = 6;
       MhJobSpec *s = job_spec_new (1, MH_SHAPE_ARRAY, 300, 0.04);
       s->mem_gb = 0.1;
-      s->estimate_us = 600 * MH_SECOND_US;
+      s->estimated_run_us = 600 * MH_SECOND_US;
       User *u = simulation_submit (simulation, s, 70),
            *service = running_service (simulation, 3, 2);
       WAIT (simulation, 60, all_run, u);
