--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -10,7 +10,7 @@
 wants_four_machines (Simulation *simulation)
 {
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
-  spec->types = g_strsplit ("small", ",", 1);
+  use_small_machines (spec);
   spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 120);
   WAIT (simulation, 20, accepted, user);
@@ -22,9 +22,8 @@
 /* All boots take four times what they should. Those on their way are counted on: all once were
    rented a second time. */
 static void
-test_slow_boots (void)
+test_slow_boots (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (61);
   simulation->cloud->boot_us = 18 * MH_SECOND_US;
   User *user = wants_four_machines (simulation);
   simulation_run (simulation, 14);
@@ -33,14 +32,13 @@
   simulation_run (simulation, 15);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
   WAIT (simulation, 200, told_done, user);
-  finish (simulation);
 }
 
-/* One of them never joins: another takes its place, and it is given back soon. */
+/* One of them never joins: without another in its place its tasks would wait for ever, and if it
+   were kept it would be paid for. */
 static void
-test_never_joins (void)
+test_never_joins (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (62);
   wants_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = G_MAXINT64;
@@ -49,14 +47,13 @@
   g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
   g_assert_true (machine->gone);
   g_assert_true (simulation_logged (simulation, "never_joined"));
-  finish (simulation);
 }
 
-/* One joins after another was rented in its place: it is used, since it is there. */
+/* One joins after another was rented in its place: given back though it is there, its boot would
+   have been for nothing. */
 static void
-test_joins_late (void)
+test_joins_late (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (63);
   wants_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = simulation->clock->now_us + 10 * MH_SECOND_US;
@@ -64,14 +61,13 @@
   g_assert_true (machine->up);
   g_assert_false (machine->gone);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
-  finish (simulation);
 }
 
-/* Boots were fast for a while, and then are as usual: those on their way are still counted on. */
+/* Boots were fast for a while, and then are as usual: those on their way would be taken for failed,
+   and rented a second time. */
 static void
-test_fast_boots_and_usual_ones (void)
+test_fast_boots_and_usual_ones (Simulation *simulation)
 {
-  Simulation *simulation = simulation_new (64);
   simulation->cloud->boot_us = MH_SECOND_US / 5;
   User *user = wants_four_machines (simulation);
   simulation_run (simulation, 3);
@@ -83,16 +79,15 @@
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
   WAIT (simulation, 200, told_done, user);
-  finish (simulation);
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/boot-time/slow", test_slow_boots);
-  g_test_add_func ("/boot-time/never-joins", test_never_joins);
-  g_test_add_func ("/boot-time/joins-late", test_joins_late);
-  g_test_add_func ("/boot-time/fast-and-usual", test_fast_boots_and_usual_ones);
+  simulation_test_add ("/boot-time/slow", 61, test_slow_boots);
+  simulation_test_add ("/boot-time/never-joins", 62, test_never_joins);
+  simulation_test_add ("/boot-time/joins-late", 63, test_joins_late);
+  simulation_test_add ("/boot-time/fast-and-usual", 64, test_fast_boots_and_usual_ones);
   return g_test_run ();
 }
