--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -3,6 +3,7 @@
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
 #include "cluster/task-failure.h"
+#include "protocol/worker-messages.h"
 #include "storage/load.h"
 
 /* A machine that refused a task gets no other before, and its report shows then what it holds. */
@@ -12,6 +13,8 @@
 
 /* ---- attempts that have ended ---- */
 
+/* Known fault, kept while decisions may not change: the end that the worker shows has already
+   cleared running_since_us, so that the estimator is never told. */
 static void
 note_done (MhCluster *cluster, const MhAttempt *attempt)
 {
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -120,7 +120,7 @@
 static bool
 quota_allows_task (const MhPlacementPass *pass, const MhJob *job)
 {
-  const MhUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
+  const MhTeamUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
 }
 
