--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -358,9 +358,9 @@
   if (mh_election_is_serving (core->election))
     {
       mh_core_update_recovery (core);
-      mh_gang_reconcile (core);
+      mh_gang_attempts_reconcile (core->gang_attempts);
       mh_cluster_step (core->cluster);
-      mh_placement_run (core->placement, core);
+      mh_placement_run (core->placement, mh_recovery_is_complete (core->recovery));
       mh_autoscaler_step (core->autoscaler);
       mh_record_writer_step (core->record_writer);
     }
@@ -394,21 +394,21 @@
 gang_loaded (gpointer owner, MhJob *job)
 {
   MhCore *core = owner;
-  mh_gang_restore (core, job);
+  mh_gang_attempts_restore (core->gang_attempts, job);
 }
 
 static void
 gang_task_over (gpointer owner, MhJob *job, bool done)
 {
   MhCore *core = owner;
-  mh_gang_task_ended (core, job, done);
+  mh_gang_attempts_task_ended (core->gang_attempts, job, done);
 }
 
 static void
 gang_stop (gpointer owner, MhJob *job, gint64 grace_us)
 {
   MhCore *core = owner;
-  mh_gang_stop (core, job, grace_us);
+  mh_gang_attempts_stop (core->gang_attempts, job, grace_us);
 }
 
 static const MhClusterCallbacks cluster_callbacks = {
@@ -467,9 +467,10 @@
   core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
   core->runtime_estimator = mh_runtime_estimator_new ();
   core->cluster = cluster_new (core);
-  core->gang_attempts = mh_gang_attempts_new ();
-  core->placement = mh_placement_new ();
+  core->gang_attempts = mh_gang_attempts_new (core->cluster, core->runtime, core->jobs);
   core->job_queue = mh_job_queue_new (core->settings, core->jobs, core->runtime_estimator);
+  core->placement
+      = mh_placement_new (core->cluster, core->runtime, core->record_writer, core->job_queue);
   core->autoscaler = autoscaler_new (core);
   if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_core_log (
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -8,6 +8,8 @@
 #include "cluster/machine.h"
 #include "placement/infeasible.h"
 #include "placement/topology-spread.h"
+#include "runtime/runtime.h"
+#include "storage/record-writer.h"
 
 /**
  * MhArrival:
@@ -29,8 +31,9 @@
 
 /**
  * MhPlacementPass:
- * @core: the controller
- * @cluster: its machines
+ * @cluster: the machines
+ * @runtime: time, log and wake-ups
+ * @record_writer: writes the attempts
  * @settings: its settings
  * @types: (element-type MhMachineType): the machine types
  * @now_us: the present, by the steady clock
@@ -50,8 +53,9 @@
  */
 typedef struct
 {
-  MhCore *core;
   MhCluster *cluster;
+  MhRecordWriter *record_writer;
+  MhRuntime *runtime;
   const MhSettings *settings;
   const GPtrArray *types;
   gint64 now_us;
