--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -50,10 +50,8 @@
    renew its lease, but does not get to see the records for long: it would keep alive what it cannot
    know to be cancelled. */
 static void
-test_cancel_before_a_slow_load (SimulationFixture *fixture, gconstpointer seed)
+test_cancel_before_a_slow_load (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 2);
   simulation_run (simulation, 10);
   guint old = simulation_leader (simulation)->index;
@@ -74,10 +72,8 @@
 /* Settings that leave no room beside the workers' lease: were anything kept alive without the
    key-value store, what is cancelled would not be gone in time. Silence is noticed as ever. */
 static void
-test_no_room_for_lease_extension (SimulationFixture *fixture, gconstpointer seed)
+test_no_room_for_lease_extension (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   simulation->settings->cancel_us = 18 * MH_SECOND_US;
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -109,10 +105,8 @@
    with the workers' leases, and start again on the very machines once it is back. That nothing was
    heard while all reports were refused once had the whole fleet given back. */
 static void
-test_long_outage (SimulationFixture *fixture, gconstpointer seed)
+test_long_outage (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 4);
   simulation->store->outage_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 59);
@@ -126,10 +120,8 @@
 /* A leader keeps its workers and users alone, and jobs are cancelled through the new one: users of
    the first would be told something older, and what is cancelled would not be gone in time. */
 static void
-test_cancel_beside_a_cut_leader (SimulationFixture *fixture, gconstpointer seed)
+test_cancel_beside_a_cut_leader (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   MhUserAnswer answer;
   User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
   simulation_run (simulation, 10);
@@ -152,10 +144,8 @@
 /* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel: what
    one leader leaves half done would be lost. */
 static void
-test_ten_leaders (SimulationFixture *fixture, gconstpointer seed)
+test_ten_leaders (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 3);
   for (guint i = 0; i < 10; i++)
     {
@@ -180,10 +170,8 @@
 /* A team is at its limit when the leader changes; a machine that runs its tasks can't be asked, and
    cancels fall into that. Did what may still run there not count, more would be started. */
 static void
-test_limit_across_leaders (SimulationFixture *fixture, gconstpointer seed)
+test_limit_across_leaders (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
   MhJobSpec *spec = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
   spec->estimated_run_us = 300 * MH_SECOND_US;
@@ -201,10 +189,8 @@
 /* No controller for longer than the workers' lease: whatever ran is gone, and would not run again
    if it were taken for running. */
 static void
-test_all_away_for_a_lease (SimulationFixture *fixture, gconstpointer seed)
+test_all_away_for_a_lease (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 3);
   User *array = running_array (simulation, 2, 6, 20);
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -220,10 +206,8 @@
 /* Controllers transfer leadership and get it back; then all end, and one is back within a moment,
    alone: it would wait for the lease of its earlier life, or for others. */
 static void
-test_back_and_forth (SimulationFixture *fixture, gconstpointer seed)
+test_back_and_forth (Simulation *simulation)
 {
-  Simulation *simulation = fixture->simulation;
-  (void)seed;
   User *user = running_service (simulation, 1, 3);
   running_service (simulation, 3, 1);
   simulation_run (simulation, 10);
@@ -248,15 +232,16 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/store-outages/lease-extension", test_lease_extension);
-  SIMULATION_TEST ("/store-outages/cancel-before-a-slow-load", 50, test_cancel_before_a_slow_load);
-  SIMULATION_TEST ("/store-outages/no-room-for-lease-extension", 54,
-                   test_no_room_for_lease_extension);
-  SIMULATION_TEST ("/store-outages/long-outage", 51, test_long_outage);
-  SIMULATION_TEST ("/store-outages/cancel-beside-a-cut-leader", 61,
-                   test_cancel_beside_a_cut_leader);
-  SIMULATION_TEST ("/store-outages/ten-leaders", 63, test_ten_leaders);
-  SIMULATION_TEST ("/store-outages/limit-across-leaders", 64, test_limit_across_leaders);
-  SIMULATION_TEST ("/store-outages/all-away-for-a-lease", 76, test_all_away_for_a_lease);
-  SIMULATION_TEST ("/store-outages/back-and-forth", 82, test_back_and_forth);
+  simulation_test_add ("/store-outages/cancel-before-a-slow-load", 50,
+                       test_cancel_before_a_slow_load);
+  simulation_test_add ("/store-outages/no-room-for-lease-extension", 54,
+                       test_no_room_for_lease_extension);
+  simulation_test_add ("/store-outages/long-outage", 51, test_long_outage);
+  simulation_test_add ("/store-outages/cancel-beside-a-cut-leader", 61,
+                       test_cancel_beside_a_cut_leader);
+  simulation_test_add ("/store-outages/ten-leaders", 63, test_ten_leaders);
+  simulation_test_add ("/store-outages/limit-across-leaders", 64, test_limit_across_leaders);
+  simulation_test_add ("/store-outages/all-away-for-a-lease", 76, test_all_away_for_a_lease);
+  simulation_test_add ("/store-outages/back-and-forth", 82, test_back_and_forth);
   return g_test_run ();
 }
