--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -8,44 +8,44 @@
 static MhValue *
 submission (void)
 {
-  MhValue *m = mh_value_map ();
-  mh_value_set_text (m, "id", "j-000412");
-  mh_value_set_text (m, "workload", "train");
-  mh_value_set_text (m, "desk", "vision");
-  mh_value_set_text (m, "shape", "sweep");
-  mh_value_set_text (m, "rank", "urgent");
-  mh_value_set_uint (m, "legs", 16);
-  mh_value_set_number (m, "cpus", 8);
-  mh_value_set_number (m, "gpus", 1);
-  mh_value_set_number (m, "mem_gb", 64);
-  mh_value_set_text (m, "build", "img-07");
-  mh_value_set_number (m, "size_gb", 6.2);
-  mh_value_set (m, "hall", cbor_new_null ());
-  mh_value_set_bool (m, "same_place", true);
-  mh_value_set_number (m, "runtime_s", 240);
-  mh_value_set_number (m, "snapshot_s", 30);
-  mh_value_set_number (m, "flush_s", 4);
-  mh_value_set_number (m, "due_s", 900);
-  mh_value_set_text (m, "colour", "fields that nobody knows are ignored");
-  return m;
+  MhValue *body = mh_value_map ();
+  mh_value_set_text (body, "id", "j-000412");
+  mh_value_set_text (body, "workload", "train");
+  mh_value_set_text (body, "desk", "vision");
+  mh_value_set_text (body, "shape", "sweep");
+  mh_value_set_text (body, "rank", "urgent");
+  mh_value_set_uint (body, "legs", 16);
+  mh_value_set_number (body, "cpus", 8);
+  mh_value_set_number (body, "gpus", 1);
+  mh_value_set_number (body, "mem_gb", 64);
+  mh_value_set_text (body, "build", "img-07");
+  mh_value_set_number (body, "size_gb", 6.2);
+  mh_value_set (body, "hall", cbor_new_null ());
+  mh_value_set_bool (body, "same_place", true);
+  mh_value_set_number (body, "runtime_s", 240);
+  mh_value_set_number (body, "snapshot_s", 30);
+  mh_value_set_number (body, "flush_s", 4);
+  mh_value_set_number (body, "due_s", 900);
+  mh_value_set_text (body, "colour", "fields that nobody knows are ignored");
+  return body;
 }
 
 /* The body with one field replaced; NULL leaves it out. */
 static MhValue *
 with (MhValue *whole, const char *key, MhValue *value)
 {
-  MhValue *m = mh_value_map ();
+  MhValue *changed = mh_value_map ();
   struct cbor_pair *pairs = cbor_map_handle (whole);
   for (gsize i = 0; i < cbor_map_size (whole); i++)
     {
       g_autofree char *name = mh_value_as_text (pairs[i].key);
       if (strcmp (name, key) != 0)
-        mh_value_set (m, name, cbor_incref (pairs[i].value));
+        mh_value_set (changed, name, cbor_incref (pairs[i].value));
     }
   if (value)
-    mh_value_set (m, key, value);
+    mh_value_set (changed, key, value);
   mh_value_unref (whole);
-  return m;
+  return changed;
 }
 
 static bool
@@ -62,6 +62,7 @@
   return spec != NULL;
 }
 
+/* A submission that is taken though a field is malformed would be placed, or fail, by chance. */
 static void
 test_submission (void)
 {
@@ -105,6 +106,8 @@
   g_assert_false (reads (with (submission (), "standby", cbor_build_float8 (1))));
 }
 
+/* A field that is lost between writing and reading would change the job: records hold submissions.
+ */
 static void
 test_round_trip (void)
 {
@@ -121,6 +124,7 @@
   g_assert_null (again->zone);
 }
 
+/* Foreign bytes could make libcbor recurse or reserve memory without bound. */
 static void
 test_bytes (void)
 {
@@ -142,12 +146,12 @@
   };
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
     {
-      g_autoptr (MhValue) v = mh_value_load (bad[i].bytes, bad[i].size, NULL);
-      g_assert_null (v);
+      g_autoptr (MhValue) value = mh_value_load (bad[i].bytes, bad[i].size, NULL);
+      g_assert_null (value);
     }
   g_autofree char *deep = g_strnfill (5000, (char)0x81);
-  g_autoptr (MhValue) v = mh_value_load (deep, 5000, NULL);
-  g_assert_null (v);
+  g_autoptr (MhValue) value = mh_value_load (deep, 5000, NULL);
+  g_assert_null (value);
 }
 
 /* Whatever bytes come, each reader says yes or no and nothing else happens. */
@@ -163,28 +167,29 @@
   for (guint round = 0; round < 20000; round++)
     {
       g_autofree guint8 *noise = g_memdup2 (data, size);
-      gsize n = (gsize)g_rand_int_range (random, 1, (gint)size + 1);
+      gsize length = (gsize)g_rand_int_range (random, 1, (gint)size + 1);
       for (guint k = (guint)g_rand_int_range (random, 1, 6); k > 0; k--)
-        noise[g_rand_int_range (random, 0, (gint)n)] = (guint8)g_rand_int (random);
-      g_autoptr (MhValue) v = mh_value_load (noise, round % 2 ? n : size, NULL);
-      if (v == NULL)
+        noise[g_rand_int_range (random, 0, (gint)length)] = (guint8)g_rand_int (random);
+      g_autoptr (MhValue) value = mh_value_load (noise, round % 2 ? length : size, NULL);
+      if (value == NULL)
         continue;
       loaded++;
       bool more;
       guint64 number;
-      MhUserAnswer a;
-      mh_job_spec_free (mh_submission_decode (v, NULL));
-      mh_heartbeat_free (mh_heartbeat_decode (v, NULL));
-      mh_kv_entry_free (mh_kv_entry_decode (v, NULL));
-      g_clear_pointer (&(GPtrArray *){ mh_machine_types_decode (v, NULL) }, g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_machine_list_decode (v, &more, NULL) },
+      MhUserAnswer answer;
+      mh_job_spec_free (mh_submission_decode (value, NULL));
+      mh_heartbeat_free (mh_heartbeat_decode (value, NULL));
+      mh_kv_entry_free (mh_kv_entry_decode (value, NULL));
+      g_clear_pointer (&(GPtrArray *){ mh_machine_types_decode (value, NULL) }, g_ptr_array_unref);
+      g_clear_pointer (&(GPtrArray *){ mh_machine_list_decode (value, &more, NULL) },
                        g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_kv_list_decode (v, &more, &number, NULL) },
+      g_clear_pointer (&(GPtrArray *){ mh_kv_list_decode (value, &more, &number, NULL) },
                        g_ptr_array_unref);
-      g_clear_pointer (&(GPtrArray *){ mh_kv_events_decode (v, &number, NULL) }, g_ptr_array_unref);
-      mh_kv_lease_decode (v, &number, NULL);
-      mh_record_read_final (v, &a, NULL);
-      mh_value_json_size (v);
+      g_clear_pointer (&(GPtrArray *){ mh_kv_events_decode (value, &number, NULL) },
+                       g_ptr_array_unref);
+      mh_kv_lease_decode (value, &number, NULL);
+      mh_record_read_final (value, &answer, NULL);
+      mh_value_json_size (value);
     }
   g_assert_cmpuint (loaded, >, 100);
 }
@@ -192,23 +197,23 @@
 static MhValue *
 report_of (const char *status, const char *cause)
 {
-  MhValue *m = mh_value_map (), *legs = mh_value_list (), *leg = mh_value_map ();
+  MhValue *report = mh_value_map (), *legs = mh_value_list (), *leg = mh_value_map ();
   mh_value_set_text (leg, "leg", "j-000412/3");
   mh_value_set_uint (leg, "try", 2);
   mh_value_set_text (leg, "status", status);
   mh_value_set_text (leg, "cause", cause);
   mh_value_push (legs, leg);
-  mh_value_set_text (m, "box", "vm-000231");
-  mh_value_set_text (m, "endpoint", "10.1.0.232:9000");
-  mh_value_set_text (m, "rack", "g8");
-  mh_value_set_text (m, "hall", "a");
-  mh_value_set_bool (m, "standby", true);
-  mh_value_set_uint (m, "tenure", 1);
-  mh_value_set_uint (m, "tick", 88);
-  mh_value_set_uint (m, "epoch", 41);
-  mh_value_set_number (m, "warning_s", 7.5);
-  mh_value_set (m, "legs", legs);
-  return m;
+  mh_value_set_text (report, "box", "vm-000231");
+  mh_value_set_text (report, "endpoint", "10.1.0.232:9000");
+  mh_value_set_text (report, "rack", "g8");
+  mh_value_set_text (report, "hall", "a");
+  mh_value_set_bool (report, "standby", true);
+  mh_value_set_uint (report, "tenure", 1);
+  mh_value_set_uint (report, "tick", 88);
+  mh_value_set_uint (report, "epoch", 41);
+  mh_value_set_number (report, "warning_s", 7.5);
+  mh_value_set (report, "legs", legs);
+  return report;
 }
 
 /* What gangs add to submissions and reports; other words stay unknown. */
@@ -238,37 +243,40 @@
                { "waiting", NULL, false, MH_TASK_PHASE_ENDED, MH_TASK_END_NONE } };
   for (guint i = 0; i < G_N_ELEMENTS (legs); i++)
     {
-      g_autoptr (MhValue) m = report_of (legs[i].status, legs[i].cause);
-      g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m, NULL);
-      g_assert_true ((r != NULL) == legs[i].good);
-      if (r == NULL)
+      g_autoptr (MhValue) report = report_of (legs[i].status, legs[i].cause);
+      g_autoptr (MhHeartbeat) heartbeat = mh_heartbeat_decode (report, NULL);
+      g_assert_true ((heartbeat != NULL) == legs[i].good);
+      if (heartbeat == NULL)
         continue;
-      g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).phase, ==, legs[i].phase);
-      g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==, legs[i].read);
+      g_assert_cmpint (g_array_index (heartbeat->tasks, MhTaskStatus, 0).phase, ==, legs[i].phase);
+      g_assert_cmpint (g_array_index (heartbeat->tasks, MhTaskStatus, 0).end_reason, ==,
+                       legs[i].read);
     }
 }
 
+/* A heartbeat without one of these could not be told from that of another machine or time. */
 static void
 test_report (void)
 {
-  MhValue *m = report_of ("ended", "in_use");
-  g_autoptr (MhHeartbeat) r = mh_heartbeat_decode (m, NULL);
-  g_assert_nonnull (r);
-  g_assert_cmpuint (r->tasks->len, ==, 1);
-  g_assert_cmpuint (g_array_index (r->tasks, MhTaskStatus, 0).index, ==, 3);
-  g_assert_cmpint (g_array_index (r->tasks, MhTaskStatus, 0).end_reason, ==,
+  MhValue *report = report_of ("ended", "in_use");
+  g_autoptr (MhHeartbeat) heartbeat = mh_heartbeat_decode (report, NULL);
+  g_assert_nonnull (heartbeat);
+  g_assert_cmpuint (heartbeat->tasks->len, ==, 1);
+  g_assert_cmpuint (g_array_index (heartbeat->tasks, MhTaskStatus, 0).index, ==, 3);
+  g_assert_cmpint (g_array_index (heartbeat->tasks, MhTaskStatus, 0).end_reason, ==,
                    MH_TASK_END_OTHER_ATTEMPT);
-  g_assert_cmpint (r->notice_us, ==, 7500000);
+  g_assert_cmpint (heartbeat->notice_us, ==, 7500000);
   static const char *const needed[]
       = { "box", "endpoint", "rack", "hall", "tenure", "tick", "epoch" };
   for (guint i = 0; i < G_N_ELEMENTS (needed); i++)
     {
-      g_autoptr (MhValue) part = with (cbor_incref (m), needed[i], NULL);
+      g_autoptr (MhValue) part = with (cbor_incref (report), needed[i], NULL);
       g_assert_null (mh_heartbeat_decode (part, NULL));
     }
-  mh_value_unref (m);
+  mh_value_unref (report);
 }
 
+/* A record that arrives in pieces would be lost, and a damaged one believed. */
 static void
 test_peer (void)
 {
@@ -285,36 +293,37 @@
     }
   /* Byte by byte, as a network may deliver it. */
   g_autoptr (GByteArray) in = g_byte_array_new ();
-  MhControllerMessage m;
-  guint n = 0;
+  MhControllerMessage message;
+  guint n_read = 0;
   for (guint i = 0; i < buffer->len; i++)
     {
       g_byte_array_append (in, buffer->data + i, 1);
-      MhControllerReadResult read = mh_controller_message_read (in, &m, NULL);
+      MhControllerReadResult read = mh_controller_message_read (in, &message, NULL);
       g_assert_cmpint (read, !=, MH_CONTROLLER_READ_MALFORMED);
       if (read == MH_CONTROLLER_READ_INCOMPLETE)
         continue;
-      if (n == 0)
-        g_assert_cmpstr (m.job, ==, "j-000001");
-      else if (n == 1)
-        g_assert_cmpuint (m.answer.done, ==, 3);
+      if (n_read == 0)
+        g_assert_cmpstr (message.job, ==, "j-000001");
+      else if (n_read == 1)
+        g_assert_cmpuint (message.answer.done, ==, 3);
       else
-        g_assert_cmpuint (m.epoch, ==, 9);
-      n++;
-      mh_controller_message_clear (&m);
+        g_assert_cmpuint (message.epoch, ==, 9);
+      n_read++;
+      mh_controller_message_clear (&message);
     }
-  g_assert_cmpuint (n, ==, 3);
+  g_assert_cmpuint (n_read, ==, 3);
   /* A length beyond any message must not be waited for. */
   g_byte_array_append (in, (const guint8 *)"\xff\xff\xff\xff", 4);
-  g_assert_cmpint (mh_controller_message_read (in, &m, NULL), ==, MH_CONTROLLER_READ_MALFORMED);
+  g_assert_cmpint (mh_controller_message_read (in, &message, NULL), ==,
+                   MH_CONTROLLER_READ_MALFORMED);
   g_autoptr (GRand) random = g_rand_new_with_seed (5531);
   for (guint round = 0; round < 5000; round++)
     {
       g_autoptr (GByteArray) noise = g_byte_array_new ();
       g_byte_array_append (noise, buffer->data, buffer->len);
       noise->data[g_rand_int_range (random, 0, (gint)noise->len)] = (guint8)g_rand_int (random);
-      while (mh_controller_message_read (noise, &m, NULL) == MH_CONTROLLER_READ_MESSAGE)
-        mh_controller_message_clear (&m);
+      while (mh_controller_message_read (noise, &message, NULL) == MH_CONTROLLER_READ_MESSAGE)
+        mh_controller_message_clear (&message);
     }
 }
 
