--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -2,8 +2,8 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
-#include "storage/record-writer.h"
 #include "protocol/worker-messages.h"
+#include "storage/record-writer.h"
 
 #include <string.h>
 
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -2,8 +2,8 @@
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/fencing.h"
-#include "storage/record-state.h"
 #include "protocol/worker-messages.h"
+#include "storage/record-state.h"
 
 /* An attempt that has not ended so long after its grace was over is stopped without any. */
 #define LATE_STOP_US MH_SECOND_US
@@ -39,7 +39,8 @@
 static bool
 is_durable (const MhAttempt *attempt)
 {
-  return mh_record_is_durable (mh_job_record (attempt->job, attempt->index), attempt->need_rev);
+  return mh_record_is_durable (mh_job_record (attempt->job, attempt->index),
+                               attempt->required_revision);
 }
 
 /* Every place of the gang is on record: a successor must not take a part of it for the whole. */
