--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -2,19 +2,26 @@
    plan, scale-out, scale-in and consolidation. */
 #pragma once
 
+#include "autoscaler/context.h"
 #include "cluster/machine-registry.h"
+#include "cluster/release-reason.h"
 #include "protocol/key-value-messages.h"
 
+/**
+ * MhAutoscaler:
+ *
+ * The autoscaler, with all its parts.
+ */
 typedef struct MhAutoscaler MhAutoscaler;
 
 /**
  * mh_autoscaler_new:
- * @core: (not transferred): jobs, machines, records; must outlive the object
+ * @context: what lies below; it is copied
  *
  * Returns: (transfer full): an autoscaler that has done nothing yet
  */
 MhAutoscaler *
-mh_autoscaler_new (MhCore *core);
+mh_autoscaler_new (const MhAutoscalerContext *context);
 
 /**
  * mh_autoscaler_free:
@@ -58,12 +65,12 @@
  * mh_autoscaler_release_machine:
  * @self: an autoscaler
  * @machine: a machine
- * @reason: for the log
+ * @reason: why
  *
  * Decides that the machine is given back; see mh_scale_in_release_machine ().
  */
 void
-mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, const char *reason);
+mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, MhReleaseReason reason);
 
 /**
  * mh_autoscaler_load_release:
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -1,7 +1,7 @@
 #include "autoscaler/consolidation.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/scale-in.h"
+#include "cluster/attempt.h"
 
 /* A machine is drained when no more of it is in use, and the others would not be fuller than this.
    Replicas younger than this are left alone: a start that is undone at once is none. */
@@ -50,9 +50,9 @@
   MhCapacityEstimate estimate
       = mh_capacity_estimate_for_type (machine->type, machine->zone, machine->spot);
   estimate.machine = machine;
-  estimate.free_cpus -= machine->usage.cpus;
-  estimate.free_gpus -= machine->usage.gpus;
-  estimate.free_mem_gb -= machine->usage.mem_gb;
+  estimate.available.cpus -= machine->usage.cpus;
+  estimate.available.gpus -= machine->usage.gpus;
+  estimate.available.mem_gb -= machine->usage.mem_gb;
   remaining->cpus += machine->type->cpus;
   remaining->cpus_in_use += machine->usage.cpus;
   g_array_append_val (remaining->estimates, estimate);
@@ -61,16 +61,16 @@
 static void
 find_remaining_machines (Pass *pass)
 {
-  MhCore *core = pass->context->core;
+  MhCluster *cluster = pass->context->cluster;
   gint64 silent_us = pass->context->settings->report_us * 2;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (core->cluster));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhMachine *machine = value;
       if (is_steady (machine) && !mh_machine_is_draining (machine)
-          && !mh_cluster_is_silent (core->cluster, machine, silent_us))
+          && !mh_cluster_is_silent (cluster, machine, silent_us))
         add_remaining_machine (&pass->remaining, machine);
     }
 }
@@ -165,7 +165,7 @@
   if (machine->attempts->len == 0)
     return;
   MhAttempt *attempt = mh_machine_attempt (machine, 0);
-  mh_attempt_stop (pass->context->core->cluster, attempt, mh_job_grace_us (attempt->job));
+  mh_attempt_stop (pass->context->cluster, attempt, mh_job_grace_us (attempt->job));
 }
 
 static bool
@@ -250,7 +250,7 @@
   gpointer value;
   if (!tasks_wait)
     find_remaining_machines (&pass);
-  g_hash_table_iter_init (&iter, mh_cluster_machines (context->core->cluster));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (context->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     visit_machine (&pass, value);
   drain_candidates (&pass);
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -1,11 +1,12 @@
 #include "autoscaler/demand.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/completion-forecast.h"
 #include "autoscaler/machine-offer.h"
 #include "placement/filter.h"
 #include "placement/quota.h"
 #include "placement/resources.h"
+#include "cluster/task-failure.h"
+#include "cluster/zone-silence.h"
 #include "protocol/cloud-messages.h"
 
 struct MhDemandPlan
@@ -29,7 +30,7 @@
 static gint64
 plan_now_us (const MhDemandPlan *plan)
 {
-  return plan->context->core->now.mono_us;
+  return mh_runtime_now_us (plan->context->runtime);
 }
 
 /* A machine that has to be created for these tasks; NULL: none can be had. */
@@ -54,7 +55,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (plan->context->core->cluster));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (plan->context->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhMachine *machine = value;
@@ -91,7 +92,7 @@
   if (job->spec->shape != MH_SHAPE_ARRAY)
     return 0;
   gint64 now_us = plan_now_us (plan);
-  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->core->cluster), job->spec);
+  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->cluster), job->spec);
   /* Estimates are often wrong by half. */
   gint64 latest_us = job->placement.objectives_missed
                          ? now_us
@@ -203,13 +204,13 @@
 static void
 plan_job (MhDemandPlan *plan, const MhJob *job)
 {
-  MhCore *core = plan->context->core;
+  MhCluster *cluster = plan->context->cluster;
   const MhJobSpec *spec = job->spec;
   MhTeamUse *use = planned_team_use (plan, spec->team);
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
-  guint tasks = mh_quota_allowed_tasks (core->settings,
-                                        mh_cluster_team_use (core->cluster, job->spec->team), job,
-                                        use, mh_task_failure_rentable (core->cluster, job));
+  guint tasks
+      = mh_quota_allowed_tasks (plan->context->settings, mh_cluster_team_use (cluster, spec->team),
+                                job, use, mh_task_failure_rentable (cluster, job));
   use->cpus += spec->cpus * tasks;
   use->gpus += spec->gpus * tasks;
   if (tasks > 0)
@@ -217,18 +218,19 @@
 }
 
 static void
-renew_expected_times (MhCore *core)
+renew_expected_times (const MhAutoscalerContext *context)
 {
+  MhCluster *cluster = context->cluster;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, core->jobs);
+  g_hash_table_iter_init (&iter, context->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       MhJob *job = value;
       job->placement.expected_run_us
-          = mh_runtime_estimator_run_us (core->runtime_estimator, job->spec);
+          = mh_runtime_estimator_run_us (context->runtime_estimator, job->spec);
       job->placement.expected_fetch_us
-          = mh_job_spec_fetch_us (job->spec, mh_cluster_types (core->cluster));
+          = mh_job_spec_fetch_us (job->spec, mh_cluster_types (cluster));
     }
 }
 
@@ -236,12 +238,12 @@
    come. But what is not on record has not been placed either: once there are machines, those jobs
    may find room on them, and machines were created for each beside free ones. */
 static GPtrArray *
-jobs_to_plan (MhCore *core)
+jobs_to_plan (const MhAutoscalerContext *context)
 {
-  MhJobQueueScope scope
-      = mh_zone_any_heard (core->cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
-  return mh_job_queue_pending (core->job_queue, scope, mh_cluster_types (core->cluster),
-                               mh_runtime_now_us (core->runtime));
+  MhCluster *cluster = context->cluster;
+  MhJobQueueScope scope = mh_zone_any_heard (cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  return mh_job_queue_pending (context->job_queue, scope, mh_cluster_types (cluster),
+                               mh_runtime_now_us (context->runtime));
 }
 
 MhDemandPlan *
@@ -254,13 +256,13 @@
   plan->forecast = mh_completion_forecast_new ();
   plan->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   plan->lost_cpus = mh_lost_capacity_cpus (lost);
-  g_autoptr (GPtrArray) jobs = jobs_to_plan (context->core);
+  g_autoptr (GPtrArray) jobs = jobs_to_plan (context);
   if (jobs->len == 0)
     return plan;
-  renew_expected_times (context->core);
+  renew_expected_times (context);
   add_coming_machines (plan);
   plan->offers = mh_machine_offers_new (context, scale_out, plan->estimates);
-  mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->core->cluster),
+  mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->cluster),
                                       plan_now_us (plan));
   for (guint i = 0; i < jobs->len; i++)
     plan_job (plan, g_ptr_array_index (jobs, i));
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,5 +1,4 @@
 #include "autoscaler/inventory.h"
-#include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
 #include "protocol/cloud-messages.h"
 
@@ -66,7 +65,7 @@
   self->types_due_us = mh_runtime_now_us (self->context->runtime)
                        + (types ? TYPES_INTERVAL_US : RETRY_INTERVAL_US);
   if (types)
-    mh_cluster_set_types (self->context->core->cluster, types);
+    mh_cluster_set_types (self->context->cluster, types);
 }
 
 static void
@@ -74,7 +73,7 @@
 {
   /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
   MhCallOptions options
-      = { .class = mh_cluster_types (self->context->core->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
+      = { .class = mh_cluster_types (self->context->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
           .timeout_us = MH_CLOUD_TIMEOUT_US,
           .func = handle_types_reply,
           .owner = self };
@@ -87,12 +86,12 @@
 static MhMachine *
 add_listed_machine (MhInventory *self, MhMachine *machine, const MhListedMachine *listed)
 {
-  MhCore *core = self->context->core;
+  MhCluster *cluster = self->context->cluster;
   if (machine == NULL)
-    machine = mh_cluster_add_machine (core->cluster, listed->name, listed->type, listed->zone,
-                                      listed->spot);
+    machine
+        = mh_cluster_add_machine (cluster, listed->name, listed->type, listed->zone, listed->spot);
   else
-    mh_cluster_identify_machine (core->cluster, machine, listed->type, listed->zone, listed->spot);
+    mh_cluster_identify_machine (cluster, machine, listed->type, listed->zone, listed->spot);
   machine->boot.rented_us = mh_runtime_now_us (self->context->runtime) - listed->age_us;
   machine->endpoint = machine->endpoint ? machine->endpoint : g_strdup (listed->endpoint);
   return machine;
@@ -101,16 +100,16 @@
 static void
 take_listed_machine (MhInventory *self, const MhListedMachine *listed)
 {
-  MhCore *core = self->context->core;
-  MhMachine *machine = mh_cluster_find_machine (core->cluster, listed->name);
-  if (mh_cluster_was_released (core->cluster, listed->name)
+  MhCluster *cluster = self->context->cluster;
+  MhMachine *machine = mh_cluster_find_machine (cluster, listed->name);
+  if (mh_cluster_was_released (cluster, listed->name)
       || (machine && mh_machine_is_releasing (machine)))
     return; /* lists lag */
   if (machine == NULL || machine->type_name == NULL)
     machine = add_listed_machine (self, machine, listed);
   machine->listed_running = listed->state == MH_LISTED_RUNNING;
   if (listed->state == MH_LISTED_FAILED)
-    mh_scale_in_release_machine (self->scale_in, machine, "failed");
+    mh_scale_in_release_machine (self->scale_in, machine, MH_RELEASE_REASON_FAILED);
 }
 
 static gint64
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -1,8 +1,10 @@
 #include "autoscaler/scale-in.h"
-#include "autoscaler/context.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/release-state.h"
 #include "protocol/cloud-messages.h"
+#include "storage/record.h"
+#include "storage/record-writer.h"
+#include "election/leader-record.h"
 
 #include <string.h>
 
@@ -117,13 +119,13 @@
 }
 
 void
-mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, const char *reason)
+mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, MhReleaseReason reason)
 {
   g_return_if_fail (self != NULL);
   if (mh_machine_is_releasing (machine))
     return;
-  mh_log_info (self->context->runtime, "releasing machine reason=%s machine=%s", reason,
-               machine->name);
+  mh_log_info (self->context->runtime, "releasing machine reason=%s machine=%s",
+               mh_release_reason_text (reason), machine->name);
   mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
   mh_lost_capacity_add (self->lost, machine->usage.cpus);
   const char *names[] = { machine->name, NULL };
@@ -134,14 +136,14 @@
 mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry)
 {
   g_return_if_fail (self != NULL);
-  MhCore *core = self->context->core;
+  MhCluster *cluster = self->context->cluster;
   g_autoptr (GError) error = NULL;
   char **names = mh_record_read_release (entry->value, &error);
   for (char **name = names; name && *name; name++)
     {
-      MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
+      MhMachine *machine = mh_cluster_find_machine (cluster, *name);
       if (machine == NULL)
-        machine = mh_cluster_add_machine (core->cluster, *name, NULL, NULL, false);
+        machine = mh_cluster_add_machine (cluster, *name, NULL, NULL, false);
       mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
     }
   if (names)
@@ -166,16 +168,16 @@
 static void
 confirm_batch (MhScaleIn *self, ReleaseBatch *batch)
 {
-  MhCore *core = self->context->core;
+  MhCluster *cluster = self->context->cluster;
   advance (batch, MH_RELEASE_EVENT_DELETION_CONFIRMED);
   for (char **name = batch->machines; *name; name++)
     {
-      MhMachine *machine = mh_cluster_find_machine (core->cluster, *name);
+      MhMachine *machine = mh_cluster_find_machine (cluster, *name);
       mh_log_debug (self->context->runtime, "machine deleted machine=%s", *name);
       if (machine)
-        mh_cluster_machine_released (core->cluster, machine);
+        mh_cluster_machine_released (cluster, machine);
     }
-  mh_record_writer_delete (core->record_writer, batch->key);
+  mh_record_writer_delete (self->context->record_writer, batch->key);
   self->batches_in_flight--;
 }
 
@@ -226,11 +228,10 @@
 {
   MhScaleIn *self = owner;
   ReleaseBatch *batch = data;
-  MhCore *core = self->context->core;
   if (is_leader_condition_refused (reply))
     {
       advance (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
-      mh_election_step_down (core->election, MH_LOSS_ANOTHER_LEADER);
+      mh_election_step_down (self->context->election, MH_LOSS_ANOTHER_LEADER);
     }
   /* Refused because it is there: a copy that was not answered has been carried out. */
   else if (reply->status == 200 || reply->status == 409)
@@ -241,7 +242,7 @@
   else if (reply->status == 400)
     {
       advance (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
-      mh_election_step_down (core->election, MH_LOSS_RECORD_REFUSED);
+      mh_election_step_down (self->context->election, MH_LOSS_RECORD_REFUSED);
     }
   else
     {
@@ -255,8 +256,7 @@
 write_record (MhScaleIn *self, ReleaseBatch *batch)
 {
   MhKvCondition conditions[]
-      = { { MH_LEADER_KEY, mh_election_key_version (self->context->core->election) },
-          { batch->key, 0 } };
+      = { { MH_LEADER_KEY, mh_election_key_version (self->context->election) }, { batch->key, 0 } };
   g_autoptr (MhValue) value = mh_record_write_release (batch->machines);
   g_autoptr (GArray) changes = g_array_new (FALSE, FALSE, sizeof (MhKvChange));
   MhKvChange put = { .key = batch->key, .value = value };
@@ -328,9 +328,8 @@
   ReleaseBatch *batch = g_rc_box_new0 (ReleaseBatch);
   batch->state = MH_RELEASE_REQUESTED;
   /* The epoch is this leadership's alone. */
-  batch->key
-      = g_strdup_printf ("%s%" G_GUINT64_FORMAT "/%u", MH_RECORD_RELEASES,
-                         mh_election_epoch (self->context->core->election), ++self->n_batches);
+  batch->key = g_strdup_printf ("%s%" G_GUINT64_FORMAT "/%u", MH_RECORD_RELEASES,
+                                mh_election_epoch (self->context->election), ++self->n_batches);
   batch->machines = g_strv_builder_end (machines);
   batch->replaced_records = g_strv_builder_end (replaced_records);
   return batch;
@@ -345,10 +344,10 @@
       || machine->heartbeat.unreadable_tasks)
     return;
   if (machine->notice_until_us >= 0 || mh_machine_is_draining (machine))
-    mh_scale_in_release_machine (self, machine, "drained");
+    mh_scale_in_release_machine (self, machine, MH_RELEASE_REASON_DRAINED);
   else if (now_us - machine->idle_since_us > self->context->settings->idle_us
            && now_us - machine->boot.rented_us > MH_MINIMUM_BILLED_US)
-    mh_scale_in_release_machine (self, machine, "idle");
+    mh_scale_in_release_machine (self, machine, MH_RELEASE_REASON_IDLE);
 }
 
 static void
@@ -356,7 +355,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context->core->cluster));
+  g_hash_table_iter_init (&iter, mh_cluster_machines (self->context->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     release_if_idle (self, value, now_us);
 }
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -1,5 +1,4 @@
 #include "autoscaler/scale-out.h"
-#include "autoscaler/context.h"
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
 #include "protocol/cloud-messages.h"
@@ -132,16 +131,16 @@
 static void
 add_created_machines (MhScaleOut *self, const CreateRequest *request, char **names)
 {
-  MhCore *core = self->context->core;
+  MhCluster *cluster = self->context->cluster;
   guint created = g_strv_length (names);
   mh_log_info (self->context->runtime,
                "machines created count=%u requested=%u type=%s zone=%s spot=%d", created,
                request->count, request->type, request->zone, request->spot);
   mh_lost_capacity_replace (self->lost, request->cpus_per_machine * created);
   for (guint i = 0; i < created; i++)
-    if (mh_cluster_find_machine (core->cluster, names[i]) == NULL
-        && !mh_cluster_was_released (core->cluster, names[i]))
-      mh_cluster_add_machine (core->cluster, names[i], request->type, request->zone, request->spot)
+    if (mh_cluster_find_machine (cluster, names[i]) == NULL
+        && !mh_cluster_was_released (cluster, names[i]))
+      mh_cluster_add_machine (cluster, names[i], request->type, request->zone, request->spot)
           ->boot.rented_here
           = true;
   if (created < request->count)
@@ -223,9 +222,8 @@
     return;
   CreateRequest *request = g_rc_box_new0 (CreateRequest);
   /* The epoch is this leadership's alone, so the name was never used before. */
-  request->name
-      = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
-                         mh_election_epoch (self->context->core->election), ++self->n_requests);
+  request->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+                                   mh_election_epoch (self->context->election), ++self->n_requests);
   request->type = g_strdup (kind->type->name);
   request->zone = g_strdup (kind->zone);
   request->spot = kind->spot;
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -3,12 +3,17 @@
    "POST /machines"). A kind of machine that the cloud refused is left alone for a while. */
 #pragma once
 
+#include "autoscaler/context.h"
 #include "autoscaler/lost-capacity.h"
 #include "protocol/cloud-messages.h"
 #include <glib.h>
 #include <stdbool.h>
 
-typedef struct MhAutoscalerContext MhAutoscalerContext;
+/**
+ * MhScaleOut:
+ *
+ * Makes requests for machines, one at a time.
+ */
 typedef struct MhScaleOut MhScaleOut;
 
 /**
