--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -1,104 +1,113 @@
-/* The state of the core, which its modules share, and what core.c offers them. Each module has a
-   header of its own. */
+/* The objects that a controller is composed of, for the files of this folder and for tests. */
 #pragma once
 
 #include "controller/core.h"
-#include "cluster/attempt.h"
+
+#include "autoscaler/autoscaler.h"
 #include "cluster/cluster.h"
-#include "cluster/direct-command.h"
-#include "cluster/heartbeat.h"
-#include "cluster/image-wait.h"
-#include "base/token-bucket.h"
-#include "runtime/call-queue.h"
-#include "cluster/failure-detection.h"
-#include "cluster/task-failure.h"
-#include "cluster/machine-registry.h"
 #include "cluster/recovery.h"
-#include "cluster/zone-silence.h"
-#include "jobs/job.h"
 #include "election/election.h"
-#include "election/leader-record.h"
-#include "storage/load.h"
-#include "storage/lookup.h"
-#include "placement/candidate.h"
-#include "placement/filter.h"
-#include "placement/gang-attempt.h"
-#include "placement/gang-placement.h"
-#include "placement/infeasible.h"
-#include "placement/placement.h"
-#include "placement/preemption.h"
-#include "placement/quota.h"
-#include "placement/resources.h"
-#include "placement/score.h"
-#include "placement/victim.h"
 #include "jobs/final-answers.h"
 #include "jobs/job-queue.h"
-#include "jobs/objective.h"
 #include "jobs/runtime-estimate.h"
-#include "storage/rechunk.h"
-#include "storage/record.h"
-#include "autoscaler/autoscaler.h"
-#include "placement/topology-spread.h"
-#include "cluster/recovery.h"
-#include "storage/record-state.h"
+#include "placement/gang-attempt.h"
+#include "placement/placement.h"
+#include "runtime/call-queue.h"
+#include "storage/load.h"
+#include "storage/lookup.h"
 #include "storage/record-writer.h"
 
 struct MhCore
 {
   const MhSettings *settings;
-  MhNow now; /* of the runtime; for modules that do not have it yet */
   MhRuntime *runtime;
   MhCallQueue *calls;
-
   MhElection *election;
-  MhRecovery *recovery;
 
-  /* storage */
+  GHashTable *jobs; /* id -> MhJob: all that are not over */
+  MhFinalAnswers *final_answers;
+  MhRuntimeEstimator *runtime_estimator;
+  MhJobQueue *job_queue;
+
   MhRecordWriter *record_writer;
   MhRecordLoader *record_loader;
   MhJobLookup *job_lookup;
 
-  /* leader's memory */
-  GHashTable *jobs; /* id -> MhJob */
-  MhFinalAnswers *final_answers;
-  MhJobQueue *job_queue;
   MhCluster *cluster;
-  MhRuntimeEstimator *runtime_estimator;
+  MhRecovery *recovery;
   MhGangAttempts *gang_attempts;
   MhPlacement *placement;
-  GHashTable *forwards; /* request id -> job id */
-
   MhAutoscaler *autoscaler;
+
+  GHashTable
+      *forwarded_requests; /* request id -> job id: passed on to the leader, not answered yet */
 };
 
-void
-mh_core_step (MhCore *core);
-/* The objects of src/storage, and what they tell; see core-storage.c. */
+/* ---- callbacks of the layers below ---- */
+
+/**
+ * mh_core_election_callbacks:
+ *
+ * Returns: (transfer none): what the controller does as leadership comes and goes
+ */
+const MhElectionCallbacks *
+mh_core_election_callbacks (void);
+
+/**
+ * mh_core_cluster_callbacks:
+ *
+ * Returns: (transfer none): what follows above the cluster from what happens in it
+ */
+const MhClusterCallbacks *
+mh_core_cluster_callbacks (void);
+
+/**
+ * mh_core_storage_init:
+ * @core: a controller with runtime, calls, election and jobs
+ *
+ * Makes the objects of src/storage, and registers what follows from records that were written or
+ * read.
+ */
 void
 mh_core_storage_init (MhCore *core);
+
+/**
+ * mh_core_storage_free:
+ * @core: a controller
+ *
+ * Frees the objects of src/storage.
+ */
 void
 mh_core_storage_free (MhCore *core);
-/* leadership.c: what the controller does as leadership comes and goes. */
-const MhElectionCallbacks *
-mh_core_election_callbacks (void);
-/* leadership.c: notes whether the machines have reported to a new leader. */
+
+/**
+ * mh_core_update_recovery:
+ * @core: a controller that leads
+ *
+ * Notes whether the machines have reported to a new leader, so that it may also preempt and scale.
+ */
 void
 mh_core_update_recovery (MhCore *core);
-/* For modules that still take the whole core; see src/runtime. */
-typedef void (*MhCoreReplyFunc) (MhCore *core, gpointer data, guint status, const MhValue *body);
-void
-mh_core_call (MhCore *core, MhCallClass class, MhRequest *request, double writes, gint64 timeout_us,
-              MhCoreReplyFunc func, gpointer data, GDestroyNotify free);
+
+/* ---- users' requests ---- */
+
+/**
+ * mh_core_handle_user_request:
+ * @core: a controller
+ * @request: what is asked; its spec is taken over
+ *
+ * Answers the request, or sees to it that it will be.
+ */
 void
-mh_core_answer_job (MhCore *core, guint64 id, const MhJob *job, guint status);
+mh_core_handle_user_request (MhCore *core, const MhUserRequest *request);
+
+/**
+ * mh_core_handle_forward_reply:
+ * @core: a controller
+ * @id: of the request that was passed on
+ * @answer: (nullable): the leader's answer
+ *
+ * Answers the user by what the leader said, or with 503 when it said nothing.
+ */
 void
-mh_core_final (MhCore *core, const char *id, const MhUserAnswer *answer);
-#define mh_core_act(core, kind, id) mh_runtime_act ((core)->runtime, kind, id)
-#define mh_core_answer(core, id, status, retry_after_s)                                            \
-  mh_runtime_answer_user ((core)->runtime, id, status, retry_after_s)
-#define mh_core_wake_at(core, at_us) mh_runtime_wake_at ((core)->runtime, at_us)
-#define mh_core_log(core, ...) mh_runtime_log ((core)->runtime, __VA_ARGS__)
-#define mh_info_limited(core, subject, ...)                                                        \
-  mh_log_info_limited ((core)->runtime, subject, __VA_ARGS__)
-#define mh_info(core, ...) mh_log_info ((core)->runtime, __VA_ARGS__)
-#define mh_debug(core, ...) mh_log_debug ((core)->runtime, __VA_ARGS__)
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *answer);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -2,6 +2,10 @@
    users who wait, and forgets what the leadership knew. The election decides when. */
 #include "controller/core-private.h"
 
+#include "cluster/failure-detection.h"
+#include "cluster/heartbeat.h"
+#include "cluster/machine-registry.h"
+
 static void
 load_records (gpointer owner)
 {
--- a/src/controller/core-storage.c
+++ b/src/controller/storage-callbacks.c
@@ -2,6 +2,10 @@
  * read. */
 #include "controller/core-private.h"
 
+#include "cluster/attempt.h"
+#include "cluster/machine-registry.h"
+#include "cluster/task-failure.h"
+
 /* ---- the writer ---- */
 
 static void
@@ -14,7 +18,8 @@
 static void
 job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
 {
-  mh_core_final (owner, job->spec->id, answer);
+  MhCore *core = owner;
+  mh_final_answers_add (core->final_answers, job->spec->id, answer);
 }
 
 /* What was waiting for the record to be durable may be sent now. */
@@ -109,7 +114,8 @@
 static void
 final_read (gpointer owner, const char *job, const MhUserAnswer *answer)
 {
-  mh_core_final (owner, job, answer);
+  MhCore *core = owner;
+  mh_final_answers_add (core->final_answers, job, answer);
 }
 
 void
--- /dev/null
+++ b/src/controller/user-requests.c
@@ -0,0 +1,239 @@
+/* Users' requests: submissions, questions and cancellations, answered here or passed on to the
+   leader.
+
+   Only durable state is told. A final state holds for ever, whoever leads; anything else is the
+   leader's to tell. */
+#include "controller/admission.h"
+#include "controller/core-private.h"
+
+#include "cluster/attempt.h"
+#include "cluster/machine-registry.h"
+
+/* A user waits two seconds for an answer. */
+#define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
+#define RETRY_AFTER_S 1u
+
+enum
+{
+  STATUS_OK = 200,
+  STATUS_CREATED = 201,
+  STATUS_MALFORMED = 400,
+  STATUS_IMPOSSIBLE = 422,
+  STATUS_UNAVAILABLE = 503
+};
+
+/* ---- answers ---- */
+
+static void
+answer (MhCore *core, guint64 id, const MhUserAnswer *given)
+{
+  mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *given;
+}
+
+static void
+answer_unavailable (MhCore *core, guint64 id)
+{
+  mh_runtime_answer_user (core->runtime, id, STATUS_UNAVAILABLE, RETRY_AFTER_S);
+}
+
+static void
+answer_state_of_job (MhCore *core, guint64 id, const MhJob *job)
+{
+  MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id);
+  mh_job_fill_answer (job, &action->answer);
+  action->answer.status = STATUS_OK;
+}
+
+/* The request is answered when the job's first record is durable. */
+static void
+answer_when_durable (MhJob *job, const MhUserRequest *request)
+{
+  MhWaiter waiter = { .id = request->id, .verb = request->verb };
+  g_array_append_val (job->waiters, waiter);
+}
+
+/* ---- submissions ---- */
+
+static MhJob *
+create_job (MhCore *core, MhJobSpec *spec)
+{
+  const MhNow *now = mh_runtime_now (core->runtime);
+  MhJob *job = mh_job_new (spec, 0, core->settings->value_bytes, now->wall_us, now);
+  g_hash_table_insert (core->jobs, job->spec->id, job);
+  mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
+  return job;
+}
+
+static void
+submit_new_job (MhCore *core, MhUserRequest *request)
+{
+  const GPtrArray *types = mh_cluster_types (core->cluster);
+  mh_admission_keep_known_types (types, request->spec);
+  switch (mh_admission_check (core->settings, types, request->spec))
+    {
+    case MH_ADMISSION_ACCEPT:
+      answer_when_durable (create_job (core, g_steal_pointer (&request->spec)), request);
+      break;
+    case MH_ADMISSION_IMPOSSIBLE:
+      /* An accepted job is never refused later, whatever the settings have become. */
+      mh_job_lookup_ask (core->job_lookup, request->id, request->spec->id, MH_USER_SUBMIT,
+                         MH_LOOKUP_LEADER);
+      break;
+    case MH_ADMISSION_TOO_LARGE:
+      mh_runtime_answer_user (core->runtime, request->id, STATUS_MALFORMED, 0);
+      break;
+    case MH_ADMISSION_UNDECIDED:
+      answer_unavailable (core, request->id);
+      break;
+    }
+}
+
+static void
+submit (MhCore *core, MhUserRequest *request)
+{
+  MhJob *job = g_hash_table_lookup (core->jobs, request->spec->id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->spec->id);
+  /* A repeated submission may wait in memory beside the final answer, which holds: it once was
+     answered as a job that waits. */
+  if (final)
+    answer (core, request->id, final);
+  else if (job && job->accepted)
+    answer_state_of_job (core, request->id, job);
+  else if (job)
+    answer_when_durable (job, request);
+  else
+    submit_new_job (core, request);
+}
+
+/* ---- cancellations ---- */
+
+static void
+cancel (MhCore *core, const MhUserRequest *request, MhJob *job)
+{
+  if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
+    {
+      answer_state_of_job (core, request->id, job);
+      return;
+    }
+  if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
+    {
+      mh_log_info (core->runtime, "job cancelled by its user job=%s", job->spec->id);
+      job->cancellation = MH_CANCELLATION_REQUESTED;
+      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
+      mh_attempt_stop_job (core->cluster, job);
+    }
+  answer_when_durable (job, request);
+}
+
+/* ---- without leadership ---- */
+
+static void
+forward (MhCore *core, const MhUserRequest *request)
+{
+  MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_FORWARD, request->id);
+  action->node = g_strdup (mh_election_leader_name (core->election));
+  action->timeout_us = FORWARD_TIMEOUT_US;
+  g_hash_table_insert (core->forwarded_requests, g_memdup2 (&request->id, sizeof request->id),
+                       g_strdup (request->job_id));
+}
+
+/* Questions, and submissions that can never run unless they were accepted once: their records tell.
+ */
+static bool
+can_be_looked_up (const MhCore *core, const MhUserRequest *request)
+{
+  if (request->forwarded || mh_election_is_elected (core->election))
+    return false;
+  return request->verb == MH_USER_STATUS
+         || (request->spec
+             && mh_admission_check (core->settings, mh_cluster_types (core->cluster), request->spec)
+                    == MH_ADMISSION_IMPOSSIBLE);
+}
+
+/* A leader whose lease has lapsed may not know how its last writes ended, and tells nothing either.
+ */
+static void
+handle_as_follower (MhCore *core, const MhUserRequest *request)
+{
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->job_id);
+  if (final)
+    answer (core, request->id, final);
+  else if (!request->forwarded && mh_election_other_leader (core->election))
+    forward (core, request);
+  else if (can_be_looked_up (core, request))
+    mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
+                       MH_LOOKUP_LEADERLESS);
+  else
+    answer_unavailable (core, request->id);
+}
+
+/* ---- as leader ---- */
+
+static void
+handle_as_leader (MhCore *core, MhUserRequest *request)
+{
+  MhJob *job = g_hash_table_lookup (core->jobs, request->job_id);
+  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->job_id);
+  if (mh_record_loader_is_unreadable (core->record_loader, request->job_id))
+    answer_unavailable (core, request->id);
+  else if (request->verb == MH_USER_SUBMIT)
+    submit (core, request);
+  else if (job == NULL && final)
+    answer (core, request->id, final);
+  /* Perhaps one that was over long ago and is submitted again: its final record tells, however long
+     the write that would find out has to wait. */
+  else if (job == NULL || !job->accepted)
+    mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
+                       MH_LOOKUP_LEADER);
+  else if (request->verb == MH_USER_STATUS)
+    answer_state_of_job (core, request->id, job);
+  else
+    cancel (core, request, job);
+}
+
+void
+mh_core_handle_user_request (MhCore *core, const MhUserRequest *request)
+{
+  MhUserRequest owned = *request;
+  if (mh_election_is_serving (core->election))
+    handle_as_leader (core, &owned);
+  else
+    handle_as_follower (core, &owned);
+  mh_job_spec_free (owned.spec);
+}
+
+/* ---- answers of the leader ---- */
+
+/* What the leader has called over stays so: the next question about it need not be passed on. */
+static void
+remember_final (MhCore *core, const char *job_id, const MhUserAnswer *given)
+{
+  MhUserAnswer final = *given;
+  final.status = STATUS_OK;
+  if ((given->status == STATUS_OK || given->status == STATUS_CREATED)
+      && (given->state == MH_JOB_DONE || given->state == MH_JOB_CANCELLED))
+    mh_final_answers_add (core->final_answers, job_id, &final);
+}
+
+void
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *given)
+{
+  gpointer key, value;
+  if (!g_hash_table_steal_extended (core->forwarded_requests, &id, &key, &value))
+    return;
+  g_free (key);
+  g_autofree char *job_id = value;
+  if (given)
+    {
+      mh_election_note_forward_answered (core->election);
+      answer (core, id, given);
+      remember_final (core, job_id, given);
+      return;
+    }
+  const char *leader = mh_election_leader_name (core->election);
+  mh_log_info_limited (core->runtime, MH_LOG_PEER,
+                       "leader did not answer a forwarded request leader=%s",
+                       leader ? leader : "unknown");
+  mh_election_note_forward_failed (core->election);
+  answer_unavailable (core, id);
+}
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -4,7 +4,7 @@
    users are told of it (mh_job_fill_answer) rests on durable records alone. */
 #pragma once
 
-#include "controller/core-types.h"
+#include "runtime/runtime.h"
 #include "jobs/gang-state.h"
 #include "jobs/job-failures.h"
 #include "protocol/cloud-messages.h"
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -136,7 +136,12 @@
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_user (server->core, &now, request->id, request->verb, request->job, spec, false);
+  const MhUserRequest user_request = { .id = request->id,
+                                       .verb = request->verb,
+                                       .job_id = request->job,
+                                       .spec = spec,
+                                       .forwarded = false };
+  mh_core_user (server->core, &now, &user_request);
   dispatch_actions (server);
 }
 
@@ -176,7 +181,12 @@
       = mh_request_forwarder_receive (server->forwarder, connection, call, &spec);
   if (request == NULL)
     return;
-  mh_core_user (server->core, &now, request->id, request->verb, request->job, spec, true);
+  const MhUserRequest user_request = { .id = request->id,
+                                       .verb = request->verb,
+                                       .job_id = request->job,
+                                       .spec = spec,
+                                       .forwarded = true };
+  mh_core_user (server->core, &now, &user_request);
   dispatch_actions (server);
 }
 
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -93,11 +93,11 @@
 {
   MhNow now = controller_node_now (node);
   guint64 id = expect_answer (node, request);
-  ControllerUserRequest sent = { .id = id,
-                                 .verb = request->verb,
-                                 .job_id = request->job_id,
-                                 .spec = request->spec ? job_spec_copy (request->spec) : NULL,
-                                 .forwarded = forwarded };
+  MhUserRequest sent = { .id = id,
+                         .verb = request->verb,
+                         .job_id = request->job_id,
+                         .spec = request->spec ? job_spec_copy (request->spec) : NULL,
+                         .forwarded = forwarded };
   controller_user (node->controller, &now, &sent);
   controller_node_drain (node);
 }
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -206,12 +206,11 @@
 }
 
 void
-controller_user (Controller *self, const MhNow *now, const ControllerUserRequest *request)
+controller_user (Controller *self, const MhNow *now, const MhUserRequest *request)
 {
   if (self->core)
     {
-      mh_core_user (self->core, now, request->id, request->verb, request->job_id, request->spec,
-                    request->forwarded);
+      mh_core_user (self->core, now, request);
       return;
     }
   ProductionNow production_now = to_production (now);
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -13,23 +13,6 @@
 
 typedef struct Controller Controller;
 
-/**
- * ControllerUserRequest:
- * @id: that the answer will have
- * @verb: what is asked for
- * @job_id: of which job
- * @spec: (transfer full) (nullable): of a submission
- * @forwarded: it comes from another controller
- */
-typedef struct
-{
-  guint64 id;
-  MhUserVerb verb;
-  const char *job_id;
-  MhJobSpec *spec;
-  bool forwarded;
-} ControllerUserRequest;
-
 /** controller_new: @settings: must outlive it. Returns: (transfer full): a controller that started
  * now */
 Controller *
@@ -42,7 +25,7 @@
 controller_tick (Controller *controller, const MhNow *now);
 /** controller_user: A user, or another controller for one, asks. */
 void
-controller_user (Controller *controller, const MhNow *now, const ControllerUserRequest *request);
+controller_user (Controller *controller, const MhNow *now, const MhUserRequest *request);
 /** controller_report: A worker's report. @id: that the response will have */
 void
 controller_report (Controller *controller, const MhNow *now, guint64 id, const MhValue *report);
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -219,7 +219,6 @@
 {
   MhNow now = { .mono_us = now_us, .wall_us = now_us };
   mh_runtime_begin_input (fixture->core->runtime, &now);
-  fixture->core->now = now;
 }
 
 static void
@@ -329,7 +328,7 @@
   spec->cpus = cpus;
   spec->mem_gb = 1;
   spec->deadline_us = -1;
-  MhJob *job = mh_job_new (spec, 0, 32768, START_US, &fixture->core->now);
+  MhJob *job = mh_job_new (spec, 0, 32768, START_US, mh_runtime_now (fixture->core->runtime));
   g_hash_table_insert (fixture->core->jobs, spec->id, job);
   return job;
 }
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -2,6 +2,10 @@
    every task: the lists and short cuts of src/placement must not change what first fit, the skew
    rule and the documented order of candidates decide. */
 #include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "cluster/image-wait.h"
+#include "cluster/machine-registry.h"
+#include "storage/record.h"
 
 #include <math.h>
 #include <string.h>
@@ -75,7 +79,7 @@
 static MhJob *
 add_job (Fixture *fixture)
 {
-  const MhNow *now = &fixture->core->now;
+  const MhNow *now = mh_runtime_now (fixture->core->runtime);
   MhJobSpec *spec = random_spec (fixture);
   gint64 age_us = (gint64)random_below (fixture, 9) * MH_SECOND_US;
   MhJob *job = mh_job_new (spec, 0, 32768, now->wall_us - age_us, now);
@@ -132,7 +136,7 @@
   if (random_below (fixture, 12) == 0 && machine->heartbeat.reported)
     mh_machine_change_state (machine, MH_MACHINE_EVENT_DRAIN_STARTED);
   if (random_below (fixture, 12) == 0)
-    machine->notice_until_us = fixture->core->now.mono_us + MH_SECOND_US;
+    machine->notice_until_us = mh_runtime_now_us (fixture->core->runtime) + MH_SECOND_US;
   for (guint i = random_below (fixture, 4); i > 0; i--)
     {
       g_autofree char *image = g_strdup_printf ("img-%u", random_below (fixture, 6));
@@ -375,8 +379,9 @@
 {
   MhCore *core = fixture->core;
   GPtrArray *expected = g_ptr_array_new_with_free_func (g_free);
-  g_autoptr (GPtrArray) queue = mh_job_queue_pending (
-      core->job_queue, MH_JOB_QUEUE_ACCEPTED, mh_cluster_types (core->cluster), core->now.mono_us);
+  g_autoptr (GPtrArray) queue
+      = mh_job_queue_pending (core->job_queue, MH_JOB_QUEUE_ACCEPTED,
+                              mh_cluster_types (core->cluster), mh_runtime_now_us (core->runtime));
   for (guint i = 0; i < queue->len; i++)
     {
       MhJob *job = g_ptr_array_index (queue, i);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,9 @@
 /* Decoders: what is malformed is refused, whatever is thrown at them. */
 #include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "cluster/image-wait.h"
+#include "cluster/machine-registry.h"
+#include "storage/record.h"
 #include "protocol/controller-messages.h"
 
 #include <math.h>
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -2,6 +2,10 @@
    the byte as long as no gang is in it. */
 #include "election/leader-record.h"
 #include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "cluster/image-wait.h"
+#include "cluster/machine-registry.h"
+#include "storage/record.h"
 #include "protocol/controller-messages.h"
 #include "production-gang-records.h"
 #include "production-records.h"
