--- a/src/autoscaler/cloud-error.h
+++ b/src/autoscaler/cloud-error.h
@@ -24,6 +24,7 @@
   MH_CLOUD_ERROR_UNKNOWN_OUTCOME
 } MhCloudError;
 
+/** MH_CLOUD_ERROR: the domain of #GError that cloud calls report */
 #define MH_CLOUD_ERROR (mh_cloud_error_quark ())
 
 /**
--- a/src/autoscaler/release-state.h
+++ b/src/autoscaler/release-state.h
@@ -25,6 +25,7 @@
   MH_RELEASE_CONFIRMED,
   MH_RELEASE_ABANDONED
 } MhReleaseState;
+/** MH_RELEASE_STATES: number of states */
 #define MH_RELEASE_STATES 5
 
 /**
@@ -48,6 +49,7 @@
   MH_RELEASE_EVENT_DELETION_CONFIRMED,
   MH_RELEASE_EVENT_DELETION_UNKNOWN
 } MhReleaseEvent;
+/** MH_RELEASE_EVENTS: number of events */
 #define MH_RELEASE_EVENTS 6
 
 /**
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -10,7 +10,7 @@
 #include "cluster/release-reason.h"
 #include "protocol/key-value-messages.h"
 
-/* A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
+/** A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
 #define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
 
 /**
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -42,6 +42,7 @@
    silence: as of the last check of all machines
    probe_bucket, direct_bucket: rates of questions and of direct commands
    boot_statistics: name of a type -> statistics of boot-time.c */
+/** MhCluster: the state of the cluster layer, for the files of this folder alone. */
 struct MhCluster
 {
   MhRuntime *runtime;
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -5,9 +5,10 @@
 #include "jobs/job.h"
 #include "protocol/cloud-messages.h"
 
+/** MhMachine: a machine, as the leader knows it. */
 typedef struct MhMachine MhMachine;
 
-/* Answers in a row of which the next report shows nothing, after which nothing is taken to reach
+/** Answers in a row of which the next report shows nothing, after which nothing is taken to reach
    the machine. */
 #define MH_MAX_IGNORED_ANSWERS 2u
 
--- a/src/cluster/recovery.h
+++ b/src/cluster/recovery.h
@@ -5,6 +5,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/** MhRecovery: whether the machines have reported to a new leader */
 typedef struct MhRecovery MhRecovery;
 
 /**
--- a/src/cluster/zone-silence.h
+++ b/src/cluster/zone-silence.h
@@ -6,7 +6,7 @@
 
 #include "cluster/cluster-types.h"
 
-/* A zone of fewer machines says nothing as a whole. */
+/** A zone of fewer machines says nothing as a whole. */
 #define MH_LEAST_MACHINES_OF_ZONE 3u
 
 /**
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -17,6 +17,7 @@
 #include "storage/lookup.h"
 #include "storage/record-writer.h"
 
+/** MhCore: the objects that a controller is composed of. */
 struct MhCore
 {
   const MhSettings *settings;
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -23,8 +23,7 @@
                      core->settings->report_interval_us);
   mh_placement_request_pass (core->placement, false);
   mh_cluster_records_loaded (core->cluster);
-  mh_log_info (core->runtime,
-               "records loaded, waiting for the workers' reports: unfinished_jobs=%u",
+  mh_log_info (core->runtime, "records loaded, waiting for the workers' reports unfinished_jobs=%u",
                g_hash_table_size (core->jobs));
 }
 
@@ -108,6 +107,6 @@
       || !mh_recovery_update (core->recovery, now_us, all_machines_reported (core)))
     return;
   mh_placement_request_pass (core->placement, false);
-  mh_log_info (core->runtime, "recovery complete: seconds_since_election=%.1f",
+  mh_log_info (core->runtime, "recovery complete seconds_since_election=%.1f",
                (double)(now_us - mh_election_elected_us (core->election)) / MH_SECOND_US);
 }
--- a/src/election/campaign.c
+++ b/src/election/campaign.c
@@ -55,7 +55,7 @@
   election->elected_us = now_us;
   election->next_renewal_us = now_us;
   election->request_pending = false;
-  mh_log_info (election->runtime, "elected leader, loading records: epoch=%" G_GUINT64_FORMAT,
+  mh_log_info (election->runtime, "elected leader, loading records epoch=%" G_GUINT64_FORMAT,
                election->own_epoch);
   election->callbacks->elected (election->owner);
 }
--- a/src/election/election-state.h
+++ b/src/election/election-state.h
@@ -7,7 +7,7 @@
 #include "election/lease.h"
 #include "runtime/call-queue.h"
 
-/* How long a request to the key-value store may take. */
+/** How long a request to the key-value store may take. */
 #define MH_ELECTION_CALL_TIMEOUT_US (MH_SECOND_US)
 
 /**
--- a/src/election/election-types.h
+++ b/src/election/election-types.h
@@ -4,9 +4,10 @@
 
 #include <glib.h>
 
+/** MhElection: the election of the leader, as this controller sees it */
 typedef struct MhElection MhElection;
 
-/* Each leadership takes so many epochs, of which each worker is given ever higher ones when a
+/** Each leadership takes so many epochs, of which each worker is given ever higher ones when a
    command to it has to be fenced: that costs no write, and no other worker notices. */
 #define MH_EPOCHS_PER_LEADERSHIP 1000000u
 
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -72,7 +72,7 @@
   if (!mh_lease_is_valid (&election->lease, now_us))
     {
       mh_log_info (election->runtime,
-                   "lease renewed after a pause, leadership goes on: epoch=%" G_GUINT64_FORMAT,
+                   "lease renewed after a pause, leadership goes on epoch=%" G_GUINT64_FORMAT,
                    election->own_epoch);
       election->callbacks->renewed_after_pause (election->owner, election->lease.last_renewal_us);
     }
@@ -142,7 +142,7 @@
 static void
 clear_leadership (MhElection *election)
 {
-  mh_log_info (election->runtime, "no longer leading: reason=%s",
+  mh_log_info (election->runtime, "no longer leading reason=%s",
                mh_loss_reason_text (election->loss_reason));
   election->clearing = true;
   election->callbacks->refuse_waiting (election->owner);
@@ -200,7 +200,7 @@
   if (mh_election_set_leader (election, node))
     {
       election->contact.unanswered_since_us = 0;
-      mh_log_info (election->runtime, "leader announced itself: leader=%s epoch=%" G_GUINT64_FORMAT,
+      mh_log_info (election->runtime, "leader announced itself leader=%s epoch=%" G_GUINT64_FORMAT,
                    node, epoch);
     }
   election->leader_epoch = epoch;
--- a/src/election/follower.c
+++ b/src/election/follower.c
@@ -46,7 +46,7 @@
     }
   if (mh_election_set_leader (election, node))
     {
-      mh_log_info (election->runtime, "leader known: leader=%s epoch=%" G_GUINT64_FORMAT, node,
+      mh_log_info (election->runtime, "leader known leader=%s epoch=%" G_GUINT64_FORMAT, node,
                    epoch);
       election->contact.unanswered_since_us = 0;
     }
@@ -119,7 +119,7 @@
     }
   else if (last->value == NULL)
     {
-      mh_log_info (election->runtime, "leader's lease expired: leader=%s",
+      mh_log_info (election->runtime, "leader's lease expired leader=%s",
                    election->leader_name ? election->leader_name : "unknown");
       forget_leader (election);
       mh_campaign_start (election);
--- a/src/election/leader-record.h
+++ b/src/election/leader-record.h
@@ -4,9 +4,9 @@
 
 #include "protocol/value.h"
 
-/* Who leads; attached to that controller's lease. */
+/** Who leads; attached to that controller's lease. */
 #define MH_LEADER_KEY "leader"
-/* The last epoch that any leadership has used; without a lease. */
+/** The last epoch that any leadership has used; without a lease. */
 #define MH_EPOCH_KEY "epoch"
 
 /**
--- a/src/election/leadership.c
+++ b/src/election/leadership.c
@@ -46,17 +46,17 @@
 {
   static const char *const texts[] = {
     [MH_LOSS_NONE] = "none",
-    [MH_LOSS_LEASE_EXPIRED] = "lease-expired",
-    [MH_LOSS_ANOTHER_LEADER] = "another-controller-leads",
-    [MH_LOSS_ANOTHER_ANNOUNCED] = "another-controller-announced-itself",
-    [MH_LOSS_RECORD_REFUSED] = "record-refused-as-malformed",
-    [MH_LOSS_RECORD_DIFFERS] = "record-differs-from-what-was-written",
-    [MH_LOSS_RECORD_CHANGED] = "record-changed-by-another",
-    [MH_LOSS_WRITE_OUTCOME_UNKNOWN] = "write-outcome-unknown",
-    [MH_LOSS_UNKNOWN_ATTEMPT] = "worker-runs-unknown-attempt",
-    [MH_LOSS_HIGHER_TOKEN] = "worker-saw-higher-token",
-    [MH_LOSS_TOKENS_EXHAUSTED] = "fencing-tokens-exhausted",
-    [MH_LOSS_NO_HEARTBEATS] = "no-heartbeats",
+    [MH_LOSS_LEASE_EXPIRED] = "lease_expired",
+    [MH_LOSS_ANOTHER_LEADER] = "another_controller_leads",
+    [MH_LOSS_ANOTHER_ANNOUNCED] = "another_controller_announced_itself",
+    [MH_LOSS_RECORD_REFUSED] = "record_refused_as_malformed",
+    [MH_LOSS_RECORD_DIFFERS] = "record_differs_from_what_was_written",
+    [MH_LOSS_RECORD_CHANGED] = "record_changed_by_another",
+    [MH_LOSS_WRITE_OUTCOME_UNKNOWN] = "write_outcome_unknown",
+    [MH_LOSS_UNKNOWN_ATTEMPT] = "worker_runs_unknown_attempt",
+    [MH_LOSS_HIGHER_TOKEN] = "worker_saw_higher_token",
+    [MH_LOSS_TOKENS_EXHAUSTED] = "fencing_tokens_exhausted",
+    [MH_LOSS_NO_HEARTBEATS] = "no_heartbeats",
   };
   return (guint)reason < G_N_ELEMENTS (texts) ? texts[reason] : "unknown";
 }
--- a/src/election/leadership.h
+++ b/src/election/leadership.h
@@ -22,6 +22,7 @@
   MH_LEADERSHIP_LEADING,
   MH_LEADERSHIP_STEPPING_DOWN
 } MhLeadership;
+/** MH_LEADERSHIP_STATES: number of states */
 #define MH_LEADERSHIP_STATES 5
 
 /**
@@ -44,6 +45,7 @@
   MH_LEADERSHIP_EVENT_LOST,
   MH_LEADERSHIP_EVENT_CLEARED
 } MhLeadershipEvent;
+/** MH_LEADERSHIP_EVENTS: number of events */
 #define MH_LEADERSHIP_EVENTS 6
 
 /**
--- a/src/jobs/gang-state.h
+++ b/src/jobs/gang-state.h
@@ -41,6 +41,7 @@
   MH_GANG_EVENT_COMPLETED,
   MH_GANG_EVENT_GONE
 } MhGangEvent;
+/** MH_GANG_EVENTS: number of events */
 #define MH_GANG_EVENTS (MH_GANG_EVENT_GONE + 1)
 
 /**
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -12,7 +12,9 @@
 #include "protocol/user-messages.h"
 #include "runtime/runtime.h"
 
+/** MhJob: a job in memory */
 typedef struct MhJob MhJob;
+/** MhRecord: a record of a job in the key-value store */
 typedef struct MhRecord MhRecord;
 /** MhAttempt: one go at running a task; see src/cluster/attempt.h. Opaque to the jobs layer. */
 typedef struct MhAttempt MhAttempt;
@@ -59,6 +61,7 @@
   MH_URGENCY_START,
   MH_URGENCY_PROGRESS
 } MhUrgency;
+/** MH_URGENCIES: number of urgencies */
 #define MH_URGENCIES 3
 
 /**
@@ -84,6 +87,7 @@
   MH_RECORD_WRITING_QUEUED,
   MH_RECORD_IN_DOUBT
 } MhRecordState;
+/** MH_RECORD_STATES: number of states */
 #define MH_RECORD_STATES 7
 
 /**
--- a/src/placement/gang-site.h
+++ b/src/placement/gang-site.h
@@ -15,6 +15,7 @@
   MH_GANG_ROOM_SOON,
   MH_GANG_ROOM_PREEMPTIBLE
 } MhGangRoom;
+/** MH_GANG_ROOMS: number of kinds of room */
 #define MH_GANG_ROOMS (MH_GANG_ROOM_PREEMPTIBLE + 1)
 
 /**
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -93,7 +93,7 @@
   bool above_price_cap;
 } MhCandidate;
 
-/* Of a zone in which the job may not run. */
+/** Of a zone in which the job may not run. */
 #define MH_ZONE_NOT_COUNTED G_MAXUINT
 
 /**
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -3,7 +3,7 @@
 
 #include "placement/placement-types.h"
 
-/* How often a pass makes room. */
+/** How often a pass makes room. */
 #define MH_PREEMPTIONS_PER_PASS 16u
 
 /**
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -4,7 +4,7 @@
 #include "cluster/machine.h"
 #include "jobs/job.h"
 
-/* Sums of fractions of a cpu or a GB are exact to less than this. */
+/** Sums of fractions of a cpu or a GB are exact to less than this. */
 #define MH_RESOURCE_EPSILON 1e-6
 
 /**
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -327,13 +327,13 @@
   switch (status)
     {
     case 0:
-      return "no-answer";
+      return "no_answer";
     case 503:
-      return "unavailable-or-refuses-this-controller";
+      return "unavailable_or_refuses_this_controller";
     case 429:
-      return "too-many-requests";
+      return "too_many_requests";
     default:
-      return "unexpected-answer";
+      return "unexpected_answer";
     }
 }
 
@@ -341,7 +341,7 @@
 mh_call_queue_log_store_failure (MhCallQueue *queue, guint status)
 {
   mh_log_info_limited (queue->runtime, MH_LOG_STORE,
-                       "key-value store call failed: status=%u reason=%s", status,
+                       "key-value store call failed status=%u reason=%s", status,
                        failure_reason (status));
 }
 
@@ -364,7 +364,7 @@
   queue->write_rate_lowered = true;
   if (queue->write_bucket.rate <= next_rate * WRITE_SHARE)
     return;
-  mh_log_info (queue->runtime, "key-value store takes fewer changes: changes_per_second=%.1f",
+  mh_log_info (queue->runtime, "key-value store takes fewer changes changes_per_second=%.1f",
                next_rate);
   mh_token_bucket_init (&queue->write_bucket, next_rate * WRITE_SHARE, next_rate * WRITE_BURST_S,
                         mh_runtime_now_us (queue->runtime));
--- a/src/runtime/call-queue.h
+++ b/src/runtime/call-queue.h
@@ -8,6 +8,7 @@
 
 #include "runtime/runtime.h"
 
+/** MhCallQueue: the calls of this controller, and the token buckets that they wait for */
 typedef struct MhCallQueue MhCallQueue;
 
 /**
@@ -26,6 +27,7 @@
   MH_CALL_WORK,
   MH_CALL_BACKGROUND
 } MhCallClass;
+/** MH_CALL_CLASSES: number of classes */
 #define MH_CALL_CLASSES 4
 
 /**
--- a/src/runtime/runtime.c
+++ b/src/runtime/runtime.c
@@ -62,7 +62,7 @@
   g_return_if_fail (runtime && now);
   if (runtime->wake_up_us && now->mono_us > runtime->wake_up_us + STOOD_STILL_US)
     {
-      mh_log_info (runtime, "process stood still: seconds=%.1f",
+      mh_log_info (runtime, "process stood still seconds=%.1f",
                    (double)(now->mono_us - runtime->wake_up_us) / MH_SECOND_US);
       runtime->resumed_us = now->mono_us;
     }
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -20,6 +20,7 @@
   double jitter;
 } MhNow;
 
+/** MhRuntime: the time of the current input, wake-ups, actions and log lines */
 typedef struct MhRuntime MhRuntime;
 
 /**
@@ -47,6 +48,7 @@
   MH_LOG_STORE,
   MH_LOG_PEER
 } MhLogSubject;
+/** MH_LOG_SUBJECTS: number of subjects */
 #define MH_LOG_SUBJECTS 3
 
 /**
@@ -270,8 +272,12 @@
 bool
 mh_runtime_may_log (MhRuntime *runtime, MhLogSubject subject);
 
+/** mh_log_info: logs a line at info level; see mh_runtime_log () */
 #define mh_log_info(runtime, ...) mh_runtime_log (runtime, G_LOG_LEVEL_INFO, __VA_ARGS__)
+/** mh_log_debug: logs a line at debug level; see mh_runtime_log () */
 #define mh_log_debug(runtime, ...) mh_runtime_log (runtime, G_LOG_LEVEL_DEBUG, __VA_ARGS__)
+/** mh_log_info_limited: logs a line at info level if one on its subject is due; see
+ * mh_runtime_may_log () */
 #define mh_log_info_limited(runtime, subject, ...)                                                 \
   G_STMT_START                                                                                     \
   {                                                                                                \
--- a/src/storage/batch.h
+++ b/src/storage/batch.h
@@ -24,6 +24,7 @@
   bool cancelled;
 } MhRecordWrite;
 
+/** MhBatch: what one transaction gathers */
 typedef struct MhBatch MhBatch;
 
 /**
--- a/src/storage/load.h
+++ b/src/storage/load.h
@@ -9,6 +9,7 @@
 
 #include "protocol/key-value-messages.h"
 
+/** MhRecordLoader: reads the records for a new leader */
 typedef struct MhRecordLoader MhRecordLoader;
 
 /**
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -9,6 +9,7 @@
 #include "jobs/job.h"
 #include "runtime/call-queue.h"
 
+/** MhJobLookup: reads for users about jobs that are not in memory */
 typedef struct MhJobLookup MhJobLookup;
 
 /**
--- a/src/storage/record-state.h
+++ b/src/storage/record-state.h
@@ -35,6 +35,7 @@
   MH_RECORD_CONFLICTED,
   MH_RECORD_DISCARDED
 } MhRecordEvent;
+/** MH_RECORD_EVENTS: number of events */
 #define MH_RECORD_EVENTS 10
 
 /**
--- a/src/storage/record-writer-private.h
+++ b/src/storage/record-writer-private.h
@@ -6,6 +6,7 @@
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
 
+/** MhRecordWriter: the state of the writer, for the files of this folder alone. */
 struct MhRecordWriter
 {
   MhRuntime *runtime;
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -10,6 +10,7 @@
 #include "election/election.h"
 #include "runtime/call-queue.h"
 
+/** MhRecordWriter: the queue of records that are to be written */
 typedef struct MhRecordWriter MhRecordWriter;
 
 /**
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -7,16 +7,18 @@
 #include "jobs/job.h"
 #include "protocol/value.h"
 
-/* Keys. A job's running records are j/ID and t/ID/CHUNK; its final one is f/ID. */
+/** Keys. A job's running records are j/ID and t/ID/CHUNK; its final one is f/ID. */
 #define MH_RECORD_JOBS "j/"
+/** MH_RECORD_CHUNKS: keys of further tasks of jobs begin with this */
 #define MH_RECORD_CHUNKS "t/"
+/** MH_RECORD_FINALS: keys of final records begin with this */
 #define MH_RECORD_FINALS "f/"
-/* Machines that are being given back. */
+/** Machines that are being given back. */
 #define MH_RECORD_RELEASES "r/"
-/* The changes a second that the key-value store was found to take at most. */
+/** The changes a second that the key-value store was found to take at most. */
 #define MH_RECORD_LIMITS "limits"
 
-/* Stands for the machine of a pending task that ran before. */
+/** Stands for the machine of a pending task that ran before. */
 #define MH_RECORD_NO_MACHINE "?"
 
 /**
@@ -34,6 +36,7 @@
   MH_STORAGE_ERROR_WRONG_JOB
 } MhStorageError;
 
+/** MH_STORAGE_ERROR: the domain of #GError that reading records reports */
 #define MH_STORAGE_ERROR (mh_storage_error_quark ())
 
 /**
--- a/src/storage/transaction.h
+++ b/src/storage/transaction.h
@@ -38,6 +38,7 @@
 MhTransactionOutcome
 mh_transaction_read_outcome (const MhReply *reply, guint64 *version);
 
+/** MhTransaction: a transaction under way */
 typedef struct MhTransaction MhTransaction;
 
 /**
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -333,9 +333,9 @@
   bool accepted = job->accepted || maybe_applied;
   mh_runtime_log (
       writer->runtime, G_LOG_LEVEL_CRITICAL,
-      "record refused by the state service job=%s record=%u reason=malformed-or-too-large"
+      "record refused by the key-value store job=%s record=%u reason=malformed_or_too_large"
       " outcome=%s",
-      job->spec->id, record->chunk, accepted ? "retried-later" : "job-not-accepted");
+      job->spec->id, record->chunk, accepted ? "retried_later" : "job_not_accepted");
   const MhUserAnswer later
       = { .status = 503, .retry_after_s = (guint)(RETRY_REFUSED_US / MH_SECOND_US) };
   answer_all_waiters (writer, job, &later);
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -31,7 +31,7 @@
       simulation_run (simulation, 30);
       simulation->network->late_write_probability = 0;
       wait_all (simulation, 200);
-      g_assert_false (simulation_logged (simulation, "reason=write-outcome-unknown"));
+      g_assert_false (simulation_logged (simulation, "reason=write_outcome_unknown"));
       finish (simulation);
     }
 }
@@ -60,7 +60,7 @@
       break;
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_true (simulation_leader (simulation) == leader);
-  g_assert_false (simulation_logged (simulation, "reason=write-outcome-unknown"));
+  g_assert_false (simulation_logged (simulation, "reason=write_outcome_unknown"));
 }
 
 /* The same, and while its write waits the user asks, and submits once more: what the question found
@@ -243,7 +243,7 @@
       WAIT (simulation, 10, told_cancelled, cancelled);
       WAIT (simulation, 120, told_done, user);
       g_assert_true (simulation_logged (simulation, "job re-chunked"));
-      g_assert_false (simulation_logged (simulation, "refused by the state service"));
+      g_assert_false (simulation_logged (simulation, "refused by the key-value store"));
       g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 322);
       simulation_run (simulation, 15);
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -135,7 +135,7 @@
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_leader (simulation)->index, ==, leader);
   g_assert_false (simulation_logged (simulation, "no longer leading"));
-  g_assert_true (simulation_logged (simulation, "refused by the state service"));
+  g_assert_true (simulation_logged (simulation, "refused by the key-value store"));
   g_assert_cmpuint (simulation->store->malformed_writes, <, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
   /* Its end is a small record. */
