--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -1,6 +1,6 @@
 #include "stand-in/controller.h"
 
-#include "production-core.h"
+#include "production/production-core.h"
 #include "protocol/worker-messages.h"
 
 #include <glib/gstdio.h>
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -396,11 +396,11 @@
 static GSocket *
 connect_to (guint node)
 {
-  g_autoptr (GSocketAddress) to
+  g_autoptr (GSocketAddress) address
       = g_inet_socket_address_new_from_string ("127.0.0.1", cluster.front[node]);
   GSocket *socket
       = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-  g_assert_true (g_socket_connect (socket, to, NULL, NULL));
+  g_assert_true (g_socket_connect (socket, address, NULL, NULL));
   return socket;
 }
 
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -75,9 +75,9 @@
 }
 
 static void
-count_by_zone (Simulation *simulation, const char *job, guint *counts, guint n)
+count_by_zone (Simulation *simulation, const char *job, guint *counts, guint zones)
 {
-  memset (counts, 0, n * sizeof *counts);
+  memset (counts, 0, zones * sizeof *counts);
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
@@ -85,7 +85,7 @@
         {
           const MachineTask *task = &g_array_index (machine->tasks, MachineTask, k);
           guint zone = (guint)(machine->zone[0] - 'a');
-          if (zone < n && task->phase != MH_TASK_PHASE_ENDED && strcmp (task->job_id, job) == 0)
+          if (zone < zones && task->phase != MH_TASK_PHASE_ENDED && strcmp (task->job_id, job) == 0)
             counts[zone]++;
         }
     }
@@ -168,11 +168,11 @@
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      MhObjective *o = g_new0 (MhObjective, 1);
-      *o = (MhObjective){ .kind = MH_OBJECTIVE_WAIT,
-                          .class_name = g_strdup ("live"),
-                          .within_us = 3 * MH_SECOND_US };
-      g_ptr_array_add (simulation->nodes[i].settings->objectives, o);
+      MhObjective *objective = g_new0 (MhObjective, 1);
+      *objective = (MhObjective){ .kind = MH_OBJECTIVE_WAIT,
+                                  .class_name = g_strdup ("live"),
+                                  .within_us = 3 * MH_SECOND_US };
+      g_ptr_array_add (simulation->nodes[i].settings->objectives, objective);
     }
   cloud_add_machine (simulation->cloud, "small", "a", false);
   simulation_run (simulation, 8);
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -296,13 +296,13 @@
       g_byte_array_unref (records[i]);
     }
   /* Byte by byte, as a network may deliver it. */
-  g_autoptr (GByteArray) in = g_byte_array_new ();
+  g_autoptr (GByteArray) received = g_byte_array_new ();
   MhControllerMessage message;
   guint n_read = 0;
   for (guint i = 0; i < buffer->len; i++)
     {
-      g_byte_array_append (in, buffer->data + i, 1);
-      MhControllerReadResult read = mh_controller_message_read (in, &message, NULL);
+      g_byte_array_append (received, buffer->data + i, 1);
+      MhControllerReadResult read = mh_controller_message_read (received, &message, NULL);
       g_assert_cmpint (read, !=, MH_CONTROLLER_READ_MALFORMED);
       if (read == MH_CONTROLLER_READ_INCOMPLETE)
         continue;
@@ -317,8 +317,8 @@
     }
   g_assert_cmpuint (n_read, ==, 3);
   /* A length beyond any message must not be waited for. */
-  g_byte_array_append (in, (const guint8 *)"\xff\xff\xff\xff", 4);
-  g_assert_cmpint (mh_controller_message_read (in, &message, NULL), ==,
+  g_byte_array_append (received, (const guint8 *)"\xff\xff\xff\xff", 4);
+  g_assert_cmpint (mh_controller_message_read (received, &message, NULL), ==,
                    MH_CONTROLLER_READ_MALFORMED);
   g_autoptr (GRand) random = g_rand_new_with_seed (5531);
   for (guint round = 0; round < 5000; round++)
@@ -363,13 +363,13 @@
     job->tasks[i] = (MhTask){ .live = &attempt, .attempt = 4000000000u, .state = MH_TASK_LIVE };
   for (guint i = 0; i < job->n_records; i++)
     {
-      g_autoptr (MhValue) v
+      g_autoptr (MhValue) value
           = mh_record_write (&job->records[i], "18446744073709551615.1", machine_name);
-      g_assert_cmpuint (mh_value_json_size (v), <, value_bytes);
+      g_assert_cmpuint (mh_value_json_size (value), <, value_bytes);
       if (i == 0)
         {
           g_auto (MhStoredJob) read = {};
-          g_assert_true (mh_record_read_job (v, spec->id, &read, NULL));
+          g_assert_true (mh_record_read_job (value, spec->id, &read, NULL));
           g_assert_nonnull (read.spec);
           g_assert_cmpuint (read.chunk, ==, job->chunk);
         }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -222,8 +222,8 @@
   MhTask *task = &loading->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *on = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
-      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, on);
+      MhMachine *found = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
+      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, found);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
