--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -159,6 +159,21 @@
   g_assert_false (simulation_logged (simulation, "reason=silent_since_failover"));
 }
 
+static guint
+joined_count (const Simulation *simulation)
+{
+  guint joined = 0;
+  for (guint i = 0; i < simulation->log_lines->len; i++)
+    joined += strstr (g_ptr_array_index (simulation->log_lines, i), "machine joined") != NULL;
+  return joined;
+}
+
+static bool
+has_leader_with_job (Simulation *simulation, gpointer data)
+{
+  return has_leader (simulation, data) && simulation_logged (simulation, "unfinished_jobs=1");
+}
+
 /* A report that was sent before a start was carried out reaches a new leader late. Taken as proof
    that the attempt is gone, it would have the task run twice: the worker has not seen the token
    that fences the start. */
@@ -174,16 +189,31 @@
   g_autoptr (MhValue) of_second = worker_protocol_report (second);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 30, all_run, user);
+  guint joined = joined_count (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    ((Worker *)g_ptr_array_index (simulation->workers, i))->reports_lost_until_us
+    simulation_worker (simulation, i)->reports_lost_until_us
         = simulation->clock->now_us + 8 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
-  WAIT (simulation, 10, has_leader, NULL);
-  simulation_run (simulation, 0.3);
-  workers_deliver_late_report (simulation, simulation_leader (simulation), of_first);
-  workers_deliver_late_report (simulation, simulation_leader (simulation), of_second);
+  WAIT (simulation, 10, has_leader_with_job, NULL);
+  ControllerNode *leader = simulation_leader (simulation);
+  /* It has read the record of the attempt, and has not heard the machines: to a leader that they
+     have answered, the late reports are merely old. */
+  g_assert_cmpuint (joined_count (simulation), ==, joined);
+  workers_deliver_late_report (simulation, leader, of_first);
+  workers_deliver_late_report (simulation, leader, of_second);
+  g_assert_cmpuint (joined_count (simulation), ==, joined); /* at most they tell where to ask */
+  /* The workers go on with the new leader. One that first tried the node that is stopped would get
+     its next answer when its lease is over, and rightly kill the task. */
+  for (guint i = 0; i < simulation->workers->len; i++)
+    {
+      Worker *worker = simulation_worker (simulation, i);
+      worker->node = leader->index;
+      worker->only_node = (gint)leader->index;
+    }
   simulation_run (simulation, 30); /* the world checks that nothing runs twice */
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
+  g_assert_cmpuint (joined_count (simulation), ==, joined + 2);
+  g_assert_false (simulation_logged (simulation, "attempt proven gone"));
 }
 
 /* A worker whose lease expired has a new session, which is proof by itself: without it its tasks
