--- /dev/null
+++ b/tests/test-admission.c
@@ -0,0 +1,141 @@
+/* Admission: which submissions are accepted, refused, or not decided yet. */
+#include "controller/admission.h"
+
+#include "protocol/user-messages.h"
+
+typedef struct
+{
+  MhSettings *settings;
+  GPtrArray *types;
+  MhJobSpec *spec;
+} Fixture;
+
+static MhMachineType *
+machine_type (const char *name, double cpus)
+{
+  MhMachineType *type = g_new0 (MhMachineType, 1);
+  type->name = g_strdup (name);
+  type->cpus = cpus;
+  type->mem_gb = 64;
+  type->zones = g_strdupv ((char **)(const char *[]){ "a", NULL });
+  return type;
+}
+
+static MhJobSpec *
+job_spec (void)
+{
+  MhJobSpec *spec = g_new0 (MhJobSpec, 1);
+  spec->id = g_strdup ("j-000001");
+  spec->class_name = g_strdup ("batch");
+  spec->team = g_strdup ("red");
+  spec->image = g_strdup ("img-0");
+  spec->tasks = 4;
+  spec->cpus = 4;
+  spec->mem_gb = 1;
+  spec->deadline_us = -1;
+  return spec;
+}
+
+static void
+set_up (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  fixture->settings = mh_settings_new ();
+  fixture->settings->value_bytes = 8192;
+  MhTeam *team = g_new0 (MhTeam, 1);
+  team->name = g_strdup ("red");
+  team->cpus = team->cpus_max = 8;
+  g_ptr_array_add (fixture->settings->teams, team);
+  fixture->types = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
+  g_ptr_array_add (fixture->types, machine_type ("small", 4));
+  fixture->spec = job_spec ();
+}
+
+static void
+tear_down (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  mh_settings_free (fixture->settings);
+  g_ptr_array_unref (fixture->types);
+  mh_job_spec_free (fixture->spec);
+}
+
+static MhAdmission
+check (const Fixture *fixture)
+{
+  return mh_admission_check (fixture->settings, fixture->types, fixture->spec);
+}
+
+/* A job array needs its team's quota for one task at a time; anything else for all of them. */
+static void
+test_quota_by_shape (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_ACCEPT);
+  fixture->spec->shape = MH_SHAPE_SERVICE;
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_IMPOSSIBLE);
+  fixture->spec->tasks = 2;
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_ACCEPT);
+}
+
+/* Accepted, they would wait for ever. */
+static void
+test_what_can_never_run (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  fixture->spec->cpus = 5;
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_IMPOSSIBLE);
+  fixture->spec->cpus = 4;
+  g_free (fixture->spec->team);
+  fixture->spec->team = g_strdup ("nobody");
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_IMPOSSIBLE);
+}
+
+/* Refused for good before the machine types are known, a user would not come again. */
+static void
+test_undecided_without_types (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  g_assert_cmpint (mh_admission_check (fixture->settings, NULL, fixture->spec), ==,
+                   MH_ADMISSION_UNDECIDED);
+  fixture->spec->shape = MH_SHAPE_SERVICE; /* beyond the quota, whatever the types */
+  g_assert_cmpint (mh_admission_check (fixture->settings, NULL, fixture->spec), ==,
+                   MH_ADMISSION_IMPOSSIBLE);
+}
+
+/* A record that the store refuses would end each leadership that tries to write it. */
+static void
+test_too_large_for_a_value (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  fixture->settings->value_bytes = 64;
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_TOO_LARGE);
+}
+
+/* Thousands of names that no machine has would not fit the job's record. */
+static void
+test_unknown_types_are_dropped (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  fixture->spec->types = g_strdupv ((char **)(const char *[]){ "huge", "small", "tiny", NULL });
+  mh_admission_keep_known_types (NULL, fixture->spec);
+  g_assert_cmpuint (g_strv_length (fixture->spec->types), ==, 3);
+  mh_admission_keep_known_types (fixture->types, fixture->spec);
+  g_assert_cmpuint (g_strv_length (fixture->spec->types), ==, 1);
+  g_assert_cmpstr (fixture->spec->types[0], ==, "small");
+  g_assert_cmpint (check (fixture), ==, MH_ADMISSION_ACCEPT);
+}
+
+#define ADD(name, test) g_test_add ("/admission/" name, Fixture, NULL, set_up, test, tear_down)
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  ADD ("quota-by-shape", test_quota_by_shape);
+  ADD ("what-can-never-run", test_what_can_never_run);
+  ADD ("undecided-without-types", test_undecided_without_types);
+  ADD ("too-large-for-a-value", test_too_large_for_a_value);
+  ADD ("unknown-types-are-dropped", test_unknown_types_are_dropped);
+  return g_test_run ();
+}
--- /dev/null
+++ b/tests/test-runtime.c
@@ -0,0 +1,314 @@
+/* The runtime's units: token bucket, clock, wake-ups, and the queue of calls. No simulated cluster.
+ */
+#include "base/token-bucket.h"
+#include "protocol/cloud-messages.h"
+#include "protocol/key-value-messages.h"
+#include "protocol/worker-messages.h"
+#include "runtime/call-queue.h"
+
+#define START_US (100 * MH_SECOND_US)
+#define STORE_RPS 100.0
+#define WRITE_RPS 10.0
+#define NEXT_WRITE_RPS 2.0
+
+typedef struct
+{
+  MhSettings *settings;
+  MhRuntime *runtime;
+  MhCallQueue *calls;
+  gint64 lease_until_us; /* 0: this controller may not act as leader */
+  guint replies;
+  guint last_status;
+  guint freed;
+} Fixture;
+
+static gint64
+lease_until_us (gconstpointer owner, gint64 now_us)
+{
+  const Fixture *fixture = owner;
+  return now_us < fixture->lease_until_us ? fixture->lease_until_us : 0;
+}
+
+static void
+set_time (Fixture *fixture, gint64 now_us)
+{
+  const MhNow now = { .mono_us = now_us, .wall_us = now_us };
+  mh_runtime_begin_input (fixture->runtime, &now);
+}
+
+static void
+set_up (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  const MhNow now = { .mono_us = START_US, .wall_us = START_US };
+  fixture->settings = mh_settings_new ();
+  fixture->settings->store_rps = STORE_RPS;
+  fixture->settings->store_write_rps = WRITE_RPS;
+  fixture->settings->next_write_rps = NEXT_WRITE_RPS;
+  fixture->settings->cloud_rps = 2;
+  fixture->settings->max_connections = 120;
+  fixture->runtime = mh_runtime_new (fixture->settings, &now);
+  mh_runtime_set_lease_source (fixture->runtime, lease_until_us, fixture);
+  fixture->calls = mh_call_queue_new (fixture->runtime);
+}
+
+static void
+tear_down (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  mh_call_queue_free (fixture->calls);
+  mh_runtime_free (fixture->runtime);
+  mh_settings_free (fixture->settings);
+}
+
+static void
+on_reply (gpointer owner, gpointer data, const MhReply *reply)
+{
+  Fixture *fixture = owner;
+  g_assert_true (data == owner);
+  fixture->replies++;
+  fixture->last_status = reply->status;
+}
+
+static void
+on_free (gpointer data)
+{
+  ((Fixture *)data)->freed++;
+}
+
+static void
+add_call (Fixture *fixture, MhRequest *request, MhCallClass class, double changes)
+{
+  mh_call_queue_add (fixture->calls, request,
+                     &(MhCallOptions){ .class = class,
+                                       .changes = changes,
+                                       .timeout_us = MH_SECOND_US,
+                                       .func = on_reply,
+                                       .owner = fixture,
+                                       .data = fixture,
+                                       .free_data = on_free });
+}
+
+/* How many calls leave now; `last` takes the id of the last one. */
+static guint
+flush (Fixture *fixture, guint64 *last)
+{
+  guint sent = 0;
+  mh_call_queue_flush (fixture->calls);
+  for (MhAction *action; (action = mh_runtime_pop_action (fixture->runtime)); sent++)
+    {
+      g_assert_cmpint (action->kind, ==, MH_ACTION_CALL);
+      if (last)
+        *last = action->id;
+      mh_action_free (action);
+    }
+  return sent;
+}
+
+/* ---- token bucket ---- */
+
+/* A bucket that fills beyond its burst would let a limit be exceeded after a quiet time. */
+static void
+test_bucket_holds_its_burst (void)
+{
+  MhTokenBucket bucket;
+  mh_token_bucket_init (&bucket, 10, 4, START_US);
+  g_assert_true (mh_token_bucket_has (&bucket, 4, START_US));
+  mh_token_bucket_take (&bucket, 4);
+  g_assert_false (mh_token_bucket_has (&bucket, 1, START_US));
+  g_assert_true (mh_token_bucket_has (&bucket, 1, START_US + MH_SECOND_US / 10));
+  g_assert_true (mh_token_bucket_has (&bucket, 4, START_US + 100 * MH_SECOND_US));
+  mh_token_bucket_take (&bucket, 4);
+  g_assert_false (mh_token_bucket_has (&bucket, 1, START_US + 100 * MH_SECOND_US));
+}
+
+/* A call that needs more than the burst would wait for ever. */
+static void
+test_bucket_lets_large_calls_pass_when_full (void)
+{
+  MhTokenBucket bucket;
+  mh_token_bucket_init (&bucket, 10, 4, START_US);
+  g_assert_true (mh_token_bucket_has (&bucket, 9, START_US));
+  mh_token_bucket_take (&bucket, 9);
+  g_assert_false (mh_token_bucket_has (&bucket, 9, START_US + MH_SECOND_US / 2));
+  g_assert_true (mh_token_bucket_has (&bucket, 9, START_US + MH_SECOND_US));
+}
+
+/* ---- time ---- */
+
+/* A later wake-up would make due work wait for the regular step. */
+static void
+test_earliest_wake_up_counts (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  mh_runtime_reset_wake_up (fixture->runtime);
+  gint64 regular_us = mh_runtime_next_wake_up_us (fixture->runtime);
+  g_assert_cmpint (regular_us, >, START_US);
+  mh_runtime_wake_at (fixture->runtime, START_US + 1000);
+  mh_runtime_wake_at (fixture->runtime, regular_us + 1000);
+  g_assert_cmpint (mh_runtime_next_wake_up_us (fixture->runtime), ==, START_US + 1000);
+}
+
+/* Silence in which this process stood still would be taken for that of the workers. */
+static void
+test_standing_still_is_remembered (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  mh_runtime_reset_wake_up (fixture->runtime);
+  gint64 due_us = mh_runtime_next_wake_up_us (fixture->runtime);
+  set_time (fixture, due_us + MH_SECOND_US / 2);
+  g_assert_cmpint (mh_runtime_resumed_us (fixture->runtime), ==, 0);
+  set_time (fixture, due_us + 5 * MH_SECOND_US);
+  g_assert_cmpint (mh_runtime_resumed_us (fixture->runtime), ==, due_us + 5 * MH_SECOND_US);
+  g_autoptr (MhAction) line = mh_runtime_pop_action (fixture->runtime);
+  g_assert_cmpint (line->kind, ==, MH_ACTION_LOG);
+  g_assert_true (g_str_has_prefix (line->line, "process stood still seconds="));
+}
+
+/* An answer that rests on a lease must be refused once the lease is over. */
+static void
+test_answers_carry_the_lease (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  fixture->lease_until_us = START_US + MH_SECOND_US;
+  mh_runtime_answer_user (fixture->runtime, 7, 503, 1);
+  g_autoptr (MhAction) as_leader = mh_runtime_pop_action (fixture->runtime);
+  g_assert_cmpint (as_leader->lease_until_us, ==, START_US + MH_SECOND_US);
+  set_time (fixture, START_US + MH_SECOND_US);
+  mh_runtime_answer_user (fixture->runtime, 8, 503, 1);
+  g_autoptr (MhAction) as_follower = mh_runtime_pop_action (fixture->runtime);
+  g_assert_cmpint (as_follower->lease_until_us, ==, 0);
+}
+
+/* A mass failure would fill the log with one line a machine. */
+static void
+test_lines_on_a_subject_are_limited (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  g_assert_true (mh_runtime_may_log (fixture->runtime, MH_LOG_BOOT));
+  g_assert_false (mh_runtime_may_log (fixture->runtime, MH_LOG_BOOT));
+  g_assert_true (mh_runtime_may_log (fixture->runtime, MH_LOG_PEER));
+  set_time (fixture, START_US + MH_SECOND_US);
+  g_assert_true (mh_runtime_may_log (fixture->runtime, MH_LOG_BOOT));
+}
+
+/* ---- calls ---- */
+
+/* A lease that waited behind other calls would end under load. */
+static void
+test_lease_calls_wait_for_no_token (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  for (guint i = 0; i < 2 * STORE_RPS; i++)
+    add_call (fixture, mh_kv_request_get ("f/j-000001"), MH_CALL_WORK, 0);
+  guint sent = flush (fixture, NULL);
+  g_assert_cmpuint (sent, >, 0);
+  g_assert_cmpuint (sent, <, 2 * STORE_RPS);
+  add_call (fixture, mh_kv_request_renew_lease (7), MH_CALL_LEASE, 0);
+  g_assert_cmpuint (flush (fixture, NULL), ==, 1);
+}
+
+/* Questions about finished jobs would go unanswered as long as there is much to write. */
+static void
+test_waiting_writes_do_not_hold_up_reads (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  add_call (fixture, mh_kv_request_get ("j/1"), MH_CALL_WORK, WRITE_RPS);
+  add_call (fixture, mh_kv_request_get ("j/2"), MH_CALL_WORK, WRITE_RPS);
+  add_call (fixture, mh_kv_request_get ("f/3"), MH_CALL_BACKGROUND, 0);
+  g_assert_cmpuint (flush (fixture, NULL), ==, 2); /* the first write and the read */
+  g_assert_cmpuint (flush (fixture, NULL), ==, 0);
+  set_time (fixture, START_US + MH_SECOND_US);
+  g_assert_cmpuint (flush (fixture, NULL), ==, 0); /* 8 tokens less 10, and 9 more: not full yet */
+  set_time (fixture, START_US + 2 * MH_SECOND_US);
+  g_assert_cmpuint (flush (fixture, NULL), ==, 1);
+}
+
+/* Commands and calls to the cloud must not leave after the end of the lease. */
+static void
+test_cloud_and_workers_need_a_lease (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  add_call (fixture, mh_cloud_request_machine_types (), MH_CALL_WORK, 0);
+  add_call (fixture, mh_worker_request_status ("127.0.0.1:1"), MH_CALL_SAFETY, 0);
+  g_assert_cmpuint (flush (fixture, NULL), ==, 0);
+  fixture->lease_until_us = START_US + MH_SECOND_US;
+  g_assert_cmpuint (flush (fixture, NULL), ==, 2);
+}
+
+/* Machines that are cut off would take all connections. */
+static void
+test_calls_to_workers_are_bounded (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  guint64 last = 0;
+  fixture->lease_until_us = START_US + MH_SECOND_US;
+  for (guint i = 0; i < 40; i++)
+    add_call (fixture, mh_worker_request_status ("127.0.0.1:1"), MH_CALL_SAFETY, 0);
+  g_assert_cmpuint (flush (fixture, &last), ==, 16);
+  mh_call_queue_complete (fixture->calls, last, &(MhReply){ .status = 200 });
+  g_assert_cmpuint (flush (fixture, NULL), ==, 1);
+}
+
+/* A reply of an earlier leadership would change what the present one knows. */
+static void
+test_forgotten_calls_take_no_reply (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  guint64 first = 0, second = 0;
+  add_call (fixture, mh_kv_request_get ("j/1"), MH_CALL_WORK, 0);
+  g_assert_cmpuint (flush (fixture, &first), ==, 1);
+  mh_call_queue_complete (fixture->calls, first, &(MhReply){ .status = 404 });
+  g_assert_cmpuint (fixture->replies, ==, 1);
+  g_assert_cmpuint (fixture->last_status, ==, 404);
+  g_assert_cmpuint (fixture->freed, ==, 1);
+  add_call (fixture, mh_kv_request_get ("j/2"), MH_CALL_WORK, 0);
+  g_assert_cmpuint (flush (fixture, &second), ==, 1);
+  add_call (fixture, mh_kv_request_get ("j/3"), MH_CALL_WORK, 0);
+  mh_call_queue_forget_all (fixture->calls);
+  g_assert_cmpuint (fixture->freed, ==, 3);
+  mh_call_queue_complete (fixture->calls, second, &(MhReply){ .status = 200 });
+  g_assert_cmpuint (fixture->replies, ==, 1);
+  g_assert_cmpuint (flush (fixture, NULL), ==, 0);
+}
+
+/* Each leader would be refused again at the rate that the store no longer takes. */
+static void
+test_throttled_store_lowers_the_rate_once (Fixture *fixture, gconstpointer unused)
+{
+  (void)unused;
+  double tokens;
+  g_assert_false (mh_call_queue_write_rate_is_lowered (fixture->calls));
+  mh_call_queue_store_failed (fixture->calls, 503);
+  g_assert_false (mh_call_queue_write_rate_is_lowered (fixture->calls));
+  g_assert_cmpint (mh_call_queue_store_paused_until_us (fixture->calls), >, START_US);
+  g_assert_false (mh_call_queue_may_write (fixture->calls, 1, &tokens));
+  mh_call_queue_store_failed (fixture->calls, 429);
+  g_assert_true (mh_call_queue_write_rate_is_lowered (fixture->calls));
+  g_assert_cmpfloat (mh_call_queue_write_burst (fixture->calls), <, NEXT_WRITE_RPS);
+  set_time (fixture, START_US + 10 * MH_SECOND_US);
+  g_assert_true (mh_call_queue_may_write (fixture->calls, 1, &tokens));
+}
+
+#define ADD(name, test) g_test_add (name, Fixture, NULL, set_up, test, tear_down)
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/token-bucket/holds-its-burst", test_bucket_holds_its_burst);
+  g_test_add_func ("/token-bucket/lets-large-calls-pass-when-full",
+                   test_bucket_lets_large_calls_pass_when_full);
+  ADD ("/runtime/earliest-wake-up-counts", test_earliest_wake_up_counts);
+  ADD ("/runtime/standing-still-is-remembered", test_standing_still_is_remembered);
+  ADD ("/runtime/answers-carry-the-lease", test_answers_carry_the_lease);
+  ADD ("/runtime/lines-on-a-subject-are-limited", test_lines_on_a_subject_are_limited);
+  ADD ("/call-queue/lease-calls-wait-for-no-token", test_lease_calls_wait_for_no_token);
+  ADD ("/call-queue/waiting-writes-do-not-hold-up-reads", test_waiting_writes_do_not_hold_up_reads);
+  ADD ("/call-queue/cloud-and-workers-need-a-lease", test_cloud_and_workers_need_a_lease);
+  ADD ("/call-queue/calls-to-workers-are-bounded", test_calls_to_workers_are_bounded);
+  ADD ("/call-queue/forgotten-calls-take-no-reply", test_forgotten_calls_take_no_reply);
+  ADD ("/call-queue/throttled-store-lowers-the-rate-once",
+       test_throttled_store_lowers_the_rate_once);
+  return g_test_run ();
+}
