--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -2,6 +2,10 @@
    the byte as long as no gang is in it. */
 #include "election/leader-record.h"
 #include "controller/core-private.h"
+#include "cluster/attempt.h"
+#include "cluster/image-wait.h"
+#include "cluster/machine-registry.h"
+#include "storage/record.h"
 #include "protocol/controller-messages.h"
 #include "production-gang-records.h"
 #include "production-records.h"
@@ -218,8 +222,8 @@
   MhTask *task = &loading->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *on = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
-      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, on);
+      MhMachine *found = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
+      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, found);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
