--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -177,7 +177,7 @@
       if (machine)
         mh_cluster_machine_released (cluster, machine);
     }
-  mh_record_writer_delete (self->context->record_writer, batch->key);
+  mh_record_writer_delete_key (self->context->record_writer, batch->key);
   self->batches_in_flight--;
 }
 
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -144,8 +144,9 @@
   if (!over || mh_job_is_finished (job))
     return;
   job->completion = MH_COMPLETION_UNWRITTEN;
-  mh_record_writer_touch (cluster->record_writer, &job->records[0],
-                          mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
+  mh_record_writer_mark_changed (cluster->record_writer, &job->records[0],
+                                 mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS
+                                                           : MH_URGENCY_START);
 }
 
 /* Out of all accounts; the attempt itself is left to the caller. */
@@ -188,8 +189,8 @@
   else
     job->placement.first_pending = MIN (job->placement.first_pending, attempt->index);
   if (!mh_job_is_cancelled (job))
-    mh_record_writer_touch (cluster->record_writer, mh_job_record (job, attempt->index),
-                            MH_URGENCY_PROGRESS);
+    mh_record_writer_mark_changed (cluster->record_writer, mh_job_record (job, attempt->index),
+                                   MH_URGENCY_PROGRESS);
   if (mh_job_is_gang (job))
     callbacks->gang_task_over (cluster->owner, job, done);
   /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
@@ -204,7 +205,8 @@
 {
   job->tasks[index].state = MH_TASK_DONE;
   job->n_done++;
-  mh_record_writer_touch (cluster->record_writer, mh_job_record (job, index), MH_URGENCY_START);
+  mh_record_writer_mark_changed (cluster->record_writer, mh_job_record (job, index),
+                                 MH_URGENCY_START);
   mh_attempt_finish_job_if_over (cluster, job);
 }
 
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -115,7 +115,7 @@
   bool first = !mh_job_backs_off (job);
   job->failures.back_off_level = MIN (job->failures.back_off_level + 1, LAST_LEVEL);
   wait_before_retry (cluster, job);
-  mh_record_writer_touch (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_mark_changed (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
   mh_log_info (cluster->runtime, "job backs off, fails wherever it starts job=%s next_start_s=%.0f",
                job->spec->id,
                (double)(job->placement.retry_after_us - mh_runtime_now_us (cluster->runtime))
@@ -218,7 +218,7 @@
   if (mh_job_backs_off (job))
     {
       mh_log_info (cluster->runtime, "job runs after back-off job=%s", job->spec->id);
-      mh_record_writer_touch (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
+      mh_record_writer_mark_changed (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
     }
   machine->failures.consecutive = 0;
   g_ptr_array_set_size (machine->failures.jobs, 0);
--- a/src/controller/storage-callbacks.c
+++ b/src/controller/storage-callbacks.c
@@ -55,7 +55,7 @@
 }
 
 static const MhRecordWriterCallbacks writer_callbacks = { .job_accepted = job_accepted,
-                                                          .job_over = job_over,
+                                                          .job_ended = job_over,
                                                           .attempts_recorded = attempts_recorded,
                                                           .job_rechunked = job_rechunked,
                                                           .leadership_lost = leadership_lost,
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -60,7 +60,7 @@
   const MhNow *now = mh_runtime_now (core->runtime);
   MhJob *job = mh_job_new (spec, 0, core->settings->value_bytes, now->wall_us, now);
   g_hash_table_insert (core->jobs, job->spec->id, job);
-  mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
+  mh_record_writer_mark_changed (core->record_writer, &job->records[0], MH_URGENCY_USER);
   return job;
 }
 
@@ -119,7 +119,7 @@
     {
       mh_log_info (core->runtime, "job cancelled by its user job=%s", job->spec->id);
       job->cancellation = MH_CANCELLATION_REQUESTED;
-      mh_record_writer_touch (core->record_writer, &job->records[0], MH_URGENCY_USER);
+      mh_record_writer_mark_changed (core->record_writer, &job->records[0], MH_URGENCY_USER);
       mh_attempt_stop_job (core->cluster, job);
     }
   answer_when_durable (job, request);
--- a/src/storage/batch.c
+++ b/src/storage/batch.c
@@ -2,14 +2,16 @@
 
 #include "storage/rechunk.h"
 
-/* Below the 64 KiB that one transaction may have, counted in JSON. */
+/* Limits the size of a transaction, counted as JSON. It is below the 64 KiB that the key-value
+   store accepts. */
 #define MAX_TRANSACTION_BYTES ((gsize)57344)
-/* Of a change and its conditions, beside the value. */
+/* Upper bound of the size of one change and its conditions, without the value. */
 #define CHANGE_OVERHEAD_BYTES 300u
-/* Records that are removed with a job's final one at most; the rest is removed later. */
+/* Limits the records that are deleted in the transaction that writes a job's final record; the
+   others are deleted later. */
 #define MAX_DELETED_WITH_FINAL 6u
-/* Changes for the final record and in place of the first one. */
-#define CHANGES_OF_FINAL 2u
+/* The changes that store the final record and delete the job's first one. */
+#define FINAL_RECORD_CHANGES 2u
 
 struct MhBatch
 {
@@ -18,8 +20,8 @@
   const MhSettings *settings;
   MhMachineNameFunc machine_name;
   guint max_changes;
-  gsize bytes;       /* an upper bound of what the records take */
-  bool is_exclusive; /* the record in it must be written alone */
+  gsize bytes;       /* upper bound of the size as JSON */
+  bool is_exclusive; /* its record must be written alone */
 };
 
 MhBatch *
@@ -42,12 +44,12 @@
 }
 
 guint
-mh_batch_deleted_with_final (const MhJob *job, const MhSettings *settings)
+mh_batch_count_deleted_with_final (const MhJob *job, const MhSettings *settings)
 {
   if (job->records[0].write_alone)
     return 0;
-  guint room = settings->txn_ops - CHANGES_OF_FINAL;
-  return MIN (job->n_records - 1, MIN (MAX_DELETED_WITH_FINAL, room));
+  guint max_deleted = settings->txn_ops - FINAL_RECORD_CHANGES;
+  return MIN (job->n_records - 1, MIN (MAX_DELETED_WITH_FINAL, max_deleted));
 }
 
 bool
@@ -64,16 +66,16 @@
 }
 
 static guint
-changes_needed (const MhBatch *batch, const MhRecord *record)
+count_needed_changes (const MhBatch *batch, const MhRecord *record)
 {
   if (mh_job_is_finished (record->job))
-    return CHANGES_OF_FINAL + mh_batch_deleted_with_final (record->job, batch->settings);
+    return FINAL_RECORD_CHANGES + mh_batch_count_deleted_with_final (record->job, batch->settings);
   if (replaces_layout (record))
-    return mh_rechunk_together (record->job, batch->settings->txn_ops);
+    return mh_rechunk_count_atomic (record->job, batch->settings->txn_ops);
   return 1;
 }
 
-/* The condition for what is stored now, under `key`. */
+/* Lists the write, and adds the condition that `key` still has the version that is known here. */
 static void
 add_write (MhBatch *batch, MhRecord *record, const char *key, const MhValue *value)
 {
@@ -90,8 +92,8 @@
 static void
 add_replaced_records (MhBatch *batch, MhJob *job)
 {
-  guint together = mh_rechunk_together (job, batch->settings->txn_ops);
-  for (guint i = 1; i < together; i++)
+  guint n_atomic = mh_rechunk_count_atomic (job, batch->settings->txn_ops);
+  for (guint i = 1; i < n_atomic; i++)
     {
       MhRecord *record = &job->records[i];
       const char *tag = mh_transaction_tag (batch->transaction);
@@ -102,9 +104,10 @@
     }
 }
 
-/* A submission must not meet the final record of an earlier one with the same id. */
+/* A record that creates a job is written only if no final record exists from an earlier job with
+   the same id. */
 static void
-add_running (MhBatch *batch, MhRecord *record, MhValue *value)
+add_running_record (MhBatch *batch, MhRecord *record, MhValue *value)
 {
   MhJob *job = record->job;
   g_autofree char *key = mh_record_key (job->spec->id, record->chunk);
@@ -119,9 +122,9 @@
     add_replaced_records (batch, job);
 }
 
-/* The final record takes the place of the first one, and of as many others as fit. */
+/* The final record replaces the job's first record and as many of the others as fit. */
 static void
-add_final (MhBatch *batch, MhRecord *record, MhValue *value)
+add_final_record (MhBatch *batch, MhRecord *record, MhValue *value)
 {
   const MhJob *job = record->job;
   g_autofree char *key = mh_record_key (job->spec->id, 0);
@@ -131,7 +134,7 @@
   mh_transaction_add_condition (batch->transaction, final_key, 0);
   if (record->version)
     mh_transaction_delete (batch->transaction, key);
-  guint deleted = mh_batch_deleted_with_final (job, batch->settings);
+  guint deleted = mh_batch_count_deleted_with_final (job, batch->settings);
   for (guint i = 1; i <= deleted; i++)
     if (job->records[i].version)
       {
@@ -145,7 +148,8 @@
 {
   guint changes = mh_transaction_changes (batch->transaction);
   if (changes
-      && (record->write_alone || changes + changes_needed (batch, record) > batch->max_changes))
+      && (record->write_alone
+          || changes + count_needed_changes (batch, record) > batch->max_changes))
     return false;
   const MhJob *job = record->job;
   const char *tag = mh_transaction_tag (batch->transaction);
@@ -156,9 +160,9 @@
   if (changes && bytes > MAX_TRANSACTION_BYTES)
     return false;
   if (mh_job_is_finished (job))
-    add_final (batch, record, value);
+    add_final_record (batch, record, value);
   else
-    add_running (batch, record, value);
+    add_running_record (batch, record, value);
   batch->is_exclusive |= record->write_alone;
   return true;
 }
--- a/src/storage/batch.h
+++ b/src/storage/batch.h
@@ -1,6 +1,6 @@
-/* Puts the transaction together that writes several records: which conditions and changes each of
-   them needs, and how many fit. The order of conditions and changes is part of what the service
-   does. */
+/* Builds the transaction that writes several records: which conditions and changes each of them
+   needs, and how many records fit. The order of conditions and changes is part of the observable
+   behavior of the service. */
 #pragma once
 
 #include "settings/settings.h"
@@ -9,12 +9,12 @@
 
 /**
  * MhRecordWrite:
- * @record: the record; its job lives as long as the write is under way
- * @revision: of memory that is written
- * @is_final: the final record of the job is written
- * @cancelled: what is written says that the job was cancelled
+ * @record: the record; its job exists as long as the write is in flight
+ * @revision: the revision of the record in memory that is written
+ * @is_final: whether the final record of the job is written in place of @record
+ * @cancelled: whether the written record says that the job is cancelled
  *
- * One record of a transaction.
+ * The write of one record in a transaction.
  */
 typedef struct
 {
@@ -24,17 +24,18 @@
   bool cancelled;
 } MhRecordWrite;
 
-/** MhBatch: what one transaction gathers */
+/** MhBatch: builds one transaction from several records */
 typedef struct MhBatch MhBatch;
 
 /**
  * mh_batch_new:
  * @transaction: (not transferred): an empty transaction, which outlives the batch
- * @writes: (not transferred) (element-type MhRecordWrite): gets one item for each record that is
- * added
- * @settings: (not transferred): tell how much a transaction takes
- * @machine_name: tells where live attempts are
- * @max_changes: that the transaction may make, unless its first record alone needs more
+ * @writes: (not transferred) (element-type MhRecordWrite): one item is appended for each record
+ * that is added
+ * @settings: (not transferred): the settings, with the limit on changes in a transaction
+ * @machine_name: returns the name of the machine that a live attempt is on
+ * @max_changes: the number of changes that the transaction may make, unless its first record alone
+ * needs more
  *
  * Returns: (transfer full): an empty batch
  */
@@ -46,7 +47,7 @@
  * mh_batch_free:
  * @batch: (transfer full): a batch
  *
- * Frees it; the transaction and the list of writes stay.
+ * Frees the batch, but neither the transaction nor the list of writes.
  */
 void
 mh_batch_free (MhBatch *batch);
@@ -55,12 +56,13 @@
 /**
  * mh_batch_add:
  * @batch: a batch
- * @record: one that may be written now
+ * @record: a record that may be written now
  *
- * Adds the record, or the final record of its job if the job has ended; with the first record of a
- * job that is being re-chunked, those that are to be replaced together with it.
+ * Adds the record, or the final record of its job if the job has ended. If @record is the first
+ * record of a job that is being re-chunked, the records that must be replaced in the same
+ * transaction are added too.
  *
- * Returns: %FALSE if it does not fit any more; then nothing was added
+ * Returns: %FALSE if @record does not fit; nothing was added then
  */
 bool
 mh_batch_add (MhBatch *batch, MhRecord *record);
@@ -69,18 +71,18 @@
  * mh_batch_is_full:
  * @batch: a batch
  *
- * Returns: %TRUE if nothing more fits
+ * Returns: %TRUE if no further change fits
  */
 bool
 mh_batch_is_full (const MhBatch *batch);
 
 /**
- * mh_batch_deleted_with_final:
+ * mh_batch_count_deleted_with_final:
  * @job: a job that has ended
- * @settings: tell how much a transaction takes
+ * @settings: the settings, with the limit on changes in a transaction
  *
- * Returns: how many of the job's further records, from the second on, are removed in the
- * transaction that writes the final one
+ * Returns: how many of the job's records, counted from the second one, the transaction that writes
+ * the final record deletes
  */
 guint
-mh_batch_deleted_with_final (const MhJob *job, const MhSettings *settings);
+mh_batch_count_deleted_with_final (const MhJob *job, const MhSettings *settings);
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -5,10 +5,12 @@
 #include <string.h>
 
 #define CALL_TIMEOUT_US (2 * MH_SECOND_US)
+/* The largest number of records that one request reads. */
 #define PAGE_ENTRIES 400u
-/* After a page that was not read. */
-#define PAUSE_US 50000
-#define PAUSE_SPREAD_US 50000
+/* How long calls to the store pause after a page could not be read: the pause plus a random part of
+   the spread, in microseconds. */
+#define PAGE_RETRY_PAUSE_US 50000
+#define PAGE_RETRY_SPREAD_US 50000
 
 struct MhRecordLoader
 {
@@ -21,7 +23,7 @@
   GHashTable *unreadable; /* set of job ids */
 };
 
-/* What is read, in this order: a job before its further records. */
+/* Prefixes of the keys that are read, in this order: a job's first record before its others. */
 static const char *const prefixes[]
     = { MH_RECORD_JOBS, MH_RECORD_CHUNKS, MH_RECORD_RELEASES, MH_RECORD_LIMITS };
 
@@ -74,11 +76,12 @@
 /* ---- one record ---- */
 
 static void
-leave_job_alone (MhRecordLoader *loader, const char *key, const char *id, const GError *error)
+mark_job_unreadable (MhRecordLoader *loader, const char *key, const char *id, const GError *error)
 {
-  mh_runtime_log (loader->runtime, G_LOG_LEVEL_CRITICAL,
-                  "record cannot be read, its job is left alone key=%s job=%s reason=\"%s\"", key,
-                  id, error->message);
+  mh_runtime_log (
+      loader->runtime, G_LOG_LEVEL_CRITICAL,
+      "record cannot be read, its job is neither scheduled nor stopped key=%s job=%s reason=\"%s\"",
+      key, id, error->message);
   g_hash_table_add (loader->unreadable, g_strdup (id));
   MhJob *job = g_hash_table_lookup (loader->jobs, id);
   if (job == NULL)
@@ -93,7 +96,8 @@
   MhJob *job;
 } TaskReader;
 
-/* What is known of a task is read wherever it stands, first found first taken: see rechunk.h. */
+/* While a job is being re-chunked, several of its records may contain the same task. The first
+   entry that is read counts; see rechunk.h. */
 static void
 load_task (gpointer data, guint index, guint32 attempt, const char *machine)
 {
@@ -121,7 +125,7 @@
   if (!mh_record_read_tasks (entry->value, load_task, &reader, &error))
     {
       g_autofree char *id = g_strdup (job->spec->id);
-      leave_job_alone (loader, entry->key, id, error);
+      mark_job_unreadable (loader, entry->key, id, error);
     }
 }
 
@@ -129,12 +133,12 @@
 add_job (MhRecordLoader *loader, MhStoredJob *stored)
 {
   guint value_bytes = mh_runtime_settings (loader->runtime)->value_bytes;
-  guint fits = mh_job_tasks_per_record (stored->spec, value_bytes);
-  bool too_large = fits && stored->chunk > fits;
+  guint max_chunk = mh_job_tasks_per_record (stored->spec, value_bytes);
+  bool too_large = max_chunk && stored->chunk > max_chunk;
   guint old_records = (stored->spec->tasks + stored->chunk - 1) / stored->chunk;
   MhJob *job
-      = mh_job_new (g_steal_pointer (&stored->spec), too_large ? fits : stored->chunk, value_bytes,
-                    stored->submitted_wall_us, mh_runtime_now (loader->runtime));
+      = mh_job_new (g_steal_pointer (&stored->spec), too_large ? max_chunk : stored->chunk,
+                    value_bytes, stored->submitted_wall_us, mh_runtime_now (loader->runtime));
   job->unchunked_records = too_large ? old_records : 0;
   job->accepted = true;
   loader->callbacks->back_off_found (loader->owner, job, stored->back_off_level);
@@ -152,10 +156,11 @@
   if (mh_record_read_job (entry->value, id, &stored, &error))
     load_tasks (loader, add_job (loader, &stored), 0, entry);
   else
-    leave_job_alone (loader, entry->key, id, error);
+    mark_job_unreadable (loader, entry->key, id, error);
 }
 
-/* One whose job is over, or was laid out in fewer records meanwhile, is of no use any more. */
+/* A record whose job has ended, or that the job's current layout no longer has, is not needed any
+   more: its key is deleted. */
 static void
 load_chunk (MhRecordLoader *loader, const MhKvEntry *entry)
 {
@@ -165,13 +170,14 @@
   MhJob *job = g_strv_length (parts) == 3 ? g_hash_table_lookup (loader->jobs, parts[1]) : NULL;
   guint64 chunk = job ? g_ascii_strtoull (parts[2], NULL, 10) : 0;
   if (job == NULL || chunk == 0 || chunk >= job->n_records)
-    mh_record_writer_delete (loader->writer, entry->key);
+    mh_record_writer_delete_key (loader->writer, entry->key);
   else
     load_tasks (loader, job, (guint)chunk, entry);
 }
 
-/* An earlier leader found that the limits announced as next hold. Those of settings that were
-   changed since are not known to. */
+/* An earlier leader recorded that the store enforces the write rate that the settings announced as
+   the next one. If the settings now announce a rate below the recorded one, it is not known whether
+   the store enforces that rate. */
 static void
 load_limits (MhRecordLoader *loader, const MhKvEntry *entry)
 {
@@ -182,7 +188,7 @@
                     "record cannot be read key=%s reason=\"%s\"", entry->key, error->message);
   else if (write_rps <= mh_runtime_settings (loader->runtime)->next_write_rps)
     {
-      mh_record_writer_limits_loaded (loader->writer);
+      mh_record_writer_mark_limits_durable (loader->writer);
       mh_call_queue_lower_write_rate (loader->calls);
     }
 }
@@ -210,7 +216,7 @@
 }
 
 static void
-take_page (gpointer owner, gpointer data, const MhReply *reply);
+on_page (gpointer owner, gpointer data, const MhReply *reply);
 
 static void
 read_page (MhRecordLoader *loader, guint prefix, const char *after)
@@ -220,7 +226,7 @@
   page->after = g_strdup (after);
   const MhCallOptions options = { .class = MH_CALL_SAFETY,
                                   .timeout_us = CALL_TIMEOUT_US,
-                                  .func = take_page,
+                                  .func = on_page,
                                   .owner = loader,
                                   .data = page,
                                   .free_data = page_free };
@@ -241,23 +247,23 @@
 }
 
 static void
-take_page (gpointer owner, gpointer data, const MhReply *reply)
+on_page (gpointer owner, gpointer data, const MhReply *reply)
 {
   MhRecordLoader *loader = owner;
   const Page *page = data;
-  bool more;
+  bool has_more;
   guint64 revision;
   g_autoptr (GPtrArray) entries
-      = reply->status == 200 ? mh_kv_list_decode (reply->body, &more, &revision, NULL) : NULL;
+      = reply->status == 200 ? mh_kv_list_decode (reply->body, &has_more, &revision, NULL) : NULL;
   if (entries == NULL)
     {
-      mh_call_queue_pause_store (loader->calls, PAUSE_US, PAUSE_SPREAD_US);
+      mh_call_queue_pause_store (loader->calls, PAGE_RETRY_PAUSE_US, PAGE_RETRY_SPREAD_US);
       read_page (loader, page->prefix, page->after);
       return;
     }
   for (guint i = 0; i < entries->len; i++)
     load_entry (loader, g_ptr_array_index (entries, i));
-  if (more && entries->len)
+  if (has_more && entries->len)
     {
       const MhKvEntry *last = g_ptr_array_index (entries, entries->len - 1);
       read_page (loader, page->prefix, last->key);
--- a/src/storage/load.h
+++ b/src/storage/load.h
@@ -1,8 +1,8 @@
-/* Reload: a new leader reads the records of its predecessors, of any version: unfinished jobs,
-   machines that are being given back, and limits.
+/* Loading: a new leader reads the records of earlier leaders, which may run any version of the
+   service: unfinished jobs, machines that are being released, and limits.
 
-   A job whose record is not understood is neither unknown nor without tasks: its users are told to
-   come again, and what runs of it is left alone. */
+   A job with a record that cannot be read counts neither as unknown nor as having no tasks: its
+   users get a 503 with a time to retry, and attempts of it that workers report are not stopped. */
 #pragma once
 
 #include "storage/record-writer.h"
@@ -14,14 +14,15 @@
 
 /**
  * MhRecordLoaderCallbacks:
- * @attempt_found: a record tells that the task was started on the machine by an earlier leader
- * @back_off_found: a record tells how far the job has backed off; 0: it does not
- * @release_found: a record of machines that are being given back
- * @job_unreadable: a further record of the job is not understood: its live attempts are to be
- * forgotten. The job is freed after the call
- * @loaded: all records were read
+ * @attempt_found: according to a record, an earlier leader assigned this attempt of the task to the
+ * machine
+ * @back_off_found: the back-off level of a job, according to its record; 0: no back-off
+ * @release_found: a record of machines that are being released
+ * @job_unreadable: a record of a job in memory cannot be read: the live attempts of the job must be
+ * dropped. The job is freed after the call
+ * @loaded: all records have been read
  *
- * Told by the loader to the layers above.
+ * How the loader notifies the layers above.
  */
 typedef struct
 {
@@ -37,9 +38,10 @@
  * mh_record_loader_new:
  * @runtime: (not transferred): must outlive the loader
  * @calls: (not transferred): must outlive the loader
- * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id, which owns them;
- * gets what is read
- * @writer: (not transferred): is told what has to be written or removed
+ * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
+ * jobs. The jobs that are read are added
+ * @writer: (not transferred): gets the records that must be written again and the keys that must be
+ * deleted
  * @callbacks: (not transferred): static
  * @owner: passed to @callbacks
  *
@@ -52,7 +54,7 @@
 
 /**
  * mh_record_loader_free:
- * @loader: (transfer full) (nullable): a loader none of whose calls is under way any more
+ * @loader: (transfer full) (nullable): a loader without queued or unanswered calls
  *
  * Frees it.
  */
@@ -64,8 +66,8 @@
  * mh_record_loader_start:
  * @loader: a loader
  *
- * Reads all records. Ends with the callback `loaded`, unless the leadership ends before; calls that
- * fail are repeated.
+ * Starts to read all records. Calls that fail are retried. The callback `loaded` is called at the
+ * end, unless the leadership ends before.
  */
 void
 mh_record_loader_start (MhRecordLoader *loader);
@@ -74,7 +76,7 @@
  * mh_record_loader_clear:
  * @loader: a loader
  *
- * Forgets which jobs could not be read: the leadership has ended.
+ * Clears the set of unreadable jobs at the end of a leadership.
  */
 void
 mh_record_loader_clear (MhRecordLoader *loader);
@@ -82,9 +84,10 @@
 /**
  * mh_record_loader_is_unreadable:
  * @loader: a loader
- * @job: id of a job
+ * @job: the id of a job
  *
- * Returns: %TRUE if a record of the job was not understood, so that nothing is known of it
+ * Returns: %TRUE if a record of the job could not be read, so that the state of the job is not
+ * known
  */
 bool
 mh_record_loader_is_unreadable (const MhRecordLoader *loader, const char *job);
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -5,16 +5,17 @@
 #include "protocol/key-value-messages.h"
 
 #define CALL_TIMEOUT_US MH_SECOND_US
-/* Questions that may wait for the key-value store: what it serves in so long. A user gives up on an
-   answer after two seconds. */
-#define MAX_WAIT_S 1.0
-#define LEAST_WAITING 8.0
+/* Limits the queued reads for status requests to as many as the key-value store serves in this
+   time. A user waits at most two seconds for an answer. */
+#define MAX_BACKLOG_S 1.0
+/* The limit on queued reads is not lower than this, however few requests the store serves. */
+#define MIN_BACKLOG 8.0
 #define RETRY_AFTER_S 1u
 
-/* Without a leader: the running record, then the final one (a job moves from the first to the
-   second and never back), and at last the leader's key. Only if that is absent may the answer be
-   given: a leader that holds it may not know yet that its own last write was applied, and would
-   tell the same user something older. */
+/* The order of the reads without a leader: the job's first record, then the final one, because a
+   job moves from the first to the second and never back; last, the leader's key. The answer is
+   given only if there is no leader's key. A leader that holds it may not know yet that its own last
+   write was applied, and would then give the same user an older state. */
 typedef enum
 {
   READ_RUNNING,
@@ -29,10 +30,10 @@
   GHashTable *jobs; /* id -> MhJob; not owned */
   MhJobLookupFinalFunc final_func;
   gpointer owner;
-  GHashTable *status_reads; /* job id -> JobRead that answers questions about it; not owned */
+  GHashTable *status_reads; /* job id -> JobRead for status requests; not owned */
 };
 
-/* The reads for one job. */
+/* Reads about one job, with the requests that they answer. */
 typedef struct
 {
   MhJobLookup *lookup;
@@ -40,14 +41,15 @@
   MhUserVerb verb;
   MhLookupScope scope;
   Stage stage;
-  MhUserAnswer found;  /* to be given if there is no leader */
-  GArray *request_ids; /* guint64: requests that the reads under way will answer */
-  /* guint64: requests that came since those began. An answer that was read before a question came
-     may be older than what its user has been told meanwhile. */
+  MhUserAnswer found;  /* the answer, if the reads that follow confirm it */
+  GArray *request_ids; /* guint64: answered by the current reads */
+  /* guint64: requests that came after the current reads began, to be answered by the next reads.
+     The current reads may return an older state than an answer that the user got before the
+     request. */
   GArray *next_request_ids;
 } JobRead;
 
-static const MhUserAnswer come_again = { .status = 503, .retry_after_s = RETRY_AFTER_S };
+static const MhUserAnswer unavailable_answer = { .status = 503, .retry_after_s = RETRY_AFTER_S };
 
 MhJobLookup *
 mh_job_lookup_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
@@ -73,7 +75,7 @@
   g_free (lookup);
 }
 
-/* ---- the reads for one job ---- */
+/* ---- reads about one job ---- */
 
 static JobRead *
 job_read_new (MhJobLookup *lookup, const char *job, MhUserVerb verb, MhLookupScope scope)
@@ -100,14 +102,15 @@
   g_array_set_size (request_ids, 0);
 }
 
-/* Calls are forgotten at the end of a leadership, but not who waits for them. */
+/* The calls, with their references to the reads, are dropped at the end of a leadership. Requests
+   that were not answered by then get a 503. */
 static void
 job_read_clear (gpointer data)
 {
   JobRead *read = data;
   GHashTable *status_reads = read->lookup->status_reads;
-  answer_all (read, read->request_ids, &come_again);
-  answer_all (read, read->next_request_ids, &come_again);
+  answer_all (read, read->request_ids, &unavailable_answer);
+  answer_all (read, read->next_request_ids, &unavailable_answer);
   if (g_hash_table_lookup (status_reads, read->job) == read)
     g_hash_table_remove (status_reads, read->job);
   g_array_unref (read->request_ids);
@@ -122,7 +125,7 @@
 }
 
 static char *
-stage_key (Stage stage, const char *job)
+get_stage_key (Stage stage, const char *job)
 {
   switch (stage)
     {
@@ -136,7 +139,7 @@
 }
 
 static MhCallClass
-call_class (MhUserVerb verb)
+get_call_class (MhUserVerb verb)
 {
   switch (verb)
     {
@@ -150,17 +153,17 @@
 }
 
 static void
-take_entry (gpointer owner, gpointer data, const MhReply *reply);
+on_entry (gpointer owner, gpointer data, const MhReply *reply);
 
-/* Each call holds the reads. */
+/* Each call holds a reference to the reads. */
 static void
 read_stage (JobRead *read, Stage stage)
 {
   read->stage = stage;
-  g_autofree char *key = stage_key (stage, read->job);
-  const MhCallOptions options = { .class = call_class (read->verb),
+  g_autofree char *key = get_stage_key (stage, read->job);
+  const MhCallOptions options = { .class = get_call_class (read->verb),
                                   .timeout_us = CALL_TIMEOUT_US,
-                                  .func = take_entry,
+                                  .func = on_entry,
                                   .owner = read->lookup,
                                   .data = g_rc_box_acquire (read),
                                   .free_data = job_read_unref };
@@ -168,14 +171,14 @@
 }
 
 static void
-begin_reading (JobRead *read)
+start_reads (JobRead *read)
 {
   read_stage (read, read->scope == MH_LOOKUP_LEADER ? READ_FINAL : READ_RUNNING);
 }
 
-/* The reads are over; who came meanwhile gets new ones, together. */
+/* Answers the requests, and starts new reads for all requests that came after these reads began. */
 static void
-finish_reading (JobRead *read, const MhUserAnswer *answer)
+finish_reads (JobRead *read, const MhUserAnswer *answer)
 {
   answer_all (read, read->request_ids, answer);
   if (read->next_request_ids->len == 0)
@@ -183,10 +186,10 @@
   GArray *empty = read->request_ids;
   read->request_ids = read->next_request_ids;
   read->next_request_ids = empty;
-  begin_reading (read);
+  start_reads (read);
 }
 
-/* ---- what was read ---- */
+/* ---- replies ---- */
 
 static bool
 read_running (JobRead *read, const MhKvEntry *entry)
@@ -199,49 +202,51 @@
   return true;
 }
 
-/* Notes what the reply says of the job. False: nothing can be told. */
+/* Stores the answer that follows from the reply in `read->found`. False: the request failed, or the
+   record cannot be decoded. */
 static bool
-note_found (JobRead *read, const MhReply *reply)
+decode_found (JobRead *read, const MhReply *reply)
 {
   if (reply->status == 404)
     {
-      /* A submission that can never run, of a job that was never accepted. */
+      /* A submission is looked up only if its job can never run. Its job was never accepted, so
+         that it is refused. */
       read->found = (MhUserAnswer){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
       return true;
     }
   MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   if (entry == NULL)
     return false;
-  bool understood = read->stage == READ_FINAL
+  bool is_decoded = read->stage == READ_FINAL
                         ? mh_record_read_final (entry->value, &read->found, NULL)
                         : read_running (read, entry);
   mh_kv_entry_free (entry);
-  return understood;
+  return is_decoded;
 }
 
-/* That a job is unknown rests on memory too: this controller must still be leader, and not be about
-   to accept the job. */
+/* The answer that a job is unknown also requires that this controller still leads and that the job
+   is not in its memory, where it may be about to be accepted. */
 static void
 answer_as_leader (JobRead *read, bool is_final)
 {
   MhJobLookup *lookup = read->lookup;
   if (is_final)
     lookup->final_func (lookup->owner, read->job, &read->found);
-  bool known = is_final
-               || (mh_runtime_is_leader (lookup->runtime)
-                   && !g_hash_table_contains (lookup->jobs, read->job));
-  finish_reading (read, known ? &read->found : &come_again);
+  bool is_certain = is_final
+                    || (mh_runtime_is_leader (lookup->runtime)
+                        && !g_hash_table_contains (lookup->jobs, read->job));
+  finish_reads (read, is_certain ? &read->found : &unavailable_answer);
 }
 
 static void
-take_entry (gpointer owner, gpointer data, const MhReply *reply)
+on_entry (gpointer owner, gpointer data, const MhReply *reply)
 {
   (void)owner;
   JobRead *read = data;
   if (read->stage == READ_LEADER)
-    finish_reading (read, reply->status == 404 ? &read->found : &come_again);
-  else if (!note_found (read, reply))
-    finish_reading (read, &come_again);
+    finish_reads (read, reply->status == 404 ? &read->found : &unavailable_answer);
+  else if (!decode_found (read, reply))
+    finish_reads (read, &unavailable_answer);
   else if (read->scope == MH_LOOKUP_LEADER)
     answer_as_leader (read, reply->status == 200);
   else if (reply->status == 404 && read->stage == READ_RUNNING)
@@ -250,16 +255,16 @@
     read_stage (read, READ_LEADER);
 }
 
-/* ---- questions ---- */
+/* ---- requests ---- */
 
-/* Questions take only what the store has left: beyond what it serves in a second, who asks is told
-   at once to come again. */
+/* Status requests use only the capacity of the store that other calls leave. True: more of them
+   would have to wait too long, so that further ones are answered 503 at once. */
 static bool
-too_many_waiting (const MhJobLookup *lookup)
+is_backlog_full (const MhJobLookup *lookup)
 {
   guint waiting = mh_call_queue_waiting (lookup->calls, MH_CALL_BACKGROUND);
-  double served = mh_call_queue_store_rate (lookup->calls) * MAX_WAIT_S;
-  return waiting >= MAX (LEAST_WAITING, served);
+  double max_waiting = mh_call_queue_store_rate (lookup->calls) * MAX_BACKLOG_S;
+  return waiting >= MAX (MIN_BACKLOG, max_waiting);
 }
 
 void
@@ -267,23 +272,23 @@
                    MhLookupScope scope)
 {
   g_return_if_fail (lookup && job);
-  bool shares = verb == MH_USER_STATUS;
-  JobRead *read = shares ? g_hash_table_lookup (lookup->status_reads, job) : NULL;
+  bool is_shared = verb == MH_USER_STATUS;
+  JobRead *read = is_shared ? g_hash_table_lookup (lookup->status_reads, job) : NULL;
   if (read && read->scope == scope)
     {
       g_array_append_val (read->next_request_ids, request_id);
       return;
     }
-  if (shares && too_many_waiting (lookup))
+  if (is_shared && is_backlog_full (lookup))
     {
-      mh_runtime_answer_user (lookup->runtime, request_id, come_again.status,
-                              come_again.retry_after_s);
+      mh_runtime_answer_user (lookup->runtime, request_id, unavailable_answer.status,
+                              unavailable_answer.retry_after_s);
       return;
     }
   read = job_read_new (lookup, job, verb, scope);
   g_array_append_val (read->request_ids, request_id);
-  if (shares)
+  if (is_shared)
     g_hash_table_replace (lookup->status_reads, read->job, read);
-  begin_reading (read);
+  start_reads (read);
   job_read_unref (read);
 }
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -1,24 +1,24 @@
-/* Reads for users who ask about jobs that are not in the leader's memory, or while there is no
-   leader.
+/* Answers users' requests from the key-value store: requests about jobs that are not in the
+   leader's memory, and requests while there is no leader.
 
-   A job is never called unknown unless its records are absent and nobody else can be writing them.
-   Questions about one job that come together share their reads, and where more wait than the
-   key-value store serves in a second, further ones are answered 503 at once. */
+   A user gets the answer that a job is unknown only if its records are absent and no controller can
+   be writing them. Status requests about the same job share their reads. If more reads are queued
+   than the key-value store serves in a second, further status requests are answered 503 at once. */
 #pragma once
 
 #include "jobs/job.h"
 #include "runtime/call-queue.h"
 
-/** MhJobLookup: reads for users about jobs that are not in memory */
+/** MhJobLookup: answers requests about jobs from the key-value store */
 typedef struct MhJobLookup MhJobLookup;
 
 /**
  * MhJobLookupFinalFunc:
- * @owner: what was registered with the function
- * @job: id of a job
- * @answer: what users are told of it from now on
+ * @owner: the owner passed to mh_job_lookup_new ()
+ * @job: the id of a job
+ * @answer: the answer to all later requests about the job
  *
- * Takes a final state that was read, to be remembered.
+ * Called with a final state that was read, so that it can be cached.
  */
 typedef void (*MhJobLookupFinalFunc) (gpointer owner, const char *job, const MhUserAnswer *answer);
 
@@ -27,10 +27,10 @@
  * @runtime: (not transferred): must outlive the object
  * @calls: (not transferred): must outlive the object
  * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id
- * @final_func: takes final states that were read
+ * @final_func: called with each final state that is read
  * @owner: passed to @final_func
  *
- * Returns: (transfer full): an object without questions
+ * Returns: (transfer full): a lookup without requests
  */
 MhJobLookup *
 mh_job_lookup_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
@@ -38,7 +38,7 @@
 
 /**
  * mh_job_lookup_free:
- * @lookup: (transfer full) (nullable): one none of whose calls is under way any more
+ * @lookup: (transfer full) (nullable): a lookup without queued or unanswered calls
  *
  * Frees it.
  */
@@ -48,13 +48,14 @@
 
 /**
  * MhLookupScope:
- * @MH_LOOKUP_LEADERLESS: nobody is known to lead: the running record, the final one and the
- * leader's key are read
- * @MH_LOOKUP_LEADER: this controller leads, with a valid lease, and has looked in its memory: only
- * the final record is left to read
+ * @MH_LOOKUP_LEADERLESS: no leader is known: the first record, the final record and the leader's
+ * key are read
+ * @MH_LOOKUP_LEADER: this controller leads with a valid lease, and did not find the job accepted in
+ * its memory: only the final record is read
  *
- * What an answer rests on. A leader whose lease had run out once said that it never heard of
- * unfinished jobs, since it was asked for its phase alone.
+ * Which records an answer requires. The caller must check the lease as well as the phase of the
+ * election before it passes MH_LOOKUP_LEADER: a leader whose lease has expired would otherwise
+ * answer that unfinished jobs are unknown.
  */
 typedef enum
 {
@@ -64,13 +65,14 @@
 
 /**
  * mh_job_lookup_ask:
- * @lookup: an object
- * @request_id: of the user's request, which is answered some time later, or at once
- * @job: id of the job that is asked about
- * @verb: what the user wants
- * @scope: what the answer rests on
+ * @lookup: a lookup
+ * @request_id: the id of the user's request
+ * @job: the id of the job that the request is about
+ * @verb: what the user requests
+ * @scope: which records the answer requires
  *
- * Reads what is stored of the job, and answers the user.
+ * Reads the records of the job, and answers the request when they are read. Answers it at once if
+ * too many reads are queued.
  */
 void
 mh_job_lookup_ask (MhJobLookup *lookup, guint64 request_id, const char *job, MhUserVerb verb,
--- a/src/storage/rechunk.c
+++ b/src/storage/rechunk.c
@@ -1,6 +1,7 @@
 #include "storage/rechunk.h"
 
-/* Counts as written, and is below every revision that is given from then on. */
+/* The revision of an empty record that need not be written. It is not 0, which stands for a record
+   that is not stored, and is below the revision of every later change of the record. */
 #define REVISION_OF_EMPTY_RECORD 1u
 
 bool
@@ -10,7 +11,7 @@
 }
 
 guint
-mh_rechunk_together (const MhJob *job, guint max_changes)
+mh_rechunk_count_atomic (const MhJob *job, guint max_changes)
 {
   return MIN (job->unchunked_records, max_changes);
 }
@@ -19,13 +20,14 @@
 mh_rechunk_may_write (const MhRecord *record, guint max_changes)
 {
   const MhJob *job = record->job;
-  guint together = mh_rechunk_together (job, max_changes);
-  if (record->rechunked_revision || (record->chunk && record->chunk < together))
+  guint n_atomic = mh_rechunk_count_atomic (job, max_changes);
+  if (record->rechunked_revision || (record->chunk && record->chunk < n_atomic))
     return false;
-  /* One in the place of an old one: what that held must be in the others, and durable. */
-  bool replaces = record->chunk < job->unchunked_records;
-  guint first_before = replaces ? MAX (record->chunk + 1, together) : job->n_records;
-  for (guint i = first_before; i < job->n_records; i++)
+  /* A record that replaces an old one may be written only when the tasks that the old one held
+     beyond the new one's are durable in the records after it. */
+  bool replaces_old = record->chunk < job->unchunked_records;
+  guint first_required = replaces_old ? MAX (record->chunk + 1, n_atomic) : job->n_records;
+  for (guint i = first_required; i < job->n_records; i++)
     if (job->records[i].rechunked_revision == 0)
       return false;
   return true;
--- a/src/storage/record-state.h
+++ b/src/storage/record-state.h
@@ -1,26 +1,28 @@
-/* The life of one record between memory and the key-value store, as a state machine.
+/* The state machine of one record: whether it is queued to be written or being written.
 
-   MhRecord itself is declared in jobs/job.h, since a job owns its records. */
+   MhRecord itself is declared in jobs/job.h, because a job owns its records. */
 #pragma once
 
 #include "jobs/job.h"
 
 /**
  * MhRecordEvent:
- * @MH_RECORD_CHANGED: memory differs from what is stored
- * @MH_RECORD_REQUEUED: the record is to be written though nothing has changed since
- * @MH_RECORD_SENT: a transaction that carries the record was made, and takes it from the queue
- * @MH_RECORD_SENT_ALONG: a transaction that replaces the old layout of its job carries the record,
- *   which keeps its place in the queue
- * @MH_RECORD_WRITTEN: that transaction was applied
- * @MH_RECORD_STAGED: ... but the record counts only when the first one of its job tells of the new
- *   layout; a change that came meanwhile waits for that too
- * @MH_RECORD_NOT_WRITTEN: the transaction was not applied, and the record is to be written again
- * @MH_RECORD_REJECTED: the store called the record malformed by itself
- * @MH_RECORD_CONFLICTED: a submission met records of the same job; a read decides
- * @MH_RECORD_DISCARDED: nothing of it needs to be written any more: it leaves the queue
+ * @MH_RECORD_CHANGED: the record was changed in memory
+ * @MH_RECORD_REQUEUED: the record has to be written because of an earlier change
+ * @MH_RECORD_SENT: the record is written in a transaction, and leaves the queue
+ * @MH_RECORD_SENT_ALONG: the record is written in a transaction that replaces the old layout of its
+ *   job; if it is queued, it stays in the queue
+ * @MH_RECORD_WRITTEN: the transaction was applied
+ * @MH_RECORD_STAGED: the transaction was applied, but the record takes effect only when the job's
+ *   first record is stored with the new layout. A change made during the write is queued then, too
+ * @MH_RECORD_NOT_WRITTEN: the transaction was not applied, and the record has to be written again
+ * @MH_RECORD_REJECTED: the store refused the record as malformed or too large in a transaction of
+ *   this record alone
+ * @MH_RECORD_CONFLICTED: a submission conflicted with a stored record of the same job; a read of
+ * the final record determines whether that job has ended
+ * @MH_RECORD_DISCARDED: the record need not be written any more, and leaves the queue
  *
- * What happens to a record.
+ * Events of the state machine.
  */
 typedef enum
 {
@@ -40,13 +42,13 @@
 
 /**
  * mh_record_state_next:
- * @state: the present state
- * @event: what happens
- * @next: (out): the state after it; not set if the event is refused
+ * @state: the current state
+ * @event: an event
+ * @next: (out): the state after @event; not set if %FALSE is returned
  *
- * The only place that knows the transitions.
+ * Looks up a transition. No other function defines transitions.
  *
- * Returns: %FALSE if @event cannot happen in @state
+ * Returns: %FALSE if @event is not possible in @state
  */
 bool
 mh_record_state_next (MhRecordState state, MhRecordEvent event, MhRecordState *next);
@@ -55,7 +57,7 @@
  * mh_record_state_is_queued:
  * @state: a state
  *
- * Returns: %TRUE if a record in @state has a place in the queue of records to be written
+ * Returns: %TRUE if a record in @state is in the queue of records to be written
  */
 bool
 mh_record_state_is_queued (MhRecordState state);
@@ -64,7 +66,7 @@
  * mh_record_state_is_writing:
  * @state: a state
  *
- * Returns: %TRUE if a transaction with the record is under way, or a read that decides about it
+ * Returns: %TRUE if a transaction that writes the record is in flight, or a read after its conflict
  */
 bool
 mh_record_state_is_writing (MhRecordState state);
@@ -72,9 +74,9 @@
 /**
  * mh_record_is_durable:
  * @record: a record
- * @revision: of memory, as mh_record_revision () gave it
+ * @revision: a revision of @record that mh_record_revision () returned
  *
- * Returns: %TRUE if what memory held at @revision is stored
+ * Returns: %TRUE if the contents of @record as of @revision are durable
  */
 bool
 mh_record_is_durable (const MhRecord *record, guint64 revision);
@@ -83,7 +85,7 @@
  * mh_record_has_unwritten_changes:
  * @record: a record
  *
- * Returns: %TRUE if memory holds what is not stored yet
+ * Returns: %TRUE if @record has changes in memory that are not durable
  */
 bool
 mh_record_has_unwritten_changes (const MhRecord *record);
@@ -92,7 +94,8 @@
  * mh_record_revision:
  * @record: a record
  *
- * Returns: the number of the last change in memory; changes of all records are numbered together
+ * Returns: the revision of the last change of @record in memory. All records share one sequence of
+ * revisions
  */
 guint64
 mh_record_revision (const MhRecord *record);
--- a/src/storage/record-writer-private.h
+++ b/src/storage/record-writer-private.h
@@ -1,12 +1,12 @@
-/* The state of the writer, for record-writer.c (what is to be written) and write-outcome.c (what
-   has been). */
+/* The private state of the writer, shared by record-writer.c, which sends transactions, and
+   write-outcome.c, which handles their outcomes. */
 #pragma once
 
 #include "storage/batch.h"
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
 
-/** MhRecordWriter: the state of the writer, for the files of this folder alone. */
+/** MhRecordWriter: the state of the writer, private to this folder. */
 struct MhRecordWriter
 {
   MhRuntime *runtime;
@@ -17,49 +17,51 @@
 
   guint64 epoch;
   guint64 leader_version;
-  guint64 last_revision; /* of all records and tags; never given twice in the life of the process */
+  guint64 last_revision; /* of records and tags; never used twice in a process */
 
   GQueue queues[MH_URGENCIES]; /* MhRecord, by their queue_link */
   GQueue keys_to_delete;       /* char * */
-  guint in_flight;             /* transactions */
+  guint in_flight;             /* transactions without an outcome */
 
-  /* That the store takes fewer changes is stored, so that no later leader has to find out. */
+  /* Whether the record of the limits is stored or being written. A later leader that reads it need
+     not be throttled first to learn the lower write rate. */
   bool limits_durable;
   bool limits_in_flight;
 };
 
 /**
- * MhWrittenBatch:
- * @writer: that wrote it
- * @writes: (owned) (element-type MhRecordWrite): what is in it
- * @has_limits: the record of the limits is in it
+ * MhSentBatch:
+ * @writer: the writer that sent it
+ * @writes: (owned) (element-type MhRecordWrite): the records that it writes
+ * @has_limits: whether it also writes the record of the limits
  *
- * What a transaction of the writer is about.
+ * The contents of a transaction of the writer, kept until its outcome is known.
  */
 typedef struct
 {
   MhRecordWriter *writer;
   GArray *writes;
   bool has_limits;
-} MhWrittenBatch;
+} MhSentBatch;
 
 /**
- * mh_written_batch_callbacks:
+ * mh_sent_batch_callbacks:
  *
- * Returns: what the writer's transactions tell; their data is a MhWrittenBatch
+ * Returns: the handlers of the outcomes of the writer's transactions; their data is a MhSentBatch
  */
 const MhTransactionCallbacks *
-mh_written_batch_callbacks (void);
+mh_sent_batch_callbacks (void);
 
 /**
- * mh_record_writer_apply:
+ * mh_record_writer_apply_event:
  * @writer: a writer
  * @record: a record
- * @event: that happens to it
- * @urgency: how soon it must be written, if it is or gets queued
+ * @event: an event that is possible in the record's state
+ * @urgency: how soon the record must be written, if it is queued after the event
  *
- * Carries out the transition, and gives the record its place in the queues.
+ * Changes the state of the record, and adds it to the queues, moves it to a more urgent one or
+ * removes it.
  */
 void
-mh_record_writer_apply (MhRecordWriter *writer, MhRecord *record, MhRecordEvent event,
-                        MhUrgency urgency);
+mh_record_writer_apply_event (MhRecordWriter *writer, MhRecord *record, MhRecordEvent event,
+                              MhUrgency urgency);
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -3,15 +3,18 @@
 #include "election/leader-record.h"
 #include "storage/rechunk.h"
 
-#define MAX_IN_FLIGHT 3u
-/* ... with what users wait for, who shall not wait for the others when the service is slow. */
-#define MAX_IN_FLIGHT_FOR_USERS 6u
-/* Of the burst of changes. */
-#define KEPT_FOR_USERS 0.4
-/* Tokens beyond what is kept for users, before a transaction is put together. */
-#define LEAST_TOKENS 5
-/* What waits for tokens is looked at again after so long. */
-#define RETRY_US 10000
+/* Limits the transactions without an outcome yet, while no user waits for a queued record. */
+#define MAX_TRANSACTIONS_IN_FLIGHT 3u
+/* The limit while users wait for a queued record. It is higher, so that users do not wait behind
+   other writes when the key-value store is slow. */
+#define MAX_TRANSACTIONS_IN_FLIGHT_FOR_USERS 6u
+/* The share of the write bucket's burst that is reserved for records that users wait for. */
+#define USER_BURST_SHARE 0.4
+/* The write tokens beyond the reserved ones that must be available before a transaction is built
+   while no user waits, so that it can make at least that many changes. */
+#define MIN_UNRESERVED_TOKENS 5
+/* How long to wait before tokens are checked again, in microseconds. */
+#define TOKEN_RETRY_US 10000
 
 MhRecordWriter *
 mh_record_writer_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
@@ -62,7 +65,7 @@
 /* ---- the queue ---- */
 
 static void
-place_in_queue (MhRecordWriter *writer, MhRecord *record, bool is_queued, MhUrgency urgency)
+enqueue_record (MhRecordWriter *writer, MhRecord *record, bool is_queued, MhUrgency urgency)
 {
   if (is_queued && record->urgency <= urgency)
     return;
@@ -74,35 +77,36 @@
 }
 
 void
-mh_record_writer_apply (MhRecordWriter *writer, MhRecord *record, MhRecordEvent event,
-                        MhUrgency urgency)
+mh_record_writer_apply_event (MhRecordWriter *writer, MhRecord *record, MhRecordEvent event,
+                              MhUrgency urgency)
 {
   MhRecordState next;
   bool was_queued = mh_record_state_is_queued (record->state);
-  bool possible = mh_record_state_next (record->state, event, &next);
-  g_return_if_fail (possible);
+  bool is_allowed = mh_record_state_next (record->state, event, &next);
+  g_return_if_fail (is_allowed);
   record->state = next;
   if (mh_record_state_is_queued (next))
-    place_in_queue (writer, record, was_queued, urgency);
+    enqueue_record (writer, record, was_queued, urgency);
   else if (was_queued)
     g_queue_unlink (&writer->queues[record->urgency], &record->queue_link);
 }
 
-/* While a record is being written, it is not known what of a change will be left to write. */
+/* Whether a change that is made during a write has to be written afterwards is known only with the
+   outcome of that write. Until then `requeue_urgency` keeps the highest urgency of such changes. */
 void
-mh_record_writer_touch (MhRecordWriter *writer, MhRecord *record, MhUrgency urgency)
+mh_record_writer_mark_changed (MhRecordWriter *writer, MhRecord *record, MhUrgency urgency)
 {
   g_return_if_fail (writer && record);
   record->revision = ++writer->last_revision;
   if (mh_record_state_is_writing (record->state))
     record->requeue_urgency = MIN (record->requeue_urgency, urgency);
   bool keeps_place = record->state == MH_RECORD_WRITING_QUEUED;
-  mh_record_writer_apply (writer, record, MH_RECORD_CHANGED,
-                          keeps_place ? record->urgency : urgency);
+  mh_record_writer_apply_event (writer, record, MH_RECORD_CHANGED,
+                                keeps_place ? record->urgency : urgency);
 }
 
 void
-mh_record_writer_delete (MhRecordWriter *writer, const char *key)
+mh_record_writer_delete_key (MhRecordWriter *writer, const char *key)
 {
   g_return_if_fail (writer && key);
   g_queue_push_tail (&writer->keys_to_delete, g_strdup (key));
@@ -114,7 +118,7 @@
   g_return_if_fail (writer && job);
   for (guint i = 0; i < job->n_records; i++)
     if (mh_rechunk_prepare (&job->records[i]))
-      mh_record_writer_touch (writer, &job->records[i], MH_URGENCY_START);
+      mh_record_writer_mark_changed (writer, &job->records[i], MH_URGENCY_START);
 }
 
 void
@@ -122,20 +126,22 @@
 {
   g_return_if_fail (writer && job);
   for (guint i = 0; i < job->n_records; i++)
-    mh_record_writer_apply (writer, &job->records[i], MH_RECORD_DISCARDED, MH_URGENCY_PROGRESS);
+    mh_record_writer_apply_event (writer, &job->records[i], MH_RECORD_DISCARDED,
+                                  MH_URGENCY_PROGRESS);
   g_hash_table_remove (writer->jobs, job->spec->id);
 }
 
 void
-mh_record_writer_limits_loaded (MhRecordWriter *writer)
+mh_record_writer_mark_limits_durable (MhRecordWriter *writer)
 {
   g_return_if_fail (writer);
   writer->limits_durable = true;
 }
 
-/* ---- one transaction ---- */
+/* ---- building a transaction ---- */
 
-/* The final record ends all others: it waits until none of them is on its way. */
+/* The final record replaces all records of the job. It is written in place of the first one, and
+   only when no write of the others is in flight. */
 static bool
 may_write_final (const MhRecord *record)
 {
@@ -161,7 +167,8 @@
   return !mh_rechunk_is_pending (record->job) || mh_rechunk_may_write (record, max_changes);
 }
 
-/* The first of them leaves the queue; those that are written along with it keep their places. */
+/* The first record leaves the queue. The others, which are written in the same transaction to
+   replace an old layout, keep their places in it. */
 static void
 mark_sent (MhRecordWriter *writer, GArray *writes, guint first)
 {
@@ -169,40 +176,40 @@
     {
       MhRecord *record = g_array_index (writes, MhRecordWrite, i).record;
       record->requeue_urgency = MH_URGENCY_PROGRESS;
-      mh_record_writer_apply (writer, record, i == first ? MH_RECORD_SENT : MH_RECORD_SENT_ALONG,
-                              record->urgency);
+      mh_record_writer_apply_event (
+          writer, record, i == first ? MH_RECORD_SENT : MH_RECORD_SENT_ALONG, record->urgency);
     }
 }
 
 typedef enum
 {
-  LEFT_IN_QUEUE, /* it may not be written now */
-  TAKEN,
-  DOES_NOT_FIT
-} Taken;
+  ADD_DEFERRED,    /* the record may not be written yet; it stays in the queue */
+  ADD_DONE,        /* the record left the queue: it is in the batch, or needs no write */
+  ADD_DOES_NOT_FIT /* the batch has no room for the record; it stays in the queue */
+} AddResult;
 
-static Taken
-take_record (MhRecordWriter *writer, MhBatch *batch, GArray *writes, MhRecord *record)
+static AddResult
+add_record (MhRecordWriter *writer, MhBatch *batch, GArray *writes, MhRecord *record)
 {
   if (mh_job_is_finished (record->job) && record->chunk != 0)
     {
-      /* The final record ends it. */
-      mh_record_writer_apply (writer, record, MH_RECORD_DISCARDED, record->urgency);
-      return TAKEN;
+      /* The final record, which is queued as the job's first one, replaces this one. */
+      mh_record_writer_apply_event (writer, record, MH_RECORD_DISCARDED, record->urgency);
+      return ADD_DONE;
     }
   if (!may_write (writer, record))
-    return LEFT_IN_QUEUE;
+    return ADD_DEFERRED;
   guint first = writes->len;
   if (!mh_batch_add (batch, record))
-    return DOES_NOT_FIT;
+    return ADD_DOES_NOT_FIT;
   mark_sent (writer, writes, first);
-  return TAKEN;
+  return ADD_DONE;
 }
 
-/* What users wait for goes first, and progress waits as long as anything else takes the changes;
-   what it waits it gathers. */
+/* Adds records by urgency: first those that users wait for, last those that only record progress.
+   While a progress record waits, further changes to it are combined into the same write. */
 static void
-take_records (MhRecordWriter *writer, MhBatch *batch, GArray *writes)
+fill_batch (MhRecordWriter *writer, MhBatch *batch, GArray *writes)
 {
   for (guint urgency = 0; urgency < MH_URGENCIES; urgency++)
     {
@@ -210,14 +217,15 @@
       for (GList *link = writer->queues[urgency].head; link; link = next)
         {
           next = link->next;
-          Taken taken = take_record (writer, batch, writes, link->data);
-          if (taken == DOES_NOT_FIT || (taken == TAKEN && mh_batch_is_full (batch)))
+          AddResult result = add_record (writer, batch, writes, link->data);
+          if (result == ADD_DOES_NOT_FIT || (result == ADD_DONE && mh_batch_is_full (batch)))
             return;
         }
     }
 }
 
-/* What was found of the store's limits goes before whatever is written next. */
+/* The first transaction after the store's lower write rate was detected also records that rate,
+   ahead of all other changes. False: nothing was added. */
 static bool
 add_limits (MhRecordWriter *writer, MhTransaction *transaction)
 {
@@ -232,7 +240,7 @@
 }
 
 static void
-delete_keys (MhRecordWriter *writer, MhTransaction *transaction, const MhBatch *batch)
+add_deletions (MhRecordWriter *writer, MhTransaction *transaction, const MhBatch *batch)
 {
   while (!mh_batch_is_full (batch) && writer->keys_to_delete.length)
     {
@@ -242,31 +250,32 @@
 }
 
 static void
-written_batch_free (gpointer data)
+free_sent_batch (gpointer data)
 {
-  MhWrittenBatch *written = data;
-  g_array_unref (written->writes);
-  g_free (written);
+  MhSentBatch *sent = data;
+  g_array_unref (sent->writes);
+  g_free (sent);
 }
 
-/* `max_changes`: that there are tokens for. False: there was nothing that may be written now. */
+/* `max_changes`: the number of changes that the tokens allow. False: nothing may be written now, so
+   that nothing was sent. */
 static bool
 send_batch (MhRecordWriter *writer, guint max_changes)
 {
-  MhWrittenBatch *written = g_new0 (MhWrittenBatch, 1);
-  written->writer = writer;
-  written->writes = g_array_new (FALSE, FALSE, sizeof (MhRecordWrite));
+  MhSentBatch *sent = g_new0 (MhSentBatch, 1);
+  sent->writer = writer;
+  sent->writes = g_array_new (FALSE, FALSE, sizeof (MhRecordWrite));
   g_autofree char *tag = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT, writer->epoch,
                                           ++writer->last_revision);
-  g_autoptr (MhTransaction) transaction = mh_transaction_new (
-      writer->calls, tag, mh_written_batch_callbacks (), written, written_batch_free);
+  g_autoptr (MhTransaction) transaction
+      = mh_transaction_new (writer->calls, tag, mh_sent_batch_callbacks (), sent, free_sent_batch);
   g_autoptr (MhBatch) batch
-      = mh_batch_new (transaction, written->writes, mh_runtime_settings (writer->runtime),
+      = mh_batch_new (transaction, sent->writes, mh_runtime_settings (writer->runtime),
                       writer->callbacks->machine_name, max_changes);
   mh_transaction_add_condition (transaction, MH_LEADER_KEY, writer->leader_version);
-  written->has_limits = add_limits (writer, transaction);
-  take_records (writer, batch, written->writes);
-  delete_keys (writer, transaction, batch);
+  sent->has_limits = add_limits (writer, transaction);
+  fill_batch (writer, batch, sent->writes);
+  add_deletions (writer, transaction, batch);
   if (mh_transaction_changes (transaction) == 0)
     return false;
   writer->in_flight++;
@@ -274,7 +283,7 @@
   return true;
 }
 
-/* ---- the step ---- */
+/* ---- step ---- */
 
 static bool
 has_work (const MhRecordWriter *writer)
@@ -285,42 +294,46 @@
   return writer->keys_to_delete.length > 0;
 }
 
-/* A part of the burst is kept for what users wait for. 0: nothing now; a wake-up is asked for. */
+/* Returns how many changes the next transaction may make. A share of the burst is reserved for
+   records that users wait for. 0: there are too few tokens or the store is paused, and a wake-up
+   was requested. */
 static guint
-changes_allowed (MhRecordWriter *writer)
+compute_allowed_changes (MhRecordWriter *writer)
 {
   const MhSettings *settings = mh_runtime_settings (writer->runtime);
-  guint for_users = writer->queues[MH_URGENCY_USER].length;
+  guint n_user_records = writer->queues[MH_URGENCY_USER].length;
   double burst = mh_call_queue_write_burst (writer->calls);
-  double kept = burst * KEPT_FOR_USERS;
-  double least = for_users ? 1 : MIN (burst, kept + LEAST_TOKENS);
+  double reserved = burst * USER_BURST_SHARE;
+  double min_tokens = n_user_records ? 1 : MIN (burst, reserved + MIN_UNRESERVED_TOKENS);
   double tokens;
-  if (!mh_call_queue_may_write (writer->calls, least, &tokens))
+  if (!mh_call_queue_may_write (writer->calls, min_tokens, &tokens))
     {
-      gint64 retry_us = mh_runtime_now_us (writer->runtime) + RETRY_US;
+      gint64 retry_us = mh_runtime_now_us (writer->runtime) + TOKEN_RETRY_US;
       mh_runtime_wake_at (writer->runtime,
                           MAX (retry_us, mh_call_queue_store_paused_until_us (writer->calls)));
       return 0;
     }
-  double allowed = MAX (MIN (tokens, for_users), tokens - kept);
+  double allowed = MAX (MIN (tokens, n_user_records), tokens - reserved);
   return (guint)CLAMP (allowed, 1, settings->max_batch);
 }
 
-/* A transaction is put together only when there are tokens for it: what waited in a finished one
-   would let a user's submission wait behind it. */
+/* A transaction is built only when there are tokens for it. One that is built earlier would wait
+   for tokens as a call, and a user's submission would have to wait behind it. */
 void
 mh_record_writer_step (MhRecordWriter *writer)
 {
   g_return_if_fail (writer);
   while (has_work (writer))
     {
-      bool for_users = writer->queues[MH_URGENCY_USER].length > 0;
-      if (writer->in_flight >= (for_users ? MAX_IN_FLIGHT_FOR_USERS : MAX_IN_FLIGHT))
+      bool has_user_records = writer->queues[MH_URGENCY_USER].length > 0;
+      if (writer->in_flight
+          >= (has_user_records ? MAX_TRANSACTIONS_IN_FLIGHT_FOR_USERS : MAX_TRANSACTIONS_IN_FLIGHT))
         return;
-      guint max_changes = changes_allowed (writer);
+      guint max_changes = compute_allowed_changes (writer);
       if (max_changes == 0 || !send_batch (writer, max_changes))
         return;
-      /* Its tokens are taken when it is sent, which is now unless the requests have run out. */
+      /* Write tokens are taken only when the call leaves: now, unless the limit on requests delays
+         it. */
       mh_call_queue_flush (writer->calls);
     }
 }
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -1,8 +1,9 @@
 /* The queue of records that differ from what is stored, and the transactions that write them.
 
    Every transaction is conditional on the leader's key and on the versions of the records that it
-   replaces, so that a controller that leads no more writes nothing. Records are written by urgency;
-   what waits gathers further changes. README.md tells the rules. */
+   replaces, so that a controller that no longer leads cannot write. The most urgent records are
+   written first. Changes to a queued record are combined into one write. README.md describes the
+   rules. */
 #pragma once
 
 #include "storage/record.h"
@@ -10,25 +11,27 @@
 #include "election/election.h"
 #include "runtime/call-queue.h"
 
-/** MhRecordWriter: the queue of records that are to be written */
+/** MhRecordWriter: the queue of records to be written */
 typedef struct MhRecordWriter MhRecordWriter;
 
 /**
  * MhRecordWriterCallbacks:
- * @job_accepted: the first record of the job is durable, for the first time: it may be placed
- * @job_over: the final record of the job is durable, with this answer to its users. The job is
+ * @job_accepted: the first record of the job is durable for the first time: its tasks may be placed
+ * @job_ended: the final record of the job is durable; `answer` is what its users get. The job is
  * freed after the call
- * @attempts_recorded: attempts of the tasks from `first_task` up to, without, `end_task` may have
- * become durable: their starts may be sent
+ * @attempts_recorded: attempts of the tasks from `first_task` up to but excluding `end_task` may
+ * have become durable: the starts of those that are may be sent
  * @job_rechunked: all records of the job have become durable in a new layout
- * @leadership_lost: this leadership cannot go on; it must end at the next step, and not before
+ * @leadership_lost: this controller must step down, for `reason`. The leadership must be cleared in
+ * the next step, not during the call
+ * @machine_name: returns the name of the machine that a live attempt is on
  *
- * Told by the writer to the layers above.
+ * How the writer notifies the layers above.
  */
 typedef struct
 {
   void (*job_accepted) (gpointer owner, MhJob *job);
-  void (*job_over) (gpointer owner, const MhJob *job, const MhUserAnswer *answer);
+  void (*job_ended) (gpointer owner, const MhJob *job, const MhUserAnswer *answer);
   void (*attempts_recorded) (gpointer owner, MhJob *job, guint first_task, guint end_task);
   void (*job_rechunked) (gpointer owner, MhJob *job);
   void (*leadership_lost) (gpointer owner, MhLossReason reason);
@@ -39,8 +42,8 @@
  * mh_record_writer_new:
  * @runtime: (not transferred): must outlive the writer
  * @calls: (not transferred): must outlive the writer
- * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id, which owns them; the
- * writer removes those that are over or were refused
+ * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
+ * jobs. The writer removes jobs that have ended or were not accepted
  * @callbacks: (not transferred): static
  * @owner: passed to @callbacks
  *
@@ -52,7 +55,7 @@
 
 /**
  * mh_record_writer_free:
- * @writer: (transfer full) (nullable): a writer none of whose calls is under way any more
+ * @writer: (transfer full) (nullable): a writer without queued or unanswered calls
  *
  * Frees it.
  */
@@ -63,10 +66,11 @@
 /**
  * mh_record_writer_begin:
  * @writer: a writer
- * @epoch: of the leadership that begins: a part of the tags, which no other leadership has
- * @leader_version: of the leader's key, the condition of every transaction
+ * @epoch: the epoch of the leadership that begins. It is part of each tag, so that no two
+ * leaderships use the same tag
+ * @leader_version: the version of the leader's key, a condition of every transaction
  *
- * From now on this controller writes.
+ * Prepares the writer for a leadership of this controller.
  */
 void
 mh_record_writer_begin (MhRecordWriter *writer, guint64 epoch, guint64 leader_version);
@@ -75,37 +79,38 @@
  * mh_record_writer_clear:
  * @writer: a writer
  *
- * Ends the leadership: nothing waits to be written any more. The calls have been forgotten before,
- * or are just to be; the jobs are to be freed after.
+ * Empties the queues at the end of a leadership. The caller drops all queued and unanswered calls,
+ * before or right after, and frees the jobs after this call.
  */
 void
 mh_record_writer_clear (MhRecordWriter *writer);
 
 /**
- * mh_record_writer_touch:
+ * mh_record_writer_mark_changed:
  * @writer: a writer
- * @record: that memory was changed of
+ * @record: a record whose contents have changed in memory
  * @urgency: how soon it must be written
  *
- * The record differs from what is stored; it is written with one of the next transactions.
+ * Queues the record, which differs from what is stored, to be written in a later transaction.
  */
 void
-mh_record_writer_touch (MhRecordWriter *writer, MhRecord *record, MhUrgency urgency);
+mh_record_writer_mark_changed (MhRecordWriter *writer, MhRecord *record, MhUrgency urgency);
 
 /**
- * mh_record_writer_delete:
+ * mh_record_writer_delete_key:
  * @writer: a writer
- * @key: (not transferred): of no use any more
+ * @key: (not transferred): a key that is no longer needed
  *
- * The key is removed when there is time.
+ * Queues the key to be deleted. A transaction deletes queued keys only if it has room after all
+ * records that may be written.
  */
 void
-mh_record_writer_delete (MhRecordWriter *writer, const char *key);
+mh_record_writer_delete_key (MhRecordWriter *writer, const char *key);
 
 /**
  * mh_record_writer_rechunk:
  * @writer: a writer
- * @job: just loaded, in a layout that is to be replaced
+ * @job: a job that was just loaded in a layout that must be replaced
  *
  * Queues the records of the new layout.
  */
@@ -115,28 +120,30 @@
 /**
  * mh_record_writer_remove_job:
  * @writer: a writer
- * @job: one that no transaction is under way for; freed
+ * @job: a job without a transaction in flight
  *
- * Removes the job from memory.
+ * Removes the job from the queues and from memory, and frees it.
  */
 void
 mh_record_writer_remove_job (MhRecordWriter *writer, MhJob *job);
 
 /**
- * mh_record_writer_limits_loaded:
+ * mh_record_writer_mark_limits_durable:
  * @writer: a writer
  *
- * It is stored already that the key-value store takes fewer changes than it did.
+ * Notes that the record of the limits is already stored. The writer does not write it again in this
+ * leadership.
  */
 void
-mh_record_writer_limits_loaded (MhRecordWriter *writer);
+mh_record_writer_mark_limits_durable (MhRecordWriter *writer);
 
 /**
  * mh_record_writer_step:
  * @writer: a writer
  *
- * Sends transactions as far as the key-value store takes them, and asks for a wake-up where they
- * have to wait. Only to be called while this controller may act as leader.
+ * Sends as many transactions as the limits on writes and on transactions in flight allow. Requests
+ * a wake-up if it has to wait for write tokens. Must be called only while this controller may act
+ * as leader.
  */
 void
 mh_record_writer_step (MhRecordWriter *writer);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -1,12 +1,12 @@
-/* Field names are short, since the size of values is limited. The table of keys and fields is in
-   README.md. */
+/* Field names are short because the size of values is limited. README.md has the table of keys and
+   fields. */
 #include "storage/record.h"
 
 #include "protocol/user-messages.h"
 
 #include <string.h>
 
-/* Tasks in a record that does not say so: it is of the first version. */
+/* The number of tasks in a record of the first version, which does not store that number. */
 #define CHUNK_OF_FIRST_VERSION 64u
 
 G_DEFINE_QUARK (mh - storage - error - quark, mh_storage_error)
@@ -28,7 +28,7 @@
 fail_missing (GError **error, const char *field, const char *expected)
 {
   g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_MISSING_FIELD,
-               "field '%s' is missing or is no %s", field, expected);
+               "field '%s' is missing or is not a %s", field, expected);
   return false;
 }
 
@@ -42,7 +42,8 @@
 
 /* ---- running jobs ---- */
 
-/* A pending task that ran before keeps its attempt number, which must not be used again. */
+/* A pending task that had an attempt keeps the number of that attempt, so that the number is not
+   used again. */
 static MhValue *
 write_task (const MhTask *task, guint index, MhMachineNameFunc machine_name)
 {
@@ -104,12 +105,12 @@
   guint64 tasks = CHUNK_OF_FIRST_VERSION;
   mh_value_get_uint (value, "c", &tasks);
   if (tasks < 1 || tasks > MH_MAX_TASKS)
-    return fail_invalid (error, "c", "is out of range");
+    return fail_invalid (error, "c", "is not between 1 and the maximum number of tasks");
   *chunk = (guint)tasks;
   return true;
 }
 
-/* NULL: not understood. */
+/* NULL: the submission in the record is missing, not valid, or of another job. */
 static MhJobSpec *
 read_spec (const MhValue *value, const char *id, GError **error)
 {
@@ -117,20 +118,20 @@
   const MhValue *submission = mh_value_get (value, "s");
   if (submission == NULL)
     {
-      fail_missing (error, "s", "description of a job");
+      fail_missing (error, "s", "job description");
       return NULL;
     }
   g_autoptr (MhJobSpec) spec = mh_submission_decode (submission, &problem);
   if (spec == NULL)
     {
       g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_INVALID_FIELD,
-                   "field 's' is no description of a job: %s", problem->message);
+                   "field 's' is not a valid job description: %s", problem->message);
       return NULL;
     }
   if (strcmp (spec->id, id) != 0)
     {
-      g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_WRONG_JOB, "field 's' is of job '%s'",
-                   spec->id);
+      g_set_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_WRONG_JOB,
+                   "field 's' describes job '%s', not the job in the record's key", spec->id);
       return NULL;
     }
   return g_steal_pointer (&spec);
@@ -162,17 +163,19 @@
   guint64 index, attempt;
   if (mh_value_size (item) < 2 || !mh_value_as_uint (mh_value_at (item, 0), &index)
       || !mh_value_as_uint (mh_value_at (item, 1), &attempt))
-    return fail_invalid (error, "t", "has an item that is not index and attempt");
+    return fail_invalid (error, "t",
+                         "has an item that does not begin with a task index and an attempt number");
   if (index >= MH_MAX_TASKS)
-    return fail_invalid (error, "t", "has an index that is out of range");
+    return fail_invalid (error, "t",
+                         "has a task index that is not below the maximum number of tasks");
   if (attempt > G_MAXUINT32)
-    return fail_invalid (error, "t", "has an attempt that is out of range");
+    return fail_invalid (error, "t", "has an attempt number that does not fit 32 bits");
   g_autofree char *machine = NULL;
   if (mh_value_size (item) > 2)
     {
       machine = mh_value_as_text (mh_value_at (item, 2));
       if (machine == NULL)
-        return fail_invalid (error, "t", "has a machine that is no text");
+        return fail_invalid (error, "t", "has a machine name that is not text");
     }
   func (data, (guint)index, (guint32)attempt, machine);
   return true;
@@ -211,12 +214,12 @@
   if (!mh_value_get_uint (value, "done", &done))
     return fail_missing (error, "done", "number");
   if (state != MH_JOB_DONE && state != MH_JOB_CANCELLED)
-    return fail_invalid (error, "state", "is not a final state");
+    return fail_invalid (error, "state", "is neither the done nor the cancelled state");
   *answer = (MhUserAnswer){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
   return true;
 }
 
-/* ---- machines that are being given back; limits ---- */
+/* ---- releases of machines; limits ---- */
 
 MhValue *
 mh_record_write_release (char **machines)
@@ -250,6 +253,6 @@
   if (!mh_value_get_number (value, "write_rps", write_rps))
     return fail_missing (error, "write_rps", "number");
   if (!(*write_rps > 0))
-    return fail_invalid (error, "write_rps", "is not above 0");
+    return fail_invalid (error, "write_rps", "is not greater than 0");
   return true;
 }
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -1,31 +1,33 @@
-/* The stored form of everything that must outlive a controller.
+/* The stored form of all state that must outlive a controller.
 
-   Versions of the service run side by side and read each other's records: keys, field names and the
-   meaning of each field never change, whatever the code calls them. Unknown fields are ignored. */
+   Different versions of the service run side by side and read each other's records. Keys, field
+   names and the meaning of each field therefore never change, even if the names in the code do.
+   Unknown fields are ignored. */
 #pragma once
 
 #include "jobs/job.h"
 #include "protocol/value.h"
 
-/** Keys. A job's running records are j/ID and t/ID/CHUNK; its final one is f/ID. */
+/** Prefix of the keys of jobs' first records. The records of a job are j/ID and t/ID/CHUNK until it
+ * ends; its final record is f/ID. */
 #define MH_RECORD_JOBS "j/"
-/** MH_RECORD_CHUNKS: keys of further tasks of jobs begin with this */
+/** MH_RECORD_CHUNKS: prefix of the keys of jobs' other records */
 #define MH_RECORD_CHUNKS "t/"
-/** MH_RECORD_FINALS: keys of final records begin with this */
+/** MH_RECORD_FINALS: prefix of the keys of final records */
 #define MH_RECORD_FINALS "f/"
-/** Machines that are being given back. */
+/** Prefix of the keys of records of machines that are being released. */
 #define MH_RECORD_RELEASES "r/"
-/** The changes a second that the key-value store was found to take at most. */
+/** Key of the record of the limits: the changes a second that the key-value store accepts. */
 #define MH_RECORD_LIMITS "limits"
 
-/** Stands for the machine of a pending task that ran before. */
+/** Stored in place of a machine for a pending task that had an attempt before. */
 #define MH_RECORD_NO_MACHINE "?"
 
 /**
  * MhStorageError:
- * @MH_STORAGE_ERROR_MISSING_FIELD: a field that must be there is not, or has another type
- * @MH_STORAGE_ERROR_INVALID_FIELD: a field has a value that nobody writes
- * @MH_STORAGE_ERROR_WRONG_JOB: the record is of another job than its key says
+ * @MH_STORAGE_ERROR_MISSING_FIELD: a required field is missing or has another type
+ * @MH_STORAGE_ERROR_INVALID_FIELD: a field has a value that no version writes
+ * @MH_STORAGE_ERROR_WRONG_JOB: the record describes another job than its key names
  *
  * Why a record cannot be read.
  */
@@ -36,21 +38,21 @@
   MH_STORAGE_ERROR_WRONG_JOB
 } MhStorageError;
 
-/** MH_STORAGE_ERROR: the domain of #GError that reading records reports */
+/** MH_STORAGE_ERROR: the #GError domain of errors in stored records */
 #define MH_STORAGE_ERROR (mh_storage_error_quark ())
 
 /**
  * mh_storage_error_quark:
  *
- * Returns: the domain of MhStorageError
+ * Returns: the #GError domain of MhStorageError
  */
 GQuark
 mh_storage_error_quark (void);
 
 /**
  * mh_record_key:
- * @job: id of a job
- * @chunk: which of its records; 0: the first one
+ * @job: the id of a job
+ * @chunk: the index of the record in the job; 0: the first one
  *
  * Returns: (transfer full): the key of the record
  */
@@ -59,7 +61,7 @@
 
 /**
  * mh_record_final_key:
- * @job: id of a job
+ * @job: the id of a job
  *
  * Returns: (transfer full): the key of the job's final record
  */
@@ -77,10 +79,10 @@
 /**
  * mh_record_write:
  * @record: a record
- * @tag: of the transaction that stores it
- * @machine_name: tells where live attempts are
+ * @tag: the tag of the transaction that stores the record
+ * @machine_name: returns the name of the machine that a live attempt is on
  *
- * Returns: (transfer full): the stored form of what memory holds
+ * Returns: (transfer full): the stored form of the record as it is in memory
  */
 MhValue *
 mh_record_write (const MhRecord *record, const char *tag, MhMachineNameFunc machine_name);
@@ -88,7 +90,7 @@
 /**
  * mh_record_write_final:
  * @job: a job that has ended
- * @tag: of the transaction that stores it
+ * @tag: the tag of the transaction that stores the record
  *
  * Returns: (transfer full): the job's final record
  */
@@ -98,10 +100,10 @@
 /**
  * mh_record_read_final:
  * @value: a final record
- * @answer: (out): what users are told of the job; status 200
+ * @answer: (out): the answer to users' requests about the job, with status 200
  * @error: MH_STORAGE_ERROR
  *
- * Returns: %FALSE if @value is not understood
+ * Returns: %FALSE if @value is not a valid final record
  */
 bool
 mh_record_read_final (const MhValue *value, MhUserAnswer *answer, GError **error);
@@ -117,13 +119,13 @@
 
 /**
  * MhStoredJob:
- * @spec: (owned): the job as its user described it
+ * @spec: (owned): the job as its user submitted it
  * @submitted_wall_us: time of day of the submission, in microseconds since 1970
- * @chunk: tasks in one record
- * @cancelled: its user has cancelled it
- * @back_off_level: how often the wait between its tries was doubled; 0: it does not back off
+ * @chunk: the number of tasks in each record
+ * @cancelled: whether its user has cancelled it
+ * @back_off_level: how often the wait between its attempts was doubled; 0: no back-off
  *
- * What the first record of a job says beside its tasks.
+ * The contents of a job's first record, without the tasks.
  */
 typedef struct
 {
@@ -136,7 +138,7 @@
 
 /**
  * mh_stored_job_clear:
- * @stored: what was read
+ * @stored: a stored job
  *
  * Frees what @stored owns.
  */
@@ -147,61 +149,61 @@
 /**
  * mh_record_read_job:
  * @value: the first record of a job
- * @id: of the job, by its key
- * @stored: (out): what it says; empty if it is not understood
+ * @id: the id of the job in the record's key
+ * @stored: (out): the contents of the record; empty if %FALSE is returned
  * @error: MH_STORAGE_ERROR
  *
- * Returns: %FALSE if @value is not understood
+ * Returns: %FALSE if @value is not a valid first record of job @id
  */
 bool
 mh_record_read_job (const MhValue *value, const char *id, MhStoredJob *stored, GError **error);
 
 /**
  * MhRecordTaskFunc:
- * @data: of who reads
- * @index: of the task in its job
- * @attempt: the last one that was given out
- * @machine: (nullable): that the attempt is on; MH_RECORD_NO_MACHINE: the task is pending. NULL: it
- * is done
+ * @data: the data passed to mh_record_read_tasks ()
+ * @index: the index of the task in its job
+ * @attempt: the number of the task's last attempt
+ * @machine: (nullable): the name of the machine that the attempt is on; MH_RECORD_NO_MACHINE: the
+ * task is pending; NULL: the task is done
  *
- * Takes what a record says of one task.
+ * Called with the entry of one task in a record.
  */
 typedef void (*MhRecordTaskFunc) (gpointer data, guint index, guint32 attempt, const char *machine);
 
 /**
  * mh_record_read_tasks:
- * @value: any running record of a job
- * @func: called for each task that has been tried
+ * @value: any record of a job, except the final one
+ * @func: called for each task that has had an attempt
  * @data: passed to @func
  * @error: MH_STORAGE_ERROR
  *
- * Returns: %FALSE if @value is not understood; @func may have been called for some tasks then
+ * Returns: %FALSE if the tasks in @value are not valid; @func may have been called for some of them
  */
 bool
 mh_record_read_tasks (const MhValue *value, MhRecordTaskFunc func, gpointer data, GError **error);
 
 /**
  * mh_record_write_release:
- * @machines: names, NULL-terminated
+ * @machines: the names of machines, NULL-terminated
  *
- * Returns: (transfer full): the record of machines that are being given back
+ * Returns: (transfer full): the record of machines that are being released
  */
 MhValue *
 mh_record_write_release (char **machines);
 
 /**
  * mh_record_read_release:
- * @value: a record of machines that are being given back
+ * @value: a record of machines that are being released
  * @error: MH_STORAGE_ERROR
  *
- * Returns: (transfer full) (nullable): the names of the machines; NULL: @value is not understood
+ * Returns: (transfer full) (nullable): the names of the machines; NULL: @value is not valid
  */
 char **
 mh_record_read_release (const MhValue *value, GError **error);
 
 /**
  * mh_record_write_limits:
- * @write_rps: the changes a second that the key-value store takes
+ * @write_rps: the changes a second that the key-value store accepts
  *
  * Returns: (transfer full): the record of the limits
  */
@@ -211,10 +213,10 @@
 /**
  * mh_record_read_limits:
  * @value: the record of the limits
- * @write_rps: (out): the changes a second that the key-value store takes
+ * @write_rps: (out): the changes a second that the key-value store accepts
  * @error: MH_STORAGE_ERROR
  *
- * Returns: %FALSE if @value is not understood
+ * Returns: %FALSE if @value is not valid
  */
 bool
 mh_record_read_limits (const MhValue *value, double *write_rps, GError **error);
--- a/src/storage/transaction.c
+++ b/src/storage/transaction.c
@@ -15,13 +15,13 @@
   gpointer data;
   GDestroyNotify free_data;
   char *tag;
-  char *tagged_key;      /* NULL: no record is in it */
-  GPtrArray *keys;       /* char *, of conditions and changes */
-  GArray *conditions;    /* MhKvCondition */
-  GArray *changes;       /* MhKvChange */
-  GPtrArray *values;     /* MhValue, of changes */
-  MhRequest *request;    /* NULL: not sent yet */
-  bool has_unknown_copy; /* that may have been, or may yet be, applied */
+  char *tagged_key;    /* of the first tagged record; NULL: none */
+  GPtrArray *keys;     /* char *, owned: keys of conditions and changes */
+  GArray *conditions;  /* MhKvCondition */
+  GArray *changes;     /* MhKvChange */
+  GPtrArray *values;   /* MhValue, references: values of changes */
+  MhRequest *request;  /* NULL: not sent yet */
+  bool may_be_applied; /* an earlier request may have been, or may yet be, applied */
 };
 
 MhTransactionOutcome
@@ -45,7 +45,7 @@
     }
 }
 
-/* ---- what is in it ---- */
+/* ---- contents ---- */
 
 MhTransaction *
 mh_transaction_new (MhCallQueue *calls, const char *tag, const MhTransactionCallbacks *callbacks,
@@ -99,7 +99,7 @@
 }
 
 static const char *
-keep_key (MhTransaction *transaction, const char *key)
+add_key (MhTransaction *transaction, const char *key)
 {
   char *copy = g_strdup (key);
   g_ptr_array_add (transaction->keys, copy);
@@ -110,7 +110,7 @@
 mh_transaction_add_condition (MhTransaction *transaction, const char *key, guint64 version)
 {
   g_return_if_fail (transaction->request == NULL);
-  MhKvCondition condition = { .key = keep_key (transaction, key), .version = version };
+  MhKvCondition condition = { .key = add_key (transaction, key), .version = version };
   g_array_append_val (transaction->conditions, condition);
 }
 
@@ -119,7 +119,7 @@
 {
   g_return_if_fail (transaction->request == NULL && value);
   g_ptr_array_add (transaction->values, cbor_incref (value));
-  MhKvChange change = { .key = keep_key (transaction, key), .value = value };
+  MhKvChange change = { .key = add_key (transaction, key), .value = value };
   g_array_append_val (transaction->changes, change);
 }
 
@@ -135,40 +135,40 @@
 mh_transaction_delete (MhTransaction *transaction, const char *key)
 {
   g_return_if_fail (transaction->request == NULL);
-  MhKvChange change = { .key = keep_key (transaction, key) };
+  MhKvChange change = { .key = add_key (transaction, key) };
   g_array_append_val (transaction->changes, change);
 }
 
-/* ---- calls; each holds the transaction ---- */
+/* ---- calls; each holds a reference to the transaction ---- */
 
 static void
-release_after_call (gpointer data)
+unref_after_call (gpointer data)
 {
   mh_transaction_unref (data);
 }
 
 static void
-call (MhTransaction *transaction, MhRequest *request, MhCallClass class, guint changes,
-      MhReplyFunc func)
+add_call (MhTransaction *transaction, MhRequest *request, MhCallClass class, guint changes,
+          MhReplyFunc func)
 {
   const MhCallOptions options = { .class = class,
                                   .changes = changes,
                                   .timeout_us = CALL_TIMEOUT_US,
                                   .func = func,
                                   .data = g_rc_box_acquire (transaction),
-                                  .free_data = release_after_call };
+                                  .free_data = unref_after_call };
   mh_call_queue_add (transaction->calls, request, &options);
 }
 
 static void
-take_reply (gpointer owner, gpointer data, const MhReply *reply);
+on_reply (gpointer owner, gpointer data, const MhReply *reply);
 
 static void
-send_copy (MhTransaction *transaction)
+send_request (MhTransaction *transaction)
 {
-  call (transaction, mh_request_copy (transaction->request),
-        transaction->callbacks->call_class (transaction->data), transaction->changes->len,
-        take_reply);
+  add_call (transaction, mh_request_copy (transaction->request),
+            transaction->callbacks->call_class (transaction->data), transaction->changes->len,
+            on_reply);
 }
 
 void
@@ -178,13 +178,13 @@
   transaction->request = mh_kv_request_transaction (
       (MhKvCondition *)transaction->conditions->data, transaction->conditions->len,
       (MhKvChange *)transaction->changes->data, transaction->changes->len);
-  send_copy (transaction);
+  send_request (transaction);
 }
 
 static void
 read_tagged_record (MhTransaction *transaction);
 
-/* True: the record carries the tag of the transaction. */
+/* True: `body` is a record that carries the tag of the transaction. */
 static bool
 carries_tag (const MhTransaction *transaction, const MhValue *body, guint64 *version)
 {
@@ -198,7 +198,7 @@
 }
 
 static void
-take_tagged_record (gpointer owner, gpointer data, const MhReply *reply)
+on_tagged_record (gpointer owner, gpointer data, const MhReply *reply)
 {
   (void)owner;
   MhTransaction *transaction = data;
@@ -206,7 +206,7 @@
   if (reply->status == 200 && carries_tag (transaction, reply->body, &version))
     transaction->callbacks->applied (transaction->data, version);
   else if (reply->status == 200 || reply->status == 404)
-    transaction->callbacks->unaccounted (transaction->data);
+    transaction->callbacks->outcome_unknown (transaction->data);
   else
     read_tagged_record (transaction);
 }
@@ -214,18 +214,19 @@
 static void
 read_tagged_record (MhTransaction *transaction)
 {
-  call (transaction, mh_kv_request_get (transaction->tagged_key), MH_CALL_SAFETY, 0,
-        take_tagged_record);
+  add_call (transaction, mh_kv_request_get (transaction->tagged_key), MH_CALL_SAFETY, 0,
+            on_tagged_record);
 }
 
 static void
-take_conflict (MhTransaction *transaction, const MhReply *reply)
+on_conflict (MhTransaction *transaction, const MhReply *reply)
 {
   g_auto (GStrv) failed_keys = mh_kv_failed_conditions_decode (reply->body, NULL);
-  bool other_leads
+  bool leader_changed
       = failed_keys && g_strv_contains ((const char *const *)failed_keys, MH_LEADER_KEY);
-  bool in_doubt = transaction->has_unknown_copy && !other_leads && transaction->tagged_key
-                  && !transaction->callbacks->conflict_is_final (transaction->data, failed_keys);
+  bool in_doubt
+      = transaction->may_be_applied && !leader_changed && transaction->tagged_key
+        && !transaction->callbacks->conflict_proves_not_applied (transaction->data, failed_keys);
   if (in_doubt)
     read_tagged_record (transaction);
   else
@@ -233,7 +234,7 @@
 }
 
 static void
-take_reply (gpointer owner, gpointer data, const MhReply *reply)
+on_reply (gpointer owner, gpointer data, const MhReply *reply)
 {
   (void)owner;
   MhTransaction *transaction = data;
@@ -245,17 +246,17 @@
       transaction->callbacks->applied (transaction->data, version);
       break;
     case MH_TRANSACTION_CONFLICT:
-      take_conflict (transaction, reply);
+      on_conflict (transaction, reply);
       break;
     case MH_TRANSACTION_MALFORMED:
-      transaction->callbacks->malformed (transaction->data, transaction->has_unknown_copy);
+      transaction->callbacks->malformed (transaction->data, transaction->may_be_applied);
       break;
     case MH_TRANSACTION_UNKNOWN:
     case MH_TRANSACTION_THROTTLED:
     case MH_TRANSACTION_UNAVAILABLE:
-      transaction->has_unknown_copy |= outcome == MH_TRANSACTION_UNKNOWN;
+      transaction->may_be_applied |= outcome == MH_TRANSACTION_UNKNOWN;
       mh_call_queue_store_failed (transaction->calls, reply->status);
-      send_copy (transaction);
+      send_request (transaction);
       break;
     }
 }
--- a/src/storage/transaction.h
+++ b/src/storage/transaction.h
@@ -1,7 +1,8 @@
 /* One transaction of the key-value store: changes that are applied together if all conditions hold.
 
-   It is sent until its outcome is known. After a copy without an answer, a conflict may only mean
-   that this copy was applied: then the record under the tagged key is read, and its tag tells. */
+   The same request is sent again until the outcome is known. If a request was not answered, a
+   conflict on a later one may mean that the earlier request was applied. The record under the
+   tagged key is then read: it carries the tag of the transaction if the transaction was applied. */
 #pragma once
 
 #include "runtime/call-queue.h"
@@ -10,13 +11,14 @@
  * MhTransactionOutcome:
  * @MH_TRANSACTION_APPLIED: all changes were made
  * @MH_TRANSACTION_CONFLICT: a condition did not hold; nothing was changed
- * @MH_TRANSACTION_MALFORMED: the store will never take it; nothing was changed
- * @MH_TRANSACTION_THROTTLED: too many requests; not executed
- * @MH_TRANSACTION_UNAVAILABLE: not executed for now
- * @MH_TRANSACTION_UNKNOWN: no answer, or none that is understood: it may have been applied, or may
- *   still be
+ * @MH_TRANSACTION_MALFORMED: the transaction is malformed or too large, and would be refused again;
+ *   nothing was changed
+ * @MH_TRANSACTION_THROTTLED: too many requests; nothing was changed
+ * @MH_TRANSACTION_UNAVAILABLE: the store is unavailable for now; nothing was changed
+ * @MH_TRANSACTION_UNKNOWN: no reply, or one that cannot be decoded: the request may have been
+ *   applied, or may still be
  *
- * What one reply to a transaction says (PROTOCOL, POST /multi).
+ * The outcome of one request of a transaction (PROTOCOL, POST /multi).
  */
 typedef enum
 {
@@ -30,44 +32,47 @@
 
 /**
  * mh_transaction_read_outcome:
- * @reply: of the key-value store
- * @version: (out): of all keys that were changed; set for MH_TRANSACTION_APPLIED alone
+ * @reply: the reply of the key-value store to one request
+ * @version: (out): the new version of all changed keys; set only for MH_TRANSACTION_APPLIED
  *
- * Returns: what @reply says
+ * Returns: the outcome that @reply reports
  */
 MhTransactionOutcome
 mh_transaction_read_outcome (const MhReply *reply, guint64 *version);
 
-/** MhTransaction: a transaction under way */
+/** MhTransaction: a transaction that is being built or is in flight */
 typedef struct MhTransaction MhTransaction;
 
 /**
  * MhTransactionCallbacks:
- * @call_class: asked before each copy that is sent: how urgent it is
- * @conflict_is_final: whether the conflict on these keys shows by itself that no copy was applied
- * or will be
- * @applied: it was applied, and its keys have the version
- * @conflict: it was not applied and will not be, because of these keys
- * @malformed: the store will not take it; `maybe_applied`: a copy without an answer may have been
- * @unaccounted: whether it was applied cannot be found out
+ * @call_class: returns the class of the next request; called before each request
+ * @conflict_proves_not_applied: returns whether a conflict on these keys alone proves that no
+ * earlier request was or will be applied
+ * @applied: the transaction was applied, and the keys that it changed have this version
+ * @conflict: the conditions on these keys did not hold. The transaction was not and will not be
+ * applied, with one exception: if the leader's key is one of these keys, or no record in the
+ * transaction is tagged, an earlier request with an unknown outcome may have been applied
+ * @malformed: the store refused the transaction as malformed or too large; `may_be_applied`: an
+ * earlier request with an unknown outcome may have been applied
+ * @outcome_unknown: it cannot be determined whether the transaction was applied
  *
- * Told by a transaction to its owner, with the data of the transaction. One of the last four is
- * called, once.
+ * Called with the data of the transaction. One of the last four is called, once, unless the calls
+ * of the transaction are dropped before.
  */
 typedef struct
 {
   MhCallClass (*call_class) (gconstpointer data);
-  bool (*conflict_is_final) (gconstpointer data, char **failed_keys);
+  bool (*conflict_proves_not_applied) (gconstpointer data, char **failed_keys);
   void (*applied) (gpointer data, guint64 version);
   void (*conflict) (gpointer data, char **failed_keys);
-  void (*malformed) (gpointer data, bool maybe_applied);
-  void (*unaccounted) (gpointer data);
+  void (*malformed) (gpointer data, bool may_be_applied);
+  void (*outcome_unknown) (gpointer data);
 } MhTransactionCallbacks;
 
 /**
  * mh_transaction_new:
- * @calls: (not transferred): the queue that it is sent through
- * @tag: what records in it carry, and no other transaction has
+ * @calls: (not transferred): the queue that its requests are sent through
+ * @tag: the tag that the records in the transaction carry; no other transaction has it
  * @callbacks: (not transferred): static
  * @data: (transfer full): passed to @callbacks
  * @free_data: frees @data with the transaction
@@ -82,7 +87,7 @@
  * mh_transaction_unref:
  * @transaction: (transfer full): a transaction
  *
- * Gives up the reference. Calls under way hold the transaction by themselves.
+ * Drops the caller's reference. Each queued or unanswered call holds a reference until it ends.
  */
 void
 mh_transaction_unref (MhTransaction *transaction);
@@ -101,16 +106,16 @@
  * mh_transaction_changes:
  * @transaction: a transaction
  *
- * Returns: the number of keys that it changes
+ * Returns: the number of keys that the transaction changes so far
  */
 guint
 mh_transaction_changes (const MhTransaction *transaction);
 
 /**
  * mh_transaction_add_condition:
- * @transaction: one that was not sent yet
+ * @transaction: a transaction that was not sent yet
  * @key: a key
- * @version: that the key must have; 0: it must not exist
+ * @version: the version that @key must have; 0: @key must not exist
  *
  * Adds a condition.
  */
@@ -119,41 +124,42 @@
 
 /**
  * mh_transaction_put:
- * @transaction: one that was not sent yet
+ * @transaction: a transaction that was not sent yet
  * @key: a key
- * @value: (not transferred): what is stored under it
+ * @value: (not transferred): the new value of @key
  *
- * Adds a change.
+ * Adds a change that stores @value.
  */
 void
 mh_transaction_put (MhTransaction *transaction, const char *key, MhValue *value);
 
 /**
  * mh_transaction_put_tagged:
- * @transaction: one that was not sent yet
+ * @transaction: a transaction that was not sent yet
  * @key: a key
- * @value: (not transferred): what is stored under it; carries the tag
+ * @value: (not transferred): the new value of @key, a record that carries the tag
  *
- * Adds a change. The first one that is added so tells whether an unanswered copy was applied.
+ * Adds a change that stores @value. The key of the first such change is read if it has to be
+ * determined whether an unanswered request was applied.
  */
 void
 mh_transaction_put_tagged (MhTransaction *transaction, const char *key, MhValue *value);
 
 /**
  * mh_transaction_delete:
- * @transaction: one that was not sent yet
- * @key: a key that is removed
+ * @transaction: a transaction that was not sent yet
+ * @key: a key
  *
- * Adds a change.
+ * Adds a change that deletes @key.
  */
 void
 mh_transaction_delete (MhTransaction *transaction, const char *key);
 
 /**
  * mh_transaction_send:
- * @transaction: with one change at least
+ * @transaction: a transaction that was not sent yet, with at least one change
  *
- * Queues the first copy.
+ * Queues the first request.
  */
 void
 mh_transaction_send (MhTransaction *transaction);
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -1,4 +1,4 @@
-/* What follows from the outcome of the writer's transactions. */
+/* Handles the outcomes of the writer's transactions. */
 #include "storage/record-writer-private.h"
 
 #include "election/leader-record.h"
@@ -7,22 +7,23 @@
 
 #include <string.h>
 
-#define CALL_TIMEOUT_US MH_SECOND_US
-/* A record that was refused as malformed is not tried again before. */
-#define RETRY_REFUSED_US (30 * MH_SECOND_US)
+#define READ_TIMEOUT_US MH_SECOND_US
+/* How long a record that the store refused as malformed or too large waits before it is written
+   again; users get the same time as Retry-After. */
+#define REFUSED_RECORD_RETRY_US (30 * MH_SECOND_US)
 
 static MhRecordWrite *
-write_at (const MhWrittenBatch *written, guint index)
+get_write (const MhSentBatch *sent, guint index)
 {
-  return &g_array_index (written->writes, MhRecordWrite, index);
+  return &g_array_index (sent->writes, MhRecordWrite, index);
 }
 
 static void
-transaction_over (const MhWrittenBatch *written)
+end_transaction (const MhSentBatch *sent)
 {
-  written->writer->in_flight--;
-  if (written->has_limits)
-    written->writer->limits_in_flight = false;
+  sent->writer->in_flight--;
+  if (sent->has_limits)
+    sent->writer->limits_in_flight = false;
 }
 
 static void
@@ -31,24 +32,24 @@
   writer->callbacks->leadership_lost (writer->owner, reason);
 }
 
-/* A user waits for each cancellation. */
+/* A transaction that writes a new cancellation is more urgent, because a user waits for it. */
 static MhCallClass
-call_class (gconstpointer data)
+get_call_class (gconstpointer data)
 {
-  const MhWrittenBatch *written = data;
-  for (guint i = 0; i < written->writes->len; i++)
+  const MhSentBatch *sent = data;
+  for (guint i = 0; i < sent->writes->len; i++)
     {
-      const MhJob *job = write_at (written, i)->record->job;
+      const MhJob *job = get_write (sent, i)->record->job;
       if (mh_job_is_cancelled (job) && !mh_job_is_cancel_durable (job))
         return MH_CALL_SAFETY;
     }
   return MH_CALL_WORK;
 }
 
-/* ---- users who wait ---- */
+/* ---- answers to waiting users ---- */
 
 static bool
-may_be_told (const MhJob *job, MhUserVerb verb)
+can_be_answered (const MhJob *job, MhUserVerb verb)
 {
   return verb == MH_USER_SUBMIT ? job->accepted
                                 : mh_job_is_cancel_durable (job) || mh_job_is_final (job);
@@ -60,7 +61,7 @@
   for (guint i = 0; i < job->waiters->len;)
     {
       MhWaiter waiter = g_array_index (job->waiters, MhWaiter, i);
-      if (!may_be_told (job, waiter.verb))
+      if (!can_be_answered (job, waiter.verb))
         {
           i++;
           continue;
@@ -83,7 +84,7 @@
   g_array_set_size (job->waiters, 0);
 }
 
-/* ---- applied ---- */
+/* ---- applied transactions ---- */
 
 static const char *
 shape_name (MhShape shape)
@@ -113,22 +114,22 @@
                job->spec->team, job->spec->class_name);
 }
 
-/* The final record is durable: memory keeps only the answer. */
+/* The final record is durable: the job is removed from memory, and only the answer is kept. */
 static void
 finish_job (MhRecordWriter *writer, MhJob *job, bool cancelled)
 {
   MhUserAnswer answer = { .status = 200 };
   job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
-  guint deleted = mh_batch_deleted_with_final (job, mh_runtime_settings (writer->runtime));
+  guint deleted = mh_batch_count_deleted_with_final (job, mh_runtime_settings (writer->runtime));
   for (guint i = deleted + 1; i < job->n_records; i++)
     if (job->records[i].version)
       g_queue_push_tail (&writer->keys_to_delete, mh_record_key (job->spec->id, i));
   answer_waiters (writer, job);
-  mh_log_info (writer->runtime, "job over job=%s state=%s", job->spec->id,
+  mh_log_info (writer->runtime, "job ended job=%s state=%s", job->spec->id,
                cancelled ? "cancelled" : "done");
   mh_job_fill_answer (job, &answer);
-  writer->callbacks->job_over (writer->owner, job, &answer);
+  writer->callbacks->job_ended (writer->owner, job, &answer);
   mh_record_writer_remove_job (writer, job);
 }
 
@@ -141,14 +142,14 @@
     {
       MhRecord *record = &job->records[i];
       if (mh_record_has_unwritten_changes (record) && !mh_record_state_is_writing (record->state))
-        mh_record_writer_apply (writer, record, MH_RECORD_REQUEUED, MH_URGENCY_START);
+        mh_record_writer_apply_event (writer, record, MH_RECORD_REQUEUED, MH_URGENCY_START);
     }
   writer->callbacks->job_rechunked (writer->owner, job);
 }
 
-/* What was waiting for the record to be durable may be sent now. */
+/* Starts that had to wait until the record was durable may be sent now. */
 static void
-tell_attempts_recorded (MhRecordWriter *writer, const MhRecord *record)
+notify_attempts_recorded (MhRecordWriter *writer, const MhRecord *record)
 {
   MhJob *job = record->job;
   guint first = record->chunk * job->chunk;
@@ -157,21 +158,21 @@
 }
 
 static void
-running_record_written (MhRecordWriter *writer, const MhRecordWrite *write)
+handle_running_record_written (MhRecordWriter *writer, const MhRecordWrite *write)
 {
   MhRecord *record = write->record;
   MhJob *job = record->job;
   record->write_alone = false;
   if (mh_rechunk_is_pending (job) && record->chunk)
     {
-      mh_record_writer_apply (writer, record, MH_RECORD_STAGED, record->requeue_urgency);
+      mh_record_writer_apply_event (writer, record, MH_RECORD_STAGED, record->requeue_urgency);
       return;
     }
-  mh_record_writer_apply (writer, record, MH_RECORD_WRITTEN, record->requeue_urgency);
+  mh_record_writer_apply_event (writer, record, MH_RECORD_WRITTEN, record->requeue_urgency);
   if (mh_rechunk_is_pending (job))
     finish_rechunk (writer, job);
   record->durable_revision = write->revision;
-  tell_attempts_recorded (writer, record);
+  notify_attempts_recorded (writer, record);
   if (record->chunk == 0)
     {
       accept_job (writer, job);
@@ -180,19 +181,19 @@
       answer_waiters (writer, job);
     }
   if (mh_record_has_unwritten_changes (record))
-    mh_record_writer_apply (writer, record, MH_RECORD_REQUEUED, record->requeue_urgency);
+    mh_record_writer_apply_event (writer, record, MH_RECORD_REQUEUED, record->requeue_urgency);
 }
 
 static void
-take_applied (gpointer data, guint64 version)
+on_applied (gpointer data, guint64 version)
 {
-  const MhWrittenBatch *written = data;
-  MhRecordWriter *writer = written->writer;
-  transaction_over (written);
-  writer->limits_durable |= written->has_limits;
-  for (guint i = 0; i < written->writes->len; i++)
+  const MhSentBatch *sent = data;
+  MhRecordWriter *writer = sent->writer;
+  end_transaction (sent);
+  writer->limits_durable |= sent->has_limits;
+  for (guint i = 0; i < sent->writes->len; i++)
     {
-      const MhRecordWrite *write = write_at (written, i);
+      const MhRecordWrite *write = get_write (sent, i);
       MhRecord *record = write->record;
       record->version = version;
       record->rechunked_revision = write->revision;
@@ -202,18 +203,19 @@
           finish_job (writer, record->job, write->cancelled);
         }
       else
-        running_record_written (writer, write);
+        handle_running_record_written (writer, write);
     }
 }
 
-/* ---- conflict ---- */
+/* ---- conflicts ---- */
 
 static void
-read_final (MhRecordWriter *writer, const char *id);
+read_final_record (MhRecordWriter *writer, const char *id);
 
-/* A submission met a job that was over before: the user repeats himself. */
+/* Handles the final record that a submission conflicted with. If there is one, the user has
+   submitted a job again that had already ended, and gets its final state. */
 static void
-take_final (gpointer owner, gpointer data, const MhReply *reply)
+on_final_record (gpointer owner, gpointer data, const MhReply *reply)
 {
   MhRecordWriter *writer = owner;
   const char *id = data;
@@ -222,7 +224,7 @@
     return;
   if (reply->status != 200 && reply->status != 404)
     {
-      read_final (writer, id);
+      read_final_record (writer, id);
       return;
     }
   MhUserAnswer answer = { .status = 503, .retry_after_s = 1 };
@@ -231,69 +233,71 @@
   mh_kv_entry_free (entry);
   answer_all_waiters (writer, job, &answer);
   if (is_final)
-    writer->callbacks->job_over (writer->owner, job, &answer);
+    writer->callbacks->job_ended (writer->owner, job, &answer);
   mh_record_writer_remove_job (writer, job);
   if (!is_final)
     end_leadership (writer, MH_LOSS_RECORD_DIFFERS);
 }
 
 static void
-read_final (MhRecordWriter *writer, const char *id)
+read_final_record (MhRecordWriter *writer, const char *id)
 {
   g_autofree char *key = mh_record_final_key (id);
   const MhCallOptions options = { .class = MH_CALL_WORK,
-                                  .timeout_us = CALL_TIMEOUT_US,
-                                  .func = take_final,
+                                  .timeout_us = READ_TIMEOUT_US,
+                                  .func = on_final_record,
                                   .owner = writer,
                                   .data = g_strdup (id),
                                   .free_data = g_free };
   mh_call_queue_add (writer->calls, mh_kv_request_get (key), &options);
 }
 
-/* NULL: the key is of no job in memory, or of a further record. */
+/* NULL: the key belongs to no job in memory, or is not the key of a job's first or final record. */
 static MhJob *
-job_of_key (const MhRecordWriter *writer, const char *key)
+find_job_by_key (const MhRecordWriter *writer, const char *key)
 {
   const char *slash = strchr (key, '/');
   return slash ? g_hash_table_lookup (writer->jobs, slash + 1) : NULL;
 }
 
-/* A submission in it met the final record of its job, which is for ever: no copy of the transaction
-   was or will be applied. */
+/* True if a submission in the transaction conflicts with a final record of the same job. Final
+   records are never removed, so that no request of the transaction was or will be applied. */
 static bool
-conflict_is_final (gconstpointer data, char **failed_keys)
+conflict_proves_not_applied (gconstpointer data, char **failed_keys)
 {
-  const MhWrittenBatch *written = data;
+  const MhSentBatch *sent = data;
   for (char **key = failed_keys; key && *key; key++)
     {
       const MhJob *job
-          = g_str_has_prefix (*key, MH_RECORD_FINALS) ? job_of_key (written->writer, *key) : NULL;
+          = g_str_has_prefix (*key, MH_RECORD_FINALS) ? find_job_by_key (sent->writer, *key) : NULL;
       if (job && !job->accepted)
         return true;
     }
   return false;
 }
 
-/* A submission is not written again until a read has told what it met. */
+/* False: `key` is not of a submission in flight. Otherwise reads the final record of the job; the
+   submission is not written again before the reply. */
 static bool
-is_repeated_submission (MhRecordWriter *writer, const char *key)
+handle_repeated_submission (MhRecordWriter *writer, const char *key)
 {
-  MhJob *job = job_of_key (writer, key);
+  MhJob *job = find_job_by_key (writer, key);
   if (job == NULL || job->accepted || !mh_record_state_is_writing (job->records[0].state))
     return false;
-  mh_record_writer_apply (writer, &job->records[0], MH_RECORD_CONFLICTED, MH_URGENCY_START);
-  read_final (writer, job->spec->id);
+  mh_record_writer_apply_event (writer, &job->records[0], MH_RECORD_CONFLICTED, MH_URGENCY_START);
+  read_final_record (writer, job->spec->id);
   return true;
 }
 
-/* Repeated submissions are the only conflict that a leader may meet. */
+/* A leader may see conflicts on repeated submissions only. Any other conflict shows that another
+   controller has written, and ends the leadership. */
 static void
-take_conflict (gpointer data, char **failed_keys)
+on_conflict (gpointer data, char **failed_keys)
 {
-  const MhWrittenBatch *written = data;
-  MhRecordWriter *writer = written->writer;
-  transaction_over (written);
-  bool explained = false;
+  const MhSentBatch *sent = data;
+  MhRecordWriter *writer = sent->writer;
+  end_transaction (sent);
+  bool is_repeat = false;
   for (char **key = failed_keys; key && *key; key++)
     {
       if (strcmp (*key, MH_LEADER_KEY) == 0)
@@ -301,82 +305,86 @@
           end_leadership (writer, MH_LOSS_ANOTHER_LEADER);
           return;
         }
-      explained = is_repeated_submission (writer, *key);
-      if (!explained)
+      is_repeat = handle_repeated_submission (writer, *key);
+      if (!is_repeat)
         break;
     }
-  if (!explained)
+  if (!is_repeat)
     end_leadership (writer, MH_LOSS_RECORD_CHANGED);
-  for (guint i = 0; i < written->writes->len; i++)
+  for (guint i = 0; i < sent->writes->len; i++)
     {
-      MhRecord *record = write_at (written, i)->record;
+      MhRecord *record = get_write (sent, i)->record;
       if (record->state != MH_RECORD_IN_DOUBT)
-        mh_record_writer_apply (writer, record, MH_RECORD_NOT_WRITTEN, MH_URGENCY_START);
+        mh_record_writer_apply_event (writer, record, MH_RECORD_NOT_WRITTEN, MH_URGENCY_START);
     }
 }
 
 static void
-take_unaccounted (gpointer data)
+on_outcome_unknown (gpointer data)
 {
-  const MhWrittenBatch *written = data;
-  end_leadership (written->writer, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
+  const MhSentBatch *sent = data;
+  end_leadership (sent->writer, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
 }
 
-/* ---- malformed ---- */
+/* ---- refused transactions ---- */
 
-/* A submission that the store will not keep is not accepted; a job that was accepted, under other
-   limits, stays as its records say. */
+/* A submission that the store refuses is not accepted, and its job is removed. A job that is
+   already accepted, because other limits held then, or that may be accepted, keeps its stored
+   records; the record is written again later. */
 static void
-reject_record (MhRecordWriter *writer, MhRecord *record, bool maybe_applied)
+reject_record (MhRecordWriter *writer, MhRecord *record, bool may_be_applied)
 {
   MhJob *job = record->job;
-  bool accepted = job->accepted || maybe_applied;
+  bool accepted = job->accepted || may_be_applied;
   mh_runtime_log (
       writer->runtime, G_LOG_LEVEL_CRITICAL,
       "record refused by the key-value store job=%s record=%u reason=malformed_or_too_large"
       " outcome=%s",
       job->spec->id, record->chunk, accepted ? "retried_later" : "job_not_accepted");
-  const MhUserAnswer later
-      = { .status = 503, .retry_after_s = (guint)(RETRY_REFUSED_US / MH_SECOND_US) };
-  answer_all_waiters (writer, job, &later);
+  const MhUserAnswer retry_answer
+      = { .status = 503, .retry_after_s = (guint)(REFUSED_RECORD_RETRY_US / MH_SECOND_US) };
+  answer_all_waiters (writer, job, &retry_answer);
   if (!accepted)
     {
       mh_record_writer_remove_job (writer, job);
       return;
     }
-  record->refused_until_us = mh_runtime_now_us (writer->runtime) + RETRY_REFUSED_US;
-  mh_record_writer_apply (writer, record, MH_RECORD_REJECTED, MH_URGENCY_START);
+  record->refused_until_us = mh_runtime_now_us (writer->runtime) + REFUSED_RECORD_RETRY_US;
+  mh_record_writer_apply_event (writer, record, MH_RECORD_REJECTED, MH_URGENCY_START);
 }
 
-/* One of the values, or the whole, is more than the store takes. Each record is tried alone; what
-   is refused then too must neither end the leadership, which would only meet it again, nor be sent
-   again at once. */
+/* One of the values, or the transaction as a whole, is larger than the store accepts. Each record
+   is written again in a transaction of one record. A record that is refused then must not end the
+   leadership, because the next leader would be refused the same record, and must not be sent again
+   at once. */
 static void
-take_malformed (gpointer data, bool maybe_applied)
+on_malformed (gpointer data, bool may_be_applied)
 {
-  const MhWrittenBatch *written = data;
-  transaction_over (written);
-  for (guint i = 0; i < written->writes->len; i++)
+  const MhSentBatch *sent = data;
+  end_transaction (sent);
+  for (guint i = 0; i < sent->writes->len; i++)
     {
-      MhRecord *record = write_at (written, i)->record;
+      MhRecord *record = get_write (sent, i)->record;
       if (record->write_alone)
-        reject_record (written->writer, record, maybe_applied);
+        reject_record (sent->writer, record, may_be_applied);
       else
         {
           record->write_alone = true;
-          mh_record_writer_apply (written->writer, record, MH_RECORD_NOT_WRITTEN, MH_URGENCY_START);
+          mh_record_writer_apply_event (sent->writer, record, MH_RECORD_NOT_WRITTEN,
+                                        MH_URGENCY_START);
         }
     }
 }
 
 const MhTransactionCallbacks *
-mh_written_batch_callbacks (void)
+mh_sent_batch_callbacks (void)
 {
-  static const MhTransactionCallbacks callbacks = { .call_class = call_class,
-                                                    .conflict_is_final = conflict_is_final,
-                                                    .applied = take_applied,
-                                                    .conflict = take_conflict,
-                                                    .malformed = take_malformed,
-                                                    .unaccounted = take_unaccounted };
+  static const MhTransactionCallbacks callbacks
+      = { .call_class = get_call_class,
+          .conflict_proves_not_applied = conflict_proves_not_applied,
+          .applied = on_applied,
+          .conflict = on_conflict,
+          .malformed = on_malformed,
+          .outcome_unknown = on_outcome_unknown };
   return &callbacks;
 }
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -76,7 +76,7 @@
 }
 
 static const MhRecordWriterCallbacks callbacks = { .job_accepted = on_job_accepted,
-                                                   .job_over = on_job_over,
+                                                   .job_ended = on_job_over,
                                                    .attempts_recorded = on_attempts_recorded,
                                                    .job_rechunked = on_job_rechunked,
                                                    .leadership_lost = on_leadership_lost,
@@ -222,7 +222,7 @@
   MhJob *job = add_job (fixture, id, 1);
   MhWaiter waiter = { .id = WAITER, .verb = MH_USER_SUBMIT };
   g_array_append_val (job->waiters, waiter);
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_USER);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_USER);
   return job;
 }
 
@@ -433,7 +433,7 @@
   (void)unused;
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REWRITTEN);
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1);
@@ -453,9 +453,9 @@
   (void)unused;
   MhJob *job = submit_accepted (fixture, JOB);
   MhJob *other = add_job (fixture, OTHER_JOB, 1);
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_PROGRESS);
-  mh_record_writer_touch (fixture->writer, &other->records[0], MH_URGENCY_PROGRESS);
-  mh_record_writer_touch (fixture->writer, &other->records[0], MH_URGENCY_USER);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_mark_changed (fixture->writer, &other->records[0], MH_URGENCY_PROGRESS);
+  mh_record_writer_mark_changed (fixture->writer, &other->records[0], MH_URGENCY_USER);
   step_after (fixture, MH_SECOND_US);
   assert_change (fixture, 0, "put", "j/" OTHER_JOB);
   assert_change (fixture, 1, "put", "j/" JOB);
@@ -468,14 +468,14 @@
   (void)unused;
   MhJob *job = add_job (fixture, JOB, 100);
   for (guint i = 0; i < job->n_records; i++)
-    mh_record_writer_touch (fixture->writer, &job->records[i], MH_URGENCY_START);
+    mh_record_writer_mark_changed (fixture->writer, &job->records[i], MH_URGENCY_START);
   step_after (fixture, 0);
   reply (fixture, 200, revision (20));
-  mh_record_writer_touch (fixture->writer, &job->records[1], MH_URGENCY_START);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[1], MH_URGENCY_START);
   step_after (fixture, 0);
   job->n_done = 100;
   job->completion = MH_COMPLETION_UNWRITTEN;
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1); /* waits for the record that is on its way */
   assert_change (fixture, 0, "put", "t/" JOB "/00001");
@@ -617,7 +617,7 @@
 {
   (void)unused;
   MhJob *job = submit_accepted (fixture, JOB);
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, 0);
   reply (fixture, 409, failed ("j/" JOB));
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_CHANGED);
@@ -652,12 +652,12 @@
 {
   (void)unused;
   MhJob *job = submit_accepted (fixture, JOB);
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, 0);
   reply (fixture, 400, NULL);
   reply (fixture, 400, NULL);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REFUSED);
-  mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_USER);
+  mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_USER);
   step_after (fixture, 28 * MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 0);
   step_after (fixture, 2 * MH_SECOND_US);
