--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -236,7 +236,7 @@
   guint64 first_token = mh_fencing_token (cluster, NULL);
   bool was_ours = machine == NULL && report->fencing_token > first_token
                   && report->fencing_token < first_token + MH_EPOCHS_PER_LEADERSHIP;
-  return mh_election_has_loaded (cluster->election)
+  return mh_election_has_records (cluster->election)
          && (was_ours || mh_cluster_was_released (cluster, report->machine));
 }
 
@@ -298,7 +298,7 @@
 static bool
 may_answer (const MhCluster *cluster)
 {
-  return mh_election_has_loaded (cluster->election)
+  return mh_election_has_records (cluster->election)
          && (mh_election_is_leader (cluster->election) || may_keep_alive (cluster));
 }
 
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -95,7 +95,7 @@
 {
   g_return_if_fail (core && now && node);
   mh_runtime_begin_input (core->runtime, now);
-  mh_election_leader_announced (core->election, node, epoch);
+  mh_election_handle_announcement (core->election, node, epoch);
   step (core);
 }
 
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -72,9 +72,9 @@
 {
   static const MhElectionCallbacks callbacks = { .elected = load_records,
                                                  .leading = start_leading,
-                                                 .refuse_waiting = refuse_waiting_users,
-                                                 .clear = clear_leadership,
-                                                 .renewed_after_pause = note_pause };
+                                                 .reject_waiting_users = refuse_waiting_users,
+                                                 .clear_state = clear_leadership,
+                                                 .renewed_after_lapse = note_pause };
   return &callbacks;
 }
 
--- a/src/controller/storage-callbacks.c
+++ b/src/controller/storage-callbacks.c
@@ -100,7 +100,7 @@
 loaded (gpointer owner)
 {
   MhCore *core = owner;
-  mh_election_records_loaded (core->election);
+  mh_election_handle_records_loaded (core->election);
 }
 
 static const MhRecordLoaderCallbacks loader_callbacks = { .attempt_found = attempt_found,
--- a/src/election/campaign.c
+++ b/src/election/campaign.c
@@ -6,49 +6,52 @@
 
 #include <string.h>
 
-/* Delays before the leader key is read again: after a transaction that somebody else's was faster
-   than, after one whose lease ran out or went to nobody, and when the store did not answer. */
-#define RETRY_CONFLICT_US 20000
-#define RETRY_NOT_ELECTED_US 100000
-#define RETRY_STORE_US 200000
-/* While others are to campaign first, the leader key is read so often, and each time the wait gets
-   so much shorter: nobody else may have taken it. */
-#define BACKOFF_RETRY_US (MH_SECOND_US)
-#define BACKOFF_STEP_US (2 * MH_SECOND_US)
+/* Shortest delays before the leader key is read again after a failed campaign: when the transaction
+   conflicted with that of another controller, when it was carried out too late (the lease had
+   lapsed) or not at all, and when the store did not answer or reported an error. */
+#define CONFLICT_READ_DELAY_US 20000
+#define NOT_ELECTED_READ_DELAY_US 100000
+#define STORE_FAILURE_READ_DELAY_US 200000
+/* During the campaign back-off the leader key is read again after this delay. Each read that finds
+   no other leader shortens the back-off, because there may be no other controller that can be
+   elected. */
+#define BACKOFF_READ_DELAY_US (MH_SECOND_US)
+#define BACKOFF_REDUCTION_US (2 * MH_SECOND_US)
 
 static void
-call (MhElection *election, MhRequest *request, double changes, MhReplyFunc func)
+call_store (MhElection *election, MhRequest *request, double changes, MhReplyFunc func)
 {
-  mh_election_call (election, request,
-                    (MhCallOptions){ .class = MH_CALL_LEASE,
-                                     .changes = changes,
-                                     .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
-                                     .func = func });
+  mh_election_call_store (election, request,
+                          (MhCallOptions){ .class = MH_CALL_LEASE,
+                                           .changes = changes,
+                                           .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
+                                           .func = func });
 }
 
-/* The lease is given back, so that a late copy of the transaction cannot take the key with it. */
+/* Revokes the lease, so that a late copy of the transaction cannot write the leader key. */
 static void
-give_up (MhElection *election, gint64 retry_after_us)
+abort_campaign (MhElection *election, gint64 read_delay_us)
 {
-  mh_election_apply (election, MH_LEADERSHIP_EVENT_CAMPAIGN_FAILED);
+  mh_election_apply_event (election, MH_LEADERSHIP_EVENT_CAMPAIGN_FAILED);
   if (election->lease.id)
     mh_election_revoke_lease (election, MH_CALL_BACKGROUND);
   election->lease = (MhLease){ 0 };
   election->own_epoch = 0;
-  mh_election_retry_after (election, retry_after_us);
+  mh_election_schedule_leader_read (election, read_delay_us);
 }
 
-/* The transaction was carried out. A lease that ended meanwhile is of no use. */
+/* The transaction was carried out. If the lease has lapsed since it was granted, this controller
+   must not lead. */
 static void
 become_leader (MhElection *election, guint64 key_version)
 {
   gint64 now_us = mh_runtime_now_us (election->runtime);
   if (!mh_lease_is_valid (&election->lease, now_us))
     {
-      give_up (election, RETRY_NOT_ELECTED_US);
+      abort_campaign (election, NOT_ELECTED_READ_DELAY_US);
       return;
     }
-  mh_election_apply (election, MH_LEADERSHIP_EVENT_ELECTED);
+  mh_election_apply_event (election, MH_LEADERSHIP_EVENT_ELECTED);
   mh_election_set_leader (election, mh_runtime_settings (election->runtime)->node_name);
   election->own_key_version = election->leader_key_version = key_version;
   election->leader_epoch = election->own_epoch;
@@ -60,8 +63,9 @@
   election->callbacks->elected (election->owner);
 }
 
-/* An earlier life of this controller that ended in the middle of its campaign may have written its
-   name late, with the very same epoch, but attached to a lease that nobody renews any more. */
+/* An earlier process of this controller may have ended during its campaign, and its transaction may
+   have been carried out late. Its leader key then has the same name and epoch, but is attached to a
+   lease that nobody renews, so the lease must match too. */
 static bool
 is_own_transaction (const MhElection *election, const MhKvEntry *entry)
 {
@@ -85,7 +89,7 @@
   if (elected)
     become_leader (election, key_version);
   else
-    give_up (election, RETRY_NOT_ELECTED_US);
+    abort_campaign (election, NOT_ELECTED_READ_DELAY_US);
 }
 
 static void
@@ -97,14 +101,15 @@
   if (reply->status == 200 && mh_kv_revision_decode (reply->body, &key_version, NULL))
     become_leader (election, key_version);
   else if (reply->status == 0 || reply->status == 200)
-    /* Whether it was carried out is unknown: the key tells. */
-    call (election, mh_kv_request_get (MH_LEADER_KEY), 0, handle_check_reply);
+    /* The outcome of the transaction is unknown: read the leader key to determine it. */
+    call_store (election, mh_kv_request_get (MH_LEADER_KEY), 0, handle_check_reply);
   else
-    give_up (election, reply->status == 409 ? RETRY_CONFLICT_US : RETRY_STORE_US);
+    abort_campaign (election,
+                    reply->status == 409 ? CONFLICT_READ_DELAY_US : STORE_FAILURE_READ_DELAY_US);
 }
 
-/* Both keys in one transaction, on the condition that neither has changed since it was read: so no
-   two leaderships ever share an epoch, and the epoch rises with each. */
+/* Writes both keys in one transaction, on the condition that neither has changed since it was read.
+   Therefore no two leaderships share an epoch, and the epoch increases with each. */
 static void
 write_leader_key (MhElection *election, guint64 epoch_key_version)
 {
@@ -117,10 +122,10 @@
       = mh_epoch_record_write (election->own_epoch + MH_EPOCHS_PER_LEADERSHIP - 1);
   MhKvChange changes[]
       = { { MH_LEADER_KEY, leader, election->lease.id }, { MH_EPOCH_KEY, last_epoch, 0 } };
-  call (election,
-        mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions), changes,
-                                   G_N_ELEMENTS (changes)),
-        G_N_ELEMENTS (changes), handle_write_reply);
+  call_store (election,
+              mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions), changes,
+                                         G_N_ELEMENTS (changes)),
+              G_N_ELEMENTS (changes), handle_write_reply);
 }
 
 static void
@@ -130,17 +135,17 @@
   (void)data;
   guint64 last_epoch = 0;
   guint64 key_version = 0;
-  bool readable = reply->status == 404; /* nobody has led yet */
+  bool is_valid = reply->status == 404; /* no controller has led yet */
   if (reply->status == 200)
     {
       MhKvEntry *entry = mh_kv_entry_decode (reply->body, NULL);
-      readable = entry && mh_epoch_record_read (entry->value, &last_epoch);
+      is_valid = entry && mh_epoch_record_read (entry->value, &last_epoch);
       key_version = entry ? entry->version : 0;
       mh_kv_entry_free (entry);
     }
-  if (!readable)
+  if (!is_valid)
     {
-      give_up (election, RETRY_STORE_US);
+      abort_campaign (election, STORE_FAILURE_READ_DELAY_US);
       return;
     }
   election->own_epoch = last_epoch + 1;
@@ -154,12 +159,12 @@
   (void)data;
   if (reply->status != 200 || !mh_kv_lease_decode (reply->body, &election->lease.id, NULL))
     {
-      give_up (election, RETRY_STORE_US);
+      abort_campaign (election, STORE_FAILURE_READ_DELAY_US);
       return;
     }
   mh_lease_confirm (&election->lease, election->lease_request_sent_us,
                     mh_runtime_settings (election->runtime)->leader_lease_us);
-  call (election, mh_kv_request_get (MH_EPOCH_KEY), 0, handle_epoch_reply);
+  call_store (election, mh_kv_request_get (MH_EPOCH_KEY), 0, handle_epoch_reply);
 }
 
 void
@@ -168,15 +173,15 @@
   gint64 now_us = mh_runtime_now_us (election->runtime);
   if (now_us < election->campaign_backoff_until_us)
     {
-      mh_election_retry_after (election, BACKOFF_RETRY_US);
-      election->campaign_backoff_until_us -= BACKOFF_STEP_US;
+      mh_election_schedule_leader_read (election, BACKOFF_READ_DELAY_US);
+      election->campaign_backoff_until_us -= BACKOFF_REDUCTION_US;
       return;
     }
-  mh_election_apply (election, MH_LEADERSHIP_EVENT_CAMPAIGN);
+  mh_election_apply_event (election, MH_LEADERSHIP_EVENT_CAMPAIGN);
   election->request_pending = true;
   election->lease = (MhLease){ 0 };
   election->lease_request_sent_us = now_us;
-  call (election,
-        mh_kv_request_grant_lease (mh_runtime_settings (election->runtime)->leader_lease_us), 0,
-        handle_lease_reply);
+  call_store (election,
+              mh_kv_request_grant_lease (mh_runtime_settings (election->runtime)->leader_lease_us),
+              0, handle_lease_reply);
 }
--- a/src/election/campaign.h
+++ b/src/election/campaign.h
@@ -1,14 +1,16 @@
-/* A campaign: a lease, then the leader key and the epoch in one transaction on conditions. */
+/* A campaign: obtains a lease, then writes the leader key and the epoch in one conditional
+   transaction. */
 #pragma once
 
 #include "election/election-types.h"
 
 /**
  * mh_campaign_start:
- * @election: an election in which this controller follows
+ * @election: an election in which this controller is a follower
  *
- * Tries to become leader, or puts that off if others are to try first. Nobody else may hold the
- * leader key, as far as is known; the transaction makes sure of it.
+ * Starts a campaign, or postpones it while the campaign back-off lasts. To be called only if no
+ * other controller is known to hold the leader key; the conditions of the transaction guarantee
+ * that none does.
  */
 void
 mh_campaign_start (MhElection *election);
--- a/src/election/election-state.c
+++ b/src/election/election-state.c
@@ -2,13 +2,13 @@
 #include "protocol/key-value-messages.h"
 
 bool
-mh_election_apply (MhElection *election, MhLeadershipEvent event)
+mh_election_apply_event (MhElection *election, MhLeadershipEvent event)
 {
-  return mh_leadership_apply (&election->state, event);
+  return mh_leadership_apply_event (&election->state, event);
 }
 
 void
-mh_election_call (MhElection *election, MhRequest *request, MhCallOptions options)
+mh_election_call_store (MhElection *election, MhRequest *request, MhCallOptions options)
 {
   options.owner = election;
   mh_call_queue_add (election->calls, request, &options);
@@ -25,17 +25,17 @@
 void
 mh_election_revoke_lease (MhElection *election, MhCallClass class)
 {
-  mh_election_call (election, mh_kv_request_revoke_lease (election->lease.id),
-                    (MhCallOptions){ .class = class,
-                                     .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
-                                     .func = ignore_reply });
+  mh_election_call_store (election, mh_kv_request_revoke_lease (election->lease.id),
+                          (MhCallOptions){ .class = class,
+                                           .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
+                                           .func = ignore_reply });
 }
 
 void
-mh_election_retry_after (MhElection *election, gint64 delay_us)
+mh_election_schedule_leader_read (MhElection *election, gint64 delay_us)
 {
   election->request_pending = false;
-  election->retry_us = mh_runtime_jittered_us (election->runtime, delay_us, delay_us);
+  election->next_leader_read_us = mh_runtime_jittered_us (election->runtime, delay_us, delay_us);
 }
 
 bool
--- a/src/election/election-state.h
+++ b/src/election/election-state.h
@@ -1,4 +1,5 @@
-/* The state of an election, which the files of this folder share; nobody else includes this. */
+/* The state of an election, shared by the files of this folder. Private: no other folder includes
+   this header. */
 #pragma once
 
 #include "election/election-types.h"
@@ -7,7 +8,7 @@
 #include "election/lease.h"
 #include "runtime/call-queue.h"
 
-/** How long a request to the key-value store may take. */
+/** Time-out of a request to the key-value store. */
 #define MH_ELECTION_CALL_TIMEOUT_US (MH_SECOND_US)
 
 /**
@@ -16,27 +17,30 @@
  * @calls: (not owned): calls to the key-value store
  * @callbacks: (not owned): the layers above
  * @owner: passed to @callbacks
- * @state: set by mh_election_apply () alone
- * @loss_reason: STEPPING_DOWN: why
- * @transferring_leadership: STEPPING_DOWN: the lease is given back, and others are to lead
- * @clearing: STEPPING_DOWN: who waits is being refused; these answers carry the end of the lease,
- * as all answers of a leader do
- * @lease: the lease that is held or being won
- * @lease_request_sent_us: when the request for the lease was sent that is under way; there is never
- * more than one
- * @contact: the way to the leader
- * @leader_name: (owned) (nullable): who leads, as far as is known
+ * @state: changed only by mh_election_apply_event ()
+ * @loss_reason: STEPPING_DOWN: why the leadership was lost
+ * @transferring_leadership: STEPPING_DOWN: the lease is to be revoked, so that another controller
+ * can lead
+ * @clearing: STEPPING_DOWN: the state of the leadership is being cleared. The answers that reject
+ * waiting users carry the end of the lease, like every answer of a leader
+ * @lease: the lease of the current leadership or campaign
+ * @lease_request_sent_us: when the last request to grant or renew the lease was sent; at most one
+ * is in flight
+ * @contact: whether the leader is known and reachable
+ * @leader_name: (owned) (nullable): the last known leader
  * @leader_epoch: first epoch of that leadership
- * @leader_key_version: version of the leader key that was last read; 0: there is none
- * @request_pending: FOLLOWING, CAMPAIGNING: a request is under way whose reply goes on
- * @retry_us: FOLLOWING: otherwise the leader key is read again at this time
- * @campaign_backoff_until_us: others are let campaign first until then
- * @own_epoch: first epoch of the leadership that is held or being won; 0: none
+ * @leader_key_version: version of the leader key when it was last read; 0: the key does not exist
+ * @request_pending: FOLLOWING, CAMPAIGNING: a request is in flight whose reply triggers the next
+ * step
+ * @next_leader_read_us: FOLLOWING, if no request is pending: when to read the leader key again
+ * @campaign_backoff_until_us: this controller does not campaign before this time, so that others
+ * can be elected first
+ * @own_epoch: first epoch of this controller's leadership or campaign; 0: none
  * @own_key_version: version of the leader key that this leadership wrote
- * @elected_us: when this controller was last elected
- * @renewal_pending: a renewal of the lease is under way
- * @next_renewal_us: otherwise the lease is renewed at this time
- * @last_announcement_us: when this controller last told the others that it leads
+ * @elected_us: when this controller was last elected; 0: never
+ * @renewal_pending: a renewal of the lease is in flight
+ * @next_renewal_us: if no renewal is in flight: when to send the next one
+ * @last_announcement_us: when this controller last announced itself as leader to its peers
  *
  * All times are steady times in microseconds.
  */
@@ -47,7 +51,7 @@
   const MhElectionCallbacks *callbacks;
   gpointer owner;
 
-  MhLeadership state;
+  MhLeadershipState state;
   MhLossReason loss_reason;
   bool transferring_leadership;
   bool clearing;
@@ -59,7 +63,7 @@
   guint64 leader_epoch;
   guint64 leader_key_version;
   bool request_pending;
-  gint64 retry_us;
+  gint64 next_leader_read_us;
   gint64 campaign_backoff_until_us;
 
   guint64 own_epoch;
@@ -71,51 +75,53 @@
 };
 
 /**
- * mh_election_apply:
+ * mh_election_apply_event:
  * @election: an election
  * @event: what happened
  *
- * Returns: %FALSE if the state does not allow @event, which then changes nothing
+ * Returns: %FALSE if @event is not allowed in the current state; nothing has changed then
  */
 bool
-mh_election_apply (MhElection *election, MhLeadershipEvent event);
+mh_election_apply_event (MhElection *election, MhLeadershipEvent event);
 
 /**
- * mh_election_call:
+ * mh_election_call_store:
  * @election: an election
  * @request: (transfer full): a request to the key-value store
- * @options: how it is made; its owner is set here
+ * @options: how the call is made; its owner is set by this function
  *
- * Queues a request in the class that waits for no token, unless @options has another.
+ * Queues a request. Its class is %MH_CALL_LEASE, which waits for no rate-limit token, unless
+ * @options names another class.
  */
 void
-mh_election_call (MhElection *election, MhRequest *request, MhCallOptions options);
+mh_election_call_store (MhElection *election, MhRequest *request, MhCallOptions options);
 
 /**
  * mh_election_revoke_lease:
  * @election: an election
- * @class: the order in which the request leaves
+ * @class: priority of the request
  *
- * Gives the lease back, if there is one; nothing depends on the reply.
+ * Revokes the lease in the key-value store. The reply is ignored.
  */
 void
 mh_election_revoke_lease (MhElection *election, MhCallClass class);
 
 /**
- * mh_election_retry_after:
+ * mh_election_schedule_leader_read:
  * @election: an election
- * @delay_us: the shortest delay, in microseconds; up to twice as long by chance
+ * @delay_us: the shortest delay, in microseconds
  *
- * The leader key is read again after a while.
+ * Schedules the next read of the leader key after a random delay between @delay_us and twice that.
  */
 void
-mh_election_retry_after (MhElection *election, gint64 delay_us);
+mh_election_schedule_leader_read (MhElection *election, gint64 delay_us);
 
 /**
  * mh_election_is_own_key:
  * @election: an election
  *
- * Returns: %TRUE if the leader key is known to name this controller
+ * Returns: %TRUE if this controller is the last known leader; it need not hold a lease, because an
+ * earlier process of this controller may have written the leader key
  */
 bool
 mh_election_is_own_key (const MhElection *election);
@@ -123,11 +129,11 @@
 /**
  * mh_election_set_leader:
  * @election: an election
- * @node: (nullable): who leads; %NULL: nobody
+ * @node: (nullable): the leader; %NULL: no leader is known
  *
- * Notes who leads.
+ * Sets the last known leader.
  *
- * Returns: %TRUE if it was not known already
+ * Returns: %TRUE if it differs from the previous one
  */
 bool
 mh_election_set_leader (MhElection *election, const char *node);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -6,34 +6,38 @@
 
 #include <string.h>
 
-/* How often the leader tells the others that it leads: a controller that cannot reach the key-value
-   store has no other way to know. */
-#define ANNOUNCE_US (MH_SECOND_US)
-/* A leader that transfers its leadership lets the others campaign first for so long. */
-#define TRANSFER_BACKOFF_US (4 * MH_SECOND_US)
-/* After a leadership the leader key is read again. */
-#define STEPPED_DOWN_RETRY_US 50000
-/* A renewal is sent when one part in so many of the lease has passed since the last, again after
-   one in so many when that was of no use, and given up after one in so many. */
-#define RENEWALS_PER_LEASE 4
-#define RENEWAL_RETRIES_PER_LEASE 10
-#define RENEWAL_TIMEOUTS_PER_LEASE 3
+/* Interval between announcements of the leader to its peers. A controller that cannot reach the
+   key-value store has no other way to learn who leads. */
+#define ANNOUNCEMENT_INTERVAL_US (MH_SECOND_US)
+/* How long a leader that transferred its leadership does not campaign, so that another controller
+   can be elected first. While nobody holds the leader key, the follower shortens this time. */
+#define CAMPAIGN_BACKOFF_AFTER_TRANSFER_US (4 * MH_SECOND_US)
+/* Shortest delay before a controller that stepped down reads the leader key again. */
+#define READ_DELAY_AFTER_STEP_DOWN_US 50000
+/* Timing of renewals, as fractions of the lease duration: a renewal is sent 1/4 of it after the
+   last confirmed one was sent, retried 1/10 after one that failed, and times out after 1/3 (at most
+   MH_ELECTION_CALL_TIMEOUT_US). A renewal that times out thus leaves time for a retry before the
+   lease lapses. */
+#define RENEWAL_INTERVAL_DIVISOR 4
+#define RENEWAL_RETRY_DIVISOR 10
+#define RENEWAL_TIMEOUT_DIVISOR 3
 
 static bool
-may_act (const MhElection *election, gint64 now_us)
+is_acting_leader (const MhElection *election, gint64 now_us)
 {
   return (election->state == MH_LEADERSHIP_LOADING || election->state == MH_LEADERSHIP_LEADING)
          && mh_lease_is_valid (&election->lease, now_us);
 }
 
-/* For the runtime: what an action rests on that is decided now. */
+/* MhLeaseFunc for the runtime: until when an action that is decided now may be carried out, or 0 if
+   it does not depend on the lease. */
 static gint64
-lease_until (gconstpointer owner, gint64 now_us)
+get_lease_until_us (gconstpointer owner, gint64 now_us)
 {
   const MhElection *election = owner;
-  bool rests_on_lease = may_act (election, now_us)
-                        || (election->clearing && mh_lease_is_valid (&election->lease, now_us));
-  return rests_on_lease ? election->lease.valid_until_us : 0;
+  bool depends_on_lease = is_acting_leader (election, now_us)
+                          || (election->clearing && mh_lease_is_valid (&election->lease, now_us));
+  return depends_on_lease ? election->lease.valid_until_us : 0;
 }
 
 MhElection *
@@ -46,7 +50,7 @@
   election->calls = calls;
   election->callbacks = callbacks;
   election->owner = owner;
-  mh_runtime_set_lease_source (runtime, lease_until, election);
+  mh_runtime_set_lease_source (runtime, get_lease_until_us, election);
   return election;
 }
 
@@ -62,23 +66,24 @@
 
 /* ---- the lease ---- */
 
-/* A leader that could not renew for a while, and then can, goes on with its memory: the lease never
-   ended in the store, so that nobody else can have written. */
+/* A leader whose lease had lapsed by its own clock keeps its state when a renewal succeeds: the
+   lease never expired in the store, so no other controller can have written anything. */
 static void
-lease_renewed (MhElection *election)
+confirm_renewal (MhElection *election)
 {
   gint64 now_us = mh_runtime_now_us (election->runtime);
   gint64 lease_us = mh_runtime_settings (election->runtime)->leader_lease_us;
   if (!mh_lease_is_valid (&election->lease, now_us))
     {
-      mh_log_info (election->runtime,
-                   "lease renewed after a pause, leadership goes on epoch=%" G_GUINT64_FORMAT,
-                   election->own_epoch);
-      election->callbacks->renewed_after_pause (election->owner, election->lease.last_renewal_us);
+      mh_log_info (
+          election->runtime,
+          "lease renewed after it had lapsed, leadership continues epoch=%" G_GUINT64_FORMAT,
+          election->own_epoch);
+      election->callbacks->renewed_after_lapse (election->owner, election->lease.last_renewal_us);
     }
   mh_lease_confirm (&election->lease, election->lease_request_sent_us, lease_us);
-  election->contact.usable_us = now_us;
-  election->next_renewal_us = election->lease_request_sent_us + lease_us / RENEWALS_PER_LEASE;
+  election->contact.leader_confirmed_us = now_us;
+  election->next_renewal_us = election->lease_request_sent_us + lease_us / RENEWAL_INTERVAL_DIVISOR;
 }
 
 static void
@@ -89,9 +94,9 @@
   election->renewal_pending = false;
   election->next_renewal_us
       = mh_runtime_now_us (election->runtime)
-        + mh_runtime_settings (election->runtime)->leader_lease_us / RENEWAL_RETRIES_PER_LEASE;
+        + mh_runtime_settings (election->runtime)->leader_lease_us / RENEWAL_RETRY_DIVISOR;
   if (reply->status == 200)
-    lease_renewed (election);
+    confirm_renewal (election);
   else if (reply->status == 404)
     mh_election_step_down (election, MH_LOSS_LEASE_EXPIRED);
   else
@@ -107,11 +112,12 @@
     {
       election->renewal_pending = true;
       election->lease_request_sent_us = now_us;
-      mh_election_call (election, mh_kv_request_renew_lease (election->lease.id),
-                        (MhCallOptions){ .class = MH_CALL_LEASE,
-                                         .timeout_us = MIN (MH_ELECTION_CALL_TIMEOUT_US,
-                                                            lease_us / RENEWAL_TIMEOUTS_PER_LEASE),
-                                         .func = handle_renew_reply });
+      mh_election_call_store (
+          election, mh_kv_request_renew_lease (election->lease.id),
+          (MhCallOptions){ .class = MH_CALL_LEASE,
+                           .timeout_us
+                           = MIN (MH_ELECTION_CALL_TIMEOUT_US, lease_us / RENEWAL_TIMEOUT_DIVISOR),
+                           .func = handle_renew_reply });
     }
   if (!election->renewal_pending)
     mh_runtime_wake_at (election->runtime, election->next_renewal_us);
@@ -123,7 +129,7 @@
 mh_election_step_down (MhElection *election, MhLossReason reason)
 {
   g_return_if_fail (election);
-  if (mh_election_apply (election, MH_LEADERSHIP_EVENT_LOST))
+  if (mh_election_apply_event (election, MH_LEADERSHIP_EVENT_LOST))
     election->loss_reason = reason;
 }
 
@@ -131,31 +137,32 @@
 mh_election_transfer_leadership (MhElection *election, MhLossReason reason)
 {
   g_return_if_fail (election);
-  if (!mh_election_apply (election, MH_LEADERSHIP_EVENT_LOST))
+  if (!mh_election_apply_event (election, MH_LEADERSHIP_EVENT_LOST))
     return;
   election->loss_reason = reason;
   election->transferring_leadership = true;
 }
 
-/* Who waits is answered before all calls are forgotten, and those before what they are about is
-   freed. Replies to this leadership's calls are ignored from here on. */
+/* The order matters: waiting users are answered first, then all calls are discarded, and only then
+   the objects that the calls refer to are freed. Replies to calls of this leadership are ignored
+   from here on. */
 static void
 clear_leadership (MhElection *election)
 {
   mh_log_info (election->runtime, "no longer leading reason=%s",
                mh_loss_reason_text (election->loss_reason));
   election->clearing = true;
-  election->callbacks->refuse_waiting (election->owner);
+  election->callbacks->reject_waiting_users (election->owner);
   mh_call_queue_forget_all (election->calls);
-  election->callbacks->clear (election->owner);
+  election->callbacks->clear_state (election->owner);
   election->clearing = false;
-  mh_election_apply (election, MH_LEADERSHIP_EVENT_CLEARED);
+  mh_election_apply_event (election, MH_LEADERSHIP_EVENT_CLEARED);
   if (election->transferring_leadership)
     {
-      /* The lease is ended, so that the others need not wait for its end. */
+      /* Otherwise the other controllers could not be elected before the lease expires. */
       mh_election_revoke_lease (election, MH_CALL_LEASE);
       election->campaign_backoff_until_us
-          = mh_runtime_now_us (election->runtime) + TRANSFER_BACKOFF_US;
+          = mh_runtime_now_us (election->runtime) + CAMPAIGN_BACKOFF_AFTER_TRANSFER_US;
     }
   election->loss_reason = MH_LOSS_NONE;
   election->transferring_leadership = false;
@@ -164,25 +171,25 @@
   election->lease = (MhLease){ 0 };
   if (mh_election_is_own_key (election))
     mh_election_set_leader (election, NULL);
-  mh_election_retry_after (election, STEPPED_DOWN_RETRY_US);
+  mh_election_schedule_leader_read (election, READ_DELAY_AFTER_STEP_DOWN_US);
 }
 
 /* ---- inputs ---- */
 
 void
-mh_election_records_loaded (MhElection *election)
+mh_election_handle_records_loaded (MhElection *election)
 {
   g_return_if_fail (election);
-  if (!mh_election_apply (election, MH_LEADERSHIP_EVENT_RECORDS_LOADED))
+  if (!mh_election_apply_event (election, MH_LEADERSHIP_EVENT_RECORDS_LOADED))
     return;
-  election->contact.usable_us = mh_runtime_now_us (election->runtime);
+  election->contact.leader_confirmed_us = mh_runtime_now_us (election->runtime);
   election->callbacks->leading (election->owner);
 }
 
-/* Announcements come late: the end of a leadership is told by the key-value store, and an
-   announcement of it must not undo that. */
+/* Announcements may arrive late. The key-value store reports the end of a leadership, and a late
+   announcement of that leadership must not reinstate it. */
 static bool
-is_outdated (const MhElection *election, const char *node, guint64 epoch)
+is_stale_announcement (const MhElection *election, const char *node, guint64 epoch)
 {
   return epoch < election->leader_epoch
          || (epoch == election->leader_epoch && election->leader_name == NULL)
@@ -191,10 +198,10 @@
 }
 
 void
-mh_election_leader_announced (MhElection *election, const char *node, guint64 epoch)
+mh_election_handle_announcement (MhElection *election, const char *node, guint64 epoch)
 {
   g_return_if_fail (election && node);
-  if (is_outdated (election, node, epoch))
+  if (is_stale_announcement (election, node, epoch))
     return;
   mh_election_step_down (election, MH_LOSS_ANOTHER_ANNOUNCED);
   if (mh_election_set_leader (election, node))
@@ -204,7 +211,7 @@
                    node, epoch);
     }
   election->leader_epoch = epoch;
-  election->contact.usable_us = mh_runtime_now_us (election->runtime);
+  election->contact.leader_confirmed_us = mh_runtime_now_us (election->runtime);
 }
 
 static void
@@ -212,7 +219,7 @@
 {
   gint64 now_us = mh_runtime_now_us (election->runtime);
   const GPtrArray *members = mh_runtime_settings (election->runtime)->members;
-  if (now_us < election->last_announcement_us + ANNOUNCE_US)
+  if (now_us < election->last_announcement_us + ANNOUNCEMENT_INTERVAL_US)
     return;
   election->last_announcement_us = now_us;
   for (guint i = 0; i < members->len; i++)
@@ -227,10 +234,11 @@
 static void
 step_as_follower (MhElection *election)
 {
-  if (!election->request_pending && mh_runtime_now_us (election->runtime) >= election->retry_us)
+  if (!election->request_pending
+      && mh_runtime_now_us (election->runtime) >= election->next_leader_read_us)
     mh_follower_read_leader_key (election);
   if (!election->request_pending)
-    mh_runtime_wake_at (election->runtime, election->retry_us);
+    mh_runtime_wake_at (election->runtime, election->next_leader_read_us);
 }
 
 void
@@ -248,8 +256,8 @@
   if (mh_election_is_leader (election))
     announce_leadership (election);
   else
-    /* What cannot be written now is answered now; the user comes again. */
-    election->callbacks->refuse_waiting (election->owner);
+    /* Nothing can be written after the lease has lapsed: waiting users are told to retry. */
+    election->callbacks->reject_waiting_users (election->owner);
 }
 
 void
@@ -266,9 +274,9 @@
   mh_leader_contact_note_unanswered (&election->contact, mh_runtime_now_us (election->runtime));
 }
 
-/* ---- who leads ---- */
+/* ---- the current leader ---- */
 
-MhLeadership
+MhLeadershipState
 mh_election_state (const MhElection *election)
 {
   g_return_val_if_fail (election, MH_LEADERSHIP_FOLLOWING);
@@ -279,7 +287,7 @@
 mh_election_is_leader (const MhElection *election)
 {
   g_return_val_if_fail (election, false);
-  return may_act (election, mh_runtime_now_us (election->runtime));
+  return is_acting_leader (election, mh_runtime_now_us (election->runtime));
 }
 
 bool
@@ -297,7 +305,7 @@
 }
 
 bool
-mh_election_has_loaded (const MhElection *election)
+mh_election_has_records (const MhElection *election)
 {
   g_return_val_if_fail (election, false);
   return election->state == MH_LEADERSHIP_LEADING || election->state == MH_LEADERSHIP_STEPPING_DOWN;
@@ -334,7 +342,7 @@
                                      follows);
 }
 
-/* ---- of one's own leadership ---- */
+/* ---- this controller's leadership ---- */
 
 guint64
 mh_election_epoch (const MhElection *election)
--- a/src/election/follower.c
+++ b/src/election/follower.c
@@ -7,10 +7,10 @@
 
 #include <string.h>
 
-/* For how long the store holds a watch that has nothing to tell. */
-#define WATCH_US (5 * MH_SECOND_US)
-/* After a reply that could not be used. */
-#define RETRY_US 200000
+/* How long the store holds a watch request while there is no change to report. */
+#define WATCH_HOLD_US (5 * MH_SECOND_US)
+/* Shortest delay before the leader key is read again when a read or a watch failed. */
+#define FAILED_READ_DELAY_US 200000
 
 static void
 handle_watch_reply (gpointer owner, gpointer data, const MhReply *reply);
@@ -19,10 +19,11 @@
 watch_leader_key (MhElection *election, guint64 since_revision)
 {
   election->request_pending = true;
-  mh_election_call (election, mh_kv_request_watch (MH_LEADER_KEY, since_revision, WATCH_US),
-                    (MhCallOptions){ .class = MH_CALL_LEASE,
-                                     .timeout_us = WATCH_US + MH_ELECTION_CALL_TIMEOUT_US,
-                                     .func = handle_watch_reply });
+  mh_election_call_store (
+      election, mh_kv_request_watch (MH_LEADER_KEY, since_revision, WATCH_HOLD_US),
+      (MhCallOptions){ .class = MH_CALL_LEASE,
+                       .timeout_us = WATCH_HOLD_US + MH_ELECTION_CALL_TIMEOUT_US,
+                       .func = handle_watch_reply });
 }
 
 static void
@@ -32,7 +33,7 @@
   election->leader_key_version = 0;
 }
 
-/* A key that cannot be read names nobody. */
+/* Takes over what the leader key says. If its value is malformed, no leader is known. */
 static void
 adopt_leader_key (MhElection *election, const MhKvEntry *entry)
 {
@@ -46,17 +47,19 @@
     }
   if (mh_election_set_leader (election, node))
     {
-      mh_log_info (election->runtime, "leader known leader=%s epoch=%" G_GUINT64_FORMAT, node,
+      mh_log_info (election->runtime,
+                   "leader found in key-value store leader=%s epoch=%" G_GUINT64_FORMAT, node,
                    epoch);
       election->contact.unanswered_since_us = 0;
     }
   election->leader_epoch = epoch;
   election->leader_key_version = entry->version;
-  election->contact.usable_us = mh_runtime_now_us (election->runtime);
+  election->contact.leader_confirmed_us = mh_runtime_now_us (election->runtime);
 }
 
-/* An earlier life of this very process held the lease: nobody else may take the key before the end
-   of that lease, but this process may, since the earlier life is over. */
+/* If the key names this controller, an earlier process of it wrote the key. Other controllers must
+   wait until the lease of that process expires. This controller may replace the key at once,
+   because the earlier process has ended. */
 static void
 follow_leader_key (MhElection *election, const MhKvEntry *entry)
 {
@@ -82,12 +85,12 @@
   if (entry)
     follow_leader_key (election, entry);
   else
-    mh_election_retry_after (election, RETRY_US);
+    mh_election_schedule_leader_read (election, FAILED_READ_DELAY_US);
   mh_kv_entry_free (entry);
 }
 
 static const MhKvEntry *
-last_change_of_leader_key (const GPtrArray *events)
+find_last_leader_key_change (const GPtrArray *events)
 {
   for (guint i = events->len; i-- > 0;)
     {
@@ -108,32 +111,32 @@
       = reply->status == 200 ? mh_kv_events_decode (reply->body, &revision, NULL) : NULL;
   if (events == NULL)
     {
-      mh_election_retry_after (election, RETRY_US);
+      mh_election_schedule_leader_read (election, FAILED_READ_DELAY_US);
       return;
     }
-  const MhKvEntry *last = last_change_of_leader_key (events);
-  if (last == NULL)
+  const MhKvEntry *last_change = find_last_leader_key_change (events);
+  if (last_change == NULL)
     {
-      election->contact.usable_us = mh_runtime_now_us (election->runtime);
+      election->contact.leader_confirmed_us = mh_runtime_now_us (election->runtime);
       watch_leader_key (election, revision);
     }
-  else if (last->value == NULL)
+  else if (last_change->value == NULL)
     {
-      mh_log_info (election->runtime, "leader's lease expired leader=%s",
+      mh_log_info (election->runtime, "leader's lease expired or was revoked leader=%s",
                    election->leader_name ? election->leader_name : "unknown");
       forget_leader (election);
       mh_campaign_start (election);
     }
   else
-    follow_leader_key (election, last);
+    follow_leader_key (election, last_change);
 }
 
 void
 mh_follower_read_leader_key (MhElection *election)
 {
   election->request_pending = true;
-  mh_election_call (election, mh_kv_request_get (MH_LEADER_KEY),
-                    (MhCallOptions){ .class = MH_CALL_LEASE,
-                                     .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
-                                     .func = handle_read_reply });
+  mh_election_call_store (election, mh_kv_request_get (MH_LEADER_KEY),
+                          (MhCallOptions){ .class = MH_CALL_LEASE,
+                                           .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
+                                           .func = handle_read_reply });
 }
--- a/src/election/follower.h
+++ b/src/election/follower.h
@@ -1,14 +1,15 @@
-/* Following: the leader key is read and then watched; when it is gone, or is this controller's own,
-   the controller campaigns. */
+/* A follower reads the leader key and then watches it. If the key does not exist, or names this
+   controller, the controller campaigns. */
 #pragma once
 
 #include "election/election-types.h"
 
 /**
  * mh_follower_read_leader_key:
- * @election: an election in which this controller follows and has no request under way
+ * @election: an election in which this controller is a follower and has no request pending
  *
- * Reads the leader key, and goes on as it says.
+ * Reads the leader key. Depending on the reply, this controller watches the key, campaigns, or
+ * schedules another read.
  */
 void
 mh_follower_read_leader_key (MhElection *election);
--- a/src/election/leader-contact.c
+++ b/src/election/leader-contact.c
@@ -2,18 +2,20 @@
 
 #include "base/time-units.h"
 
-/* A controller that has had no usable leader for so long is rather cut off by itself. */
-#define NO_LEADER_US (30 * MH_SECOND_US)
-/* One that cannot reach the leader sends its users elsewhere after the first, and tries again after
-   the second. */
-#define UNANSWERED_US (MH_SECOND_US * 3 / 2)
-#define TRY_AGAIN_US (4 * MH_SECOND_US)
+/* How long a controller stays ready after a leader was last confirmed. After a longer time it is
+   more likely that this controller alone is cut off than that there is no leader. */
+#define NO_LEADER_GRACE_US (30 * MH_SECOND_US)
+/* A controller reports itself not ready once the leader has left forwarded requests unanswered for
+   UNANSWERED_GRACE_US. It is ready again, so that it tries the leader again, NOT_READY_HOLD_US
+   after the last unanswered request. */
+#define UNANSWERED_GRACE_US (MH_SECOND_US * 3 / 2)
+#define NOT_READY_HOLD_US (4 * MH_SECOND_US)
 
 void
 mh_leader_contact_note_answered (MhLeaderContact *contact, gint64 now_us)
 {
   g_return_if_fail (contact);
-  contact->usable_us = now_us;
+  contact->leader_confirmed_us = now_us;
   contact->unanswered_since_us = 0;
 }
 
@@ -30,9 +32,10 @@
 mh_leader_contact_is_ready (const MhLeaderContact *contact, gint64 now_us, bool follows_leader)
 {
   g_return_val_if_fail (contact, false);
-  bool unreachable = follows_leader && contact->unanswered_since_us > 0
-                     && now_us - contact->unanswered_since_us > UNANSWERED_US
-                     && now_us - contact->last_unanswered_us < TRY_AGAIN_US;
-  bool known = contact->usable_us > 0 && now_us - contact->usable_us < NO_LEADER_US;
-  return known && !unreachable;
+  bool is_unreachable = follows_leader && contact->unanswered_since_us > 0
+                        && now_us - contact->unanswered_since_us > UNANSWERED_GRACE_US
+                        && now_us - contact->last_unanswered_us < NOT_READY_HOLD_US;
+  bool is_leader_known = contact->leader_confirmed_us > 0
+                         && now_us - contact->leader_confirmed_us < NO_LEADER_GRACE_US;
+  return is_leader_known && !is_unreachable;
 }
--- a/src/election/leader-contact.h
+++ b/src/election/leader-contact.h
@@ -1,5 +1,5 @@
-/* Whether this controller can be of use to users: it knows of a usable leader and can reach it. The
-   load balancer sends users only to controllers that say so. */
+/* Whether this controller is ready to serve users: a leader is known and can be reached. The load
+   balancer sends users only to controllers that report themselves ready. */
 #pragma once
 
 #include <glib.h>
@@ -7,16 +7,18 @@
 
 /**
  * MhLeaderContact:
- * @usable_us: steady time at which a usable leader was last known; 0: never
- * @unanswered_since_us: steady time of the first users' request of those that the leader has left
- * unanswered since it answered one; 0: none
- * @last_unanswered_us: steady time of the last of these
+ * @leader_confirmed_us: steady time at which a leader was last confirmed: by the leader key or its
+ * watch, an announcement, a reply to a forwarded request, or this controller's own leadership; 0:
+ * never
+ * @unanswered_since_us: steady time of the first forwarded request that the leader did not answer
+ * since it last answered one; 0: none, or the leader has changed since
+ * @last_unanswered_us: steady time of the last forwarded request that the leader did not answer
  *
- * What is known of the way to the leader.
+ * What this controller knows about the leader and its reachability.
  */
 typedef struct
 {
-  gint64 usable_us;
+  gint64 leader_confirmed_us;
   gint64 unanswered_since_us;
   gint64 last_unanswered_us;
 } MhLeaderContact;
@@ -26,7 +28,7 @@
  * @contact: a contact
  * @now_us: steady time, in microseconds
  *
- * The leader has answered a request that was passed on to it.
+ * Records that the leader answered a forwarded request.
  */
 void
 mh_leader_contact_note_answered (MhLeaderContact *contact, gint64 now_us);
@@ -36,7 +38,7 @@
  * @contact: a contact
  * @now_us: steady time, in microseconds
  *
- * The leader has not answered a request that was passed on to it.
+ * Records that the leader did not answer a forwarded request.
  */
 void
 mh_leader_contact_note_unanswered (MhLeaderContact *contact, gint64 now_us);
@@ -47,12 +49,12 @@
  * @now_us: steady time, in microseconds
  * @follows_leader: this controller follows a leader that it knows
  *
- * Neither an ordinary change of leader nor an outage of the key-value store must make the load
- * balancer drop the controller: every other one would be dropped with it, and be taken back late.
- * One that cannot reach a leader which is there sends its users elsewhere for a while, and then
- * tries again.
+ * A controller stays ready through an ordinary failover and through an outage of the key-value
+ * store: these affect all controllers at once, so the load balancer would drop every one of them
+ * and readmit them late. A controller that cannot reach an existing leader reports itself not ready
+ * for a while, so that its users go to another controller, and then tries again.
  *
- * Returns: %TRUE if users are served here, by this controller or through it
+ * Returns: %TRUE if this controller can serve users, itself or by forwarding
  */
 bool
 mh_leader_contact_is_ready (const MhLeaderContact *contact, gint64 now_us, bool follows_leader);
--- a/src/election/leader-record.c
+++ b/src/election/leader-record.c
@@ -1,6 +1,6 @@
 #include "election/leader-record.h"
 
-/* Names of the fields as they are stored. */
+/* Stored field names. */
 #define FIELD_LEASE "claim"
 #define FIELD_NODE "node"
 #define FIELD_EPOCH "epoch"
--- a/src/election/leadership.c
+++ b/src/election/leadership.c
@@ -2,9 +2,9 @@
 
 #include <glib.h>
 
-/* For each event the states in which it is allowed, and the state that follows. */
+/* The transition table: for each event, the states in which it is allowed and the next state. */
 static bool
-next_state (MhLeadership state, MhLeadershipEvent event, MhLeadership *next)
+next_state (MhLeadershipState state, MhLeadershipEvent event, MhLeadershipState *next)
 {
   switch (event)
     {
@@ -31,9 +31,9 @@
 }
 
 bool
-mh_leadership_apply (MhLeadership *state, MhLeadershipEvent event)
+mh_leadership_apply_event (MhLeadershipState *state, MhLeadershipEvent event)
 {
-  MhLeadership next = MH_LEADERSHIP_FOLLOWING;
+  MhLeadershipState next = MH_LEADERSHIP_FOLLOWING;
   g_return_val_if_fail (state, false);
   if (!next_state (*state, event, &next))
     return false;
--- a/src/election/lease.c
+++ b/src/election/lease.c
@@ -1,16 +1,17 @@
 #include "election/lease.h"
 
-/* Twice what PROTOCOL says that steady clocks drift apart at most. */
-#define CLOCK_DRIFT 0.001
-/* In which a decision made just before the end still leaves the process. */
+/* Allowance for the drift between two steady clocks, as a fraction of the elapsed time: twice the
+   limit in PROTOCOL. */
+#define CLOCK_DRIFT_ALLOWANCE 0.001
+/* Time for a decision that is made just before the lease lapses to leave the process. */
 #define SEND_MARGIN_US 100000
 
 void
 mh_lease_confirm (MhLease *lease, gint64 sent_us, gint64 duration_us)
 {
   g_return_if_fail (lease);
-  gint64 certain_us = (gint64)((double)duration_us * (1 - CLOCK_DRIFT));
-  lease->valid_until_us = sent_us + certain_us - SEND_MARGIN_US;
+  gint64 safe_duration_us = (gint64)((double)duration_us * (1 - CLOCK_DRIFT_ALLOWANCE));
+  lease->valid_until_us = sent_us + safe_duration_us - SEND_MARGIN_US;
   lease->last_renewal_us = sent_us;
 }
 
--- a/src/election/lease.h
+++ b/src/election/lease.h
@@ -1,4 +1,5 @@
-/* The leader's lease in the key-value store, judged by this controller's own steady clock. */
+/* The leader lease in the key-value store, and how long it is valid by this controller's steady
+   clock. */
 #pragma once
 
 #include <glib.h>
@@ -6,12 +7,12 @@
 
 /**
  * MhLease:
- * @id: the store's number for it; 0: none is held
- * @valid_until_us: steady time after which it is not relied on
- * @last_renewal_us: steady time at which the last request was sent that the store granted or
- * renewed it by
+ * @id: the id that the store gave it; 0: no lease is held
+ * @valid_until_us: steady time at which it lapses for this controller
+ * @last_renewal_us: steady time at which the last request was sent by which the store granted or
+ * renewed it
  *
- * A lease. All fields 0: none is held.
+ * A lease. All fields are 0 if none is held.
  */
 typedef struct
 {
@@ -23,13 +24,13 @@
 /**
  * mh_lease_confirm:
  * @lease: a lease
- * @sent_us: steady time at which the request was sent that is answered now
- * @duration_us: for how long the store grants it, in microseconds
+ * @sent_us: steady time at which the request that was answered now was sent
+ * @duration_us: how long the store grants the lease, in microseconds
  *
- * The store has granted or renewed the lease. It counts from @sent_us, not from the answer, whose
- * way may have taken long, and ends here before it ends in the store: by the most that two steady
- * clocks drift apart (PROTOCOL: 0.05%), and by the time in which a decision made just before the
- * end still leaves the process.
+ * Records that the store granted or renewed the lease. The lease counts from @sent_us, because the
+ * reply may have been delayed. It lapses here before it expires in the store, by an allowance for
+ * the drift between two steady clocks (at most 0.05% according to PROTOCOL, doubled here) and by
+ * the time that a decision made just before the end needs to leave the process.
  */
 void
 mh_lease_confirm (MhLease *lease, gint64 sent_us, gint64 duration_us);
@@ -39,7 +40,7 @@
  * @lease: a lease
  * @now_us: steady time, in microseconds
  *
- * Returns: %TRUE if the lease is relied on at @now_us
+ * Returns: %TRUE if the lease has not lapsed at @now_us
  */
 bool
 mh_lease_is_valid (const MhLease *lease, gint64 now_us);
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -1,4 +1,4 @@
-/* The leader election by itself: a fake clock, and scripted replies of the key-value store. */
+/* Tests the leader election alone, with a fake clock and scripted key-value store replies. */
 #include "election/election.h"
 #include "election/leader-contact.h"
 #include "election/leader-record.h"
@@ -8,8 +8,9 @@
 #define OTHER "c2"
 #define LEASE_ID 7
 #define LEASE_US (4 * MH_SECOND_US)
-/* The part of the lease that is relied on: less 0.1% for drift, and 0.1 s. */
-#define RELIED_ON_US (LEASE_US - LEASE_US / 1000 - 100000)
+/* How long the lease is valid for the controller: its duration, less 0.1% for clock drift, less
+   0.1 s. */
+#define VALID_LEASE_US (LEASE_US - LEASE_US / 1000 - 100000)
 #define START_US (100 * MH_SECOND_US)
 
 typedef struct
@@ -19,9 +20,9 @@
   MhCallQueue *calls;
   MhElection *election;
   MhNow now;
-  guint64 call_id; /* of the call that left last */
+  guint64 call_id; /* of the call that was sent last */
   guint announcements, elected, leading, refused, cleared;
-  gint64 renewal_before_pause_us;
+  gint64 renewal_before_lapse_us;
 } Fixture;
 
 static void
@@ -49,16 +50,16 @@
 }
 
 static void
-note_renewed_after_pause (gpointer owner, gint64 last_renewal_us)
+note_renewed_after_lapse (gpointer owner, gint64 last_renewal_us)
 {
-  ((Fixture *)owner)->renewal_before_pause_us = last_renewal_us;
+  ((Fixture *)owner)->renewal_before_lapse_us = last_renewal_us;
 }
 
 static const MhElectionCallbacks callbacks = { .elected = note_elected,
                                                .leading = note_leading,
-                                               .refuse_waiting = note_refused,
-                                               .clear = note_cleared,
-                                               .renewed_after_pause = note_renewed_after_pause };
+                                               .reject_waiting_users = note_refused,
+                                               .clear_state = note_cleared,
+                                               .renewed_after_lapse = note_renewed_after_lapse };
 
 static void
 step (Fixture *fixture)
@@ -103,7 +104,7 @@
   mh_runtime_begin_input (fixture->runtime, &fixture->now);
 }
 
-/* The next call that left; NULL: none did. */
+/* Returns the next call that was sent, or NULL. */
 static MhAction *
 pop_call (Fixture *fixture)
 {
@@ -133,19 +134,19 @@
   g_assert_null (action);
 }
 
-/* Answers the call that left last. The body is taken over. */
+/* Replies to the call that was sent last. Takes ownership of the body. */
 static void
-reply (Fixture *fixture, guint status, MhValue *body)
+reply_to_last_call (Fixture *fixture, guint status, MhValue *body)
 {
-  MhReply answer = { .status = status, .body = body };
+  MhReply reply = { .status = status, .body = body };
   mh_runtime_begin_input (fixture->runtime, &fixture->now);
-  mh_call_queue_complete (fixture->calls, fixture->call_id, &answer);
+  mh_call_queue_complete (fixture->calls, fixture->call_id, &reply);
   mh_value_unref (body);
   step (fixture);
 }
 
 static MhValue *
-number_body (const char *name, guint64 number)
+make_number_body (const char *name, guint64 number)
 {
   MhValue *body = mh_value_map ();
   mh_value_set_uint (body, name, number);
@@ -153,24 +154,24 @@
 }
 
 static MhValue *
-entry_body (const char *key, MhValue *value, guint64 version)
+make_entry_body (const char *key, MhValue *value, guint64 version)
 {
-  MhValue *body = number_body ("stamp", version);
+  MhValue *body = make_number_body ("stamp", version);
   mh_value_set_text (body, "key", key);
   mh_value_set (body, "v", value);
   return body;
 }
 
-/* Until the transaction that writes the leader key is under way. */
+/* Campaigns until the transaction that writes the leader key is in flight. */
 static void
-campaign (Fixture *fixture)
+campaign_until_write (Fixture *fixture)
 {
   assert_call (fixture, "GET", "/kv/leader");
-  reply (fixture, 404, NULL);
+  reply_to_last_call (fixture, 404, NULL);
   assert_call (fixture, "POST", "/grants");
-  reply (fixture, 200, number_body ("claim", LEASE_ID));
+  reply_to_last_call (fixture, 200, make_number_body ("claim", LEASE_ID));
   assert_call (fixture, "GET", "/kv/epoch");
-  reply (fixture, 200, entry_body ("epoch", mh_epoch_record_write (1000000), 3));
+  reply_to_last_call (fixture, 200, make_entry_body ("epoch", mh_epoch_record_write (1000000), 3));
   assert_call (fixture, "POST", "/multi");
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_CAMPAIGNING);
 }
@@ -178,31 +179,33 @@
 static void
 elect (Fixture *fixture)
 {
-  campaign (fixture);
-  reply (fixture, 200, number_body ("ledger", 9));
+  campaign_until_write (fixture);
+  reply_to_last_call (fixture, 200, make_number_body ("ledger", 9));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_LOADING);
   assert_call (fixture, "POST", "/grants/7/extend");
 }
 
 static void
-lead (Fixture *fixture)
+become_leader (Fixture *fixture)
 {
   elect (fixture);
-  mh_election_records_loaded (fixture->election);
+  mh_election_handle_records_loaded (fixture->election);
   g_assert_true (mh_election_is_serving (fixture->election));
 }
 
-/* A transition that is not in the table would let a controller lead without having been elected, or
-   go on with the memory of an earlier leadership. */
+/* A transition that is not in the table would let a controller lead without being elected, or keep
+   the state of an earlier leadership. */
 static void
 test_transitions (void)
 {
-  const MhLeadership refused = MH_LEADERSHIP_STATES;
-  const MhLeadership following = MH_LEADERSHIP_FOLLOWING, campaigning = MH_LEADERSHIP_CAMPAIGNING;
-  const MhLeadership loading = MH_LEADERSHIP_LOADING, leading = MH_LEADERSHIP_LEADING;
-  const MhLeadership stepping_down = MH_LEADERSHIP_STEPPING_DOWN;
-  /* Events in their order: campaign, campaign failed, elected, records loaded, lost, cleared. */
-  const MhLeadership next[MH_LEADERSHIP_STATES][MH_LEADERSHIP_EVENTS] = {
+  const MhLeadershipState refused = MH_LEADERSHIP_STATES;
+  const MhLeadershipState following = MH_LEADERSHIP_FOLLOWING,
+                          campaigning = MH_LEADERSHIP_CAMPAIGNING;
+  const MhLeadershipState loading = MH_LEADERSHIP_LOADING, leading = MH_LEADERSHIP_LEADING;
+  const MhLeadershipState stepping_down = MH_LEADERSHIP_STEPPING_DOWN;
+  /* Columns in the order of MhLeadershipEvent: campaign, campaign failed, elected, records loaded,
+     lost, cleared. */
+  const MhLeadershipState expected[MH_LEADERSHIP_STATES][MH_LEADERSHIP_EVENTS] = {
     [MH_LEADERSHIP_FOLLOWING] = { campaigning, refused, refused, refused, refused, refused },
     [MH_LEADERSHIP_CAMPAIGNING] = { refused, following, loading, refused, refused, refused },
     [MH_LEADERSHIP_LOADING] = { refused, refused, refused, leading, stepping_down, refused },
@@ -212,32 +215,33 @@
   for (guint i = 0; i < MH_LEADERSHIP_STATES; i++)
     for (guint j = 0; j < MH_LEADERSHIP_EVENTS; j++)
       {
-        MhLeadership state = (MhLeadership)i;
-        bool applied = mh_leadership_apply (&state, (MhLeadershipEvent)j);
-        g_assert_cmpint (applied, ==, next[i][j] != refused);
-        g_assert_cmpint (state, ==, applied ? next[i][j] : (MhLeadership)i);
+        MhLeadershipState state = (MhLeadershipState)i;
+        bool applied = mh_leadership_apply_event (&state, (MhLeadershipEvent)j);
+        g_assert_cmpint (applied, ==, expected[i][j] != refused);
+        g_assert_cmpint (state, ==, applied ? expected[i][j] : (MhLeadershipState)i);
       }
 }
 
-/* A lease that counted from the answer would end here after it has ended in the store: two leaders.
- */
+/* If the lease counted from the reply, it could lapse here after it has expired in the store, and
+   two controllers could lead at the same time. */
 static void
-test_lease_counts_from_sending (void)
+test_lease_starts_when_sent (void)
 {
   MhLease lease = { .id = LEASE_ID };
   g_assert_false (mh_lease_is_valid (&lease, START_US));
   mh_lease_confirm (&lease, START_US, LEASE_US);
   g_assert_cmpint (lease.last_renewal_us, ==, START_US);
-  g_assert_true (mh_lease_is_valid (&lease, START_US + RELIED_ON_US - 1));
-  g_assert_false (mh_lease_is_valid (&lease, START_US + RELIED_ON_US));
+  g_assert_true (mh_lease_is_valid (&lease, START_US + VALID_LEASE_US - 1));
+  g_assert_false (mh_lease_is_valid (&lease, START_US + VALID_LEASE_US));
 }
 
-/* Without one epoch above all earlier ones workers could not tell the leader from a former one. */
+/* If the epoch were not higher than all earlier ones, workers could not distinguish the leader from
+   a former one. */
 static void
 test_epoch_rises (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  lead (fixture);
+  become_leader (fixture);
   g_assert_cmpuint (mh_election_epoch (fixture->election), ==, 1000001);
   g_assert_cmpuint (mh_election_key_version (fixture->election), ==, 9);
   g_assert_cmpint (mh_election_elected_us (fixture->election), ==, START_US);
@@ -248,80 +252,89 @@
   g_assert_true (mh_runtime_is_leader (fixture->runtime));
 }
 
-/* An answer that comes after the lease has ended must not make a leader. */
+/* If the reply to the transaction arrives after the lease has lapsed, the controller must not
+   become leader. */
 static void
-test_late_answer_does_not_elect (Fixture *fixture, gconstpointer data)
+test_late_reply_does_not_elect (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  campaign (fixture);
-  advance (fixture, RELIED_ON_US);
-  reply (fixture, 200, number_body ("ledger", 9));
+  campaign_until_write (fixture);
+  advance (fixture, VALID_LEASE_US);
+  reply_to_last_call (fixture, 200, make_number_body ("ledger", 9));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   g_assert_cmpuint (fixture->elected, ==, 0);
-  /* A late copy of the transaction must not take the key with the lease. */
+  /* The lease is revoked, so that a late copy of the transaction cannot write the leader key. */
   assert_call (fixture, "DELETE", "/grants/7");
 }
 
-/* A transaction without an answer may have been carried out: a controller that gave up then would
-   leave a leader key that nobody stands by. */
+/* A transaction without a reply may have been carried out. If the controller aborted the campaign
+   without checking, the leader key could name a controller that does not lead. */
 static void
 test_unanswered_write_is_checked (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  campaign (fixture);
-  reply (fixture, 0, NULL);
+  campaign_until_write (fixture);
+  reply_to_last_call (fixture, 0, NULL);
   assert_call (fixture, "GET", "/kv/leader");
-  reply (fixture, 200, entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID), 11));
+  reply_to_last_call (
+      fixture, 200,
+      make_entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID), 11));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_LOADING);
   g_assert_cmpuint (mh_election_key_version (fixture->election), ==, 11);
 }
 
-/* An earlier life of the controller has written the same name and epoch, with a lease that nobody
-   renews: another controller may lead as soon as that ends. */
+/* An earlier process of the controller wrote the leader key with the same name and epoch, but with
+   a lease that nobody renews. Another controller may be elected as soon as that lease expires, so
+   this one must not lead. */
 static void
-test_other_lease_is_not_own (Fixture *fixture, gconstpointer data)
+test_key_of_earlier_process_is_not_own (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  campaign (fixture);
-  reply (fixture, 0, NULL);
+  campaign_until_write (fixture);
+  reply_to_last_call (fixture, 0, NULL);
   assert_call (fixture, "GET", "/kv/leader");
-  reply (fixture, 200,
-         entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID - 1), 11));
+  reply_to_last_call (
+      fixture, 200,
+      make_entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID - 1), 11));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   g_assert_cmpuint (fixture->elected, ==, 0);
 }
 
-/* Somebody else was faster: the campaign must end, and be tried again later. */
+/* If another controller is elected first, the campaign must end, and the leader key must be read
+   again later. */
 static void
 test_conflict_ends_campaign (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  campaign (fixture);
-  reply (fixture, 409, NULL);
+  campaign_until_write (fixture);
+  reply_to_last_call (fixture, 409, NULL);
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   assert_call (fixture, "DELETE", "/grants/7");
   assert_no_call (fixture);
   advance (fixture, 20000);
   step (fixture);
   assert_call (fixture, "GET", "/kv/leader");
-  reply (fixture, 200, entry_body ("leader", mh_leader_record_write (OTHER, 1000001, 8), 12));
+  reply_to_last_call (fixture, 200,
+                      make_entry_body ("leader", mh_leader_record_write (OTHER, 1000001, 8), 12));
   assert_call (fixture, "GET", "/watch?starts=leader&since=12&hold_ms=5000");
   g_assert_cmpstr (mh_election_other_leader (fixture->election), ==, OTHER);
   g_assert_true (mh_election_is_ready (fixture->election));
 }
 
-/* A process that is back before its earlier life's lease has ended would wait for nothing; what
-   that life still has in flight must not be carried out beside it. */
+/* A controller that restarts before the lease of its earlier process has expired must campaign at
+   once, because it would wait for nothing. The transaction is conditional on both keys, so that a
+   transaction that the earlier process still has in flight cannot be carried out as well. */
 static void
 test_own_key_is_replaced (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   assert_call (fixture, "GET", "/kv/leader");
-  reply (fixture, 200, entry_body ("leader", mh_leader_record_write (NODE, 1, LEASE_ID - 1), 5));
+  reply_to_last_call (
+      fixture, 200, make_entry_body ("leader", mh_leader_record_write (NODE, 1, LEASE_ID - 1), 5));
   assert_call (fixture, "POST", "/grants");
-  reply (fixture, 200, number_body ("claim", LEASE_ID));
+  reply_to_last_call (fixture, 200, make_number_body ("claim", LEASE_ID));
   assert_call (fixture, "GET", "/kv/epoch");
-  reply (fixture, 200, entry_body ("epoch", mh_epoch_record_write (1000000), 3));
+  reply_to_last_call (fixture, 200, make_entry_body ("epoch", mh_epoch_record_write (1000000), 3));
   g_autoptr (MhAction) action = pop_call (fixture);
   const MhValue *conditions = mh_value_get (action->request->body, "if");
   const guint64 versions[] = { 5, 3 };
@@ -334,75 +347,79 @@
     }
 }
 
-/* A key that cannot be read belongs to another version: this one must neither lead beside it nor
-   send users to a name that it has made up. When the key goes, it may campaign. */
+/* A leader key that cannot be decoded was written by another version. This controller must neither
+   lead at the same time nor forward users to an invented name. When the key is deleted, it may
+   campaign. */
 static void
 test_unreadable_key_is_watched (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   assert_call (fixture, "GET", "/kv/leader");
-  reply (fixture, 200, entry_body ("leader", number_body ("epoch", 1), 5));
+  reply_to_last_call (fixture, 200, make_entry_body ("leader", make_number_body ("epoch", 1), 5));
   assert_call (fixture, "GET", "/watch?starts=leader&since=5&hold_ms=5000");
   g_assert_null (mh_election_leader_name (fixture->election));
-  MhValue *event = number_body ("stamp", 6);
+  MhValue *event = make_number_body ("stamp", 6);
   mh_value_set_text (event, "drop", "leader");
   MhValue *events = mh_value_list ();
   mh_value_push (events, event);
-  MhValue *body = number_body ("ledger", 6);
+  MhValue *body = make_number_body ("ledger", 6);
   mh_value_set (body, "news", events);
-  reply (fixture, 200, body);
+  reply_to_last_call (fixture, 200, body);
   assert_call (fixture, "POST", "/grants");
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_CAMPAIGNING);
 }
 
-/* While a renewal is under way the lease may end: nothing may be decided on it then, and who waits
-   must not wait for ever. A renewal that comes after all finds nobody else elected. */
+/* The lease may lapse while a renewal is in flight. No decision may depend on it then, and waiting
+   users must be answered. If the renewal succeeds late, no other controller has been elected, and
+   the leadership continues. */
 static void
 test_lease_expires_while_renewing (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  lead (fixture);
-  advance (fixture, RELIED_ON_US);
+  become_leader (fixture);
+  advance (fixture, VALID_LEASE_US);
   step (fixture);
   g_assert_false (mh_election_is_leader (fixture->election));
   g_assert_true (mh_election_is_elected (fixture->election));
   g_assert_cmpint (mh_runtime_lease_until_us (fixture->runtime), ==, 0);
   g_assert_cmpuint (fixture->refused, ==, 1);
-  reply (fixture, 200, NULL);
-  g_assert_cmpint (fixture->renewal_before_pause_us, ==, START_US);
-  /* It counts from its sending, so that this one is over already. */
+  reply_to_last_call (fixture, 200, NULL);
+  g_assert_cmpint (fixture->renewal_before_lapse_us, ==, START_US);
+  /* The renewal counts from the time at which it was sent, so it has lapsed already. */
   g_assert_false (mh_election_is_leader (fixture->election));
   assert_call (fixture, "POST", "/grants/7/extend");
-  reply (fixture, 200, NULL);
+  reply_to_last_call (fixture, 200, NULL);
   g_assert_true (mh_election_is_serving (fixture->election));
   g_assert_cmpuint (fixture->cleared, ==, 0);
 }
 
-/* A lease that the store does not know any more: another controller may lead already. */
+/* If the lease no longer exists in the store, another controller may lead already, so this one must
+   step down. */
 static void
 test_lost_lease_ends_leadership (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  lead (fixture);
-  reply (fixture, 404, NULL);
+  become_leader (fixture);
+  reply_to_last_call (fixture, 404, NULL);
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   g_assert_cmpuint (fixture->cleared, ==, 1);
   g_assert_cmpuint (fixture->refused, ==, 1);
   g_assert_cmpuint (mh_election_epoch (fixture->election), ==, 0);
   g_assert_null (mh_election_leader_name (fixture->election));
-  /* What comes late for it has no effect. */
-  reply (fixture, 200, NULL);
-  mh_election_records_loaded (fixture->election);
+  /* Late replies and events of the lost leadership have no effect. */
+  reply_to_last_call (fixture, 200, NULL);
+  mh_election_handle_records_loaded (fixture->election);
   g_assert_cmpuint (fixture->leading, ==, 1);
   g_assert_false (mh_election_is_leader (fixture->election));
 }
 
-/* A leader that cannot do its work would be elected again at once if it did not let others try. */
+/* A leader that transfers its leadership because it cannot do its work would be elected again at
+   once if it did not let other controllers campaign first. */
 static void
-test_transfer_lets_others_try (Fixture *fixture, gconstpointer data)
+test_transfer_delays_own_campaign (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  lead (fixture);
+  become_leader (fixture);
   mh_election_transfer_leadership (fixture->election, MH_LOSS_NO_HEARTBEATS);
   g_assert_true (mh_election_is_stepping_down (fixture->election));
   g_assert_false (mh_election_is_leader (fixture->election));
@@ -413,56 +430,58 @@
       advance (fixture, MH_SECOND_US);
       step (fixture);
       assert_call (fixture, "GET", "/kv/leader");
-      reply (fixture, 404, NULL);
+      reply_to_last_call (fixture, 404, NULL);
       if (i == 0)
         assert_no_call (fixture);
     }
   assert_call (fixture, "POST", "/grants");
 }
 
-/* A second reason would give back a lease that is to end by itself, and a late reply to a former
-   leadership's renewal would bring its lease back. */
+/* A transfer after a step-down must not revoke the lease, which must expire in the store. A late
+   reply to a renewal of the former leadership must not make its lease valid again. */
 static void
-test_first_loss_holds (Fixture *fixture, gconstpointer data)
+test_transfer_after_step_down_is_ignored (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  lead (fixture);
+  become_leader (fixture);
   mh_election_step_down (fixture->election, MH_LOSS_ANOTHER_LEADER);
   mh_election_transfer_leadership (fixture->election, MH_LOSS_NO_HEARTBEATS);
   step (fixture);
   assert_no_call (fixture);
-  reply (fixture, 200, NULL);
+  reply_to_last_call (fixture, 200, NULL);
   g_assert_cmpint (mh_election_lease_until_us (fixture->election), ==, 0);
 }
 
-/* A former leader that is cut off from the store would keep workers to itself; a late announcement
-   must not unseat the leader, nor bring back one that is gone. */
+/* A former leader that is cut off from the store must step down when it learns of a higher epoch,
+   or it would keep its workers. A late announcement must neither make the current leader step down
+   nor reinstate a former one. */
 static void
 test_announcements (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  lead (fixture);
+  become_leader (fixture);
   assert_no_call (fixture);
   g_assert_cmpuint (fixture->announcements, ==, 1);
-  mh_election_leader_announced (fixture->election, OTHER, 1000001);
-  mh_election_leader_announced (fixture->election, NODE, 3000001);
+  mh_election_handle_announcement (fixture->election, OTHER, 1000001);
+  mh_election_handle_announcement (fixture->election, NODE, 3000001);
   g_assert_true (mh_election_is_serving (fixture->election));
-  mh_election_leader_announced (fixture->election, OTHER, 2000001);
+  mh_election_handle_announcement (fixture->election, OTHER, 2000001);
   g_assert_true (mh_election_is_stepping_down (fixture->election));
   step (fixture);
   g_assert_cmpstr (mh_election_other_leader (fixture->election), ==, OTHER);
-  mh_election_leader_announced (fixture->election, "c3", 1000001);
+  mh_election_handle_announcement (fixture->election, "c3", 1000001);
   g_assert_cmpstr (mh_election_leader_name (fixture->election), ==, OTHER);
 }
 
-/* A controller that cannot reach the leader would keep users to itself; one that never called
-   itself ready again would never get any. */
+/* A controller that cannot reach the leader must report itself not ready, or it would keep
+   receiving users that it cannot serve. It must become ready again after a while, or it would never
+   receive any. */
 static void
 test_unreachable_leader (void)
 {
   MhLeaderContact contact = { 0 };
   g_assert_false (mh_leader_contact_is_ready (&contact, START_US, false));
-  contact.usable_us = START_US;
+  contact.leader_confirmed_us = START_US;
   mh_leader_contact_note_unanswered (&contact, START_US);
   mh_leader_contact_note_unanswered (&contact, START_US + 2 * MH_SECOND_US);
   g_assert_true (mh_leader_contact_is_ready (&contact, START_US + MH_SECOND_US, true));
@@ -479,20 +498,20 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/leadership/transitions", test_transitions);
-  g_test_add_func ("/lease/counts-from-sending", test_lease_counts_from_sending);
+  g_test_add_func ("/lease/starts-when-sent", test_lease_starts_when_sent);
   g_test_add_func ("/leader-contact/unreachable-leader", test_unreachable_leader);
 #define ADD(name, func) g_test_add ("/election/" name, Fixture, NULL, set_up, (func), tear_down)
   ADD ("epoch-rises", test_epoch_rises);
-  ADD ("late-answer-does-not-elect", test_late_answer_does_not_elect);
+  ADD ("late-reply-does-not-elect", test_late_reply_does_not_elect);
   ADD ("unanswered-write-is-checked", test_unanswered_write_is_checked);
-  ADD ("other-lease-is-not-own", test_other_lease_is_not_own);
+  ADD ("key-of-earlier-process-is-not-own", test_key_of_earlier_process_is_not_own);
   ADD ("conflict-ends-campaign", test_conflict_ends_campaign);
   ADD ("own-key-is-replaced", test_own_key_is_replaced);
   ADD ("unreadable-key-is-watched", test_unreadable_key_is_watched);
   ADD ("lease-expires-while-renewing", test_lease_expires_while_renewing);
   ADD ("lost-lease-ends-leadership", test_lost_lease_ends_leadership);
-  ADD ("transfer-lets-others-try", test_transfer_lets_others_try);
-  ADD ("first-loss-holds", test_first_loss_holds);
+  ADD ("transfer-delays-own-campaign", test_transfer_delays_own_campaign);
+  ADD ("transfer-after-step-down-is-ignored", test_transfer_after_step_down_is_ignored);
   ADD ("announcements", test_announcements);
   return g_test_run ();
 }
