--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -1,13 +1,13 @@
-/* Leaders that end, stand still, are cut off or succeed one another, and outages of the key-value
-   store: whole controllers on a fake clock, with scripted peers. */
+/* Tests failover when leaders crash, freeze or are cut off, and outages of the key-value store:
+   complete controllers on a fake clock, with simulated peers. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A leader that stood still and goes on as if nothing had happened would be a second one, and would
-   give machines back as silent. */
+/* A leader that resumes after it was frozen must not act as a second leader, and must not release
+   machines as silent because no heartbeat reached it while it was frozen. */
 static void
-test_stands_still (Simulation *simulation)
+test_frozen_leader (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 3);
   ControllerNode *old = simulation_leader (simulation);
@@ -24,14 +24,15 @@
   g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
 }
 
-/* Its lease holds, since the key-value store was away meanwhile; were the time in which it stood
-   still taken for silence of the machines, it would give them back. */
+/* The leader is frozen during an outage of the key-value store, so its lease does not expire. It
+   must not count the time in which it was frozen as silence of the machines, or it would release
+   them. */
 static void
-test_stands_still_in_outage (Simulation *simulation)
+test_frozen_leader_in_store_outage (Simulation *simulation)
 {
   running_service (simulation, 1, 3);
   ControllerNode *old = simulation_leader (simulation);
-  /* Nothing was queued up for it meanwhile. */
+  /* The worker sends no reports, so none waits for the leader when it resumes. */
   worker_of (simulation, "j-000001/0")->reports_lost_until_us
       = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation->store->outage_until_us = simulation->clock->now_us + 11 * MH_SECOND_US;
@@ -42,10 +43,10 @@
   g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
 }
 
-/* It stands still between deciding and sending: orders and answers that rested on its lease would
-   leave after the end of it. */
+/* The leader is frozen between deciding and sending. Commands and answers that depend on its lease
+   must not be sent after the lease has lapsed. */
 static void
-test_stands_still_deciding (Simulation *simulation)
+test_frozen_before_sending (Simulation *simulation)
 {
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
@@ -54,7 +55,7 @@
   old->freeze_before_acting_us = 4 * MH_SECOND_US;
   g_assert_cmpuint (
       simulation_ask (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 503);
-  /* The same with a start. */
+  /* The same with the command that starts a task. */
   WAIT (simulation, 30, told_done, user);
   running_service (simulation, 3, 1);
   old = simulation_leader (simulation);
@@ -74,10 +75,10 @@
   WAIT (simulation, 30, all_run, late);
 }
 
-/* Without questions to the machines that it knows, a new leader would place nothing before their
+/* A new leader must probe the machines that it knows. Otherwise it would place no task until their
    workers have found it. */
 static void
-test_new_leader_asks (Simulation *simulation)
+test_new_leader_probes_machines (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   simulation_run (simulation, 10); /* the cloud lists the machine */
@@ -90,7 +91,7 @@
   WAIT (simulation, 4, all_run, user);
 }
 
-/* A successor that did not know what runs would start tasks again. */
+/* A successor that does not know which tasks run would start them again. */
 static void
 test_leader_crash (Simulation *simulation)
 {
@@ -103,13 +104,13 @@
   g_assert_cmpuint (simulation_leader (simulation)->index, !=, old);
   WAIT (simulation, 90, told_done, array);
   WAIT (simulation, 10, all_run, user);
-  g_assert_cmpuint (simulation->rules->task_starts, ==, 3 + 8); /* nothing ran again */
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 3 + 8); /* no task was started twice */
 }
 
-/* All controllers end in the middle of everything, and are back within a moment: what was under way
-   would be lost or run twice. */
+/* All controllers crash repeatedly while an array runs, and restart shortly afterwards. Tasks and
+   writes in flight must be neither lost nor repeated. */
 static void
-test_all_crash (Simulation *simulation)
+test_all_controllers_crash (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 14, 1), 8);
   WAIT (simulation, 30, accepted, user);
@@ -125,10 +126,10 @@
   WAIT (simulation, 120, told_done, user);
 }
 
-/* A leader that loses the key-value store alone would go on ordering, or keep its workers from its
-   successor, and what runs would be lost. */
+/* A leader that is cut off from the key-value store only must neither continue to send commands nor
+   keep its workers from its successor, or the running tasks would be lost. */
 static void
-test_leader_cut_from_state (Simulation *simulation)
+test_leader_cut_off_from_store (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
@@ -140,10 +141,11 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
 }
 
-/* The same, and the peers cannot hear one another either: the old leader holds the workers for a
-   while, and the new one would give their machines back, or start their tasks again. */
+/* The leader is cut off from the key-value store and from its peers. It keeps its workers for a
+   while. In that time the new leader must neither release their machines nor start their tasks
+   again. */
 static void
-test_leader_cut_off_and_unheard (Simulation *simulation)
+test_leader_cut_off_from_store_and_peers (Simulation *simulation)
 {
   running_service (simulation, 1, 4);
   running_service (simulation, 2, 4);
@@ -159,32 +161,32 @@
     }
 }
 
-/* Replicas would end in an outage of the key-value store that is longer than the workers' lease,
-   and users would wait for answers that cannot come. */
+/* In an outage of the key-value store that is longer than the workers' lease, replicas must keep
+   running, and users must not wait for answers that cannot be given. */
 static void
-test_state_outage (Simulation *simulation)
+test_store_outage (Simulation *simulation)
 {
   MhUserAnswer answer;
   User *user = running_service (simulation, 1, 3);
   ControllerNode *leader = simulation_leader (simulation);
   simulation->store->outage_until_us = simulation->clock->now_us + 18 * MH_SECOND_US;
   simulation_run (simulation, 5);
-  /* What cannot be written is answered at once. */
-  gint64 asked = simulation->clock->now_us;
+  /* A request whose write is impossible is answered at once. */
+  gint64 asked_us = simulation->clock->now_us;
   g_assert_cmpuint (simulation_ask (simulation, leader->index, MH_USER_SUBMIT, "j-000009",
                                     job_spec_new (9, MH_SHAPE_ARRAY, 1, 1), &answer),
                     ==, 503);
-  g_assert_cmpint (simulation->clock->now_us - asked, <, MH_SECOND_US);
+  g_assert_cmpint (simulation->clock->now_us - asked_us, <, MH_SECOND_US);
   simulation_run (simulation, 30);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 3);
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 3);
-  g_assert_true (simulation_leader (simulation) == leader); /* its lease had its full time again */
+  g_assert_true (simulation_leader (simulation) == leader); /* its lease was renewed in full */
 }
 
-/* A job that is cancelled by the new leader would live on as long as the old one keeps its workers
-   alive. */
+/* The old leader is cut off from the key-value store and its peers. A job that is cancelled at the
+   new leader must stop within cancel_s, even while the old leader keeps its tasks alive. */
 static void
-test_cancel_behind_old_leader (Simulation *simulation)
+test_cancel_while_old_leader_isolated (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 2);
   ControllerNode *old = simulation_leader (simulation);
@@ -195,23 +197,23 @@
   simulation_run (simulation, 3);
   user_cancel (user);
   WAIT (simulation, 20, told_cancelled, user);
-  simulation_run (simulation, 60); /* the world checks cancel_s */
+  simulation_run (simulation, 60); /* the rule checks of the simulation enforce cancel_s */
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* The leader's last write is carried out, but it does not hear of it; another controller, which
-   does not know who leads, reads the record: the user would be told "done" and then something
-   older. */
+/* The leader's last write is carried out, but its reply is lost. Another controller, which does not
+   know who leads, reads the record and answers "done". The leader must not report an older state
+   afterwards. */
 static void
-test_no_answer_past_the_leader (Simulation *simulation)
+test_status_bypassing_leader (Simulation *simulation)
 {
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 3);
   WAIT (simulation, 30, all_run, user);
   ControllerNode *leader = simulation_leader (simulation);
   guint other = (leader->index + 1) % SIMULATION_NODES;
-  /* The other one starts afresh, without its peers, with its first look at the leader's key lost.
-   */
+  /* The other controller restarts each time, cut off from its peers, so it does not know the leader
+     until it has read the leader key. */
   simulation->nodes[other].peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   for (guint i = 0; i < 200 && !user->told_done; i++)
     {
@@ -229,10 +231,10 @@
   WAIT (simulation, 30, told_done, user);
 }
 
-/* The leader keeps its workers and loses all else: they would come to its successor only when it
-   lets them go, and what runs would be lost. */
+/* The leader keeps the connections to its workers, but is cut off from the key-value store and its
+   peers. Its workers must change to its successor in time, or the running tasks would be lost. */
 static void
-test_isolated_leader (Simulation *simulation)
+test_isolated_leader_with_workers (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
@@ -241,8 +243,8 @@
   simulation_run (simulation, 10); /* the cloud lists the machines */
   old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 10);
-  ControllerNode *now = simulation_leader (simulation);
-  g_assert_true (now && now != old);
+  ControllerNode *successor = simulation_leader (simulation);
+  g_assert_true (successor && successor != old);
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
@@ -254,10 +256,11 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
 }
 
-/* A controller that cannot reach the leader, which lives, would keep users from it; one whose
-   leader has just died must not send them away, as all would do so at once. */
+/* A controller that cannot reach a running leader must report itself not ready, or it would keep
+   users from that leader. A controller whose leader has just crashed must stay ready, because
+   otherwise all controllers would become not ready at once. */
 static void
-test_unreached_leader (Simulation *simulation)
+test_unreachable_leader (Simulation *simulation)
 {
   MhUserAnswer answer;
   WAIT (simulation, 10, has_leader, NULL);
@@ -285,11 +288,12 @@
     }
 }
 
-/* A controller ends while its election is being written, and is back at once. What its earlier life
-   wrote arrives late, with the same node and the same epoch, but attached to a lease that nobody
-   renews: taken for its own, it would lead beside another. */
+/* A controller crashes while the transaction of its campaign is in flight, and restarts at once.
+   The transaction of the earlier process arrives late, with the same name and epoch, but attached
+   to a lease that nobody renews. If the controller mistook it for its own, there could be two
+   leaders. */
 static void
-test_back_in_mid_election (Simulation *simulation)
+test_restart_during_campaign (Simulation *simulation)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_stop_node (simulation, i);
@@ -305,11 +309,11 @@
   simulation_run (simulation, 0.2);
   g_assert_cmpuint (simulation->network->held_writes->len, ==, 2);
   node->peers_cut_until_us
-      = simulation->clock->now_us + 60 * MH_SECOND_US; /* nobody tells it of another leader */
-  outgoing_calls_release_write (simulation, true);     /* the earlier life's */
+      = simulation->clock->now_us + 60 * MH_SECOND_US; /* it receives no announcements */
+  outgoing_calls_release_write (simulation, true);     /* of the earlier process */
   outgoing_calls_release_write (simulation, false);    /* its own: the connection breaks */
   simulation_start_node (simulation, 1);
-  /* simulation_leader() asserts that there are never two. */
+  /* simulation_leader() asserts that there is at most one leader. */
   for (guint i = 0; i < 60; i++)
     {
       simulation_run (simulation, 0.1);
@@ -320,8 +324,8 @@
   g_assert_nonnull (simulation_leader (simulation));
 }
 
-/* The leader is cut off from the workers alone: their leases would run out though another
-   controller hears them. */
+/* The leader is cut off from the workers only. It must transfer its leadership, or the workers'
+   leases would expire although another controller receives their heartbeats. */
 static void
 test_leader_loses_workers (Simulation *simulation)
 {
@@ -339,11 +343,12 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
 }
 
-/* Workers of controllers that are away wait for an answer of one after the other. The only one that
-   is left once transferred its leadership to nobody meanwhile, and led again seconds later with
-   nothing known. */
+/* One controller is down and another is frozen, and their workers wait for an answer of each in
+   turn before they try the last one. That one must not transfer its leadership in the meantime. An
+   earlier version did so although no other controller could be elected, and led again seconds later
+   without any state. */
 static void
-test_last_controller_waits_for_workers (Simulation *simulation)
+test_last_controller_keeps_leadership (Simulation *simulation)
 {
   for (guint i = 0; i < 6; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
@@ -364,9 +369,10 @@
     }
 }
 
-/* Every controller is cut off from the workers: leadership would be passed round for ever. */
+/* No controller receives heartbeats. The leadership must not be transferred from one controller to
+   the next without end. */
 static void
-test_nobody_hears_workers (Simulation *simulation)
+test_no_controller_receives_heartbeats (Simulation *simulation)
 {
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
@@ -375,15 +381,15 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation->nodes[i].reports_lost_until_us = simulation->clock->now_us + 120 * MH_SECOND_US;
   guint changes = 0;
-  const ControllerNode *before = simulation_leader (simulation);
+  const ControllerNode *last_leader = simulation_leader (simulation);
   for (guint i = 0; i < 1200; i++)
     {
       simulation_run (simulation, 0.1);
       const ControllerNode *leader = simulation_leader (simulation);
-      if (leader && leader != before)
+      if (leader && leader != last_leader)
         {
           changes++;
-          before = leader;
+          last_leader = leader;
         }
     }
   g_assert_cmpuint (changes, <=, 6);
@@ -394,27 +400,32 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/leader-failover/stands-still", 42, test_stands_still);
-  simulation_test_add ("/leader-failover/stands-still-in-outage", 43, test_stands_still_in_outage);
-  simulation_test_add ("/leader-failover/stands-still-deciding", 44, test_stands_still_deciding);
-  simulation_test_add ("/leader-failover/new-leader-asks", 29, test_new_leader_asks);
+  simulation_test_add ("/leader-failover/frozen-leader", 42, test_frozen_leader);
+  simulation_test_add ("/leader-failover/frozen-leader-in-store-outage", 43,
+                       test_frozen_leader_in_store_outage);
+  simulation_test_add ("/leader-failover/frozen-before-sending", 44, test_frozen_before_sending);
+  simulation_test_add ("/leader-failover/new-leader-probes-machines", 29,
+                       test_new_leader_probes_machines);
   simulation_test_add ("/leader-failover/leader-crash", 12, test_leader_crash);
-  simulation_test_add ("/leader-failover/all-crash", 13, test_all_crash);
+  simulation_test_add ("/leader-failover/all-controllers-crash", 13, test_all_controllers_crash);
   simulation_test_add ("/leader-failover/leader-cut-off-from-store", 14,
-                       test_leader_cut_from_state);
-  simulation_test_add ("/leader-failover/leader-cut-off-and-unheard", 15,
-                       test_leader_cut_off_and_unheard);
-  simulation_test_add ("/leader-failover/store-outage", 16, test_state_outage);
-  simulation_test_add ("/leader-failover/cancel-behind-old-leader", 17,
-                       test_cancel_behind_old_leader);
-  simulation_test_add ("/leader-failover/no-answer-past-the-leader", 25,
-                       test_no_answer_past_the_leader);
-  simulation_test_add ("/leader-failover/isolated-leader", 32, test_isolated_leader);
-  simulation_test_add ("/leader-failover/unreached-leader", 39, test_unreached_leader);
-  simulation_test_add ("/leader-failover/back-in-mid-election", 33, test_back_in_mid_election);
+                       test_leader_cut_off_from_store);
+  simulation_test_add ("/leader-failover/leader-cut-off-from-store-and-peers", 15,
+                       test_leader_cut_off_from_store_and_peers);
+  simulation_test_add ("/leader-failover/store-outage", 16, test_store_outage);
+  simulation_test_add ("/leader-failover/cancel-while-old-leader-isolated", 17,
+                       test_cancel_while_old_leader_isolated);
+  simulation_test_add ("/leader-failover/status-bypassing-leader", 25,
+                       test_status_bypassing_leader);
+  simulation_test_add ("/leader-failover/isolated-leader-with-workers", 32,
+                       test_isolated_leader_with_workers);
+  simulation_test_add ("/leader-failover/unreachable-leader", 39, test_unreachable_leader);
+  simulation_test_add ("/leader-failover/restart-during-campaign", 33,
+                       test_restart_during_campaign);
   simulation_test_add ("/leader-failover/leader-loses-workers", 40, test_leader_loses_workers);
-  simulation_test_add ("/leader-failover/last-controller-waits-for-workers", 46,
-                       test_last_controller_waits_for_workers);
-  simulation_test_add ("/leader-failover/nobody-hears-workers", 47, test_nobody_hears_workers);
+  simulation_test_add ("/leader-failover/last-controller-keeps-leadership", 46,
+                       test_last_controller_keeps_leadership);
+  simulation_test_add ("/leader-failover/no-controller-receives-heartbeats", 47,
+                       test_no_controller_receives_heartbeats);
   return g_test_run ();
 }
