--- a/src/autoscaler/completion-forecast.c
+++ b/src/autoscaler/completion-forecast.c
@@ -79,7 +79,7 @@
     {
       const MhMachine *machine = value;
       if (!mh_machine_is_releasing (machine) && machine->heartbeat.reported
-          && machine->notice_until_us < 0)
+          && machine->notice_deadline_us < 0)
         add_attempts (forecast, machine, now_us);
     }
   g_array_sort (forecast->completions, compare_times);
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -41,7 +41,7 @@
 is_steady (const MhMachine *machine)
 {
   return machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->type
-         && machine->notice_until_us < 0;
+         && machine->notice_deadline_us < 0;
 }
 
 static void
@@ -171,7 +171,7 @@
 static bool
 is_candidate (const Pass *pass, const MhMachine *machine)
 {
-  gint64 age_us = mh_runtime_now_us (pass->context->runtime) - machine->boot.rented_us;
+  gint64 age_us = mh_runtime_now_us (pass->context->runtime) - machine->boot.created_us;
   return machine->usage.replicas > 0 && machine->usage.cpus <= machine->type->cpus * MAX_USED_SHARE
          && age_us >= MH_MINIMUM_BILLED_US;
 }
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -241,7 +241,8 @@
 jobs_to_plan (const MhAutoscalerContext *context)
 {
   MhCluster *cluster = context->cluster;
-  MhJobQueueScope scope = mh_zone_any_heard (cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
+  MhJobQueueScope scope
+      = mh_zone_has_any_message (cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
   return mh_job_queue_pending (context->job_queue, scope, mh_cluster_types (cluster),
                                mh_runtime_now_us (context->runtime));
 }
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -92,7 +92,7 @@
         = mh_cluster_add_machine (cluster, listed->name, listed->type, listed->zone, listed->spot);
   else
     mh_cluster_identify_machine (cluster, machine, listed->type, listed->zone, listed->spot);
-  machine->boot.rented_us = mh_runtime_now_us (self->context->runtime) - listed->age_us;
+  machine->boot.created_us = mh_runtime_now_us (self->context->runtime) - listed->age_us;
   machine->endpoint = machine->endpoint ? machine->endpoint : g_strdup (listed->endpoint);
   return machine;
 }
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -126,7 +126,7 @@
     return;
   mh_log_info (self->context->runtime, "releasing machine reason=%s machine=%s",
                mh_release_reason_text (reason), machine->name);
-  mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
+  mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_REQUESTED);
   mh_lost_capacity_add (self->lost, machine->usage.cpus);
   const char *names[] = { machine->name, NULL };
   queue_request (self, g_strdupv ((char **)names), NULL);
@@ -144,7 +144,7 @@
       MhMachine *machine = mh_cluster_find_machine (cluster, *name);
       if (machine == NULL)
         machine = mh_cluster_add_machine (cluster, *name, NULL, NULL, false);
-      mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
+      mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_REQUESTED);
     }
   if (names)
     queue_request (self, names, g_strdup (entry->key));
@@ -175,7 +175,7 @@
       MhMachine *machine = mh_cluster_find_machine (cluster, *name);
       mh_log_debug (self->context->runtime, "machine deleted machine=%s", *name);
       if (machine)
-        mh_cluster_machine_released (cluster, machine);
+        mh_cluster_remove_released_machine (cluster, machine);
     }
   mh_record_writer_delete (self->context->record_writer, batch->key);
   self->batches_in_flight--;
@@ -343,10 +343,10 @@
   if (!machine->heartbeat.reported || mh_machine_is_releasing (machine) || machine->attempts->len
       || machine->heartbeat.unreadable_tasks)
     return;
-  if (machine->notice_until_us >= 0 || mh_machine_is_draining (machine))
+  if (machine->notice_deadline_us >= 0 || mh_machine_is_draining (machine))
     mh_scale_in_release_machine (self, machine, MH_RELEASE_REASON_DRAINED);
   else if (now_us - machine->idle_since_us > self->context->settings->idle_limit_us
-           && now_us - machine->boot.rented_us > MH_MINIMUM_BILLED_US)
+           && now_us - machine->boot.created_us > MH_MINIMUM_BILLED_US)
     mh_scale_in_release_machine (self, machine, MH_RELEASE_REASON_IDLE);
 }
 
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -141,7 +141,7 @@
     if (mh_cluster_find_machine (cluster, names[i]) == NULL
         && !mh_cluster_was_released (cluster, names[i]))
       mh_cluster_add_machine (cluster, names[i], request->type, request->zone, request->spot)
-          ->boot.rented_here
+          ->boot.created_here
           = true;
   if (created < request->count)
     refuse_kind (self, request, request->count - created, true);
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -191,7 +191,7 @@
     mh_record_writer_touch (cluster->record_writer, mh_job_record (job, attempt->index),
                             MH_URGENCY_PROGRESS);
   if (mh_job_is_gang (job))
-    callbacks->gang_task_over (cluster->owner, job, done);
+    callbacks->gang_attempt_ended (cluster->owner, job, done);
   /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
   callbacks->capacity_changed (cluster->owner,
                                was_stopping || job->spec->shape == MH_SHAPE_SERVICE);
@@ -225,7 +225,7 @@
 mh_attempt_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us)
 {
   if (mh_job_is_gang (attempt->job) && !mh_job_is_over (attempt->job))
-    cluster->callbacks->gang_stop (cluster->owner, attempt->job, grace_us);
+    cluster->callbacks->stop_gang (cluster->owner, attempt->job, grace_us);
   else if (attempt->start == MH_START_NOT_SENT)
     mh_attempt_proven_over (cluster, attempt, false);
   else
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -2,25 +2,27 @@
 #include "cluster/cluster-state.h"
 #include "protocol/cloud-messages.h"
 
+/* Gains of the smoothed mean and deviation, and the factor of the deviation, as in RFC 6298. */
 #define MEAN_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
-#define DEVIATIONS 4.0
-/* The deviation of a single boot, as a part of what it took. */
-#define FIRST_DEVIATION_PART 4
-/* Boots usually take 0.6 to 1.5 times what the type says; some several times as long. What has been
-   seen moves the estimate between these multiples; before anything is seen it is the third one. */
-#define LEAST_BOOTS 1.5
-#define MOST_BOOTS 4.0
-#define UNSEEN_BOOTS 2
-/* Of the list of machines and of the first report. */
-#define SPARE_US (5 * MH_SECOND_US)
-/* A machine that is late is given back at this multiple of its age then. */
-#define GIVEN_UP 2
-/* Of a type that is not known. */
-#define UNKNOWN_BOOT_US (60 * MH_SECOND_US)
-/* A new leader may hear of a machine for the first time only so long after two reports' intervals.
- */
-#define FIRST_REPORT_SPARE_US (6 * MH_SECOND_US)
+#define DEVIATION_FACTOR 4.0
+/* The first boot of a type sets the deviation to its duration divided by this. */
+#define FIRST_DEVIATION_DIVISOR 4
+/* Boots usually take 0.6 to 1.5 times the boot time that the type states; some take several times
+   as long. The estimate from observed boots is limited to these multiples of the stated time;
+   without observed boots it is the third multiple. */
+#define MIN_BOOT_FACTOR 1.5
+#define MAX_BOOT_FACTOR 4.0
+#define DEFAULT_BOOT_FACTOR 2
+/* Margin for the delays of the list of machines and of the first heartbeat. */
+#define JOIN_DELAY_MARGIN_US (5 * MH_SECOND_US)
+/* A late machine is released when its age is this multiple of the age at which it became late. */
+#define RELEASE_AGE_FACTOR 2
+/* Assumed boot time of a machine whose type is not known. */
+#define DEFAULT_BOOT_US (60 * MH_SECOND_US)
+/* A machine that runs may send its first heartbeat to a new leader as late as two heartbeat
+   intervals and this margin after the election. */
+#define FIRST_HEARTBEAT_MARGIN_US (6 * MH_SECOND_US)
 
 typedef struct
 {
@@ -29,7 +31,7 @@
 } BootStatistics;
 
 static BootStatistics *
-statistics_of (MhCluster *cluster, const MhMachineType *type)
+find_or_add_statistics (MhCluster *cluster, const MhMachineType *type)
 {
   GHashTable *all = cluster->boot_statistics;
   BootStatistics *statistics = g_hash_table_lookup (all, type->name);
@@ -42,62 +44,67 @@
 }
 
 static void
-add_sample (BootStatistics *statistics, double took_us)
+add_sample (BootStatistics *statistics, double duration_us)
 {
   if (statistics->samples++ == 0)
     {
-      statistics->mean_us = took_us;
-      statistics->deviation_us = took_us / FIRST_DEVIATION_PART;
+      statistics->mean_us = duration_us;
+      statistics->deviation_us = duration_us / FIRST_DEVIATION_DIVISOR;
       return;
     }
-  double error_us = took_us - statistics->mean_us;
+  double error_us = duration_us - statistics->mean_us;
   statistics->mean_us += MEAN_WEIGHT * error_us;
   statistics->deviation_us += DEVIATION_WEIGHT * (ABS (error_us) - statistics->deviation_us);
 }
 
 void
-mh_boot_time_joined (MhCluster *cluster, const MhMachine *machine)
+mh_boot_time_note_join (MhCluster *cluster, const MhMachine *machine)
 {
-  /* Of one that another leader rented, or that was up before, nothing is known. */
-  if (machine->type && machine->boot.rented_here && machine->heartbeat.incarnation <= 1)
-    add_sample (statistics_of (cluster, machine->type),
-                (double)(mh_runtime_now_us (cluster->runtime) - machine->boot.rented_us));
+  /* The duration of the boot is not known if another leader created the machine, or if its worker
+     has restarted. */
+  if (machine->type && machine->boot.created_here && machine->heartbeat.incarnation <= 1)
+    add_sample (find_or_add_statistics (cluster, machine->type),
+                (double)(mh_runtime_now_us (cluster->runtime) - machine->boot.created_us));
 }
 
-/* A machine of the type that has not joined at that age is late. */
+/* The age at which a machine of the type is late if it has not joined. */
 static gint64
-late_at_us (const MhCluster *cluster, const MhMachineType *type)
+late_age_of_type_us (const MhCluster *cluster, const MhMachineType *type)
 {
-  double boot_us = type ? (double)type->boot_us : UNKNOWN_BOOT_US;
-  const BootStatistics *seen
+  double boot_us = type ? (double)type->boot_us : DEFAULT_BOOT_US;
+  const BootStatistics *statistics
       = type ? g_hash_table_lookup (cluster->boot_statistics, type->name) : NULL;
-  double usual_us = seen ? seen->mean_us + DEVIATIONS * seen->deviation_us : UNSEEN_BOOTS * boot_us;
-  return (gint64)CLAMP (usual_us, LEAST_BOOTS * boot_us, MOST_BOOTS * boot_us) + SPARE_US;
+  double estimate_us = statistics
+                           ? statistics->mean_us + DEVIATION_FACTOR * statistics->deviation_us
+                           : DEFAULT_BOOT_FACTOR * boot_us;
+  return (gint64)CLAMP (estimate_us, MIN_BOOT_FACTOR * boot_us, MAX_BOOT_FACTOR * boot_us)
+         + JOIN_DELAY_MARGIN_US;
 }
 
 static void
-note_late (MhCluster *cluster, MhMachine *machine, gint64 age_us)
+mark_late (MhCluster *cluster, MhMachine *machine, gint64 age_us)
 {
   machine->boot.late_age_us = age_us;
-  if (machine->type == NULL || !machine->boot.rented_here)
+  if (machine->type == NULL || !machine->boot.created_here)
     return;
-  mh_log_info_limited (cluster->runtime, MH_LOG_BOOT,
-                       "machine late to join, replaced machine=%s age_s=%.0f type=%s zone=%s",
-                       machine->name, (double)age_us / MH_SECOND_US, machine->type_name,
-                       machine->zone);
-  add_sample (statistics_of (cluster, machine->type), (double)age_us);
+  mh_log_info_limited (
+      cluster->runtime, MH_LOG_BOOT,
+      "machine late to join, no longer counted as coming machine=%s age_s=%.0f type=%s zone=%s",
+      machine->name, (double)age_us / MH_SECOND_US, machine->type_name, machine->zone);
+  add_sample (find_or_add_statistics (cluster, machine->type), (double)age_us);
 }
 
 void
-mh_boot_time_check (MhCluster *cluster, MhMachine *machine)
+mh_boot_time_check_machine (MhCluster *cluster, MhMachine *machine)
 {
   gint64 now_us = mh_runtime_now_us (cluster->runtime);
-  gint64 age_us = now_us - machine->boot.rented_us;
-  if (machine->boot.late_age_us == 0 && age_us > late_at_us (cluster, machine->type))
-    note_late (cluster, machine, age_us);
+  gint64 age_us = now_us - machine->boot.created_us;
+  if (machine->boot.late_age_us == 0 && age_us > late_age_of_type_us (cluster, machine->type))
+    mark_late (cluster, machine, age_us);
   gint64 leading_us = now_us - mh_election_elected_us (cluster->election);
-  bool all_reported
-      = leading_us > cluster->settings->report_interval_us * 2 + FIRST_REPORT_SPARE_US;
-  if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us && all_reported)
+  bool had_time_to_report
+      = leading_us > cluster->settings->report_interval_us * 2 + FIRST_HEARTBEAT_MARGIN_US;
+  if (machine->boot.late_age_us && age_us > RELEASE_AGE_FACTOR * machine->boot.late_age_us
+      && had_time_to_report)
     cluster->callbacks->release_machine (cluster->owner, machine, MH_RELEASE_REASON_NEVER_JOINED);
 }
--- a/src/cluster/boot-time.h
+++ b/src/cluster/boot-time.h
@@ -1,31 +1,32 @@
-/* How long machines take from their rental to their first report, by type.
+/* Boot times: how long machines take from their creation to their first heartbeat, by type.
 
-   What boots have taken tells a machine that is only slow from one that will never join: it is
-   estimated as TCP estimates its retransmission timeout (RFC 6298), by a smoothed mean and
-   deviation. A machine that is later than that counts with its age so far, so that where all boots
-   are slow the estimate follows, and not all machines on their way are rented once more. */
+   The observed boot times separate a machine that is only slow from one that will never join. The
+   limit is estimated like TCP's retransmission time-out (RFC 6298), from a smoothed mean and
+   deviation. The age of a machine that exceeds the limit is a sample too: if all boots are slow,
+   the estimate rises, and not every machine that is still booting is replaced. */
 #pragma once
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
- * mh_boot_time_joined:
+ * mh_boot_time_note_join:
  * @cluster: the cluster
  * @machine: a machine that has just reported for the first time
  *
- * Learns from its boot, if this leader rented it.
+ * Adds the duration of its boot to the statistics of its type, if this leader created it.
  */
 void
-mh_boot_time_joined (MhCluster *cluster, const MhMachine *machine);
+mh_boot_time_note_join (MhCluster *cluster, const MhMachine *machine);
 
 /**
- * mh_boot_time_check:
+ * mh_boot_time_check_machine:
  * @cluster: the cluster
  * @machine: a machine that has not joined
  *
- * Notes that it is late: it is not counted on any more, so that another is rented in its place.
- * Later it is given back.
+ * Marks the machine as late when it has exceeded the expected boot time: it no longer counts as
+ * coming, so that another one can be created in its place. Releases it if it does not join for much
+ * longer.
  */
 void
-mh_boot_time_check (MhCluster *cluster, MhMachine *machine);
+mh_boot_time_check_machine (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/cluster-state.h
+++ b/src/cluster/cluster-state.h
@@ -1,4 +1,4 @@
-/* The state of the cluster layer, for its own files alone. */
+/* The private state of the cluster layer. */
 #pragma once
 
 #include "base/token-bucket.h"
@@ -11,38 +11,40 @@
 
 /**
  * MhSilenceThresholds:
- * @cut_off: this side may be the one that is cut off: probes in vain are not believed
- * @report_us: the longest that a worker takes to its next report, and some
- * @suspect_us: after so long a machine that has reported to this leader is probed
- * @replica_us: ... if it holds replicas of services
- * @silent_us: after so long it is given back, whatever the probes brought
- * @unheard_us: ... one that has not reported to this leader, since the election
+ * @leader_partitioned: most machines are silent, so that the leader itself may be partitioned;
+ * failed probes are then ignored
+ * @overdue_us: the next heartbeat is overdue after this; includes a margin for delays
+ * @probe_us: a machine that has reported to this leader is probed after this
+ * @replica_probe_us: like @probe_us, for machines with service replicas
+ * @release_us: a machine that has reported is released after this, whatever its probes show
+ * @unreported_release_us: a machine that has not reported to this leader is released after this,
+ * counted from the election or from its discovery, whichever is later
  *
- * How long a machine may be silent, in microseconds.
+ * Durations for which a machine may be silent, in microseconds.
  */
 typedef struct
 {
-  bool cut_off;
-  gint64 report_us, suspect_us, replica_us, silent_us, unheard_us;
+  bool leader_partitioned;
+  gint64 overdue_us, probe_us, replica_probe_us, release_us, unreported_release_us;
 } MhSilenceThresholds;
 
 /* Fields of MhCluster:
    runtime to runtime_estimator: see MhClusterOptions
-   callbacks, owner: the layers above, and what they are called with
+   callbacks, owner: the callbacks of the layers above, and their first argument
    machines: name -> MhMachine, which owns its name
-   released, released_order: names of machines that are gone; the queue owns them, the oldest first
-   commands_due: MhMachine, not owned, that are looked at for commands in this step
-   types: MhMachineType; NULL until known
-   team_use: team -> MhTeamUse; the names are the settings' or interned
-   service_replicas: attempts of services, on all machines
-   checked_us: monotonic time at which all machines were last checked
-   zones: of zone-silence.c
-   fruitless_transfers: of leadership, because no worker was heard; none has reported since. They
-   outlast a leadership
+   released, released_order: names of released machines; the queue owns them, oldest first
+   commands_due: MhMachine, not owned, whose unsent commands are sent in the next step
+   types: MhMachineType; NULL until they have been read
+   team_use: team -> MhTeamUse; the names are owned by the settings or interned
+   service_replicas: number of live attempts of services, on all machines
+   last_check_us: monotonic time at which all machines were last checked
+   zones: MhZone, see zone-silence.h
+   ineffective_transfers: leadership transfers for lack of heartbeats, since the last heartbeat;
+   kept when a leadership ends
    silence: as of the last check of all machines
-   probe_bucket, direct_bucket: rates of questions and of direct commands
-   boot_statistics: name of a type -> statistics of boot-time.c */
-/** MhCluster: the state of the cluster layer, for the files of this folder alone. */
+   probe_bucket, direct_bucket: rate limits of probes and of direct commands
+   boot_statistics: name of a type -> BootStatistics, see boot-time.c */
+/** MhCluster: the state of the cluster layer, private to the files of this folder. */
 struct MhCluster
 {
   MhRuntime *runtime;
@@ -62,9 +64,9 @@
   GPtrArray *types;
   GHashTable *team_use;
   guint service_replicas;
-  gint64 checked_us;
+  gint64 last_check_us;
   GArray *zones;
-  guint fruitless_transfers;
+  guint ineffective_transfers;
   MhSilenceThresholds silence;
   MhTokenBucket probe_bucket, direct_bucket;
   GHashTable *boot_statistics;
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -7,7 +7,8 @@
 #include "cluster/machine-registry.h"
 #include "cluster/zone-silence.h"
 
-/* All machines are checked so often: silence, notices, and what could not be said at once. */
+/* Interval at which all machines are checked for silence, preemption notices and unsent commands.
+ */
 #define CHECK_INTERVAL_US (MH_SECOND_US / 5)
 
 static void
@@ -75,7 +76,7 @@
 }
 
 void
-mh_cluster_records_loaded (MhCluster *cluster)
+mh_cluster_resume_loaded_jobs (MhCluster *cluster)
 {
   GHashTableIter it;
   gpointer value;
@@ -92,7 +93,7 @@
     }
 }
 
-/* ---- what other layers ask ---- */
+/* ---- queries ---- */
 
 GHashTable *
 mh_cluster_machines (const MhCluster *cluster)
@@ -132,7 +133,7 @@
 }
 
 void
-mh_cluster_machine_released (MhCluster *cluster, MhMachine *machine)
+mh_cluster_remove_released_machine (MhCluster *cluster, MhMachine *machine)
 {
   mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_CONFIRMED);
   mh_cluster_remember_released (cluster, machine->name);
@@ -145,15 +146,17 @@
 
 /* ---- a step ---- */
 
-/* Before the cloud takes the machine back, what can be saved is, and what would not end in time
-   makes room elsewhere at once. */
+/* Handles an attempt on a machine that the cloud reclaims in @left_us. A task with checkpoints is
+   stopped with time to save one. A service replica, or a task that would not end in time, is
+   stopped at once so that it can start elsewhere. */
 static void
 drain_attempt (MhCluster *cluster, MhAttempt *attempt, gint64 left_us)
 {
   const MhJobSpec *spec = attempt->job->spec;
   gint64 running_since_us = attempt->running_since_us;
   gint64 ran_us = running_since_us ? mh_runtime_now_us (cluster->runtime) - running_since_us : 0;
-  /* Too late to save together: it may still end in time, and loses nothing more if not. */
+  /* Too little time for the gang to save a common checkpoint: it may still end in time, and it
+     loses nothing more if it does not. */
   if (mh_job_is_gang (attempt->job) && running_since_us
       && left_us < spec->checkpoint_save_us + MH_SECOND_US)
     return;
@@ -164,9 +167,9 @@
 }
 
 static void
-drain_by_notice (MhCluster *cluster, MhMachine *machine)
+drain_preempted_machine (MhCluster *cluster, MhMachine *machine)
 {
-  gint64 left_us = machine->notice_until_us - mh_runtime_now_us (cluster->runtime);
+  gint64 left_us = machine->notice_deadline_us - mh_runtime_now_us (cluster->runtime);
   for (guint i = machine->attempts->len; i-- > 0;)
     {
       MhAttempt *attempt = mh_machine_attempt (machine, i);
@@ -180,9 +183,9 @@
 {
   if (mh_machine_is_releasing (machine))
     return;
-  mh_failure_check (cluster, machine);
-  if (machine->notice_until_us >= 0)
-    drain_by_notice (cluster, machine);
+  mh_failure_check_machine (cluster, machine);
+  if (machine->notice_deadline_us >= 0)
+    drain_preempted_machine (cluster, machine);
   mh_fencing_raise_token (cluster, machine);
   mh_direct_command_send_unsent (cluster, machine);
 }
@@ -206,24 +209,24 @@
 {
   GHashTableIter it;
   gpointer machine;
-  mh_failure_survey (cluster);
+  mh_failure_update_thresholds (cluster);
   g_hash_table_iter_init (&it, cluster->machines);
   while (g_hash_table_iter_next (&it, NULL, &machine))
     check_machine (cluster, machine);
   mh_cluster_forget_old_releases (cluster, mh_runtime_now_us (cluster->runtime));
-  mh_failure_check_leader_unheard (cluster);
+  mh_failure_transfer_if_partitioned (cluster);
 }
 
-/* What has just changed is answered at once; all machines are looked through now and then only, so
-   that the work of a step does not grow with the number of machines. */
+/* Due commands are sent in each step. All machines are checked only at intervals, so that the work
+   of a step does not grow with the number of machines. */
 void
 mh_cluster_step (MhCluster *cluster)
 {
   send_due_commands (cluster);
-  if (mh_runtime_now_us (cluster->runtime) >= cluster->checked_us + CHECK_INTERVAL_US)
+  if (mh_runtime_now_us (cluster->runtime) >= cluster->last_check_us + CHECK_INTERVAL_US)
     {
-      cluster->checked_us = mh_runtime_now_us (cluster->runtime);
+      cluster->last_check_us = mh_runtime_now_us (cluster->runtime);
       check_all_machines (cluster);
     }
-  mh_runtime_wake_at (cluster->runtime, cluster->checked_us + CHECK_INTERVAL_US);
+  mh_runtime_wake_at (cluster->runtime, cluster->last_check_us + CHECK_INTERVAL_US);
 }
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,8 +1,8 @@
-/* The cluster layer: machines, the heartbeats of their workers, and which task may be running
-   where.
+/* The cluster layer: machines, the heartbeats of their workers, and which tasks may be running
+   on which machine.
 
    Silence is no proof that a task has ended: an attempt occupies its machine until its worker shows
-   that it is gone, or the release of the machine is confirmed. */
+   that the attempt is gone, or the release of the machine is confirmed. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -12,17 +12,17 @@
 
 /**
  * MhClusterOptions:
- * @runtime: time, wake-ups, the log and answers to reports
+ * @runtime: time, wake-ups, the log and answers to heartbeats
  * @calls: calls to workers
- * @election: whether this controller may act as leader, and its epoch
+ * @election: tells whether this controller may act as leader, and its epoch
  * @jobs: (element-type utf8 MhJob): the jobs in memory, by id
- * @record_loader: knows which jobs have records that are not understood
- * @record_writer: writes what becomes of attempts
+ * @record_loader: knows which jobs have records that this version cannot read
+ * @record_writer: writes the records of attempts
  * @runtime_estimator: learns how long tasks run
- * @callbacks: what the layers above are told
+ * @callbacks: the callbacks of the layers above
  * @owner: passed to the callbacks
  *
- * What a cluster works with. Nothing is transferred, and all must outlive the cluster.
+ * The dependencies of a cluster. No ownership is transferred, and all must outlive the cluster.
  */
 typedef struct
 {
@@ -39,7 +39,7 @@
 
 /**
  * mh_cluster_new:
- * @options: what it works with
+ * @options: its dependencies
  *
  * Returns: (transfer full): a cluster without machines; free with mh_cluster_free()
  */
@@ -57,28 +57,28 @@
  * mh_cluster_clear:
  * @cluster: the cluster
  *
- * Forgets machines, attempts and zones, as a leadership ends. Machine types and what boots have
- * taken stay known.
+ * Removes all machines, attempts and zones at the end of a leadership. Machine types and boot-time
+ * statistics are kept.
  */
 void
 mh_cluster_clear (MhCluster *cluster);
 
 /**
- * mh_cluster_records_loaded:
- * @cluster: the cluster, which has just read all records
+ * mh_cluster_resume_loaded_jobs:
+ * @cluster: the cluster, after all records have been loaded
  *
- * Goes on with what an earlier leader left: cancelled jobs are stopped, and those whose tasks are
- * all done are finished.
+ * Resumes the jobs of earlier leaders: announces gangs to the layers above, stops cancelled jobs,
+ * and finishes jobs whose tasks are all done.
  */
 void
-mh_cluster_records_loaded (MhCluster *cluster);
+mh_cluster_resume_loaded_jobs (MhCluster *cluster);
 
 /**
  * mh_cluster_step:
  * @cluster: the cluster
  *
- * Sends the commands that are due, and, five times a second, checks all machines: silence, notices
- * of the cloud, fencing, commands that could not leave at once.
+ * Sends the commands that are due. Five times a second it also checks all machines for silence,
+ * preemption notices, fencing and unsent commands.
  */
 void
 mh_cluster_step (MhCluster *cluster);
@@ -87,8 +87,8 @@
  * mh_cluster_machines:
  * @cluster: the cluster
  *
- * Returns: (transfer none): the machines that are known (char * to #MhMachine), in an order that
- * does not depend on addresses; not to be changed
+ * Returns: (transfer none): the known machines (char * to #MhMachine), in an order that does not
+ * depend on addresses; must not be modified
  */
 GHashTable *
 mh_cluster_machines (const MhCluster *cluster);
@@ -97,8 +97,8 @@
  * mh_cluster_types:
  * @cluster: the cluster
  *
- * Returns: (transfer none) (nullable) (element-type MhMachineType): the types that can be rented;
- * %NULL until the cloud has told them
+ * Returns: (transfer none) (nullable) (element-type MhMachineType): the machine types that the
+ * cloud offers; %NULL until they have been read
  */
 const GPtrArray *
 mh_cluster_types (const MhCluster *cluster);
@@ -106,9 +106,9 @@
 /**
  * mh_cluster_set_types:
  * @cluster: the cluster
- * @types: (transfer full) (element-type MhMachineType): what the cloud offers now
+ * @types: (transfer full) (element-type MhMachineType): the types that the cloud offers now
  *
- * Replaces the types, and looks up that of each machine again.
+ * Replaces the machine types, and resolves the type of each machine again.
  */
 void
 mh_cluster_set_types (MhCluster *cluster, GPtrArray *types);
@@ -118,8 +118,8 @@
  * @cluster: the cluster
  * @team: a team's name
  *
- * Returns: (transfer none) (nullable): what the attempts of the team's jobs occupy; %NULL: there
- * never were any
+ * Returns: (transfer none) (nullable): the resources that the attempts of the team's jobs occupy;
+ * %NULL: the team has had no attempt in this leadership
  */
 const MhTeamUse *
 mh_cluster_team_use (const MhCluster *cluster, const char *team);
@@ -128,18 +128,19 @@
  * mh_cluster_service_replicas:
  * @cluster: the cluster
  *
- * Returns: how many attempts of services there are on all machines
+ * Returns: the number of live attempts of services on all machines
  */
 guint
 mh_cluster_service_replicas (const MhCluster *cluster);
 
 /**
- * mh_cluster_machine_released:
+ * mh_cluster_remove_released_machine:
  * @cluster: the cluster
  * @machine: (transfer full): a machine whose release the cloud has confirmed
  *
- * That is proof that its tasks are gone: its attempts are over. The machine is forgotten but for
- * its name, which late reports and lists may still carry.
+ * Ends the machine's attempts, since the confirmed release proves that its tasks are gone, and
+ * removes the machine. Its name is remembered, since delayed heartbeats and machine lists may still
+ * contain it.
  */
 void
-mh_cluster_machine_released (MhCluster *cluster, MhMachine *machine);
+mh_cluster_remove_released_machine (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -64,7 +64,7 @@
   MhAttempt *attempt = find_attempt (machine, command);
   if (attempt && refused)
     mh_attempt_note_start_refused (attempt);
-  MhUnacknowledgedStart *start
+  MhUnfencedStart *start
       = mh_fencing_find_start (machine, command->job, command->index, command->attempt);
   if (start == NULL)
     return;
@@ -73,8 +73,8 @@
       mh_fencing_remove_start (machine, start);
       return;
     }
-  start->answered = status == STATUS_OK;
-  start->lost = !start->answered;
+  start->acknowledged = status == STATUS_OK;
+  start->lost = !start->acknowledged;
 }
 
 static void
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -1,4 +1,5 @@
-/* Silence: who is asked, who is given back, and what is taken for cut off instead. */
+/* Detects failed machines: probes silent ones, releases those that have failed, and recognizes when
+   the leader itself is partitioned. */
 #include "cluster/failure-detection.h"
 #include "cluster/boot-time.h"
 #include "cluster/cluster-state.h"
@@ -10,48 +11,57 @@
 
 #include <string.h>
 
-/* Questions in a row without an answer: one may be a lost packet. */
+/* Consecutive unanswered probes after which a machine is unreachable. A single one may be due to a
+   lost packet. */
 #define MAX_FAILED_PROBES 2u
 #define PROBE_TIMEOUT_US MH_SECOND_US
-/* Machines are asked only as fast as the processor's share allows. */
-#define PROBES_PER_CORE_S 400
-/* A leader that hears no worker for so long lets another one lead, where so many reports should
-   have come meanwhile. */
-#define UNHEARD_LEADER_US (4 * MH_SECOND_US)
-#define UNHEARD_REPORTS 8
-/* A worker gives up on a controller that does not answer, and tries the next one. */
-#define WORKER_TRIES_NEXT_US (5 * MH_SECOND_US)
-/* That time is doubled so often at the most. */
-#define MAX_DOUBLINGS 4u
-/* A worker that has just learnt of this leader reports again by itself. */
-#define SECOND_REPORT_US (MH_SECOND_US * 7 / 10)
-/* What runs on a machine whose reports do not arrive goes on until its worker's lease is over, and
-   so much longer. */
-#define LEASE_SPARE_US MH_SECOND_US
-/* Of the time to a worker's next report: delays, and its jitter. */
-#define REPORT_SPARE_US (MH_SECOND_US * 2 / 5)
-#define SUSPECT_SPARE_US (MH_SECOND_US / 3)
-/* A new leader's workers need time to find it. */
-#define FIND_LEADER_US (6 * MH_SECOND_US)
-/* Where most machines are silent at once, so much longer than what rules out a partition. */
-#define CUT_OFF_SPARE_US (5 * MH_SECOND_US)
-#define MOSTLY_UNHEARD_SPARE_US (10 * MH_SECOND_US)
-/* So many machines and more than half of all are most of them. */
-#define LEAST_OF_MOST 3u
+/* Probes per second and processor core. The rate is scaled by the controller's share of a core, so
+   that probing does not exceed what that share can process. */
+#define PROBE_RATE_PER_CORE 400
+/* A leader that receives no heartbeat for this time transfers leadership. With few machines the
+   time is longer, up to one and a half heartbeat intervals, so that LEADER_PARTITION_HEARTBEATS
+   heartbeats should have arrived in it. */
+#define LEADER_PARTITION_TIMEOUT_US (4 * MH_SECOND_US)
+#define LEADER_PARTITION_HEARTBEATS 8
+/* Time after which a worker gives up on a controller that does not answer and tries the next one.
+   A new leader that has received no heartbeat yet waits this long for each controller. */
+#define WORKER_CONTROLLER_TIMEOUT_US (5 * MH_SECOND_US)
+/* After ineffective transfers the time without heartbeats is doubled, at most this many times. */
+#define MAX_TIMEOUT_DOUBLINGS 4u
+/* A worker that learns of this leader from the answer to a heartbeat sends a second heartbeat,
+   which carries the leader's token. It is probed only if that takes longer than this. */
+#define SECOND_HEARTBEAT_GRACE_US (MH_SECOND_US * 7 / 10)
+/* A machine whose heartbeats do not arrive runs its tasks until its worker's lease expires. It is
+   released this much later. */
+#define WORKER_LEASE_MARGIN_US MH_SECOND_US
+/* Margin on the time to a worker's next heartbeat, for network delays and the worker's jitter. */
+#define HEARTBEAT_DELAY_MARGIN_US (MH_SECOND_US * 2 / 5)
+/* Further margin before a machine whose heartbeat is overdue is probed. */
+#define PROBE_MARGIN_US (MH_SECOND_US / 3)
+/* Time that workers need to find a new leader. */
+#define LEADER_DISCOVERY_GRACE_US (6 * MH_SECOND_US)
+/* When most machines are silent at once, the leader may be partitioned: a machine is released only
+   this long after its worker's lease has expired. */
+#define PARTITIONED_LEADER_MARGIN_US (5 * MH_SECOND_US)
+/* When most machines have not reported to a new leader, a former leader may still answer them: a
+   machine is released only this long after the former leader must have stopped doing so. */
+#define FORMER_LEADER_MARGIN_US (10 * MH_SECOND_US)
+/* "Most machines" are more than half of them, and at least this many. */
+#define MIN_MAJORITY_MACHINES 3u
 
 #define STATUS_OK 200
 
 void
 mh_failure_init (MhCluster *cluster)
 {
-  double rate = PROBES_PER_CORE_S * cluster->settings->core_share;
+  double rate = PROBE_RATE_PER_CORE * cluster->settings->core_share;
   mh_token_bucket_init (&cluster->probe_bucket, rate, rate, mh_runtime_now_us (cluster->runtime));
 }
 
 bool
-mh_failure_is_report_overdue (const MhCluster *cluster, const MhMachine *machine)
+mh_failure_is_heartbeat_overdue (const MhCluster *cluster, const MhMachine *machine)
 {
-  return mh_cluster_silence_us (cluster, machine->heartbeat.last_report_us)
+  return mh_cluster_silence_us (cluster, machine->heartbeat.last_heartbeat_us)
          > cluster->settings->report_interval_us * 5 / 2;
 }
 
@@ -70,31 +80,33 @@
 /* ---- probes ---- */
 
 static void
-probe (MhCluster *cluster, MhMachine *machine);
+send_probe (MhCluster *cluster, MhMachine *machine);
 
 static void
-probe_failed (MhCluster *cluster, MhMachine *machine)
+handle_probe_failure (MhCluster *cluster, MhMachine *machine)
 {
-  /* The answer may have come while this process stood still, and the time-out with it. */
+  /* A time-out that spans a pause of this process does not count: the answer may have arrived
+     during the pause. */
   if (machine->probe.first_sent_us > mh_runtime_resumed_us (cluster->runtime)
       && ++machine->probe.failures < MAX_FAILED_PROBES)
-    probe (cluster, machine);
+    send_probe (cluster, machine);
 }
 
-/* The answer to a question is newer than all that was known when it was put. One that counts from
-   the beginning comes from a worker that has lost its memory, of the tokens that it has seen too:
-   nothing that is still on its way there is fenced any more. */
+/* The answer to a probe is newer than any message that was known when the probe was sent. If its
+   incarnation or sequence number is lower, the worker has restarted and lost its memory, including
+   the highest token that it had seen: commands in flight to it are no longer fenced. */
 static bool
-worker_has_begun_anew (const MhMachine *machine, const MhHeartbeat *report)
+has_worker_restarted (const MhMachine *machine, const MhHeartbeat *report)
 {
-  const MhMachineProbe *asked = &machine->probe;
+  const MhMachineProbe *last_probe = &machine->probe;
   return machine->heartbeat.reported && !mh_machine_is_releasing (machine)
-         && (report->incarnation < asked->incarnation
-             || (report->incarnation == asked->incarnation && report->sequence < asked->sequence));
+         && (report->incarnation < last_probe->incarnation
+             || (report->incarnation == last_probe->incarnation
+                 && report->sequence < last_probe->sequence));
 }
 
 static void
-probe_answered (gpointer owner, gpointer data, const MhReply *reply)
+on_probe_answered (gpointer owner, gpointer data, const MhReply *reply)
 {
   MhCluster *cluster = owner;
   const char *name = data;
@@ -105,21 +117,22 @@
     return;
   machine->probe.in_flight = false;
   if (report == NULL || strcmp (report->machine, machine->name) != 0)
-    probe_failed (cluster, machine);
+    handle_probe_failure (cluster, machine);
   else if (mh_heartbeat_take_answer (cluster, machine, report))
     {
-      /* It may report to a former leader that is cut off, which learns from its next report that it
-         is one; without this such workers once stayed there for half a minute. */
+      /* The worker may still send heartbeats to a former leader that is partitioned. After this
+         command its next heartbeat carries the new token, which makes the former leader step down.
+         Without the command, workers stayed with a former leader for half a minute. */
       if (report->fencing_token < mh_election_epoch (cluster->election)
           && mh_election_is_leader (cluster->election))
         mh_direct_command_send_token (cluster, machine);
     }
-  else if (worker_has_begun_anew (machine, report))
+  else if (has_worker_restarted (machine, report))
     release (cluster, machine, MH_RELEASE_REASON_WORKER_RESTARTED);
 }
 
 static void
-probe (MhCluster *cluster, MhMachine *machine)
+send_probe (MhCluster *cluster, MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   machine->probe.in_flight = true;
@@ -127,7 +140,7 @@
   machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
   const MhCallOptions options = { .class = MH_CALL_SAFETY,
                                   .timeout_us = PROBE_TIMEOUT_US,
-                                  .func = probe_answered,
+                                  .func = on_probe_answered,
                                   .owner = cluster,
                                   .data = g_strdup (machine->name),
                                   .free_data = g_free };
@@ -143,46 +156,48 @@
     return;
   mh_token_bucket_take (bucket, 1);
   machine->probe.first_sent_us = mh_runtime_now_us (cluster->runtime);
-  probe (cluster, machine);
+  send_probe (cluster, machine);
 }
 
 /* ---- one machine ---- */
 
-/* Whether others of its zone have been heard since it was first asked in vain; else it may be the
-   first of many. */
+/* Whether a message has come from the machine's zone since the first unanswered probe of the
+   machine. If none has, the whole zone may be partitioned, and this machine is only the first that
+   was probed. An unknown zone, or one with few machines, counts as responsive. */
 static bool
-others_are_heard (const MhCluster *cluster, const MhMachine *machine)
+is_zone_responsive (const MhCluster *cluster, const MhMachine *machine)
 {
   const MhZone *zone = mh_zone_find (cluster, machine->zone);
-  return zone == NULL || zone->machines < MH_LEAST_MACHINES_OF_ZONE
+  return zone == NULL || zone->machines < MH_MIN_PARTITION_MACHINES
          || zone->last_message_us > machine->probe.first_sent_us;
 }
 
-/* Probes without an answer are believed only while this side is not the one that is cut off. */
+/* Unanswered probes prove nothing while the leader itself may be partitioned. */
 static bool
-is_believed_unreachable (const MhCluster *cluster, const MhMachine *machine)
+is_credibly_unreachable (const MhCluster *cluster, const MhMachine *machine)
 {
-  return mh_failure_is_unreachable (machine) && !cluster->silence.cut_off;
+  return mh_failure_is_unreachable (machine) && !cluster->silence.leader_partitioned;
 }
 
-/* It answers, but its own reports reach nobody. What runs there goes on until its lease is over,
-   and what it is told directly after that it would only lose again. */
+/* Whether the worker answers probes while its heartbeats do not reach this leader. Its tasks run
+   until its lease expires; tasks that direct commands start there after that would be lost too. */
 static bool
-reports_are_lost (const MhCluster *cluster, const MhMachine *machine)
+are_heartbeats_missing (const MhCluster *cluster, const MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   return mh_cluster_silence_us (cluster, heartbeat->last_message_us)
              < cluster->settings->silence_limit_us
-         && mh_cluster_silence_us (cluster, heartbeat->last_report_us)
-                > cluster->settings->worker_lease_us + LEASE_SPARE_US;
+         && mh_cluster_silence_us (cluster, heartbeat->last_heartbeat_us)
+                > cluster->settings->worker_lease_us + WORKER_LEASE_MARGIN_US;
 }
 
-/* Nothing comes from its whole zone: what runs there goes on until the worker's lease is over, and
-   nothing is gained by giving it back before. */
+/* Checks a machine in a partitioned zone. Its tasks run until the worker's lease expires, and
+   releasing the machine earlier gains nothing. */
 static void
-check_in_partition (MhCluster *cluster, MhMachine *machine)
+check_in_partitioned_zone (MhCluster *cluster, MhMachine *machine)
 {
-  if (mh_cluster_is_silent (cluster, machine, cluster->settings->worker_lease_us + LEASE_SPARE_US))
+  if (mh_cluster_is_silent (cluster, machine,
+                            cluster->settings->worker_lease_us + WORKER_LEASE_MARGIN_US))
     release (cluster, machine, MH_RELEASE_REASON_SILENT_ZONE);
 }
 
@@ -191,9 +206,9 @@
 {
   const MhSilenceThresholds *silence = &cluster->silence;
   bool overdue
-      = mh_cluster_silence_us (cluster, machine->heartbeat.last_report_us) > silence->report_us;
-  return mh_cluster_is_silent (cluster, machine, silence->silent_us)
-         || (is_believed_unreachable (cluster, machine) && others_are_heard (cluster, machine)
+      = mh_cluster_silence_us (cluster, machine->heartbeat.last_heartbeat_us) > silence->overdue_us;
+  return mh_cluster_is_silent (cluster, machine, silence->release_us)
+         || (is_credibly_unreachable (cluster, machine) && is_zone_responsive (cluster, machine)
              && overdue);
 }
 
@@ -201,171 +216,178 @@
 check_reported (MhCluster *cluster, MhMachine *machine)
 {
   const MhSilenceThresholds *silence = &cluster->silence;
-  gint64 suspect_us = machine->usage.replicas ? silence->replica_us : silence->suspect_us;
+  gint64 probe_us = machine->usage.replicas ? silence->replica_probe_us : silence->probe_us;
   guint ignored_answers = machine->heartbeat.ignored_answers;
-  if (reports_are_lost (cluster, machine))
+  if (are_heartbeats_missing (cluster, machine))
     release (cluster, machine, MH_RELEASE_REASON_HEARTBEATS_MISSING);
-  else if (is_believed_unreachable (cluster, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
+  else if (is_credibly_unreachable (cluster, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
     release (cluster, machine, MH_RELEASE_REASON_UNREACHABLE);
   else if (has_failed (cluster, machine))
     release (cluster, machine,
              machine->probe.failures ? MH_RELEASE_REASON_SILENT_NO_ANSWER
                                      : MH_RELEASE_REASON_SILENT);
-  else if (ignored_answers || mh_cluster_is_silent (cluster, machine, suspect_us))
+  else if (ignored_answers || mh_cluster_is_silent (cluster, machine, probe_us))
     start_probing (cluster, machine);
 }
 
-/* Known from a record or the list, and not heard by this leader. A new leader does not wait for the
-   workers to find it, where it knows their address. */
+/* Checks a machine that is known from a record or the cloud's list and has not reported to this
+   leader. A new leader probes the workers whose addresses it knows, instead of waiting until they
+   find it. */
 static void
-check_unheard (MhCluster *cluster, MhMachine *machine)
+check_unreported (MhCluster *cluster, MhMachine *machine)
 {
   const MhSilenceThresholds *silence = &cluster->silence;
-  gint64 unheard_us = mh_cluster_silence_us (
+  gint64 unreported_us = mh_cluster_silence_us (
       cluster, MAX (mh_election_elected_us (cluster->election), machine->discovered_us));
-  if (mh_runtime_now_us (cluster->runtime) - machine->heartbeat.unverified_us > SECOND_REPORT_US)
+  if (mh_runtime_now_us (cluster->runtime) - machine->heartbeat.last_unverified_us
+      > SECOND_HEARTBEAT_GRACE_US)
     start_probing (cluster, machine);
-  if (unheard_us > silence->unheard_us
-      || (is_believed_unreachable (cluster, machine) && others_are_heard (cluster, machine)
-          && unheard_us > silence->report_us))
+  if (unreported_us > silence->unreported_release_us
+      || (is_credibly_unreachable (cluster, machine) && is_zone_responsive (cluster, machine)
+          && unreported_us > silence->overdue_us))
     release (cluster, machine, MH_RELEASE_REASON_SILENT_SINCE_FAILOVER);
 }
 
 void
-mh_failure_check (MhCluster *cluster, MhMachine *machine)
+mh_failure_check_machine (MhCluster *cluster, MhMachine *machine)
 {
   bool reported = machine->heartbeat.reported;
   if (reported && mh_zone_is_partitioned (cluster, machine->zone))
-    check_in_partition (cluster, machine);
+    check_in_partitioned_zone (cluster, machine);
   else if (reported)
     check_reported (cluster, machine);
   else if (machine->attempts->len || machine->listed_running)
-    check_unheard (cluster, machine);
+    check_unreported (cluster, machine);
   else
-    mh_boot_time_check (cluster, machine);
+    mh_boot_time_check_machine (cluster, machine);
 }
 
 /* ---- all machines ---- */
 
 typedef struct
 {
-  guint machines, silent, unheard, with_replicas;
-} Census;
+  guint machines, silent, unreported, with_replicas;
+} MachineCounts;
 
 static void
-count_machine (MhCluster *cluster, const MhMachine *machine, Census *census)
+count_machine (MhCluster *cluster, const MhMachine *machine, MachineCounts *counts)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   if (mh_machine_is_releasing (machine) || !(heartbeat->reported || machine->attempts->len))
     return;
-  census->machines++;
-  census->with_replicas += machine->usage.replicas > 0;
+  counts->machines++;
+  counts->with_replicas += machine->usage.replicas > 0;
   if (!heartbeat->reported)
     {
-      census->unheard++;
+      counts->unreported++;
       return;
     }
   MhZone *zone = mh_zone_find (cluster, machine->zone);
   if (zone)
     zone->machines++;
-  census->silent += machine->probe.failures || heartbeat->ignored_answers
-                    || mh_cluster_silence_us (cluster, heartbeat->last_report_us)
+  counts->silent += machine->probe.failures || heartbeat->ignored_answers
+                    || mh_cluster_silence_us (cluster, heartbeat->last_heartbeat_us)
                            > cluster->settings->silence_limit_us;
 }
 
-static Census
-take_census (MhCluster *cluster)
+static MachineCounts
+count_all_machines (MhCluster *cluster)
 {
-  Census census = { 0 };
+  MachineCounts counts = { 0 };
   GHashTableIter it;
   gpointer machine;
   for (guint i = 0; i < cluster->zones->len; i++)
     g_array_index (cluster->zones, MhZone, i).machines = 0;
   g_hash_table_iter_init (&it, cluster->machines);
   while (g_hash_table_iter_next (&it, NULL, &machine))
-    count_machine (cluster, machine, &census);
-  return census;
+    count_machine (cluster, machine, &counts);
+  return counts;
 }
 
 static bool
-are_most (guint count, const Census *census)
+is_majority (guint count, const MachineCounts *counts)
 {
-  return count >= LEAST_OF_MOST && count * 2 > census->machines;
+  return count >= MIN_MAJORITY_MACHINES && count * 2 > counts->machines;
 }
 
-/* Machines with replicas are asked sooner, but only as many in a report's interval as the rate of
-   probes allows; both probes are over when the report is overdue. */
+/* How long a machine with service replicas is silent before it is probed. This is early enough for
+   all probes to have timed out when the heartbeat is overdue, but not shorter than the time that
+   it takes to probe all of these machines at the probe rate. */
 static gint64
-replica_suspect_us (const MhCluster *cluster, const Census *census,
-                    const MhSilenceThresholds *silence)
+replica_probe_time_us (const MhCluster *cluster, const MachineCounts *counts,
+                       const MhSilenceThresholds *silence)
 {
-  double rate = PROBES_PER_CORE_S * cluster->settings->core_share;
-  gint64 all_probed_us = (gint64)((double)census->with_replicas * MH_SECOND_US / rate);
-  gint64 early_us = silence->report_us - MAX_FAILED_PROBES * PROBE_TIMEOUT_US;
-  return MIN (silence->suspect_us, MAX (early_us, all_probed_us));
+  double rate = PROBE_RATE_PER_CORE * cluster->settings->core_share;
+  gint64 all_probed_us = (gint64)((double)counts->with_replicas * MH_SECOND_US / rate);
+  gint64 early_us = silence->overdue_us - MAX_FAILED_PROBES * PROBE_TIMEOUT_US;
+  return MIN (silence->probe_us, MAX (early_us, all_probed_us));
 }
 
 void
-mh_failure_survey (MhCluster *cluster)
+mh_failure_update_thresholds (MhCluster *cluster)
 {
   const MhSettings *settings = cluster->settings;
-  Census census = take_census (cluster);
-  mh_zone_check_all (cluster);
-  MhSilenceThresholds silence = { .silent_us = settings->silence_limit_us };
-  silence.report_us = settings->report_interval_us * 5 / 4 + REPORT_SPARE_US;
-  silence.suspect_us = silence.report_us + SUSPECT_SPARE_US;
-  silence.replica_us = replica_suspect_us (cluster, &census, &silence);
-  silence.unheard_us = settings->silence_limit_us + FIND_LEADER_US;
-  /* When most are silent at once it is rather this side that is cut off; and a former leader that
-     is cut off from the state service alone may hold all workers for a while. Without this, a new
-     leader once gave back a whole fleet of working machines. */
-  if (are_most (census.silent, &census))
+  MachineCounts counts = count_all_machines (cluster);
+  mh_zone_update_partitions (cluster);
+  MhSilenceThresholds silence = { .release_us = settings->silence_limit_us };
+  silence.overdue_us = settings->report_interval_us * 5 / 4 + HEARTBEAT_DELAY_MARGIN_US;
+  silence.probe_us = silence.overdue_us + PROBE_MARGIN_US;
+  silence.replica_probe_us = replica_probe_time_us (cluster, &counts, &silence);
+  silence.unreported_release_us = settings->silence_limit_us + LEADER_DISCOVERY_GRACE_US;
+  /* When most machines are silent at once, it is more likely that this leader is partitioned. When
+     most have not reported, a former leader that is cut off from the key-value store alone may
+     still answer all workers for a while. Without these longer limits, a new leader released a
+     whole fleet of working machines. */
+  if (is_majority (counts.silent, &counts))
     {
-      silence.cut_off = true;
-      silence.silent_us = settings->worker_lease_us + CUT_OFF_SPARE_US;
+      silence.leader_partitioned = true;
+      silence.release_us = settings->worker_lease_us + PARTITIONED_LEADER_MARGIN_US;
     }
-  if (are_most (census.unheard, &census))
-    silence.unheard_us
-        = MAX (silence.unheard_us, mh_heartbeat_keep_alive_us (cluster) + MOSTLY_UNHEARD_SPARE_US);
+  if (is_majority (counts.unreported, &counts))
+    silence.unreported_release_us
+        = MAX (silence.unreported_release_us,
+               mh_heartbeat_keep_alive_us (cluster) + FORMER_LEADER_MARGIN_US);
   cluster->silence = silence;
 }
 
 /* ---- this leader ---- */
 
-/* How long a leader may get no report before it hands over. One that has just been elected gives
-   the workers of the others time to find it: each waits for an answer of one after the other. Each
-   time that it was of no use, since no report has come since, the next one waits twice as long. */
+/* How long a leader may receive no heartbeat before it transfers leadership. If it has received
+   none since its election, workers get time to find it: each tries one controller after the other
+   and waits for an answer. The time doubles with each transfer after which no heartbeat came. */
 static gint64
-max_unheard_us (const MhCluster *cluster, guint machines, bool any_report)
+leader_partition_timeout_us (const MhCluster *cluster, guint machines, bool any_heartbeat)
 {
   const MhSettings *settings = cluster->settings;
   gint64 limit_us;
-  if (any_report)
+  if (any_heartbeat)
     limit_us
-        = CLAMP (settings->report_interval_us * UNHEARD_REPORTS / MAX (machines, 1),
-                 UNHEARD_LEADER_US, MAX (UNHEARD_LEADER_US, settings->report_interval_us * 3 / 2));
+        = CLAMP (settings->report_interval_us * LEADER_PARTITION_HEARTBEATS / MAX (machines, 1),
+                 LEADER_PARTITION_TIMEOUT_US,
+                 MAX (LEADER_PARTITION_TIMEOUT_US, settings->report_interval_us * 3 / 2));
   else
-    limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
-  return limit_us << MIN (cluster->fruitless_transfers, MAX_DOUBLINGS);
+    limit_us = (gint64)settings->members->len * WORKER_CONTROLLER_TIMEOUT_US
+               + LEADER_PARTITION_TIMEOUT_US;
+  return limit_us << MIN (cluster->ineffective_transfers, MAX_TIMEOUT_DOUBLINGS);
 }
 
 void
-mh_failure_check_leader_unheard (MhCluster *cluster)
+mh_failure_transfer_if_partitioned (MhCluster *cluster)
 {
-  gint64 last_report_us = 0;
+  gint64 last_heartbeat_us = 0;
   guint machines = 0;
   for (guint i = 0; i < cluster->zones->len; i++)
     {
       const MhZone *zone = &g_array_index (cluster->zones, MhZone, i);
-      last_report_us = MAX (last_report_us, zone->last_report_us);
+      last_heartbeat_us = MAX (last_heartbeat_us, zone->last_heartbeat_us);
       machines += zone->machines;
     }
-  if (machines < MH_LEAST_MACHINES_OF_ZONE || cluster->settings->members->len == 0)
+  if (machines < MH_MIN_PARTITION_MACHINES || cluster->settings->members->len == 0)
     return;
-  gint64 unheard_us = mh_cluster_silence_us (
-      cluster, MAX (last_report_us, mh_election_elected_us (cluster->election)));
-  if (unheard_us <= max_unheard_us (cluster, machines, last_report_us > 0))
+  gint64 silence_us = mh_cluster_silence_us (
+      cluster, MAX (last_heartbeat_us, mh_election_elected_us (cluster->election)));
+  if (silence_us <= leader_partition_timeout_us (cluster, machines, last_heartbeat_us > 0))
     return;
-  cluster->fruitless_transfers++;
+  cluster->ineffective_transfers++;
   mh_election_transfer_leadership (cluster->election, MH_LOSS_NO_HEARTBEATS);
 }
--- a/src/cluster/failure-detection.h
+++ b/src/cluster/failure-detection.h
@@ -1,8 +1,8 @@
-/* Failure detection: which machines are probed, which are given back as failed, and when this side
-   is rather the one that is cut off.
+/* Failure detection: decides which machines are probed, which are released as failed, and when the
+   leader itself is more likely to be partitioned.
 
-   It never declares a task gone: silence is no proof. That takes a confirmed release or a report.
- */
+   It never treats a task as ended, because silence is no proof. Only a message from the worker or
+   the confirmed release of its machine proves that a task has ended. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -11,55 +11,60 @@
 /**
  * mh_failure_init:
  * @cluster: the cluster
+ *
+ * Initializes the rate limit of probes.
  */
 void
 mh_failure_init (MhCluster *cluster);
 
 /**
- * mh_failure_is_report_overdue:
+ * mh_failure_is_heartbeat_overdue:
  * @cluster: the cluster
  * @machine: a machine
  *
- * Returns: %TRUE if reports of its own should have come long ago, whatever it answers
+ * Returns: %TRUE if no heartbeat has arrived for two and a half heartbeat intervals, whether or not
+ * the worker answers probes
  */
 bool
-mh_failure_is_report_overdue (const MhCluster *cluster, const MhMachine *machine);
+mh_failure_is_heartbeat_overdue (const MhCluster *cluster, const MhMachine *machine);
 
 /**
  * mh_failure_is_unreachable:
  * @machine: a machine
  *
- * Returns: %TRUE if it has been asked more than once, and has not answered
+ * Returns: %TRUE if several consecutive probes of its worker have failed
  */
 bool
 mh_failure_is_unreachable (const MhMachine *machine);
 
 /**
- * mh_failure_survey:
+ * mh_failure_update_thresholds:
  * @cluster: the cluster
  *
- * Looks at all machines and zones together, and sets how long a machine may be silent; then each
- * can be checked.
+ * Counts silent machines, updates which zones are partitioned, and sets how long a machine may be
+ * silent. To be called before the machines are checked one by one.
  */
 void
-mh_failure_survey (MhCluster *cluster);
+mh_failure_update_thresholds (MhCluster *cluster);
 
 /**
- * mh_failure_check:
+ * mh_failure_check_machine:
  * @cluster: the cluster
  * @machine: a machine that is not being released
  *
- * Probes it if it has been silent for too long, and gives it back if it has failed.
+ * Probes the machine if it has been silent for too long, and releases it if it has failed or never
+ * joined.
  */
 void
-mh_failure_check (MhCluster *cluster, MhMachine *machine);
+mh_failure_check_machine (MhCluster *cluster, MhMachine *machine);
 
 /**
- * mh_failure_check_leader_unheard:
+ * mh_failure_transfer_if_partitioned:
  * @cluster: the cluster
  *
- * A leader that gets the reports of none of several workers, though the state service serves it, is
- * cut off from them: it lets another controller lead, which may not be.
+ * Transfers leadership if there are several machines and none of their heartbeats arrives, although
+ * the key-value store is reachable. This controller is then partitioned from the workers, and
+ * another one may not be.
  */
 void
-mh_failure_check_leader_unheard (MhCluster *cluster);
+mh_failure_transfer_if_partitioned (MhCluster *cluster);
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -8,24 +8,24 @@
 /* Direct starts that a late copy might repeat, before they are fenced without a clear waiting. */
 #define MAX_UNFENCED_STARTS 64u
 
-static MhUnacknowledgedStart *
+static MhUnfencedStart *
 start_at (const MhMachine *machine, guint index)
 {
-  return &g_array_index (machine->fencing.unacknowledged, MhUnacknowledgedStart, index);
+  return &g_array_index (machine->fencing.unfenced_starts, MhUnfencedStart, index);
 }
 
 guint64
 mh_fencing_token (const MhCluster *cluster, const MhMachine *machine)
 {
-  return mh_election_epoch (cluster->election) + (machine ? machine->fencing.raises : 0);
+  return mh_election_epoch (cluster->election) + (machine ? machine->fencing.token_raises : 0);
 }
 
-MhUnacknowledgedStart *
+MhUnfencedStart *
 mh_fencing_find_start (const MhMachine *machine, const char *job, guint index, guint64 attempt)
 {
-  for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
+  for (guint i = 0; i < machine->fencing.unfenced_starts->len; i++)
     {
-      MhUnacknowledgedStart *start = start_at (machine, i);
+      MhUnfencedStart *start = start_at (machine, i);
       if (start->index == index && start->attempt == attempt && strcmp (start->job, job) == 0)
         return start;
     }
@@ -35,25 +35,25 @@
 void
 mh_fencing_add_start (MhMachine *machine, const MhCommand *command, guint64 token)
 {
-  MhUnacknowledgedStart start = { .job = g_strdup (command->job),
-                                  .index = command->index,
-                                  .attempt = command->attempt,
-                                  .token = token,
-                                  .incarnation = machine->heartbeat.incarnation };
-  g_array_append_val (machine->fencing.unacknowledged, start);
+  MhUnfencedStart start = { .job = g_strdup (command->job),
+                            .index = command->index,
+                            .attempt = command->attempt,
+                            .token = token,
+                            .incarnation = machine->heartbeat.incarnation };
+  g_array_append_val (machine->fencing.unfenced_starts, start);
 }
 
 void
-mh_fencing_remove_start (MhMachine *machine, const MhUnacknowledgedStart *start)
+mh_fencing_remove_start (MhMachine *machine, const MhUnfencedStart *start)
 {
-  g_array_remove_index_fast (machine->fencing.unacknowledged,
+  g_array_remove_index_fast (machine->fencing.unfenced_starts,
                              (guint)(start - start_at (machine, 0)));
 }
 
 bool
 mh_fencing_has_lost_start (const MhMachine *machine)
 {
-  for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
+  for (guint i = 0; i < machine->fencing.unfenced_starts->len; i++)
     if (start_at (machine, i)->lost)
       return true;
   return false;
@@ -63,11 +63,11 @@
 mh_fencing_forget_fenced (MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  for (guint i = 0; i < machine->fencing.unacknowledged->len;)
+  for (guint i = 0; i < machine->fencing.unfenced_starts->len;)
     {
-      const MhUnacknowledgedStart *start = start_at (machine, i);
+      const MhUnfencedStart *start = start_at (machine, i);
       if (start->incarnation < heartbeat->incarnation || start->token < heartbeat->token)
-        g_array_remove_index_fast (machine->fencing.unacknowledged, i);
+        g_array_remove_index_fast (machine->fencing.unfenced_starts, i);
       else
         i++;
     }
@@ -87,7 +87,7 @@
 would_fence_a_start (const MhCluster *cluster, const MhMachine *machine)
 {
   guint64 token = mh_fencing_token (cluster, machine);
-  for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
+  for (guint i = 0; i < machine->fencing.unfenced_starts->len; i++)
     if (start_at (machine, i)->token == token)
       return true;
   return false;
@@ -97,16 +97,16 @@
 mh_fencing_raise_token (MhCluster *cluster, MhMachine *machine)
 {
   MhMachineFencing *fencing = &machine->fencing;
-  bool wanted = fencing->unacknowledged->len > MAX_UNFENCED_STARTS
+  bool wanted = fencing->unfenced_starts->len > MAX_UNFENCED_STARTS
                 || clear_waits_long (cluster, machine) || mh_fencing_has_lost_start (machine);
   if (!wanted || !would_fence_a_start (cluster, machine))
     return;
-  if (fencing->raises + 2 >= MH_EPOCHS_PER_LEADERSHIP)
+  if (fencing->token_raises + 2 >= MH_EPOCHS_PER_LEADERSHIP)
     {
       mh_election_step_down (cluster->election, MH_LOSS_TOKENS_EXHAUSTED);
       return;
     }
-  fencing->raises++;
+  fencing->token_raises++;
   fencing->clear_held_since_us = 0;
   mh_log_debug (cluster->runtime, "fencing token raised machine=%s token=%" G_GUINT64_FORMAT,
                 machine->name, mh_fencing_token (cluster, machine));
--- a/src/cluster/fencing.h
+++ b/src/cluster/fencing.h
@@ -31,7 +31,7 @@
  * Returns: (transfer none) (nullable): the direct start of the attempt, if it is not fenced yet;
  * valid until the next change of the machine's starts
  */
-MhUnacknowledgedStart *
+MhUnfencedStart *
 mh_fencing_find_start (const MhMachine *machine, const char *job, guint index, guint64 attempt);
 
 /**
@@ -49,7 +49,7 @@
  * @start: one of its starts, of which no copy will be carried out
  */
 void
-mh_fencing_remove_start (MhMachine *machine, const MhUnacknowledgedStart *start);
+mh_fencing_remove_start (MhMachine *machine, const MhUnfencedStart *start);
 
 /**
  * mh_fencing_has_lost_start:
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -26,7 +26,7 @@
 static void
 note_first_message (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
-  mh_boot_time_joined (cluster, machine);
+  mh_boot_time_note_join (cluster, machine);
   for (guint i = 0; i < machine->attempts->len; i++)
     mh_machine_attempt (machine, i)->job->n_unreported--;
   machine->idle_since_us = mh_runtime_now_us (cluster->runtime);
@@ -50,7 +50,7 @@
   if (!heartbeat->ignored_answers)
     machine->probe.failures = 0;
   if (source == MH_MESSAGE_REPORT || first)
-    heartbeat->last_report_us = mh_runtime_now_us (cluster->runtime);
+    heartbeat->last_heartbeat_us = mh_runtime_now_us (cluster->runtime);
   /* What it shows may call for commands; a report is answered with them at once. */
   if (source == MH_MESSAGE_ANSWER)
     mh_machine_schedule_commands (cluster, machine);
@@ -65,10 +65,10 @@
 update_notice (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
 {
   bool noticed = report->notice_us >= 0;
-  if (noticed && machine->notice_until_us < 0)
+  if (noticed && machine->notice_deadline_us < 0)
     mh_log_info (cluster->runtime, "machine has preemption notice machine=%s left_s=%.1f",
                  machine->name, (double)report->notice_us / MH_SECOND_US);
-  machine->notice_until_us
+  machine->notice_deadline_us
       = noticed ? mh_runtime_now_us (cluster->runtime) + report->notice_us : -1;
 }
 
@@ -119,7 +119,7 @@
     return;
   if (machine->endpoint == NULL)
     machine->endpoint = g_strdup (report->endpoint);
-  machine->heartbeat.unverified_us = mh_runtime_now_us (cluster->runtime);
+  machine->heartbeat.last_unverified_us = mh_runtime_now_us (cluster->runtime);
 }
 
 /* ---- whether the last answer has arrived ---- */
--- a/src/cluster/image-wait.c
+++ b/src/cluster/image-wait.c
@@ -3,8 +3,9 @@
 #include "cluster/cluster-state.h"
 #include "protocol/worker-messages.h"
 
-/* Of an image whose fetch should be over by now, so much is taken to be left. */
-#define LEAST_PART_LEFT 0.1
+/* The least fraction of an image that remains to be fetched until the worker shows that it is
+   there, even if the fetch should have ended by now. */
+#define MIN_REMAINING_FRACTION 0.1
 
 static double
 fetch_gb_per_s (const MhMachine *machine)
@@ -12,19 +13,19 @@
   return machine->type && machine->type->fetch_gb_per_s > 0 ? machine->type->fetch_gb_per_s : 1;
 }
 
-/* Gigabytes that are left of an attempt's fetch. */
+/* How many gigabytes of the attempt's image remain to be fetched. */
 static double
-fetch_left_gb (const MhCluster *cluster, const MhAttempt *attempt, double rate)
+remaining_fetch_gb (const MhCluster *cluster, const MhAttempt *attempt, double rate)
 {
   double image_gb = attempt->job->spec->image_gb;
   double fetched_s
       = (double)(mh_runtime_now_us (cluster->runtime) - attempt->placed_us) / MH_SECOND_US;
-  return MAX (image_gb - fetched_s * rate, image_gb * LEAST_PART_LEFT);
+  return MAX (image_gb - fetched_s * rate, image_gb * MIN_REMAINING_FRACTION);
 }
 
-/* Whether an attempt before that one waits for the same image. */
+/* Whether an attempt with a lower index has the same image. */
 static bool
-is_counted_before (const MhMachine *machine, guint index)
+is_image_counted (const MhMachine *machine, guint index)
 {
   const GRefString *image = mh_machine_attempt (machine, index)->job->image;
   for (guint i = 0; i < index; i++)
@@ -47,11 +48,11 @@
       if (mh_attempt_is_stopping (attempt) || attempt->phase != MH_TASK_PHASE_FETCHING_IMAGE
           || mh_machine_has_image (machine, attempt->job->image))
         continue;
-      double left_gb = fetch_left_gb (cluster, attempt, rate);
+      double remaining_gb = remaining_fetch_gb (cluster, attempt, rate);
       if (attempt->job->image == image)
-        return (gint64)(left_gb / rate * MH_SECOND_US);
-      if (!is_counted_before (machine, i))
-        others_gb += left_gb;
+        return (gint64)(remaining_gb / rate * MH_SECOND_US);
+      if (!is_image_counted (machine, i))
+        others_gb += remaining_gb;
     }
   return (gint64)((others_gb + gb) / rate * MH_SECOND_US);
 }
--- a/src/cluster/image-wait.h
+++ b/src/cluster/image-wait.h
@@ -1,4 +1,4 @@
-/* How long a task would wait for its image on a machine. */
+/* Estimates how long a task would wait for its image on a machine. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -11,9 +11,9 @@
  * @image: an interned name
  * @gb: the image's size in gigabytes
  *
- * Returns: for how long a task would wait for the image there, in microseconds: 0 if it is cached,
- * the rest of the fetch if one is under way, else a fetch beside those that are, which may share
- * the rate
+ * Returns: the estimated time that a task would wait for the image there, in microseconds: 0 if the
+ * image is cached; the rest of the fetch if one is in progress; otherwise the time to fetch it
+ * together with the images that are being fetched, which may share the rate
  */
 gint64
 mh_machine_image_wait_us (const MhCluster *cluster, const MhMachine *machine,
--- a/src/cluster/machine-registry.c
+++ b/src/cluster/machine-registry.c
@@ -4,8 +4,9 @@
 
 #include <string.h>
 
-/* Copies of a machine's reports, and lists that name it, may come so long after its end. */
-#define REMEMBER_RELEASED_US (900 * MH_SECOND_US)
+/* How long the name of a released machine is remembered. Delayed copies of its heartbeats and
+   machine lists that name it may arrive for this long after its release. */
+#define RELEASED_NAME_RETENTION_US (900 * MH_SECOND_US)
 
 typedef struct
 {
@@ -69,7 +70,7 @@
   return machine;
 }
 
-/* ---- machines that are gone ---- */
+/* ---- released machines ---- */
 
 bool
 mh_cluster_was_released (const MhCluster *cluster, const char *name)
@@ -91,7 +92,7 @@
 mh_cluster_forget_old_releases (MhCluster *cluster, gint64 now_us)
 {
   for (ReleasedMachine *oldest; (oldest = g_queue_peek_head (&cluster->released_order))
-                                && now_us - oldest->released_us > REMEMBER_RELEASED_US;)
+                                && now_us - oldest->released_us > RELEASED_NAME_RETENTION_US;)
     {
       g_hash_table_remove (cluster->released, oldest->name);
       released_machine_free (g_queue_pop_head (&cluster->released_order));
@@ -108,16 +109,16 @@
 /* ---- silence ---- */
 
 gint64
-mh_cluster_silence_us (const MhCluster *cluster, gint64 heard_us)
+mh_cluster_silence_us (const MhCluster *cluster, gint64 last_message_us)
 {
   return mh_runtime_now_us (cluster->runtime)
-         - MAX (heard_us, mh_runtime_resumed_us (cluster->runtime));
+         - MAX (last_message_us, mh_runtime_resumed_us (cluster->runtime));
 }
 
 bool
-mh_cluster_is_silent (const MhCluster *cluster, const MhMachine *machine, gint64 for_us)
+mh_cluster_is_silent (const MhCluster *cluster, const MhMachine *machine, gint64 threshold_us)
 {
-  return mh_cluster_silence_us (cluster, machine->heartbeat.last_message_us) > for_us;
+  return mh_cluster_silence_us (cluster, machine->heartbeat.last_message_us) > threshold_us;
 }
 
 void
--- a/src/cluster/machine-state.c
+++ b/src/cluster/machine-state.c
@@ -1,7 +1,7 @@
 #include "cluster/machine-state.h"
 
 bool
-mh_machine_state_after (MhMachineState *state, MhMachineEvent event)
+mh_machine_state_apply (MhMachineState *state, MhMachineEvent event)
 {
   MhMachineState before = *state;
   if (before == MH_MACHINE_RELEASED)
@@ -21,10 +21,10 @@
         return false;
       *state = MH_MACHINE_JOINED;
       return true;
-    case MH_MACHINE_EVENT_RELEASE_WANTED:
+    case MH_MACHINE_EVENT_RELEASE_REQUESTED:
       *state = MH_MACHINE_RELEASING;
       return true;
-    /* Whatever was known here, the cloud's word is proof. */
+    /* The cloud's confirmation is proof in every state. */
     case MH_MACHINE_EVENT_RELEASE_CONFIRMED:
       *state = MH_MACHINE_RELEASED;
       return true;
--- a/src/cluster/machine.c
+++ b/src/cluster/machine.c
@@ -1,12 +1,12 @@
 #include "cluster/machine.h"
 
-/* Where a type says nothing of its processors. */
-#define LEAST_CPUS 1e-3
+/* Avoids a division by zero for a type that does not state its processors. */
+#define MIN_CPUS 1e-3
 
 static void
-unacknowledged_clear (gpointer data)
+unfenced_start_clear (gpointer data)
 {
-  MhUnacknowledgedStart *start = data;
+  MhUnfencedStart *start = data;
   g_free (start->job);
 }
 
@@ -32,13 +32,13 @@
   machine->name = g_strdup (name);
   machine->discovered_us = now_us;
   machine->idle_since_us = now_us;
-  machine->boot.rented_us = now_us;
+  machine->boot.created_us = now_us;
   machine->heartbeat.last_message_us = now_us;
-  machine->heartbeat.last_report_us = now_us;
-  machine->notice_until_us = -1;
+  machine->heartbeat.last_heartbeat_us = now_us;
+  machine->notice_deadline_us = -1;
   machine->attempts = g_ptr_array_new ();
-  machine->fencing.unacknowledged = g_array_new (FALSE, FALSE, sizeof (MhUnacknowledgedStart));
-  g_array_set_clear_func (machine->fencing.unacknowledged, unacknowledged_clear);
+  machine->fencing.unfenced_starts = g_array_new (FALSE, FALSE, sizeof (MhUnfencedStart));
+  g_array_set_clear_func (machine->fencing.unfenced_starts, unfenced_start_clear);
   machine->orphans = g_array_new (FALSE, FALSE, sizeof (MhOrphan));
   g_array_set_clear_func (machine->orphans, orphan_clear);
   machine->images = g_ptr_array_new_with_free_func (image_free);
@@ -55,7 +55,7 @@
   g_clear_pointer (&machine->zone, g_ref_string_release);
   g_free (machine->type_name);
   g_ptr_array_unref (machine->attempts);
-  g_array_unref (machine->fencing.unacknowledged);
+  g_array_unref (machine->fencing.unfenced_starts);
   g_array_unref (machine->orphans);
   g_ptr_array_unref (machine->images);
   g_ptr_array_unref (machine->failures.jobs);
@@ -65,7 +65,7 @@
 void
 mh_machine_change_state (MhMachine *machine, MhMachineEvent event)
 {
-  bool accepted = mh_machine_state_after (&machine->state, event);
+  bool accepted = mh_machine_state_apply (&machine->state, event);
   g_return_if_fail (accepted);
 }
 
@@ -78,7 +78,7 @@
 double
 mh_machine_hourly_cpu_price (const MhMachine *machine)
 {
-  return mh_machine_hourly_price (machine) / MAX (machine->type->cpus, LEAST_CPUS);
+  return mh_machine_hourly_price (machine) / MAX (machine->type->cpus, MIN_CPUS);
 }
 
 /* ---- images ---- */
@@ -98,7 +98,7 @@
   return false;
 }
 
-/* Takes the image out of the cache's order; NULL: it is not there. */
+/* Removes the image from the list of cached images and returns it; NULL: it is not cached. */
 static MhMachineImage *
 steal_image (MhMachine *machine, const GRefString *name)
 {
@@ -109,7 +109,7 @@
 }
 
 static void
-drop_least_recently_used (MhMachine *machine, double added_gb)
+evict_least_recently_used (MhMachine *machine, double added_gb)
 {
   double total_gb = added_gb;
   for (guint i = 0; i < machine->images->len; i++)
@@ -134,6 +134,6 @@
       image->name = g_ref_string_acquire (name);
       image->gb = gb;
     }
-  drop_least_recently_used (machine, gb);
+  evict_least_recently_used (machine, gb);
   g_ptr_array_add (machine->images, image);
 }
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -1,55 +1,60 @@
-/* A machine: what it is, and what is known of its boot, its heartbeats and its failures. */
+/* A machine: its identity and state, and what the leader knows of its boot, heartbeats, probes,
+   load and failures. */
 #pragma once
 
 #include "cluster/machine-state.h"
 #include "jobs/job.h"
 #include "protocol/cloud-messages.h"
 
-/** MhMachine: a machine, as the leader knows it. */
+/** MhMachine: a machine as the leader knows it. */
 typedef struct MhMachine MhMachine;
 
-/** Answers in a row of which the next report shows nothing, after which nothing is taken to reach
-   the machine. */
+/** After this many consecutive heartbeat answers without a visible effect in the next heartbeat,
+   the machine is considered to receive nothing. */
 #define MH_MAX_IGNORED_ANSWERS 2u
 
 /**
  * MhMachineBoot:
- * @rented_here: this leader rented it
- * @rented_us: monotonic time of the rental, in microseconds; where that is not known, of its
- * discovery
- * @late_age_us: its age when it was found late in joining, in microseconds; 0: it is not late
+ * @created_here: this leader created the machine
+ * @created_us: monotonic time of its creation, in microseconds; of its discovery if the creation
+ * time is not known
+ * @late_age_us: the machine's age when it was found to be late to join, in microseconds; 0: it is
+ * not late
  *
- * From the rental to the first report.
+ * The time from a machine's creation to its first heartbeat.
  */
 typedef struct
 {
-  bool rented_here;
-  gint64 rented_us;
+  bool created_here;
+  gint64 created_us;
   gint64 late_age_us;
 } MhMachineBoot;
 
 /**
  * MhMachineHeartbeat:
- * @reported: its worker has reported to this leader for certain: with its token, or asked by it
- * @last_message_us: when its worker was last heard in any way
- * @last_report_us: when the last report came that it sent by itself, or the first message
- * @unverified_us: when a report of unknown age came; 0: none did
+ * @reported: a message has come from its worker that certainly belongs to this leadership: a
+ * heartbeat with one of its tokens, or an answer to its probe or direct command
+ * @last_message_us: when the last message of any kind came from its worker
+ * @last_heartbeat_us: when the last heartbeat came, or the first message if that is later
+ * @last_unverified_us: when the last heartbeat came that may have been sent before this leadership;
+ * 0: none has come
  * @incarnation: the worker's incarnation, in its newest message
- * @sequence: the report's number in the incarnation
- * @token: the highest fencing token that the worker has seen
- * @unreadable_tasks: tasks in the newest message whose jobs have records that are not understood
- * @answer_pending: the last answer must show in the next report
+ * @sequence: the newest message's number in that incarnation
+ * @token: the highest fencing token that the worker has seen, as of its newest message
+ * @unreadable_tasks: tasks in the newest message whose jobs have records that this version cannot
+ * read
+ * @answer_pending: the effect of the last answer to a heartbeat must show in the next heartbeat
  * @answered_token: the token in that answer
- * @answered_sequence: the number of the report that was answered
- * @ignored_answers: answers in a row that the next report shows nothing of
+ * @answered_sequence: the sequence number of the heartbeat that was answered
+ * @ignored_answers: consecutive answers without a visible effect in the next heartbeat
  *
- * What a worker has said, and what it was answered (PROTOCOL, "Workers"). Times are monotonic, in
- * microseconds.
+ * The messages of a worker and the answers to its heartbeats (PROTOCOL, "Workers"). Times are
+ * monotonic, in microseconds.
  */
 typedef struct
 {
   bool reported;
-  gint64 last_message_us, last_report_us, unverified_us;
+  gint64 last_message_us, last_heartbeat_us, last_unverified_us;
   guint64 incarnation, sequence, token;
   guint unreadable_tasks;
   bool answer_pending;
@@ -59,13 +64,14 @@
 
 /**
  * MhMachineProbe:
- * @in_flight: a question to its worker has no answer yet
- * @failures: questions in a row without an answer
- * @first_sent_us: when it was first asked since it was last heard
- * @incarnation: of the newest message that was known when it was last asked
- * @sequence: of that message
+ * @in_flight: a probe of its worker is in flight
+ * @failures: consecutive failed probes
+ * @first_sent_us: when the first of the current series of probes was sent
+ * @incarnation: the worker's incarnation in the newest message that was known when the last probe
+ * was sent; 0: none was
+ * @sequence: the sequence number of that message
  *
- * Questions to a silent machine's worker whether it is alive.
+ * The probes of a silent machine.
  */
 typedef struct
 {
@@ -76,48 +82,54 @@
 } MhMachineProbe;
 
 /**
- * MhUnacknowledgedStart:
+ * MhUnfencedStart:
  * @job: (transfer full): the job's id
- * @index: of the task
- * @attempt: of the task
+ * @index: index of the task
+ * @attempt: number of the task's attempt
  * @token: the fencing token of the command
  * @incarnation: the worker's incarnation that the command is for
- * @answered: it was carried out
- * @lost: no answer will come
+ * @acknowledged: the worker has carried it out
+ * @lost: the call failed, and whether the worker has carried out the start is unknown
  *
- * A start that was sent straight to the worker: it, or a late copy of it, may be carried out at any
- * later time, as long as incarnation and token still match.
+ * A start command that was sent directly to the worker and is not fenced yet. It, or a delayed copy
+ * of it, may be carried out at any later time, as long as the worker has that incarnation and has
+ * seen no higher token.
  */
 typedef struct
 {
   char *job;
   guint index;
   guint64 attempt, token, incarnation;
-  bool answered, lost;
-} MhUnacknowledgedStart;
+  bool acknowledged, lost;
+} MhUnfencedStart;
 
 /**
  * MhMachineFencing:
- * @raises: how often its token was raised in this leadership
- * @clear_held_since_us: since when a clear waits until no late copy of a start can follow it; 0:
- * none does
- * @unacknowledged: (element-type MhUnacknowledgedStart): direct starts that are not fenced yet
+ * @token_raises: how often the machine's token was raised in this leadership
+ * @clear_held_since_us: since when the clear command for an ended attempt has been held back,
+ * because a delayed copy of the attempt's start could arrive after it; 0: none is held back
+ * @unfenced_starts: (element-type MhUnfencedStart): direct starts that are not fenced yet
+ *
+ * Fencing of direct starts; see fencing.h.
  */
 typedef struct
 {
-  guint raises;
+  guint token_raises;
   gint64 clear_held_since_us;
-  GArray *unacknowledged;
+  GArray *unfenced_starts;
 } MhMachineFencing;
 
 /**
  * MhMachineUsage:
- * @cpus: what its attempts occupy, in processors
- * @gpus: in accelerators
- * @mem_gb: in gigabytes of memory
- * @reserved_cpus: what this placement pass keeps for tasks that wait for preempted ones
- * @reserved_mem_gb: of memory
- * @replicas: how many of its attempts are of services
+ * @cpus: processors that its attempts occupy
+ * @gpus: accelerators that they occupy
+ * @mem_gb: memory that they occupy, in gigabytes
+ * @reserved_cpus: processors that this placement pass reserves for tasks that wait for preempted
+ * ones to end
+ * @reserved_mem_gb: memory that it reserves for them, in gigabytes
+ * @replicas: number of its attempts that are service replicas
+ *
+ * The resources of a machine that are in use.
  */
 typedef struct
 {
@@ -128,10 +140,10 @@
 
 /**
  * MhMachineFailures:
- * @consecutive: failed tasks since one last completed here, of jobs that run elsewhere
- * @jobs: (element-type utf8): ids of jobs that failed here and have run nowhere yet
+ * @consecutive: failed tasks of jobs that are known to run, since a task last completed here
+ * @jobs: (element-type utf8): ids of jobs that failed here and have not run anywhere yet
  *
- * Task failures that may be the machine's fault; see task-failure.h.
+ * Task failures that the machine may have caused; see task-failure.h.
  */
 typedef struct
 {
@@ -142,11 +154,12 @@
 /**
  * MhOrphan:
  * @job: (transfer full): the job's id
- * @index: of the task
- * @attempt: of the task
- * @ended: it runs no more, and its worker remembers it
+ * @index: index of the task
+ * @attempt: number of the task's attempt
+ * @ended: it no longer runs, but its worker still lists it
  *
- * A task that a worker shows and that is no live attempt of ours on its machine.
+ * An orphaned attempt: one that the worker lists and that is not a live attempt on this machine
+ * according to the leader.
  */
 typedef struct
 {
@@ -160,6 +173,8 @@
  * MhMachineImage:
  * @name: interned, with a reference
  * @gb: its size in gigabytes
+ *
+ * An image in a machine's cache.
  */
 typedef struct
 {
@@ -171,29 +186,33 @@
  * MhMachine:
  * @name: its name in the cloud
  * @endpoint: (nullable): its worker's address; %NULL: not known yet
- * @type_name: (nullable): of its type; %NULL: known by its name alone
- * @zone: (nullable): interned
- * @type: (nullable): %NULL: not known, or not offered any more
- * @type_index: of @type, in mh_cluster_types()
- * @zone_index: of its zone, in this placement pass
- * @spot: it may be taken back by the cloud after a notice
+ * @type_name: (nullable): the name of its type; %NULL: only the machine's name is known
+ * @zone: (nullable): its zone, interned; %NULL: not known yet
+ * @type: (nullable): its type; %NULL: not known, or no longer offered
+ * @type_index: index of @type in mh_cluster_types()
+ * @zone_index: index of its zone in this placement pass
+ * @spot: it is a spot machine, which the cloud may reclaim after a preemption notice
  * @listed_running: the cloud's list shows it as running
- * @state: changes in mh_machine_change_state() alone
- * @commands_due: it is looked at for commands in this step
- * @direct_commands_in_flight: direct commands without an answer yet
- * @discovered_us: monotonic time since which it is known, in microseconds
+ * @state: its state; changed by mh_machine_change_state() only
+ * @commands_due: unsent commands are sent to it in the next step
+ * @direct_commands_in_flight: number of direct commands that are in flight
+ * @discovered_us: monotonic time at which this leader learned of it, in microseconds
  * @idle_since_us: since when it has held no attempt
- * @notice_until_us: when the cloud takes it back; -1: no notice
- * @no_start_before_us: it failed or refused a task, or the image came late
- * @attempts: (element-type MhAttempt): not owned
- * @orphans: (element-type MhOrphan): in the newest message
- * @images: (element-type MhMachineImage): cached ones, the last one used stands last
- * @boot: until its first report
- * @heartbeat: what its worker has said
- * @probe: whether it is being asked
- * @fencing: of late commands
- * @usage: what its attempts occupy
- * @failures: of tasks
+ * @notice_deadline_us: when the cloud reclaims it, according to its preemption notice; -1: no
+ * notice
+ * @no_start_before_us: nothing is placed on it before this time, because it failed or refused a
+ * task or did not fetch the image of a gang's task in time
+ * @attempts: (element-type MhAttempt): its attempts, not owned
+ * @orphans: (element-type MhOrphan): orphaned attempts in the newest message
+ * @images: (element-type MhMachineImage): cached images, the least recently used one first
+ * @boot: its boot
+ * @heartbeat: messages from its worker
+ * @probe: probes of its worker
+ * @fencing: fencing of direct starts
+ * @usage: resources that its attempts occupy
+ * @failures: task failures on it
+ *
+ * Times are monotonic, in microseconds.
  */
 struct MhMachine
 {
@@ -205,7 +224,7 @@
   MhMachineState state;
   bool commands_due;
   guint direct_commands_in_flight;
-  gint64 discovered_us, idle_since_us, notice_until_us, no_start_before_us;
+  gint64 discovered_us, idle_since_us, notice_deadline_us, no_start_before_us;
   GPtrArray *attempts;
   GArray *orphans;
   GPtrArray *images;
@@ -222,14 +241,14 @@
  * @name: its name in the cloud
  * @now_us: monotonic time, in microseconds
  *
- * Returns: (transfer full): a machine of which nothing else is known; free with mh_machine_free()
+ * Returns: (transfer full): a machine of which only the name is known; free with mh_machine_free()
  */
 MhMachine *
 mh_machine_new (const char *name, gint64 now_us);
 
 /**
  * mh_machine_free:
- * @machine: (transfer full): an #MhMachine; its attempts are left alone
+ * @machine: (transfer full): an #MhMachine; its attempts are not freed
  */
 void
 mh_machine_free (gpointer machine);
@@ -237,7 +256,9 @@
 /**
  * mh_machine_change_state:
  * @machine: a machine
- * @event: something that can happen to it in its state
+ * @event: an event that is valid in its state
+ *
+ * Applies the event to the machine's state.
  */
 void
 mh_machine_change_state (MhMachine *machine, MhMachineEvent event);
@@ -246,7 +267,7 @@
  * mh_machine_is_draining:
  * @machine: a machine
  *
- * Returns: %TRUE if it takes nothing new, and what it holds is moved
+ * Returns: %TRUE if nothing new is placed on it and its tasks are moved elsewhere
  */
 static inline bool
 mh_machine_is_draining (const MhMachine *machine)
@@ -258,7 +279,7 @@
  * mh_machine_is_releasing:
  * @machine: a machine
  *
- * Returns: %TRUE if it is being given back; what it holds counts until that is confirmed
+ * Returns: %TRUE if it is being released; its attempts count as live until the release is confirmed
  */
 static inline bool
 mh_machine_is_releasing (const MhMachine *machine)
@@ -269,9 +290,9 @@
 /**
  * mh_machine_attempt:
  * @machine: a machine
- * @index: below the number of its attempts
+ * @index: less than the number of its attempts
  *
- * Returns: (transfer none): one of its attempts, in no particular order
+ * Returns: (transfer none): the attempt at @index; the order has no meaning
  */
 static inline MhAttempt *
 mh_machine_attempt (const MhMachine *machine, guint index)
@@ -283,7 +304,7 @@
  * mh_machine_hourly_price:
  * @machine: a machine whose type is known
  *
- * Returns: what it costs an hour
+ * Returns: its price per hour
  */
 double
 mh_machine_hourly_price (const MhMachine *machine);
@@ -292,7 +313,7 @@
  * mh_machine_hourly_cpu_price:
  * @machine: a machine whose type is known
  *
- * Returns: what one of its processors costs an hour
+ * Returns: the price of one of its processors per hour
  */
 double
 mh_machine_hourly_cpu_price (const MhMachine *machine);
@@ -302,7 +323,7 @@
  * @machine: a machine
  * @image: an interned name
  *
- * Returns: %TRUE if the image is taken to be cached there
+ * Returns: %TRUE if the image is expected to be in the machine's cache
  */
 bool
 mh_machine_has_image (const MhMachine *machine, const GRefString *image);
@@ -313,8 +334,9 @@
  * @image: (transfer none): an interned name
  * @gb: the image's size in gigabytes
  *
- * Notes that a task there has its image. Workers drop the least recently used images when the cache
- * is full, and do not tell which: this is an account of its own.
+ * Marks the image as the most recently used one in the machine's cache. Workers evict the least
+ * recently used images when the cache is full and do not report which, so the leader keeps its own
+ * model of the cache.
  */
 void
 mh_machine_add_image (MhMachine *machine, GRefString *image, double gb);
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -178,9 +178,9 @@
   /* One that was never shown is simply started again. */
   if (source == MH_MESSAGE_ANSWER || (!attempt->shown && !mh_attempt_is_stopping (attempt)))
     return false;
-  const MhUnacknowledgedStart *direct
+  const MhUnfencedStart *direct
       = mh_fencing_find_start (machine, attempt->job->spec->id, attempt->index, attempt->attempt);
-  if (direct && !direct->answered)
+  if (direct && !direct->acknowledged)
     return false;
   return attempt->start_sequence == 0 || heartbeat->sequence > attempt->start_sequence;
 }
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -137,7 +137,7 @@
   for (guint i = 0; i < machine->orphans->len; i++)
     {
       const MhOrphan *orphan = &g_array_index (machine->orphans, MhOrphan, i);
-      const MhUnacknowledgedStart *start
+      const MhUnfencedStart *start
           = mh_fencing_find_start (machine, orphan->job, orphan->index, orphan->attempt);
       if (!orphan->ended)
         stop_orphan (cluster, machine, orphan, commands);
--- a/src/controller/cluster-callbacks.c
+++ b/src/controller/cluster-callbacks.c
@@ -43,8 +43,8 @@
     .release_machine = release_machine,
     .capacity_changed = capacity_changed,
     .gang_loaded = gang_loaded,
-    .gang_task_over = gang_task_over,
-    .gang_stop = gang_stop,
+    .gang_attempt_ended = gang_task_over,
+    .stop_gang = gang_stop,
   };
   return &callbacks;
 }
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -22,7 +22,7 @@
   mh_recovery_begin (core->recovery, mh_runtime_now_us (core->runtime),
                      core->settings->report_interval_us);
   mh_placement_request_pass (core->placement, false);
-  mh_cluster_records_loaded (core->cluster);
+  mh_cluster_resume_loaded_jobs (core->cluster);
   mh_log_info (core->runtime, "records loaded, waiting for the workers' reports unfinished_jobs=%u",
                g_hash_table_size (core->jobs));
 }
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -30,9 +30,9 @@
 is_usable (const MhPlacementPass *pass, const MhMachine *machine)
 {
   return is_live (machine) && !mh_machine_is_draining (machine)
-         && !machine->heartbeat.ignored_answers && machine->notice_until_us < 0
+         && !machine->heartbeat.ignored_answers && machine->notice_deadline_us < 0
          && pass->now_us >= machine->no_start_before_us
-         && !mh_failure_is_report_overdue (pass->cluster, machine);
+         && !mh_failure_is_heartbeat_overdue (pass->cluster, machine);
 }
 
 static void
@@ -42,10 +42,10 @@
       || machine->zone == NULL || machine->boot.late_age_us)
     return;
   gint64 boot_us = machine->type->boot_us;
-  if (pass->now_us - machine->boot.rented_us > MAX_BOOT_TIMES * boot_us)
+  if (pass->now_us - machine->boot.created_us > MAX_BOOT_TIMES * boot_us)
     return;
   MhArrival arrival = { .machine = machine,
-                        .arrives_us = MAX (machine->boot.rented_us + boot_us,
+                        .arrives_us = MAX (machine->boot.created_us + boot_us,
                                            pass->now_us + boot_us / LATE_BOOT_PART),
                         .cpus = machine->type->cpus,
                         .mem_gb = machine->type->mem_gb };
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -309,7 +309,7 @@
   MhMachine *machine = mh_cluster_add_machine (fixture->core->cluster, name, "small", zone, false);
   machine->heartbeat.reported = true;
   mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
-  machine->boot.rented_us = START_US - 1000 * MH_SECOND_US;
+  machine->boot.created_us = START_US - 1000 * MH_SECOND_US;
   machine->idle_since_us = START_US;
   return machine;
 }
@@ -578,7 +578,7 @@
   (void)data;
   MhMachine *idle = add_machine (fixture, "vm-1", "a");
   MhMachine *young = add_machine (fixture, "vm-2", "a");
-  young->boot.rented_us = START_US - 10 * MH_SECOND_US;
+  young->boot.created_us = START_US - 10 * MH_SECOND_US;
   mh_scale_in_step (fixture->scale_in);
   g_assert_false (mh_machine_is_releasing (idle));
   set_time (fixture, START_US + 9 * MH_SECOND_US);
--- a/tests/test-cluster-states.c
+++ b/tests/test-cluster-states.c
@@ -77,7 +77,7 @@
   for (int event = 0; event <= MH_MACHINE_EVENT_RELEASE_CONFIRMED; event++)
     {
       MhMachineState state = before;
-      bool accepted = mh_machine_state_after (&state, (MhMachineEvent)event);
+      bool accepted = mh_machine_state_apply (&state, (MhMachineEvent)event);
       g_assert_cmpint (accepted, ==, row->after[event] != REFUSED);
       g_assert_cmpint (state, ==, accepted ? (MhMachineState)row->after[event] : before);
     }
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -314,7 +314,8 @@
   spec->estimated_run_us = 60 * MH_SECOND_US;
   simulation_submit (simulation, spec, 60);
   simulation_run (simulation, 8);
-  g_assert_true (simulation_logged (simulation, "zone silent, taken for partitioned"));
+  g_assert_true (
+      simulation_logged (simulation, "zone considered partitioned, no messages from its workers"));
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -132,11 +132,11 @@
   machine->heartbeat.reported = random_below (fixture, 10) > 0;
   if (machine->heartbeat.reported)
     mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
-  machine->boot.rented_us = 0; /* none that is about to come */
+  machine->boot.created_us = 0; /* none that is about to come */
   if (random_below (fixture, 12) == 0 && machine->heartbeat.reported)
     mh_machine_change_state (machine, MH_MACHINE_EVENT_DRAIN_STARTED);
   if (random_below (fixture, 12) == 0)
-    machine->notice_until_us = mh_runtime_now_us (fixture->core->runtime) + MH_SECOND_US;
+    machine->notice_deadline_us = mh_runtime_now_us (fixture->core->runtime) + MH_SECOND_US;
   for (guint i = random_below (fixture, 4); i > 0; i--)
     {
       g_autofree char *image = g_strdup_printf ("img-%u", random_below (fixture, 6));
@@ -284,7 +284,7 @@
 admits (const Fixture *fixture, const MhJobSpec *spec, const MhMachine *machine)
 {
   bool usable = machine->heartbeat.reported && !mh_machine_is_draining (machine)
-                && machine->notice_until_us < 0;
+                && machine->notice_deadline_us < 0;
   return usable && (!machine->spot || spec->spot) && spec->cpus <= machine->type->cpus
          && spec->mem_gb <= machine->type->mem_gb
          && zone_is (only_zone (fixture, spec), machine->zone);
