--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -334,10 +334,10 @@
   silence.probe_us = silence.overdue_us + PROBE_MARGIN_US;
   silence.replica_probe_us = replica_probe_time_us (cluster, &counts, &silence);
   silence.unreported_release_us = settings->silence_limit_us + LEADER_DISCOVERY_GRACE_US;
-  /* When most machines are silent at once, it is more likely that this leader is partitioned. When
-     most have not reported, a former leader that is cut off from the key-value store alone may
-     still answer all workers for a while. Without these longer limits, a new leader released a
-     whole fleet of working machines. */
+  /* When most machines are silent at once, it is more likely that this leader is partitioned than
+     that all of them have failed. When most have not reported, a former leader that is cut off from
+     the key-value store alone may still answer all workers for a while. Without these longer
+     limits, a new leader released a whole fleet of working machines. */
   if (is_majority (counts.silent, &counts))
     {
       silence.leader_partitioned = true;
