--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -92,7 +92,7 @@
   const MhTeamUse none = { 0 };
   return mh_quota_allowed_tasks (context->settings,
                                  mh_cluster_team_use (context->cluster, job->spec->team), job,
-                                 &none, mh_task_failure_startable (context->cluster, job));
+                                 &none, mh_task_failure_count_startable (context->cluster, job));
 }
 
 static guint
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -210,7 +210,7 @@
   /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
   guint tasks
       = mh_quota_allowed_tasks (plan->context->settings, mh_cluster_team_use (cluster, spec->team),
-                                job, use, mh_task_failure_rentable (cluster, job));
+                                job, use, mh_task_failure_count_scale_out (cluster, job));
   use->cpus += spec->cpus * tasks;
   use->gpus += spec->gpus * tasks;
   if (tasks > 0)
--- a/src/cluster/attempt-state.h
+++ b/src/cluster/attempt-state.h
@@ -1,57 +1,58 @@
-/* The states of an attempt and the transitions between them, and nothing else. */
+/* The states of an attempt and the transitions between them, without side effects. */
 #pragma once
 
 #include <stdbool.h>
 
 /**
  * MhAttemptState:
- * @MH_ATTEMPT_RECORDED: placed, and no start of this leader's is on its way. Of an attempt from an
- *   earlier leader nobody here knows what was sent
- * @MH_ATTEMPT_START_IN_FLIGHT: a start may have left, and the worker has not shown the attempt yet
- * @MH_ATTEMPT_FETCHING: the worker has shown it waiting, for its image or for the rest of its gang
- * @MH_ATTEMPT_RUNNING: the worker has shown it running, or saving a checkpoint
- * @MH_ATTEMPT_STOPPING: it is to be stopped, whatever the worker shows
- * @MH_ATTEMPT_OVER: proven over; it occupies nothing any more
+ * @MH_ATTEMPT_PLACED: has a machine, and no start of this leader is in flight. If an earlier leader
+ *   placed it, it is not known whether that leader sent a start
+ * @MH_ATTEMPT_START_IN_FLIGHT: a start may have been sent, and the worker has not reported the
+ *   attempt yet
+ * @MH_ATTEMPT_WAITING: the worker has reported that it waits for its image or for its gang
+ * @MH_ATTEMPT_RUNNING: the worker has reported that it runs or saves a checkpoint
+ * @MH_ATTEMPT_STOPPING: a stop was requested, whatever the worker reports
+ * @MH_ATTEMPT_ENDED: it can no longer run, and occupies nothing
  */
 typedef enum
 {
-  MH_ATTEMPT_RECORDED,
+  MH_ATTEMPT_PLACED,
   MH_ATTEMPT_START_IN_FLIGHT,
-  MH_ATTEMPT_FETCHING,
+  MH_ATTEMPT_WAITING,
   MH_ATTEMPT_RUNNING,
   MH_ATTEMPT_STOPPING,
-  MH_ATTEMPT_OVER
+  MH_ATTEMPT_ENDED
 } MhAttemptState;
 
 /**
  * MhAttemptEvent:
- * @MH_ATTEMPT_EVENT_START_SENT: a start goes out, perhaps once more
- * @MH_ATTEMPT_EVENT_START_REFUSED: the worker refused the only start, and will carry out no copy of
- * it
- * @MH_ATTEMPT_EVENT_SHOWN_WAITING: the worker shows it before it runs
- * @MH_ATTEMPT_EVENT_SHOWN_RUNNING: the worker shows it running, or saving
- * @MH_ATTEMPT_EVENT_STOP_WANTED: it is to be stopped, perhaps sooner than before
- * @MH_ATTEMPT_EVENT_PROVEN_OVER: it can no longer run
+ * @MH_ATTEMPT_EVENT_START_SENT: a start is sent, for the first time or again
+ * @MH_ATTEMPT_EVENT_START_REFUSED: the worker refused the only start, and will refuse each copy of
+ *   it
+ * @MH_ATTEMPT_EVENT_REPORTED_WAITING: the worker reports it before it runs
+ * @MH_ATTEMPT_EVENT_REPORTED_RUNNING: the worker reports it running or saving a checkpoint
+ * @MH_ATTEMPT_EVENT_STOP_REQUESTED: it is to be stopped; if a stop was requested before, with a
+ *   shorter grace period
+ * @MH_ATTEMPT_EVENT_PROVEN_ENDED: there is proof that it can no longer run
  */
 typedef enum
 {
   MH_ATTEMPT_EVENT_START_SENT,
   MH_ATTEMPT_EVENT_START_REFUSED,
-  MH_ATTEMPT_EVENT_SHOWN_WAITING,
-  MH_ATTEMPT_EVENT_SHOWN_RUNNING,
-  MH_ATTEMPT_EVENT_STOP_WANTED,
-  MH_ATTEMPT_EVENT_PROVEN_OVER
+  MH_ATTEMPT_EVENT_REPORTED_WAITING,
+  MH_ATTEMPT_EVENT_REPORTED_RUNNING,
+  MH_ATTEMPT_EVENT_STOP_REQUESTED,
+  MH_ATTEMPT_EVENT_PROVEN_ENDED
 } MhAttemptEvent;
 
 /**
- * mh_attempt_state_after:
- * @state: (inout): the state in which the event finds the attempt; unchanged if it is refused
+ * mh_attempt_state_apply:
+ * @state: (inout): the state before the event; unchanged if the event is refused
  * @event: what happens
  *
- * The one place that knows the transitions. A stop is never taken back, and nothing follows the
- * end.
+ * Defines all transitions. A requested stop is never revoked, and %MH_ATTEMPT_ENDED is final.
  *
  * Returns: %FALSE if the event cannot happen in that state
  */
 bool
-mh_attempt_state_after (MhAttemptState *state, MhAttemptEvent event);
+mh_attempt_state_apply (MhAttemptState *state, MhAttemptEvent event);
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -1,4 +1,4 @@
-/* Placing, stopping and ending attempts, and what they occupy meanwhile. */
+/* Creates, stops and ends attempts, and keeps account of the resources that they occupy. */
 #include "cluster/attempt.h"
 #include "cluster/cluster-state.h"
 #include "cluster/machine-registry.h"
@@ -7,35 +7,36 @@
 static void
 change_state (MhAttempt *attempt, MhAttemptEvent event)
 {
-  bool accepted = mh_attempt_state_after (&attempt->state, event);
+  bool accepted = mh_attempt_state_apply (&attempt->state, event);
   g_return_if_fail (accepted);
 }
 
-/* ---- what attempts occupy ---- */
+/* ---- resource usage ---- */
 
 static MhTeamUse *
-team_use (MhCluster *cluster, const char *team_name)
+find_or_add_team_use (MhCluster *cluster, const char *team_name)
 {
   MhTeamUse *use = g_hash_table_lookup (cluster->team_use, team_name);
   if (use == NULL)
     {
       const MhTeam *team = mh_settings_team (cluster->settings, team_name);
       use = g_new0 (MhTeamUse, 1);
-      /* A team that the settings no longer name still has its name in its jobs' specs, but those
-         go away; the settings' copy stays. */
+      /* The table does not own its keys. The settings keep their copy of the name; a team that the
+         settings no longer contain is named only by its jobs' specs, which are freed, so its name
+         is interned. */
       const char *key = team ? team->name : g_intern_string (team_name);
       g_hash_table_insert (cluster->team_use, (gpointer)key, use);
     }
   return use;
 }
 
-/* `sign` 1: the attempt occupies its share from now on; -1: no longer. */
+/* Adds (@sign 1) or subtracts (@sign -1) what the attempt occupies. */
 static void
-account (MhCluster *cluster, const MhAttempt *attempt, int sign)
+update_usage (MhCluster *cluster, const MhAttempt *attempt, int sign)
 {
   const MhJobSpec *spec = attempt->job->spec;
   MhMachine *machine = attempt->machine;
-  MhTeamUse *team = team_use (cluster, spec->team);
+  MhTeamUse *team = find_or_add_team_use (cluster, spec->team);
   team->cpus += sign * spec->cpus;
   team->gpus += sign * spec->gpus;
   machine->usage.cpus += sign * spec->cpus;
@@ -57,7 +58,7 @@
   MhAttempt *attempt = g_new0 (MhAttempt, 1);
   attempt->job = job;
   attempt->index = index;
-  attempt->attempt = task->attempt = number;
+  attempt->number = task->attempt = number;
   attempt->machine = machine;
   attempt->placed_us = mh_runtime_now_us (cluster->runtime);
   attempt->phase = MH_TASK_PHASE_FETCHING_IMAGE;
@@ -65,7 +66,7 @@
   task->state = MH_TASK_LIVE;
   job->n_live++;
   g_ptr_array_add (machine->attempts, attempt);
-  account (cluster, attempt, 1);
+  update_usage (cluster, attempt, 1);
   return attempt;
 }
 
@@ -78,22 +79,22 @@
   return attempt;
 }
 
-/* ---- what the worker is told and shows ---- */
+/* ---- starts and worker reports ---- */
 
 void
-mh_attempt_note_start_sent (MhAttempt *attempt, bool answers_report)
+mh_attempt_note_start_sent (MhAttempt *attempt, bool in_heartbeat_response)
 {
   change_state (attempt, MH_ATTEMPT_EVENT_START_SENT);
   attempt->start = MH_START_SENT;
   attempt->start_incarnation = attempt->machine->heartbeat.incarnation;
-  if (answers_report)
+  if (in_heartbeat_response)
     attempt->start_sequence = attempt->machine->heartbeat.sequence;
 }
 
 void
 mh_attempt_note_start_refused (MhAttempt *attempt)
 {
-  if (attempt->shown || attempt->start_sequence != 0 || attempt->start != MH_START_SENT)
+  if (attempt->reported || attempt->start_sequence != 0 || attempt->start != MH_START_SENT)
     return;
   change_state (attempt, MH_ATTEMPT_EVENT_START_REFUSED);
   attempt->start = MH_START_NOT_SENT;
@@ -121,46 +122,46 @@
 }
 
 void
-mh_attempt_note_shown (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase)
+mh_attempt_note_reported (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase)
 {
   bool running = phase == MH_TASK_PHASE_RUNNING || phase == MH_TASK_PHASE_CHECKPOINTING;
-  attempt->shown = attempt->shown_now = true;
+  attempt->reported = attempt->in_newest_message = true;
   attempt->phase = phase;
   if (phase != MH_TASK_PHASE_ENDED)
     change_state (attempt,
-                  running ? MH_ATTEMPT_EVENT_SHOWN_RUNNING : MH_ATTEMPT_EVENT_SHOWN_WAITING);
+                  running ? MH_ATTEMPT_EVENT_REPORTED_RUNNING : MH_ATTEMPT_EVENT_REPORTED_WAITING);
   set_running (cluster, attempt, running);
   if (phase == MH_TASK_PHASE_WAITING_FOR_GANG)
     mh_job_gang_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING,
                        mh_runtime_now_us (cluster->runtime));
 }
 
-/* ---- the end ---- */
+/* ---- end of attempts ---- */
 
 void
-mh_attempt_finish_job_if_over (MhCluster *cluster, MhJob *job)
+mh_attempt_finish_job_if_ended (MhCluster *cluster, MhJob *job)
 {
-  bool over = mh_job_is_cancelled (job) ? job->n_live == 0 : job->n_done == job->spec->tasks;
-  if (!over || mh_job_is_finished (job))
+  bool ended = mh_job_is_cancelled (job) ? job->n_live == 0 : job->n_done == job->spec->tasks;
+  if (!ended || mh_job_is_finished (job))
     return;
   job->completion = MH_COMPLETION_UNWRITTEN;
   mh_record_writer_touch (cluster->record_writer, &job->records[0],
                           mh_job_is_cancelled (job) ? MH_URGENCY_PROGRESS : MH_URGENCY_START);
 }
 
-/* Out of all accounts; the attempt itself is left to the caller. */
+/* Removes the attempt from its machine, its task and all usage counts, without freeing it. */
 static void
 detach (MhCluster *cluster, MhAttempt *attempt)
 {
   MhMachine *machine = attempt->machine;
-  change_state (attempt, MH_ATTEMPT_EVENT_PROVEN_OVER);
+  change_state (attempt, MH_ATTEMPT_EVENT_PROVEN_ENDED);
   set_running (cluster, attempt, false);
-  account (cluster, attempt, -1);
+  update_usage (cluster, attempt, -1);
   g_ptr_array_remove_fast (machine->attempts, attempt);
   if (machine->attempts->len == 0)
     {
       machine->idle_since_us = mh_runtime_now_us (cluster->runtime);
-      /* No rounding is left behind. */
+      /* Clears rounding errors of the sums. */
       machine->usage.cpus = machine->usage.gpus = machine->usage.mem_gb = 0;
     }
   attempt->job->tasks[attempt->index].live = NULL;
@@ -174,7 +175,7 @@
 }
 
 void
-mh_attempt_proven_over (MhCluster *cluster, MhAttempt *attempt, bool done)
+mh_attempt_note_ended (MhCluster *cluster, MhAttempt *attempt, bool done)
 {
   const MhClusterCallbacks *callbacks = cluster->callbacks;
   MhJob *job = attempt->job;
@@ -192,30 +193,31 @@
                             MH_URGENCY_PROGRESS);
   if (mh_job_is_gang (job))
     callbacks->gang_task_over (cluster->owner, job, done);
-  /* Room that was made by preemption is wanted at once, and so is a new place for a replica. */
+  /* The next placement pass is urgent if the attempt was stopped, since a preempting job may wait
+     for its capacity, and if it was a service's, since the replica needs a new machine. */
   callbacks->capacity_changed (cluster->owner,
                                was_stopping || job->spec->shape == MH_SHAPE_SERVICE);
   g_free (attempt);
-  mh_attempt_finish_job_if_over (cluster, job);
+  mh_attempt_finish_job_if_ended (cluster, job);
 }
 
 void
-mh_attempt_task_done (MhCluster *cluster, MhJob *job, guint index)
+mh_attempt_set_task_done (MhCluster *cluster, MhJob *job, guint index)
 {
   job->tasks[index].state = MH_TASK_DONE;
   job->n_done++;
   mh_record_writer_touch (cluster->record_writer, mh_job_record (job, index), MH_URGENCY_START);
-  mh_attempt_finish_job_if_over (cluster, job);
+  mh_attempt_finish_job_if_ended (cluster, job);
 }
 
 /* ---- stops ---- */
 
 void
-mh_attempt_send_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us)
+mh_attempt_request_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us)
 {
   if (mh_attempt_is_stopping (attempt) && grace_us >= attempt->grace_us)
     return;
-  change_state (attempt, MH_ATTEMPT_EVENT_STOP_WANTED);
+  change_state (attempt, MH_ATTEMPT_EVENT_STOP_REQUESTED);
   attempt->grace_us = grace_us;
   attempt->stop_sent_us = 0;
   mh_machine_schedule_commands (cluster, attempt->machine);
@@ -227,9 +229,9 @@
   if (mh_job_is_gang (attempt->job) && !mh_job_is_over (attempt->job))
     cluster->callbacks->gang_stop (cluster->owner, attempt->job, grace_us);
   else if (attempt->start == MH_START_NOT_SENT)
-    mh_attempt_proven_over (cluster, attempt, false);
+    mh_attempt_note_ended (cluster, attempt, false);
   else
-    mh_attempt_send_stop (cluster, attempt, grace_us);
+    mh_attempt_request_stop (cluster, attempt, grace_us);
 }
 
 void
@@ -238,5 +240,5 @@
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     if (job->tasks[i].live)
       mh_attempt_stop (cluster, job->tasks[i].live, 0);
-  mh_attempt_finish_job_if_over (cluster, job);
+  mh_attempt_finish_job_if_ended (cluster, job);
 }
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -1,7 +1,7 @@
-/* Attempts: one go at running a task, on one machine.
+/* Attempts: each is one start of a task on one machine.
 
-   An attempt occupies its machine and its team's quota from the moment it is placed until there is
-   proof that it cannot run any more (reconcile.h). Silence is no proof. */
+   An attempt occupies its machine and its team's quota from its placement until there is proof that
+   it can no longer run (reconcile.h). That its worker is silent is no proof. */
 #pragma once
 
 #include "cluster/attempt-state.h"
@@ -11,9 +11,10 @@
 
 /**
  * MhAttemptStart:
- * @MH_START_NOT_SENT: no start has left this process, or the worker has refused it for good
- * @MH_START_SENT: a start may have left
- * @MH_START_BY_EARLIER_LEADER: the attempt was read from a record: what was sent, nobody here knows
+ * @MH_START_NOT_SENT: no start has been sent, or the worker has refused it and all its copies
+ * @MH_START_SENT: a start may have been sent
+ * @MH_START_BY_EARLIER_LEADER: the attempt was loaded from a record; it is not known whether the
+ *   earlier leader sent a start
  *
  * What is known of an attempt's start command.
  */
@@ -27,35 +28,35 @@
 /**
  * MhAttempt:
  * @job: its job
- * @index: of the task
- * @attempt: its number among the task's attempts, from 1
- * @machine: where it was placed
- * @required_revision: of its record, which must be durable before a start is sent
- * @state: changes in attempt.c alone
+ * @index: index of its task in the job
+ * @number: its number among the task's attempts, from 1
+ * @machine: the machine on which it was placed
+ * @required_revision: revision of the task's record that must be durable before a start is sent
+ * @state: only attempt.c changes it
  * @start: what is known of its start command
- * @start_incarnation: the worker's incarnation that the last start was for
- * @start_sequence: number of the report whose answer last carried a start; 0: none did
- * @shown: the worker has shown it, in this leadership
- * @shown_now: the message that is being read shows it
- * @of_starved_job: when it was placed nothing of its job had begun for long
- * @grace_us: what it gets to save when it is stopped, in microseconds
+ * @start_incarnation: the worker's incarnation for which the last start was sent
+ * @start_sequence: sequence number of the heartbeat whose response last carried a start; 0: none
+ * @reported: the worker has reported it in this leadership
+ * @in_newest_message: the message that is being processed reports it
+ * @job_was_starved: its job was starved when it was placed, see #MhJobPlacement
+ * @grace_us: time to save a checkpoint when it is stopped, in microseconds
  * @stop_sent_us: monotonic time of the last stop, in microseconds; 0: none was sent
- * @phase: in which the worker last showed it
- * @placed_us: monotonic time of its placement, or of the reading of its record
- * @running_since_us: since when it is known to run; 0: it does not
+ * @phase: the phase in which the worker last reported it
+ * @placed_us: monotonic time at which it was placed or loaded from its record
+ * @running_since_us: monotonic time since which it is known to run; 0: it does not run
  */
 struct MhAttempt
 {
   MhJob *job;
   guint index;
-  guint32 attempt;
+  guint32 number;
   MhMachine *machine;
   guint64 required_revision;
   MhAttemptState state;
   MhAttemptStart start;
   guint64 start_incarnation, start_sequence;
-  bool shown, shown_now;
-  bool of_starved_job;
+  bool reported, in_newest_message;
+  bool job_was_starved;
   gint64 grace_us, stop_sent_us;
   MhTaskPhase phase;
   gint64 placed_us, running_since_us;
@@ -65,7 +66,7 @@
  * mh_attempt_is_stopping:
  * @attempt: an attempt
  *
- * Returns: %TRUE if it is to be stopped, whether or not the worker has been told
+ * Returns: %TRUE if a stop was requested, whether or not it has been sent to the worker
  */
 static inline bool
 mh_attempt_is_stopping (const MhAttempt *attempt)
@@ -77,7 +78,7 @@
  * mh_attempt_start_was_sent:
  * @attempt: an attempt
  *
- * Returns: %TRUE if a start of this leader's may have left this process
+ * Returns: %TRUE if this leader may have sent a start
  */
 static inline bool
 mh_attempt_start_was_sent (const MhAttempt *attempt)
@@ -89,7 +90,7 @@
  * mh_attempt_is_from_record:
  * @attempt: an attempt
  *
- * Returns: %TRUE if an earlier leader placed it: what was sent, nobody here knows
+ * Returns: %TRUE if an earlier leader placed it, so that it is not known whether a start was sent
  */
 static inline bool
 mh_attempt_is_from_record (const MhAttempt *attempt)
@@ -101,13 +102,13 @@
  * mh_attempt_new:
  * @cluster: the cluster
  * @job: a job whose task @index is pending
- * @index: of the task
- * @number: of the attempt, above those of the task's earlier ones
- * @machine: where the task is placed
+ * @index: index of the task
+ * @number: number of the attempt, higher than that of each earlier attempt of the task
+ * @machine: the machine on which the task is placed
  *
- * Places a task: from now on it occupies the machine and its team's quota.
+ * Places a task. From now on it occupies the machine and its team's quota.
  *
- * Returns: (transfer none): the attempt, which lives until mh_attempt_proven_over() or
+ * Returns: (transfer none): the attempt, which lives until mh_attempt_note_ended() or
  *   mh_attempt_discard()
  */
 MhAttempt *
@@ -117,11 +118,11 @@
  * mh_attempt_new_from_record:
  * @cluster: the cluster
  * @job: a job that is being loaded
- * @index: of the task
- * @number: of the attempt
+ * @index: index of the task
+ * @number: number of the attempt
  * @machine: the machine that the record names
  *
- * The same for an attempt of an earlier leader.
+ * Like mh_attempt_new(), for an attempt that an earlier leader placed.
  *
  * Returns: (transfer none): the attempt
  */
@@ -131,49 +132,52 @@
 
 /**
  * mh_attempt_note_start_sent:
- * @attempt: an attempt whose start goes out now
- * @answers_report: with the answer to a report, not directly
+ * @attempt: an attempt whose start is being sent
+ * @in_heartbeat_response: the start is part of the response to a heartbeat, not a direct command
  */
 void
-mh_attempt_note_start_sent (MhAttempt *attempt, bool answers_report);
+mh_attempt_note_start_sent (MhAttempt *attempt, bool in_heartbeat_response);
 
 /**
  * mh_attempt_note_start_refused:
  * @attempt: an attempt whose direct start the worker has refused
  *
- * Nothing was carried out, nor will a copy be, unless another start has gone out with the answer to
- * a report, or the worker has shown the attempt.
+ * Notes that no start has been sent, since the worker will refuse each copy of this one too. Has no
+ * effect if a start was also sent in the response to a heartbeat, or if the worker has reported the
+ * attempt.
  */
 void
 mh_attempt_note_start_refused (MhAttempt *attempt);
 
 /**
- * mh_attempt_note_shown:
+ * mh_attempt_note_reported:
  * @cluster: the cluster
- * @attempt: an attempt that its worker shows
- * @phase: in which it is shown
+ * @attempt: an attempt that its worker reports
+ * @phase: the phase in which it is reported
  */
 void
-mh_attempt_note_shown (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase);
+mh_attempt_note_reported (MhCluster *cluster, MhAttempt *attempt, MhTaskPhase phase);
 
 /**
- * mh_attempt_send_stop:
+ * mh_attempt_request_stop:
  * @cluster: the cluster
  * @attempt: an attempt whose start was sent, or may have been
- * @grace_us: what it gets to save, in microseconds
+ * @grace_us: time to save a checkpoint, in microseconds
  *
- * Tells the worker to end it, unless it was told to do so at least as soon.
+ * Schedules a stop command to the worker, unless a stop with the same or a shorter grace period was
+ * requested before.
  */
 void
-mh_attempt_send_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us);
+mh_attempt_request_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us);
 
 /**
  * mh_attempt_stop:
  * @cluster: the cluster
  * @attempt: (transfer full): an attempt; may be freed
- * @grace_us: what it gets to save, in microseconds
+ * @grace_us: time to save a checkpoint, in microseconds
  *
- * Stops it, and the rest of its gang. One that was never started is over at once.
+ * Stops it, and the rest of its gang unless the job is over, see mh_job_is_over(). An attempt whose
+ * start was never sent ends at once.
  */
 void
 mh_attempt_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us);
@@ -183,50 +187,53 @@
  * @cluster: the cluster
  * @job: a cancelled job
  *
- * Stops all its attempts; a job without any is finished.
+ * Stops all its attempts. A job without attempts is finished at once.
  */
 void
 mh_attempt_stop_job (MhCluster *cluster, MhJob *job);
 
 /**
- * mh_attempt_proven_over:
+ * mh_attempt_note_ended:
  * @cluster: the cluster
  * @attempt: (transfer full): an attempt that can no longer run
  * @done: it ended with a result
  *
- * Frees machine, quota and task. That is written down, also without a result: else a new leader
- * would look for proof once more, on a machine that may be gone by then.
+ * Releases its share of the machine and of the quota, and makes its task done or pending. The
+ * task's record is written also without a result: otherwise a new leader would need to prove the
+ * end of the attempt again, on a machine that may be gone by then.
  */
 void
-mh_attempt_proven_over (MhCluster *cluster, MhAttempt *attempt, bool done);
+mh_attempt_note_ended (MhCluster *cluster, MhAttempt *attempt, bool done);
 
 /**
- * mh_attempt_task_done:
+ * mh_attempt_set_task_done:
  * @cluster: the cluster
  * @job: a gang of which another task is done
- * @index: of a task without an attempt
+ * @index: index of a task without an attempt
  *
- * Notes that the task is done though no attempt of ours showed it.
+ * Notes that the task is done although no attempt of it was reported as completed.
  */
 void
-mh_attempt_task_done (MhCluster *cluster, MhJob *job, guint index);
+mh_attempt_set_task_done (MhCluster *cluster, MhJob *job, guint index);
 
 /**
  * mh_attempt_discard:
  * @cluster: the cluster
  * @attempt: (transfer full): an attempt
  *
- * Takes it out of all accounts, without consequences: its job goes away.
+ * Frees it and the resources that it occupies, without consequences for its task, records or gang:
+ * its job is about to be removed from memory.
  */
 void
 mh_attempt_discard (MhCluster *cluster, MhAttempt *attempt);
 
 /**
- * mh_attempt_finish_job_if_over:
+ * mh_attempt_finish_job_if_ended:
  * @cluster: the cluster
  * @job: a job
  *
- * Notes that nothing is left to do for the job, if that is so: its final record is then written.
+ * Marks the job as finished, and its final record as to be written, if all its tasks are done, or
+ * if it is cancelled and has no attempts.
  */
 void
-mh_attempt_finish_job_if_over (MhCluster *cluster, MhJob *job);
+mh_attempt_finish_job_if_ended (MhCluster *cluster, MhJob *job);
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -88,7 +88,7 @@
       if (mh_job_is_cancelled (job))
         mh_attempt_stop_job (cluster, job);
       else
-        mh_attempt_finish_job_if_over (cluster, job);
+        mh_attempt_finish_job_if_ended (cluster, job);
     }
 }
 
@@ -137,8 +137,8 @@
   mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_CONFIRMED);
   mh_cluster_remember_released (cluster, machine->name);
   while (machine->attempts->len)
-    mh_attempt_proven_over (cluster, mh_machine_attempt (machine, machine->attempts->len - 1),
-                            false);
+    mh_attempt_note_ended (cluster, mh_machine_attempt (machine, machine->attempts->len - 1),
+                           false);
   g_ptr_array_remove_fast (cluster->commands_due, machine);
   g_hash_table_remove (cluster->machines, machine->name);
 }
@@ -183,7 +183,7 @@
   mh_failure_check (cluster, machine);
   if (machine->notice_until_us >= 0)
     drain_by_notice (cluster, machine);
-  mh_fencing_raise_token (cluster, machine);
+  mh_fencing_raise_token_if_needed (cluster, machine);
   mh_direct_command_send_unsent (cluster, machine);
 }
 
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -9,25 +9,25 @@
 
 #include <string.h>
 
-#define TIMEOUT_US (2 * MH_SECOND_US)
-/* Direct commands that nobody waits for, by the processor's share: what they would say goes with
-   the answer to the next report, which costs nothing. A large array placed at once on a hundred
-   machines once kept the leader from all else for a second. */
-#define PATIENT_PER_CORE_S 250
+#define DIRECT_COMMAND_TIMEOUT_US (2 * MH_SECOND_US)
+/* Rate limit of direct commands with deferrable commands only, per second and processor core. The
+   response to the next heartbeat carries such commands at no cost; without a limit, placing a large
+   array on a hundred machines at once kept the leader from all other work for a second. */
+#define MAX_DEFERRABLE_PER_CORE_S 250
 
 #define STATUS_OK 200
 #define STATUS_BAD_REQUEST 400
-#define STATUS_CONFLICT 409 /* other incarnation, or a token that the worker has outgrown */
+#define STATUS_CONFLICT 409 /* another incarnation, or the worker has seen a higher token */
 
 void
 mh_direct_command_init (MhCluster *cluster)
 {
-  double rate = PATIENT_PER_CORE_S * cluster->settings->core_share;
+  double rate = MAX_DEFERRABLE_PER_CORE_S * cluster->settings->core_share;
   mh_token_bucket_init (&cluster->direct_bucket, rate, MAX (1, rate / 4),
                         mh_runtime_now_us (cluster->runtime));
 }
 
-/* ---- the answer ---- */
+/* ---- responses ---- */
 
 typedef struct
 {
@@ -50,7 +50,7 @@
   for (guint i = 0; i < machine->attempts->len; i++)
     {
       MhAttempt *attempt = mh_machine_attempt (machine, i);
-      if (attempt->index == command->index && attempt->attempt == command->attempt
+      if (attempt->index == command->index && attempt->number == command->attempt
           && strcmp (attempt->job->spec->id, command->job) == 0)
         return attempt;
     }
@@ -58,7 +58,7 @@
 }
 
 static void
-start_answered (MhMachine *machine, const MhCommand *command, guint status)
+handle_start_response (MhMachine *machine, const MhCommand *command, guint status)
 {
   bool refused = status == STATUS_CONFLICT || status == STATUS_BAD_REQUEST;
   MhAttempt *attempt = find_attempt (machine, command);
@@ -78,7 +78,7 @@
 }
 
 static void
-stop_answered (const MhMachine *machine, const MhCommand *command, guint status)
+handle_stop_response (const MhMachine *machine, const MhCommand *command, guint status)
 {
   MhAttempt *attempt = find_attempt (machine, command);
   if (attempt && status != STATUS_OK)
@@ -86,14 +86,14 @@
 }
 
 static void
-direct_call_answered (gpointer owner, gpointer data, const MhReply *reply)
+on_direct_call_response (gpointer owner, gpointer data, const MhReply *reply)
 {
   MhCluster *cluster = owner;
   const DirectCall *call = data;
   MhMachine *machine = mh_cluster_find_machine (cluster, call->machine);
-  g_autoptr (MhHeartbeat) report = NULL;
+  g_autoptr (MhHeartbeat) message = NULL;
   if (reply->status == STATUS_OK || reply->status == STATUS_CONFLICT)
-    report = mh_heartbeat_decode (reply->body, NULL);
+    message = mh_heartbeat_decode (reply->body, NULL);
   if (machine == NULL)
     return;
   machine->direct_commands_in_flight--;
@@ -101,29 +101,29 @@
     {
       const MhCommand *command = &g_array_index (call->commands, MhCommand, i);
       if (command->kind == MH_COMMAND_STOP)
-        stop_answered (machine, command, reply->status);
+        handle_stop_response (machine, command, reply->status);
       else
-        start_answered (machine, command, reply->status);
+        handle_start_response (machine, command, reply->status);
     }
-  if (report)
-    mh_heartbeat_take_answer (cluster, machine, report);
+  if (message)
+    mh_heartbeat_receive_response (cluster, machine, message);
 }
 
-/* ---- the command ---- */
+/* ---- requests ---- */
 
 bool
 mh_direct_command_can_send (const MhCluster *cluster, const MhMachine *machine)
 {
-  gint64 report_us = cluster->settings->report_interval_us;
+  gint64 heartbeat_interval_us = cluster->settings->report_interval_us;
   return cluster->settings->direct_commands && !machine->direct_commands_in_flight
          && machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->endpoint
          && !machine->heartbeat.ignored_answers
-         && !mh_cluster_is_silent (cluster, machine, report_us * 3 / 2)
+         && !mh_cluster_is_silent (cluster, machine, heartbeat_interval_us * 3 / 2)
          && !mh_fencing_has_lost_start (machine);
 }
 
 static void
-send_directly (MhCluster *cluster, MhMachine *machine)
+send_direct_command (MhCluster *cluster, MhMachine *machine)
 {
   guint64 token = mh_fencing_token (cluster, machine);
   g_autoptr (GArray) commands = mh_commands_new ();
@@ -140,8 +140,8 @@
   call->commands = g_array_ref (commands);
   machine->direct_commands_in_flight++;
   const MhCallOptions options = { .class = MH_CALL_WORK,
-                                  .timeout_us = TIMEOUT_US,
-                                  .func = direct_call_answered,
+                                  .timeout_us = DIRECT_COMMAND_TIMEOUT_US,
+                                  .func = on_direct_call_response,
                                   .owner = cluster,
                                   .data = call,
                                   .free_data = direct_call_free };
@@ -156,17 +156,17 @@
 {
   if (!mh_direct_command_can_send (cluster, machine))
     return;
-  MhUnsentCommands unsent = mh_worker_command_unsent (machine);
+  MhUnsentUrgency unsent = mh_worker_command_unsent_urgency (machine);
   if (unsent == MH_UNSENT_URGENT
-      || (unsent == MH_UNSENT_PATIENT
+      || (unsent == MH_UNSENT_DEFERRABLE
           && mh_token_bucket_has (&cluster->direct_bucket, 1,
                                   mh_runtime_now_us (cluster->runtime))))
-    send_directly (cluster, machine);
+    send_direct_command (cluster, machine);
 }
 
 void
 mh_direct_command_send_token (MhCluster *cluster, MhMachine *machine)
 {
   if (mh_direct_command_can_send (cluster, machine))
-    send_directly (cluster, machine);
+    send_direct_command (cluster, machine);
 }
--- a/src/cluster/direct-command.h
+++ b/src/cluster/direct-command.h
@@ -1,4 +1,4 @@
-/* Commands that are sent straight to a worker, without waiting for its next report. */
+/* Direct commands: requests to a worker that do not wait for its next heartbeat. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -7,6 +7,8 @@
 /**
  * mh_direct_command_init:
  * @cluster: the cluster
+ *
+ * Sets up the rate limit of deferrable direct commands.
  */
 void
 mh_direct_command_init (MhCluster *cluster);
@@ -16,10 +18,11 @@
  * @cluster: the cluster
  * @machine: a machine
  *
- * Only one direct command is under way to a machine at a time, and none to one that may not be
- * there, or that a start was lost to: its next report carries what it is to be told.
+ * Only one direct command to a machine is in flight at a time. None is sent to a machine that may
+ * be gone or unreachable, or while a start to it may be lost: the response to its next heartbeat
+ * carries the commands instead.
  *
- * Returns: %TRUE if a command would leave for the machine now
+ * Returns: %TRUE if a direct command can be sent to the machine now
  */
 bool
 mh_direct_command_can_send (const MhCluster *cluster, const MhMachine *machine);
@@ -29,8 +32,8 @@
  * @cluster: the cluster
  * @machine: a machine
  *
- * Sends what has not been said yet, if a command can leave now, and if it is urgent or few others
- * are.
+ * Sends its unsent commands, if a direct command can be sent now, and if they are urgent or the
+ * rate limit of deferrable ones allows it.
  */
 void
 mh_direct_command_send_unsent (MhCluster *cluster, MhMachine *machine);
@@ -40,8 +43,9 @@
  * @cluster: the cluster
  * @machine: a machine
  *
- * Sends the token, even without commands: the worker learns of this leader, and so does a former
- * one that it still reports to.
+ * Sends the fencing token, with the unsent commands if there are any. The worker learns of this
+ * leader from it; a former leader to which the worker still sends heartbeats learns of it from
+ * the next heartbeat.
  */
 void
 mh_direct_command_send_token (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -106,7 +106,7 @@
   machine->probe.in_flight = false;
   if (report == NULL || strcmp (report->machine, machine->name) != 0)
     probe_failed (cluster, machine);
-  else if (mh_heartbeat_take_answer (cluster, machine, report))
+  else if (mh_heartbeat_receive_response (cluster, machine, report))
     {
       /* It may report to a former leader that is cut off, which learns from its next report that it
          is one; without this such workers once stayed there for half a minute. */
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -5,7 +5,8 @@
 
 #include <string.h>
 
-/* Direct starts that a late copy might repeat, before they are fenced without a clear waiting. */
+/* Limits the unfenced direct starts of a machine: above it the token is raised even if no clear is
+   held. */
 #define MAX_UNFENCED_STARTS 64u
 
 static MhUnacknowledgedStart *
@@ -60,7 +61,7 @@
 }
 
 void
-mh_fencing_forget_fenced (MhMachine *machine)
+mh_fencing_remove_fenced (MhMachine *machine)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   for (guint i = 0; i < machine->fencing.unacknowledged->len;)
@@ -74,7 +75,7 @@
 }
 
 static bool
-clear_waits_long (const MhCluster *cluster, const MhMachine *machine)
+is_clear_overdue (const MhCluster *cluster, const MhMachine *machine)
 {
   gint64 since_us = machine->fencing.clear_held_since_us;
   return since_us
@@ -82,9 +83,9 @@
                 > cluster->settings->worker_lease_us / 2;
 }
 
-/* Whether a higher token would fence anything that the present one does not. */
+/* Whether a higher token would fence a start that the present one does not. */
 static bool
-would_fence_a_start (const MhCluster *cluster, const MhMachine *machine)
+would_raise_fence_start (const MhCluster *cluster, const MhMachine *machine)
 {
   guint64 token = mh_fencing_token (cluster, machine);
   for (guint i = 0; i < machine->fencing.unacknowledged->len; i++)
@@ -94,12 +95,12 @@
 }
 
 void
-mh_fencing_raise_token (MhCluster *cluster, MhMachine *machine)
+mh_fencing_raise_token_if_needed (MhCluster *cluster, MhMachine *machine)
 {
   MhMachineFencing *fencing = &machine->fencing;
-  bool wanted = fencing->unacknowledged->len > MAX_UNFENCED_STARTS
-                || clear_waits_long (cluster, machine) || mh_fencing_has_lost_start (machine);
-  if (!wanted || !would_fence_a_start (cluster, machine))
+  bool needed = fencing->unacknowledged->len > MAX_UNFENCED_STARTS
+                || is_clear_overdue (cluster, machine) || mh_fencing_has_lost_start (machine);
+  if (!needed || !would_raise_fence_start (cluster, machine))
     return;
   if (fencing->raises + 2 >= MH_EPOCHS_PER_LEADERSHIP)
     {
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -11,20 +11,20 @@
 
 #include <string.h>
 
-/* The worker's clock may run apart from ours by one part in so many. */
-#define CLOCK_DRIFT_PART 500
-/* What a worker may take to notice the end of its lease, with whatever else holds up the end of a
-   task. */
-#define KEEP_ALIVE_SPARE_US (4 * MH_SECOND_US)
+/* The rates of a worker's clock and of this controller's may differ by one part in this many. */
+#define CLOCK_DRIFT_DIVISOR 500
+/* Covers the time in which a worker notices that its lease has expired, and all else that delays
+   the end of a task. */
+#define KEEP_ALIVE_MARGIN_US (4 * MH_SECOND_US)
 
 #define STATUS_OK 200
 #define STATUS_MISDIRECTED 421
 #define STATUS_UNAVAILABLE 503
 
-/* ---- taking in ---- */
+/* ---- processing messages ---- */
 
 static void
-note_first_message (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
+handle_first_message (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
   mh_boot_time_joined (cluster, machine);
   for (guint i = 0; i < machine->attempts->len; i++)
@@ -32,12 +32,12 @@
   machine->idle_since_us = mh_runtime_now_us (cluster->runtime);
   cluster->callbacks->capacity_changed (cluster->owner, false);
   mh_log_info (cluster->runtime, "machine joined machine=%s type=%s zone=%s spot=%s tasks=%u",
-               machine->name, report->type, report->zone, report->spot ? "true" : "false",
-               report->tasks->len);
+               machine->name, message->type, message->zone, message->spot ? "true" : "false",
+               message->tasks->len);
 }
 
 static void
-update_heartbeat (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report,
+update_heartbeat (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message,
                   MhMessageSource source)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
@@ -45,171 +45,176 @@
   heartbeat->reported = true;
   mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
   heartbeat->last_message_us = mh_runtime_now_us (cluster->runtime);
-  if (source == MH_MESSAGE_ANSWER)
+  if (source == MH_MESSAGE_RESPONSE)
     heartbeat->ignored_answers = 0;
   if (!heartbeat->ignored_answers)
     machine->probe.failures = 0;
-  if (source == MH_MESSAGE_REPORT || first)
+  if (source == MH_MESSAGE_HEARTBEAT || first)
     heartbeat->last_report_us = mh_runtime_now_us (cluster->runtime);
-  /* What it shows may call for commands; a report is answered with them at once. */
-  if (source == MH_MESSAGE_ANSWER)
+  /* The message may make commands necessary. The response to a heartbeat carries them at once;
+     otherwise they are scheduled. */
+  if (source == MH_MESSAGE_RESPONSE)
     mh_machine_schedule_commands (cluster, machine);
-  heartbeat->incarnation = report->incarnation;
-  heartbeat->sequence = report->sequence;
-  heartbeat->token = report->fencing_token;
+  heartbeat->incarnation = message->incarnation;
+  heartbeat->sequence = message->sequence;
+  heartbeat->token = message->fencing_token;
   if (first)
-    note_first_message (cluster, machine, report);
+    handle_first_message (cluster, machine, message);
 }
 
 static void
-update_notice (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
+update_preemption_notice (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
-  bool noticed = report->notice_us >= 0;
-  if (noticed && machine->notice_until_us < 0)
+  bool has_notice = message->notice_us >= 0;
+  if (has_notice && machine->notice_until_us < 0)
     mh_log_info (cluster->runtime, "machine has preemption notice machine=%s left_s=%.1f",
-                 machine->name, (double)report->notice_us / MH_SECOND_US);
+                 machine->name, (double)message->notice_us / MH_SECOND_US);
   machine->notice_until_us
-      = noticed ? mh_runtime_now_us (cluster->runtime) + report->notice_us : -1;
+      = has_notice ? mh_runtime_now_us (cluster->runtime) + message->notice_us : -1;
 }
 
 static void
-take_in (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report, MhMessageSource source)
+apply_message (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message,
+               MhMessageSource source)
 {
-  update_heartbeat (cluster, machine, report, source);
-  if (g_strcmp0 (machine->endpoint, report->endpoint) != 0)
+  update_heartbeat (cluster, machine, message, source);
+  if (g_strcmp0 (machine->endpoint, message->endpoint) != 0)
     {
       g_free (machine->endpoint);
-      machine->endpoint = g_strdup (report->endpoint);
+      machine->endpoint = g_strdup (message->endpoint);
     }
-  mh_cluster_identify_machine (cluster, machine, report->type, report->zone, report->spot);
-  mh_zone_note_message (cluster, machine->zone, source == MH_MESSAGE_REPORT);
-  update_notice (cluster, machine, report);
-  mh_fencing_forget_fenced (machine);
-  mh_reconcile (cluster, machine, report, source);
+  mh_cluster_identify_machine (cluster, machine, message->type, message->zone, message->spot);
+  mh_zone_note_message (cluster, machine->zone, source == MH_MESSAGE_HEARTBEAT);
+  update_preemption_notice (cluster, machine, message);
+  mh_fencing_remove_fenced (machine);
+  mh_reconcile (cluster, machine, message, source);
 }
 
 static bool
-is_newer (const MhMachine *machine, const MhHeartbeat *report)
+is_newer (const MhMachine *machine, const MhHeartbeat *message)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  return !heartbeat->reported || report->incarnation > heartbeat->incarnation
-         || (report->incarnation == heartbeat->incarnation
-             && report->sequence > heartbeat->sequence);
+  return !heartbeat->reported || message->incarnation > heartbeat->incarnation
+         || (message->incarnation == heartbeat->incarnation
+             && message->sequence > heartbeat->sequence);
 }
 
 bool
-mh_heartbeat_take_answer (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
+mh_heartbeat_receive_response (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
-  if (strcmp (report->machine, machine->name) != 0 || !is_newer (machine, report))
+  if (strcmp (message->machine, machine->name) != 0 || !is_newer (machine, message))
     return false;
-  if (report->fencing_token > mh_fencing_token (cluster, machine))
+  if (message->fencing_token > mh_fencing_token (cluster, machine))
     {
       mh_election_step_down (cluster->election, MH_LOSS_HIGHER_TOKEN);
       return false;
     }
-  take_in (cluster, machine, report, MH_MESSAGE_ANSWER);
+  apply_message (cluster, machine, message, MH_MESSAGE_RESPONSE);
   return true;
 }
 
-/* A report of unknown age: at most it tells where to ask. */
+/* A heartbeat of unknown age is no evidence of the worker's state. It gives the address for a
+   probe, if none is known, and delays the probe, since the worker is about to send another
+   heartbeat. */
 static void
-note_unverified_report (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
+note_unverified_heartbeat (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
   if (machine == NULL || machine->heartbeat.reported || mh_machine_is_releasing (machine))
     return;
   if (machine->endpoint == NULL)
-    machine->endpoint = g_strdup (report->endpoint);
+    machine->endpoint = g_strdup (message->endpoint);
   machine->heartbeat.unverified_us = mh_runtime_now_us (cluster->runtime);
 }
 
-/* ---- whether the last answer has arrived ---- */
+/* ---- whether the last response has arrived ---- */
 
 static bool
-report_shows (const MhHeartbeat *report, const MhAttempt *attempt)
+contains_attempt (const MhHeartbeat *message, const MhAttempt *attempt)
 {
-  for (guint i = 0; i < report->tasks->len; i++)
+  for (guint i = 0; i < message->tasks->len; i++)
     {
-      const MhTaskStatus *shown = &g_array_index (report->tasks, MhTaskStatus, i);
-      if (shown->index == attempt->index && shown->attempt == attempt->attempt
-          && strcmp (shown->job, attempt->job->spec->id) == 0)
+      const MhTaskStatus *status = &g_array_index (message->tasks, MhTaskStatus, i);
+      if (status->index == attempt->index && status->attempt == attempt->number
+          && strcmp (status->job, attempt->job->spec->id) == 0)
         return true;
     }
   return false;
 }
 
-/* Whether the last answer carried the attempt's start, and the attempt has not been shown before.
- */
+/* Whether the last response carried the start of an attempt that has not been reported yet. */
 static bool
-is_due_to_show (const MhMachine *machine, const MhAttempt *attempt)
+is_expected_to_appear (const MhMachine *machine, const MhAttempt *attempt)
 {
-  return !attempt->shown && mh_attempt_start_was_sent (attempt)
+  return !attempt->reported && mh_attempt_start_was_sent (attempt)
          && attempt->start_sequence == machine->heartbeat.answered_sequence;
 }
 
 typedef enum
 {
-  ANSWER_SAID_NOTHING, /* that would have to show */
-  ANSWER_FOLLOWED,
-  ANSWER_IGNORED
-} AnswerEffect;
+  RESPONSE_EFFECT_NONE_EXPECTED, /* the response has no effect that must show */
+  RESPONSE_EFFECT_SEEN,
+  RESPONSE_EFFECT_MISSING
+} ResponseEffect;
 
-static AnswerEffect
-effect_of_answer (const MhMachine *machine, const MhHeartbeat *report)
+static ResponseEffect
+get_response_effect (const MhMachine *machine, const MhHeartbeat *message)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  if (report->fencing_token < heartbeat->answered_token
-      || report->incarnation > heartbeat->incarnation)
-    return ANSWER_IGNORED;
-  AnswerEffect effect
-      = heartbeat->token < heartbeat->answered_token ? ANSWER_FOLLOWED : ANSWER_SAID_NOTHING;
+  if (message->fencing_token < heartbeat->answered_token
+      || message->incarnation > heartbeat->incarnation)
+    return RESPONSE_EFFECT_MISSING;
+  ResponseEffect effect = heartbeat->token < heartbeat->answered_token
+                              ? RESPONSE_EFFECT_SEEN
+                              : RESPONSE_EFFECT_NONE_EXPECTED;
   for (guint i = 0; i < machine->attempts->len; i++)
     {
       const MhAttempt *attempt = mh_machine_attempt (machine, i);
-      if (!is_due_to_show (machine, attempt))
+      if (!is_expected_to_appear (machine, attempt))
         continue;
-      if (!report_shows (report, attempt))
-        return ANSWER_IGNORED;
-      effect = ANSWER_FOLLOWED;
+      if (!contains_attempt (message, attempt))
+        return RESPONSE_EFFECT_MISSING;
+      effect = RESPONSE_EFFECT_SEEN;
     }
   return effect;
 }
 
-/* A worker sends its next report only when it has the answer to the last or has given it up, so
-   that what the answer said must show. A machine whose reports arrive while nothing reaches it
-   looks alive, and does nothing that it is told. */
+/* A worker sends its next heartbeat only when it has the response to the last one, or has stopped
+   waiting for it. The next heartbeat must therefore show the effect of the response. Without this
+   check a machine whose heartbeats arrive, but which receives nothing, would look alive although it
+   carries out no command. */
 static void
-check_answer_received (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
+check_response_received (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
   if (!heartbeat->answer_pending)
     return;
   heartbeat->answer_pending = false;
-  switch (effect_of_answer (machine, report))
+  switch (get_response_effect (machine, message))
     {
-    case ANSWER_IGNORED:
+    case RESPONSE_EFFECT_MISSING:
       if (++heartbeat->ignored_answers == MH_MAX_IGNORED_ANSWERS)
-        mh_log_info (cluster->runtime, "machine ignores answers machine=%s", machine->name);
+        mh_log_info (cluster->runtime, "machine ignores responses machine=%s", machine->name);
       break;
-    case ANSWER_FOLLOWED:
+    case RESPONSE_EFFECT_SEEN:
       heartbeat->ignored_answers = 0;
       break;
-    case ANSWER_SAID_NOTHING:
+    case RESPONSE_EFFECT_NONE_EXPECTED:
       break;
     }
 }
 
-/* ---- answering reports ---- */
+/* ---- responding to heartbeats ---- */
 
 gint64
 mh_heartbeat_keep_alive_us (const MhCluster *cluster)
 {
   const MhSettings *settings = cluster->settings;
   return settings->cancel_limit_us - settings->worker_lease_us
-         - settings->worker_lease_us / CLOCK_DRIFT_PART - KEEP_ALIVE_SPARE_US;
+         - settings->worker_lease_us / CLOCK_DRIFT_DIVISOR - KEEP_ALIVE_MARGIN_US;
 }
 
 static bool
-may_keep_alive (const MhCluster *cluster)
+can_keep_alive (const MhCluster *cluster)
 {
   return mh_election_state (cluster->election) == MH_LEADERSHIP_LEADING
          && mh_runtime_now_us (cluster->runtime) < mh_election_last_renewal_us (cluster->election)
@@ -217,103 +222,108 @@
 }
 
 static void
-answer_report (MhCluster *cluster, guint64 request_id, guint status, MhValue *body)
+respond (MhCluster *cluster, guint64 request_id, guint status, MhValue *body)
 {
   MhAction *action = mh_runtime_act (cluster->runtime, MH_ACTION_ANSWER_REPORT, request_id);
   action->status = status;
   action->body = body;
-  /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
-     process that stood still for so long is asked again. */
+  /* A response without commands could also be sent after the leader's lease, until the end of
+     mh_heartbeat_keep_alive_us(). The distinction has no benefit: it matters only if this process
+     was paused until then, and the worker then sends another heartbeat. */
   if (status == STATUS_OK && mh_election_is_leader (cluster->election))
     action->lease_until_us = mh_election_lease_until_us (cluster->election);
 }
 
-/* One that this leadership knew is known no more when it has been given back. */
+/* Whether the heartbeat is from a machine that was released. A token of this leadership from a
+   machine that is not known here shows that it was known and has been released. */
 static bool
-is_of_released_machine (const MhCluster *cluster, const MhMachine *machine,
-                        const MhHeartbeat *report)
+is_from_released_machine (const MhCluster *cluster, const MhMachine *machine,
+                          const MhHeartbeat *message)
 {
   guint64 first_token = mh_fencing_token (cluster, NULL);
-  bool was_ours = machine == NULL && report->fencing_token > first_token
-                  && report->fencing_token < first_token + MH_EPOCHS_PER_LEADERSHIP;
+  bool had_our_token = machine == NULL && message->fencing_token > first_token
+                       && message->fencing_token < first_token + MH_EPOCHS_PER_LEADERSHIP;
   return mh_election_has_loaded (cluster->election)
-         && (was_ours || mh_cluster_was_released (cluster, report->machine));
+         && (had_our_token || mh_cluster_was_released (cluster, message->machine));
 }
 
-/* Takes in a report that was surely sent in this leadership; returns whether the machine is told
-   what to do. */
+/* Processes a heartbeat that was certainly sent in this leadership. Returns whether the commands to
+   the machine have been collected. */
 static bool
-take_in_report (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report, GArray *commands)
+apply_heartbeat (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message,
+                 GArray *commands)
 {
-  if (!is_newer (machine, report))
+  if (!is_newer (machine, message))
     return false;
-  check_answer_received (cluster, machine, report);
-  bool valid = mh_election_is_leader (cluster->election);
-  take_in (cluster, machine, report, MH_MESSAGE_REPORT);
-  if (!valid || mh_election_is_stepping_down (cluster->election))
+  check_response_received (cluster, machine, message);
+  bool was_leader = mh_election_is_leader (cluster->election);
+  apply_message (cluster, machine, message, MH_MESSAGE_HEARTBEAT);
+  if (!was_leader || mh_election_is_stepping_down (cluster->election))
     return false;
   mh_worker_command_collect (cluster, machine, commands);
   machine->heartbeat.answer_pending = true;
   machine->heartbeat.answered_token = mh_fencing_token (cluster, machine);
-  machine->heartbeat.answered_sequence = report->sequence;
+  machine->heartbeat.answered_sequence = message->sequence;
   return true;
 }
 
 static MhMachine *
-find_or_add (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report)
+find_or_add_machine (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
   if (machine)
     return machine;
-  mh_log_info (cluster->runtime, "machine not known before, used machine=%s", report->machine);
-  return mh_cluster_add_machine (cluster, report->machine, report->type, report->zone,
-                                 report->spot);
+  mh_log_info (cluster->runtime, "unknown machine added machine=%s", message->machine);
+  return mh_cluster_add_machine (cluster, message->machine, message->type, message->zone,
+                                 message->spot);
 }
 
 static void
-answer_with_commands (MhCluster *cluster, guint64 request_id, const MhHeartbeat *report)
+respond_with_commands (MhCluster *cluster, guint64 request_id, const MhHeartbeat *message)
 {
-  MhMachine *machine = mh_cluster_find_machine (cluster, report->machine);
+  MhMachine *machine = mh_cluster_find_machine (cluster, message->machine);
   g_autoptr (GArray) commands = mh_commands_new ();
-  bool told = false;
-  /* Copies of reports come late, also of machines that are long gone and to a leader that has
-     heard nothing newer. Only one with a token of this leadership was surely sent in it; by
-     any other the worker is merely answered, and it reports again when it has seen the token. */
-  if (report->fencing_token < mh_fencing_token (cluster, NULL))
-    note_unverified_report (cluster, machine, report);
+  bool collected = false;
+  /* Delayed copies of heartbeats can arrive, also from machines that are gone, and at a leader that
+     has no newer message of the worker. Only one with a token of this leadership was certainly sent
+     in it. For any other the worker merely gets a response, which carries the token; its next
+     heartbeat then has it. */
+  if (message->fencing_token < mh_fencing_token (cluster, NULL))
+    note_unverified_heartbeat (cluster, machine, message);
   else
     {
-      machine = find_or_add (cluster, machine, report);
-      told = take_in_report (cluster, machine, report, commands);
+      machine = find_or_add_machine (cluster, machine, message);
+      collected = apply_heartbeat (cluster, machine, message, commands);
     }
-  /* No answer renews the lease of a worker without stopping what is cancelled there: the leader may
-     not be able to say so later. */
-  if (!told && machine)
-    mh_worker_command_collect_cancelled (machine, commands);
-  answer_report (cluster, request_id, STATUS_OK,
-                 mh_commands_encode (mh_fencing_token (cluster, machine), NULL, commands));
+  /* Each response renews the worker's lease, so that it must also stop the tasks of cancelled jobs:
+     the leader may not be able to send the stops later. */
+  if (!collected && machine)
+    mh_worker_command_collect_cancellations (machine, commands);
+  respond (cluster, request_id, STATUS_OK,
+           mh_commands_encode (mh_fencing_token (cluster, machine), NULL, commands));
 }
 
-/* One that has not read the records yet does not know what is cancelled: each of its answers would
-   keep such tasks alive, and slow reads, or one short leadership after the other, for ever. */
+/* A controller that has not loaded the records does not know which jobs are cancelled. Each of its
+   responses would keep their tasks alive; while reads are slow, or short leaderships follow one
+   another, they would run for ever. */
 static bool
-may_answer (const MhCluster *cluster)
+can_respond (const MhCluster *cluster)
 {
   return mh_election_has_loaded (cluster->election)
-         && (mh_election_is_leader (cluster->election) || may_keep_alive (cluster));
+         && (mh_election_is_leader (cluster->election) || can_keep_alive (cluster));
 }
 
 void
-mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhHeartbeat *report)
+mh_heartbeat_receive (MhCluster *cluster, guint64 request_id, const MhHeartbeat *message)
 {
-  const MhMachine *machine = mh_cluster_find_machine (cluster, report->machine);
-  bool released = is_of_released_machine (cluster, machine, report);
-  if (!released && report->fencing_token > mh_fencing_token (cluster, machine))
+  const MhMachine *machine = mh_cluster_find_machine (cluster, message->machine);
+  bool released = is_from_released_machine (cluster, machine, message);
+  if (!released && message->fencing_token > mh_fencing_token (cluster, machine))
     {
       mh_election_step_down (cluster->election, MH_LOSS_HIGHER_TOKEN);
-      answer_report (cluster, request_id, STATUS_MISDIRECTED, mh_redirect_encode (NULL));
+      respond (cluster, request_id, STATUS_MISDIRECTED, mh_redirect_encode (NULL));
     }
-  else if (released || !may_answer (cluster))
-    answer_report (cluster, request_id, STATUS_UNAVAILABLE, NULL);
+  else if (released || !can_respond (cluster))
+    respond (cluster, request_id, STATUS_UNAVAILABLE, NULL);
   else
-    answer_with_commands (cluster, request_id, report);
+    respond_with_commands (cluster, request_id, message);
 }
--- a/src/cluster/reconcile.h
+++ b/src/cluster/reconcile.h
@@ -1,8 +1,8 @@
-/* Squaring what a worker shows with the attempts that are on record for its machine.
+/* Reconciliation of the tasks that a worker reports with the attempts on record for its machine.
 
-   Three things can be found: an attempt that goes on or has ended, one that is gone, and an orphan,
-   which is none of ours. That an attempt is not shown proves that it is gone only if no start of it
-   can still be on its way. */
+   An attempt can turn out to be live, ended or gone; a reported task that is no live attempt of
+   this machine is an orphaned attempt. An attempt that is not reported is proven gone only if no
+   start of it can still be in flight. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -11,27 +11,27 @@
 
 /**
  * MhMessageSource:
- * @MH_MESSAGE_REPORT: the worker sent it by itself; it has the answer to its last report, or has
- * given that up
- * @MH_MESSAGE_ANSWER: to a question or a direct command. It proves less: it may overtake the starts
- * that the last answer to a report carries
+ * @MH_MESSAGE_HEARTBEAT: a heartbeat. The worker has received the response to its last one, or has
+ *   stopped waiting for it
+ * @MH_MESSAGE_RESPONSE: a response to a probe or a direct command. It proves less: it may overtake
+ *   starts in the last heartbeat response
  */
 typedef enum
 {
-  MH_MESSAGE_REPORT,
-  MH_MESSAGE_ANSWER
+  MH_MESSAGE_HEARTBEAT,
+  MH_MESSAGE_RESPONSE
 } MhMessageSource;
 
 /**
  * mh_reconcile:
  * @cluster: the cluster
- * @machine: the machine, whose heartbeat is up to date
- * @report: what its worker shows, newer than all before it
- * @source: how it came
+ * @machine: the machine, whose heartbeat state is up to date
+ * @message: what its worker reports, newer than all earlier messages
+ * @source: whether it is a heartbeat or a response
  *
- * Updates the machine's attempts and orphans. Ends the leadership if a worker shows an attempt that
- * is not on record here.
+ * Updates the machine's attempts and orphaned attempts. Steps down if the worker reports an attempt
+ * of a task that is newer than the last one on record here.
  */
 void
-mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *report,
+mh_reconcile (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message,
               MhMessageSource source);
--- a/src/cluster/recovery.c
+++ b/src/cluster/recovery.c
@@ -2,14 +2,16 @@
 
 #include "base/time-units.h"
 
-/* Workers of a dead leader wait out a response (4 s) and then try its neighbours. */
-#define REPORTS_AWAITED 2
-#define RECONNECT_US (2 * MH_SECOND_US)
+/* The deadline leaves the machines this many heartbeat intervals, and this much time to find the
+   new leader: a worker of a failed leader waits 4 s for a response, and then tries the next
+   controllers. */
+#define HEARTBEATS_AWAITED 2
+#define RECONNECT_GRACE_US (2 * MH_SECOND_US)
 
 struct MhRecovery
 {
   bool complete;
-  gint64 deadline_us; /* steady time after which no machine is waited for */
+  gint64 deadline_us; /* monotonic; from then on no machine is waited for */
 };
 
 MhRecovery *
@@ -25,11 +27,11 @@
 }
 
 void
-mh_recovery_begin (MhRecovery *recovery, gint64 now_us, gint64 report_us)
+mh_recovery_begin (MhRecovery *recovery, gint64 now_us, gint64 heartbeat_interval_us)
 {
   g_return_if_fail (recovery);
   recovery->complete = false;
-  recovery->deadline_us = now_us + REPORTS_AWAITED * report_us + RECONNECT_US;
+  recovery->deadline_us = now_us + HEARTBEATS_AWAITED * heartbeat_interval_us + RECONNECT_GRACE_US;
 }
 
 bool
--- a/src/cluster/recovery.h
+++ b/src/cluster/recovery.h
@@ -1,17 +1,17 @@
-/* Recovery after failover: which tasks run is known again once the machines have reported to the
-   new leader. Until then nothing is decided by counts that may be too low. */
+/* Recovery after a failover. A new leader knows which tasks run only when the machines have sent it
+   heartbeats. Until then it takes no decision that rests on counts that may be too low. */
 #pragma once
 
 #include <glib.h>
 #include <stdbool.h>
 
-/** MhRecovery: whether the machines have reported to a new leader */
+/** MhRecovery: whether the machines have sent heartbeats to a new leader */
 typedef struct MhRecovery MhRecovery;
 
 /**
  * mh_recovery_new:
  *
- * Returns: (transfer full): a recovery that has not begun
+ * Returns: (transfer full): a recovery that has not begun; free with mh_recovery_free()
  */
 MhRecovery *
 mh_recovery_new (void);
@@ -27,23 +27,24 @@
 /**
  * mh_recovery_begin:
  * @recovery: a recovery
- * @now_us: steady time, in microseconds
- * @report_us: how often a worker sends a heartbeat, in microseconds
+ * @now_us: monotonic time, in microseconds
+ * @heartbeat_interval_us: time between two heartbeats of a worker, in microseconds
  *
- * A new leader has loaded the records: machines are waited for.
+ * Begins to wait for the machines' heartbeats, when a new leader has loaded the records.
  */
 void
-mh_recovery_begin (MhRecovery *recovery, gint64 now_us, gint64 report_us);
+mh_recovery_begin (MhRecovery *recovery, gint64 now_us, gint64 heartbeat_interval_us);
 
 /**
  * mh_recovery_update:
  * @recovery: a recovery
- * @now_us: steady time, in microseconds
- * @all_reported: every machine that a record or the cloud's list knows as running has reported
+ * @now_us: monotonic time, in microseconds
+ * @all_reported: every machine that a record names, or that the cloud lists as running, has sent a
+ *   heartbeat
  *
- * Completes the recovery if @all_reported, or if the machines have had their time.
+ * Completes the recovery if @all_reported is %TRUE, or if the deadline has passed.
  *
- * Returns: %TRUE if it is complete by this call
+ * Returns: %TRUE if this call has completed it
  */
 bool
 mh_recovery_update (MhRecovery *recovery, gint64 now_us, bool all_reported);
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -7,28 +7,32 @@
 
 #include <string.h>
 
-/* A job is taken to fail everywhere when so many tries have failed, each on another machine or
-   after a while, and none has succeeded. */
-#define FAILING_TRIES 3u
-/* Failures in a row on one machine, of jobs that are not to blame, before it is given back. */
-#define FAULTY_FAILURES 2u
-/* A task that has run for so long shows that its job can run. */
-#define HEALTHY_RUN_US (5 * MH_SECOND_US)
-/* The first wait of the back-off; each one is twice the one before it, up to the last level. */
-#define FIRST_WAIT_US (2 * MH_SECOND_US)
-#define LAST_LEVEL 6u
-/* Failures that are remembered of a machine. */
+/* Number of failures, without a success, after which a job counts as failing on every machine. Of
+   failures on one machine, those within FAILED_MACHINE_HOLD_US of the last counted one are left
+   out. Also limits the machines that are remembered for a job. */
+#define FAILING_JOB_THRESHOLD 3u
+/* A machine is released after this many consecutive failures of jobs that are not faulty, or when
+   this many jobs have failed on this machine only. */
+#define FAULTY_MACHINE_THRESHOLD 2u
+/* A task that has run this long shows that its job is not faulty. */
+#define MIN_HEALTHY_RUN_US (5 * MH_SECOND_US)
+/* The first wait of the back-off. Each level doubles the wait of the one before, up to
+   MAX_BACK_OFF_LEVEL. */
+#define FIRST_BACK_OFF_US (2 * MH_SECOND_US)
+#define MAX_BACK_OFF_LEVEL 6u
+/* Limits the list of jobs that failed on a machine and are not known to run elsewhere. */
 #define MAX_FAILED_JOBS 16u
-/* The wait varies by so much in all: jobs that were submitted together do not come together. */
-#define WAIT_SPREAD 0.5
-/* A try takes room that is there; only when it has found none by then a machine is rented for it:
-   one once was for each try, beside free ones. */
-#define PLACED_BY_US (2 * MH_SECOND_US)
-/* A machine that has failed a task takes no other for a while. */
-#define HOLD_US (5 * MH_SECOND_US)
+/* Width of the random variation of a wait, as a fraction of it, so that jobs that were submitted
+   together are not retried together. */
+#define BACK_OFF_JITTER 0.5
+/* Time after the end of a wait in which the retry can be placed on an existing machine before one
+   is created for it. Without it a machine was created for each retry although others were free. */
+#define SCALE_OUT_DELAY_US (2 * MH_SECOND_US)
+/* No task is started for this long on a machine that has failed one. */
+#define FAILED_MACHINE_HOLD_US (5 * MH_SECOND_US)
 
 guint
-mh_task_failure_startable (const MhCluster *cluster, const MhJob *job)
+mh_task_failure_count_startable (const MhCluster *cluster, const MhJob *job)
 {
   guint pending = mh_job_pending_tasks (job);
   if (!mh_job_backs_off (job))
@@ -39,18 +43,18 @@
 }
 
 guint
-mh_task_failure_rentable (const MhCluster *cluster, const MhJob *job)
+mh_task_failure_count_scale_out (const MhCluster *cluster, const MhJob *job)
 {
   if (mh_job_backs_off (job)
-      && mh_runtime_now_us (cluster->runtime) < job->placement.retry_after_us + PLACED_BY_US)
+      && mh_runtime_now_us (cluster->runtime) < job->placement.retry_after_us + SCALE_OUT_DELAY_US)
     return 0;
-  return mh_task_failure_startable (cluster, job);
+  return mh_task_failure_count_startable (cluster, job);
 }
 
 /* ---- jobs ---- */
 
 static bool
-runs_well (const MhCluster *cluster, const MhJob *job)
+is_running_well (const MhCluster *cluster, const MhJob *job)
 {
   if (job->n_done)
     return true;
@@ -58,46 +62,47 @@
     {
       const MhAttempt *attempt = job->tasks[i].live;
       if (attempt && attempt->running_since_us
-          && mh_runtime_now_us (cluster->runtime) - attempt->running_since_us >= HEALTHY_RUN_US)
+          && mh_runtime_now_us (cluster->runtime) - attempt->running_since_us >= MIN_HEALTHY_RUN_US)
         return true;
     }
   return false;
 }
 
 static void
-note_failure (const MhCluster *cluster, MhJob *job, const char *machine)
+count_failure (const MhCluster *cluster, MhJob *job, const char *machine)
 {
   MhJobFailures *failures = &job->failures;
   if (failures->machines == NULL)
     failures->machines = g_ptr_array_new_with_free_func (g_free);
   bool known = g_ptr_array_find_with_equal_func (failures->machines, machine, g_str_equal, NULL);
-  /* Tasks that were started together on one machine say no more than one of them. */
-  if (known && mh_runtime_now_us (cluster->runtime) < failures->failed_us + HOLD_US)
+  /* Tasks that were started together on one machine give no more evidence than one of them. */
+  if (known && mh_runtime_now_us (cluster->runtime) < failures->failed_us + FAILED_MACHINE_HOLD_US)
     return;
-  if (!known && failures->machines->len < FAILING_TRIES)
+  if (!known && failures->machines->len < FAILING_JOB_THRESHOLD)
     g_ptr_array_add (failures->machines, g_strdup (machine));
   failures->tries++;
   failures->failed_us = mh_runtime_now_us (cluster->runtime);
 }
 
 static bool
-fails_everywhere (const MhJob *job)
+is_failing_everywhere (const MhJob *job)
 {
-  return mh_job_backs_off (job) || job->failures.tries >= FAILING_TRIES;
+  return mh_job_backs_off (job) || job->failures.tries >= FAILING_JOB_THRESHOLD;
 }
 
 static void
-wait_before_retry (MhCluster *cluster, MhJob *job)
+schedule_retry (MhCluster *cluster, MhJob *job)
 {
-  gint64 wait = FIRST_WAIT_US << (job->failures.back_off_level - 1);
-  double factor = 1 - WAIT_SPREAD / 2 + WAIT_SPREAD * mh_runtime_now (cluster->runtime)->jitter;
+  gint64 wait_us = FIRST_BACK_OFF_US << (job->failures.back_off_level - 1);
+  double factor
+      = 1 - BACK_OFF_JITTER / 2 + BACK_OFF_JITTER * mh_runtime_now (cluster->runtime)->jitter;
   job->placement.retry_after_us
-      = mh_runtime_now_us (cluster->runtime) + (gint64)((double)wait * factor);
+      = mh_runtime_now_us (cluster->runtime) + (gint64)((double)wait_us * factor);
 }
 
-/* Tasks that still fetch the image of a job that cannot run keep it from others. */
+/* Tasks of a failing job that still fetch its image occupy capacity that other jobs need. */
 static void
-stop_fetching (MhCluster *cluster, MhJob *job)
+stop_image_fetches (MhCluster *cluster, MhJob *job)
 {
   for (guint i = 0; i < job->spec->tasks && job->n_live && !mh_job_is_gang (job); i++)
     {
@@ -108,80 +113,83 @@
     }
 }
 
-/* Tasks that were started together fail together: only the failure of a later try comes here. */
+/* Called when a job begins to back off, and for each failed retry. Tasks that were started together
+   fail together; mh_task_failure_record_failure() ignores failures during a wait. */
 static void
-back_off (MhCluster *cluster, MhJob *job)
+increase_back_off (MhCluster *cluster, MhJob *job)
 {
   bool first = !mh_job_backs_off (job);
-  job->failures.back_off_level = MIN (job->failures.back_off_level + 1, LAST_LEVEL);
-  wait_before_retry (cluster, job);
+  job->failures.back_off_level = MIN (job->failures.back_off_level + 1, MAX_BACK_OFF_LEVEL);
+  schedule_retry (cluster, job);
   mh_record_writer_touch (cluster->record_writer, &job->records[0], MH_URGENCY_PROGRESS);
   mh_log_info (cluster->runtime, "job backs off, fails wherever it starts job=%s next_start_s=%.0f",
                job->spec->id,
                (double)(job->placement.retry_after_us - mh_runtime_now_us (cluster->runtime))
                    / MH_SECOND_US);
   if (first)
-    stop_fetching (cluster, job);
+    stop_image_fetches (cluster, job);
 }
 
 void
 mh_task_failure_load_back_off (MhCluster *cluster, MhJob *job, guint level)
 {
-  job->failures.back_off_level = MIN (level, LAST_LEVEL);
+  job->failures.back_off_level = MIN (level, MAX_BACK_OFF_LEVEL);
   if (mh_job_backs_off (job))
-    wait_before_retry (cluster, job);
+    schedule_retry (cluster, job);
 }
 
 /* ---- machines ---- */
 
-/* Only this machine has been tried, often enough to say that one of the two is at fault. */
+/* Whether the job has failed often enough to back off, but on a single machine: either the job or
+   the machine is faulty. */
 static bool
-fails_here_alone (const MhJob *job)
+has_failed_on_one_machine_only (const MhJob *job)
 {
-  return fails_everywhere (job) && job->failures.machines && job->failures.machines->len == 1;
+  return is_failing_everywhere (job) && job->failures.machines && job->failures.machines->len == 1;
 }
 
-/* Jobs that could be tried nowhere else: where there are several, the machine is at fault. */
+/* Counts the jobs that have failed on this machine only. Where there are several, the machine is
+   faulty. */
 static guint
-jobs_failing_here_alone (const MhCluster *cluster, const MhMachine *machine)
+count_jobs_failing_here_only (const MhCluster *cluster, const MhMachine *machine)
 {
   guint jobs = 0;
-  const char *last = NULL;
+  const char *last_id = NULL;
   for (guint i = 0; i < machine->failures.jobs->len; i++)
     {
       const char *id = g_ptr_array_index (machine->failures.jobs, i);
       const MhJob *job = g_hash_table_lookup (cluster->jobs, id);
-      if (job == NULL || !fails_here_alone (job) || g_strcmp0 (last, id) == 0)
+      if (job == NULL || !has_failed_on_one_machine_only (job) || g_strcmp0 (last_id, id) == 0)
         continue;
       jobs++;
-      last = id;
+      last_id = id;
     }
   return jobs;
 }
 
 static void
-judge_machine (MhCluster *cluster, MhMachine *machine)
+release_if_faulty (MhCluster *cluster, MhMachine *machine)
 {
-  if (machine->failures.consecutive >= FAULTY_FAILURES
-      || jobs_failing_here_alone (cluster, machine) >= FAULTY_FAILURES)
+  if (machine->failures.consecutive >= FAULTY_MACHINE_THRESHOLD
+      || count_jobs_failing_here_only (cluster, machine) >= FAULTY_MACHINE_THRESHOLD)
     cluster->callbacks->release_machine (cluster->owner, machine,
                                          MH_RELEASE_REASON_FAILS_EVERY_TASK);
 }
 
 static void
-blame_machine (MhCluster *cluster, MhMachine *machine, const MhJob *job)
+attribute_to_machine (MhCluster *cluster, MhMachine *machine, const MhJob *job)
 {
-  machine->no_start_before_us = mh_runtime_now_us (cluster->runtime) + HOLD_US;
-  if (runs_well (cluster, job))
+  machine->no_start_before_us = mh_runtime_now_us (cluster->runtime) + FAILED_MACHINE_HOLD_US;
+  if (is_running_well (cluster, job))
     machine->failures.consecutive++;
   else if (machine->failures.jobs->len < MAX_FAILED_JOBS)
     g_ptr_array_add (machine->failures.jobs, g_strdup (job->spec->id));
-  judge_machine (cluster, machine);
+  release_if_faulty (cluster, machine);
 }
 
-/* The job runs: what failed on the machine before was the machine's fault. */
+/* The job runs elsewhere: its earlier failures on the machine were the fault of the machine. */
 static void
-confirm_blame (MhCluster *cluster, MhMachine *machine, const char *job)
+confirm_machine_fault (MhCluster *cluster, MhMachine *machine, const char *job)
 {
   GPtrArray *jobs = machine->failures.jobs;
   for (guint i = jobs->len; i-- > 0;)
@@ -190,26 +198,26 @@
         g_ptr_array_remove_index (jobs, i);
         machine->failures.consecutive++;
       }
-  judge_machine (cluster, machine);
+  release_if_faulty (cluster, machine);
 }
 
-/* ---- what happened ---- */
+/* ---- failures and successes ---- */
 
 void
 mh_task_failure_record_failure (MhCluster *cluster, MhMachine *machine, MhJob *job)
 {
-  /* Others that were started with the first: nothing more is learnt from them. */
+  /* The task was started together with one that failed before: it gives no further evidence. */
   if (mh_job_backs_off (job)
       && mh_runtime_now_us (cluster->runtime) < job->placement.retry_after_us)
     return;
-  if (!runs_well (cluster, job))
+  if (!is_running_well (cluster, job))
     {
-      note_failure (cluster, job, machine->name);
-      if (fails_everywhere (job))
-        back_off (cluster, job);
+      count_failure (cluster, job, machine->name);
+      if (is_failing_everywhere (job))
+        increase_back_off (cluster, job);
     }
-  if (!fails_everywhere (job) || fails_here_alone (job))
-    blame_machine (cluster, machine, job);
+  if (!is_failing_everywhere (job) || has_failed_on_one_machine_only (job))
+    attribute_to_machine (cluster, machine, job);
 }
 
 void
@@ -227,7 +235,7 @@
       const char *name = g_ptr_array_index (job->failures.machines, i);
       MhMachine *other = mh_cluster_find_machine (cluster, name);
       if (other)
-        confirm_blame (cluster, other, job->spec->id);
+        confirm_machine_fault (cluster, other, job->spec->id);
     }
   mh_job_failures_clear (&job->failures);
 }
--- a/src/cluster/task-failure.h
+++ b/src/cluster/task-failure.h
@@ -1,10 +1,11 @@
-/* Attribution of task failures: a job with a mistake fails on every machine, a faulty machine fails
-   every job.
+/* Attribution of task failures to jobs or machines: a faulty job fails on every machine, a faulty
+   machine fails every job.
 
-   A job that has failed on several machines, and has succeeded on none, backs off: one task of it
-   is tried at a time, after exponentially growing waits, and no machine is blamed for it. A machine
-   is given back when it keeps failing tasks of jobs that are not to blame. The back-off is part of
-   the job's first record, so that a new leader goes on with it. */
+   A job that has failed several times, on different machines or after a while, and has not
+   succeeded, backs off: one of its tasks is started at a time, after exponentially growing waits,
+   and its failures count against no machine, unless they all happened on a single one. A machine
+   that keeps failing tasks of other jobs is released. The back-off level is part of the job's first
+   record, so that a new leader continues with it. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -13,11 +14,11 @@
 /**
  * mh_task_failure_record_failure:
  * @cluster: the cluster
- * @machine: where the task failed
+ * @machine: the machine on which the task failed
  * @job: its job
  *
- * A task failed by itself. May give the machine back, and may make the job back off, which stops
- * those of its tasks that still fetch their image.
+ * Counts a task that failed without having been stopped. May release the machine. May make the job
+ * back off, which stops those of its tasks that still fetch their image.
  */
 void
 mh_task_failure_record_failure (MhCluster *cluster, MhMachine *machine, MhJob *job);
@@ -25,11 +26,11 @@
 /**
  * mh_task_failure_record_success:
  * @cluster: the cluster
- * @machine: where the task completed
+ * @machine: the machine on which the task completed
  * @job: its job
  *
- * Neither machine nor job is at fault. What the job failed on before is: those machines are blamed,
- * and may be given back.
+ * Neither machine nor job is faulty. The job's earlier failures now count against the machines on
+ * which they happened, which may be released for it.
  */
 void
 mh_task_failure_record_success (MhCluster *cluster, MhMachine *machine, MhJob *job);
@@ -38,27 +39,27 @@
  * mh_task_failure_load_back_off:
  * @cluster: the cluster
  * @job: a job that is being loaded
- * @level: of the back-off in its record; 0: it does not back off
+ * @level: back-off level in its record; 0: it does not back off
  */
 void
 mh_task_failure_load_back_off (MhCluster *cluster, MhJob *job, guint level);
 
 /**
- * mh_task_failure_startable:
+ * mh_task_failure_count_startable:
  * @cluster: the cluster
  * @job: a job
  *
  * Returns: how many of its pending tasks may be started now
  */
 guint
-mh_task_failure_startable (const MhCluster *cluster, const MhJob *job);
+mh_task_failure_count_startable (const MhCluster *cluster, const MhJob *job);
 
 /**
- * mh_task_failure_rentable:
+ * mh_task_failure_count_scale_out:
  * @cluster: the cluster
  * @job: a job
  *
- * Returns: for how many of its pending tasks machines may be rented now
+ * Returns: for how many of its pending tasks machines may be created now
  */
 guint
-mh_task_failure_rentable (const MhCluster *cluster, const MhJob *job);
+mh_task_failure_count_scale_out (const MhCluster *cluster, const MhJob *job);
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -5,13 +5,14 @@
 #include "protocol/worker-messages.h"
 #include "storage/record-state.h"
 
-/* An attempt that has not ended so long after its grace was over is stopped without any. */
-#define LATE_STOP_US MH_SECOND_US
+/* If an attempt has not ended this long after its grace period, it is stopped without a grace
+   period. */
+#define FORCED_STOP_DELAY_US MH_SECOND_US
 
 typedef enum
 {
-  ANSWER_TO_REPORT, /* all that holds is said again */
-  DIRECTLY          /* only what has not been said before */
+  CHANNEL_HEARTBEAT_RESPONSE, /* repeats commands that were sent before */
+  CHANNEL_DIRECT              /* only commands that were not sent before */
 } Channel;
 
 static void
@@ -20,7 +21,7 @@
   MhCommand command = { .kind = kind,
                         .job = g_strdup (attempt->job->spec->id),
                         .index = attempt->index,
-                        .attempt = attempt->attempt,
+                        .attempt = attempt->number,
                         .grace_us = grace_us };
   g_array_append_val (commands, command);
 }
@@ -37,44 +38,45 @@
 /* ---- starts and stops ---- */
 
 static bool
-is_durable (const MhAttempt *attempt)
+is_record_durable (const MhAttempt *attempt)
 {
   return mh_record_is_durable (mh_job_record (attempt->job, attempt->index),
                                attempt->required_revision);
 }
 
-/* Every place of the gang is on record: a successor must not take a part of it for the whole. */
+/* Whether the placement of every task of the gang is durable. No start leaves before, so that a
+   successor never finds only a part of a gang on record that has been started. */
 static bool
-gang_is_durable (const MhJob *job)
+is_gang_durable (const MhJob *job)
 {
   if (job->gang.state == MH_GANG_STATE_ENDING || job->n_live < job->spec->tasks)
     return false;
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       const MhAttempt *attempt = job->tasks[i].live;
-      if (mh_attempt_is_from_record (attempt) || !is_durable (attempt))
+      if (mh_attempt_is_from_record (attempt) || !is_record_durable (attempt))
         return false;
     }
   return true;
 }
 
 static bool
-may_start (const MhAttempt *attempt)
+can_start (const MhAttempt *attempt)
 {
-  bool unseen
-      = attempt->state == MH_ATTEMPT_RECORDED || attempt->state == MH_ATTEMPT_START_IN_FLIGHT;
-  return unseen && !mh_attempt_is_from_record (attempt) && is_durable (attempt)
+  bool unreported
+      = attempt->state == MH_ATTEMPT_PLACED || attempt->state == MH_ATTEMPT_START_IN_FLIGHT;
+  return unreported && !mh_attempt_is_from_record (attempt) && is_record_durable (attempt)
          && !mh_job_is_over (attempt->job) && !mh_machine_is_releasing (attempt->machine)
-         && (!mh_job_is_gang (attempt->job) || gang_is_durable (attempt->job));
+         && (!mh_job_is_gang (attempt->job) || is_gang_durable (attempt->job));
 }
 
 static void
 add_stop (const MhCluster *cluster, MhAttempt *attempt, GArray *commands)
 {
   gint64 now_us = mh_runtime_now_us (cluster->runtime);
-  /* One that saves longer than it was given is ended by a second command. */
-  bool late
-      = attempt->stop_sent_us && now_us > attempt->stop_sent_us + attempt->grace_us + LATE_STOP_US;
+  /* A second stop, without a grace period, ends an attempt that exceeds its grace period. */
+  bool late = attempt->stop_sent_us
+              && now_us > attempt->stop_sent_us + attempt->grace_us + FORCED_STOP_DELAY_US;
   add_command (commands, MH_COMMAND_STOP, attempt, late ? 0 : attempt->grace_us);
   if (attempt->stop_sent_us == 0)
     attempt->stop_sent_us = now_us;
@@ -84,7 +86,7 @@
 add_start (MhAttempt *attempt, GArray *commands, Channel channel)
 {
   add_command (commands, MH_COMMAND_START, attempt, 0);
-  mh_attempt_note_start_sent (attempt, channel == ANSWER_TO_REPORT);
+  mh_attempt_note_start_sent (attempt, channel == CHANNEL_HEARTBEAT_RESPONSE);
 }
 
 static void
@@ -95,20 +97,21 @@
       MhAttempt *attempt = mh_machine_attempt (machine, i);
       if (mh_attempt_is_stopping (attempt))
         {
-          if (channel == ANSWER_TO_REPORT || attempt->stop_sent_us == 0)
+          if (channel == CHANNEL_HEARTBEAT_RESPONSE || attempt->stop_sent_us == 0)
             add_stop (cluster, attempt, commands);
         }
-      else if (may_start (attempt)
-               && (channel == ANSWER_TO_REPORT || !mh_attempt_start_was_sent (attempt)))
+      else if (can_start (attempt)
+               && (channel == CHANNEL_HEARTBEAT_RESPONSE || !mh_attempt_start_was_sent (attempt)))
         add_start (attempt, commands, channel);
     }
 }
 
 /* ---- orphans ---- */
 
-/* A result must not be cleared before it is on record. */
+/* Whether the result of the orphan's task is not durable yet. A finished job stays in memory until
+   its final record is durable. */
 static bool
-result_is_unrecorded (const MhCluster *cluster, const MhOrphan *orphan)
+is_result_unrecorded (const MhCluster *cluster, const MhOrphan *orphan)
 {
   MhJob *job = g_hash_table_lookup (cluster->jobs, orphan->job);
   if (job == NULL || orphan->index >= job->spec->tasks
@@ -127,8 +130,9 @@
   add_orphan_command (commands, MH_COMMAND_STOP, orphan);
 }
 
-/* Once cleared an attempt is forgotten at the worker, and a start that is still on its way, or a
-   late copy of one that was carried out, would run it again. */
+/* A worker forgets an attempt that is cleared; a start that is still in flight, or a late copy of
+   one that was carried out, would then run it again. The clear is held until such starts are
+   fenced. */
 static void
 collect_for_orphans (MhCluster *cluster, MhMachine *machine, GArray *commands)
 {
@@ -142,8 +146,8 @@
       if (!orphan->ended)
         stop_orphan (cluster, machine, orphan, commands);
       else if (start)
-        clear_held |= start->token == token; /* not fenced by a higher one yet */
-      else if (!result_is_unrecorded (cluster, orphan))
+        clear_held |= start->token == token; /* the token has not been raised since */
+      else if (!is_result_unrecorded (cluster, orphan))
         add_orphan_command (commands, MH_COMMAND_CLEAR, orphan);
     }
   gint64 *held_since_us = &machine->fencing.clear_held_since_us;
@@ -153,23 +157,23 @@
     *held_since_us = mh_runtime_now_us (cluster->runtime);
 }
 
-/* ---- what is told when ---- */
+/* ---- commands for each channel ---- */
 
 void
 mh_worker_command_collect (MhCluster *cluster, MhMachine *machine, GArray *commands)
 {
-  collect_for_attempts (cluster, machine, commands, ANSWER_TO_REPORT);
+  collect_for_attempts (cluster, machine, commands, CHANNEL_HEARTBEAT_RESPONSE);
   collect_for_orphans (cluster, machine, commands);
 }
 
 void
 mh_worker_command_collect_unsent (MhCluster *cluster, MhMachine *machine, GArray *commands)
 {
-  collect_for_attempts (cluster, machine, commands, DIRECTLY);
+  collect_for_attempts (cluster, machine, commands, CHANNEL_DIRECT);
 }
 
 void
-mh_worker_command_collect_cancelled (const MhMachine *machine, GArray *commands)
+mh_worker_command_collect_cancellations (const MhMachine *machine, GArray *commands)
 {
   for (guint i = 0; i < machine->attempts->len; i++)
     {
@@ -179,25 +183,25 @@
     }
 }
 
-static MhUnsentCommands
-unsent_for_attempt (const MhAttempt *attempt)
+static MhUnsentUrgency
+get_unsent_urgency (const MhAttempt *attempt)
 {
   if (mh_attempt_is_stopping (attempt))
     {
       if (attempt->stop_sent_us)
         return MH_UNSENT_NONE;
-      return mh_job_is_over (attempt->job) ? MH_UNSENT_PATIENT : MH_UNSENT_URGENT;
+      return mh_job_is_over (attempt->job) ? MH_UNSENT_DEFERRABLE : MH_UNSENT_URGENT;
     }
-  if (mh_attempt_start_was_sent (attempt) || !may_start (attempt))
+  if (mh_attempt_start_was_sent (attempt) || !can_start (attempt))
     return MH_UNSENT_NONE;
-  return attempt->job->spec->shape == MH_SHAPE_ARRAY ? MH_UNSENT_PATIENT : MH_UNSENT_URGENT;
+  return attempt->job->spec->shape == MH_SHAPE_ARRAY ? MH_UNSENT_DEFERRABLE : MH_UNSENT_URGENT;
 }
 
-MhUnsentCommands
-mh_worker_command_unsent (const MhMachine *machine)
+MhUnsentUrgency
+mh_worker_command_unsent_urgency (const MhMachine *machine)
 {
-  MhUnsentCommands most_urgent = MH_UNSENT_NONE;
+  MhUnsentUrgency most_urgent = MH_UNSENT_NONE;
   for (guint i = 0; i < machine->attempts->len && most_urgent != MH_UNSENT_URGENT; i++)
-    most_urgent = MAX (most_urgent, unsent_for_attempt (mh_machine_attempt (machine, i)));
+    most_urgent = MAX (most_urgent, get_unsent_urgency (mh_machine_attempt (machine, i)));
   return most_urgent;
 }
--- a/src/cluster/worker-command.h
+++ b/src/cluster/worker-command.h
@@ -1,41 +1,46 @@
-/* What a machine is told with the answer to its report: starts, stops and clears.
+/* The commands to a worker: starts, stops and clears. They are sent in the response to its
+   heartbeat, and starts and stops also as direct commands.
 
-   A start leaves only when its attempt is durable. A result is cleared at the worker only when it
-   is durable too, and when no late copy of the start can run the attempt again (fencing.h). */
+   A start is sent only when the record of its attempt is durable. A clear, which makes the worker
+   forget a result, is sent only when the result is durable too, and when no late copy of the start
+   can run the attempt again (fencing.h). */
 #pragma once
 
 #include "cluster/cluster-types.h"
 #include "cluster/machine.h"
 
 /**
- * MhUnsentCommands:
- * @MH_UNSENT_NONE: nothing has to be said
- * @MH_UNSENT_PATIENT: nobody waits: it can go with the answer to the next report
- * @MH_UNSENT_URGENT: a replica or a gang starts, or room is made
+ * MhUnsentUrgency:
+ * @MH_UNSENT_NONE: there are no unsent commands
+ * @MH_UNSENT_DEFERRABLE: nothing waits for them: the response to the next heartbeat can carry them
+ * @MH_UNSENT_URGENT: they start a replica or a gang, or stop an attempt of an unfinished job to
+ * make room
  *
- * What has not been said to a machine yet.
+ * How urgent the commands are that have not been sent to a machine yet.
  */
 typedef enum
 {
   MH_UNSENT_NONE,
-  MH_UNSENT_PATIENT,
+  MH_UNSENT_DEFERRABLE,
   MH_UNSENT_URGENT
-} MhUnsentCommands;
+} MhUnsentUrgency;
 
 /**
- * mh_worker_command_unsent:
+ * mh_worker_command_unsent_urgency:
  * @machine: a machine
  *
- * Returns: whether there are starts or stops that have not been said, and how urgent they are
+ * Returns: the highest urgency of its starts and stops that have not been sent
  */
-MhUnsentCommands
-mh_worker_command_unsent (const MhMachine *machine);
+MhUnsentUrgency
+mh_worker_command_unsent_urgency (const MhMachine *machine);
 
 /**
  * mh_worker_command_collect:
  * @cluster: the cluster
- * @machine: a machine whose report is being answered
- * @commands: (element-type MhCommand): the answer's commands, to which all that hold are added
+ * @machine: a machine to whose heartbeat a response is being written
+ * @commands: (element-type MhCommand): the response's commands
+ *
+ * Adds all commands that apply now, including those that were sent before.
  */
 void
 mh_worker_command_collect (MhCluster *cluster, MhMachine *machine, GArray *commands);
@@ -43,20 +48,21 @@
 /**
  * mh_worker_command_collect_unsent:
  * @cluster: the cluster
- * @machine: a machine that is told directly
- * @commands: (element-type MhCommand): to which the starts and stops are added that were not said
- * yet
+ * @machine: a machine to which a direct command is being written
+ * @commands: (element-type MhCommand): the commands in it
+ *
+ * Adds the starts and stops that have not been sent yet.
  */
 void
 mh_worker_command_collect_unsent (MhCluster *cluster, MhMachine *machine, GArray *commands);
 
 /**
- * mh_worker_command_collect_cancelled:
+ * mh_worker_command_collect_cancellations:
  * @machine: a machine
- * @commands: (element-type MhCommand): to which stops for the tasks of cancelled jobs are added
+ * @commands: (element-type MhCommand): commands to its worker
  *
- * A confirmed cancellation stands under every leader: telling of it is no command of this one's,
- * and right whatever has happened since.
+ * Adds stops for the tasks of jobs whose cancellation is durable. No later leader revokes a
+ * cancellation, so that these stops are right even if this controller no longer leads.
  */
 void
-mh_worker_command_collect_cancelled (const MhMachine *machine, GArray *commands);
+mh_worker_command_collect_cancellations (const MhMachine *machine, GArray *commands);
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -109,7 +109,7 @@
     {
       MhAttempt *attempt = job->tasks[i].live;
       if (attempt)
-        mh_attempt_send_stop (
+        mh_attempt_request_stop (
             attempts->cluster, attempt,
             saves ? grace_us + mh_runtime_settings (attempts->runtime)->gang_peer_us : 0);
     }
@@ -125,9 +125,9 @@
   mh_job_gang_apply (&job->gang, MH_GANG_EVENT_COMPLETED, mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
-      mh_attempt_proven_over (attempts->cluster, job->tasks[i].live, true);
+      mh_attempt_note_ended (attempts->cluster, job->tasks[i].live, true);
     else if (job->tasks[i].state != MH_TASK_DONE)
-      mh_attempt_task_done (attempts->cluster, job, i);
+      mh_attempt_set_task_done (attempts->cluster, job, i);
 }
 
 /* The attempt is over: what is left of it would wait for the others, or notice that one is gone. */
@@ -140,9 +140,9 @@
       if (attempt == NULL)
         continue;
       if (!mh_attempt_start_was_sent (attempt) && !mh_attempt_is_from_record (attempt))
-        mh_attempt_proven_over (attempts->cluster, attempt, false);
+        mh_attempt_note_ended (attempts->cluster, attempt, false);
       else if (!mh_attempt_is_stopping (attempt))
-        mh_attempt_send_stop (attempts->cluster, attempt, 0);
+        mh_attempt_request_stop (attempts->cluster, attempt, 0);
     }
   if (job->n_live == 0)
     mh_job_gang_apply (&job->gang, MH_GANG_EVENT_GONE, mh_runtime_now_us (attempts->runtime));
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -69,7 +69,7 @@
   MhAttempt *attempt
       = mh_task_start (cycle->pass, job, index, job->tasks[index].attempt + 1, candidate->machine,
                        cycle->is_service ? MH_URGENCY_USER : MH_URGENCY_START);
-  attempt->of_starved_job = job->placement.starved;
+  attempt->job_was_starved = job->placement.starved;
   candidate->replicas_on_machine = mh_score_replicas_on_machine (
       candidate->machine->usage.replicas, mh_cluster_service_replicas (cycle->pass->cluster));
   g_array_index (cycle->zones, MhZoneCount, candidate->zone).count++;
@@ -130,7 +130,7 @@
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
-  guint startable = mh_task_failure_startable (pass->cluster, job);
+  guint startable = mh_task_failure_count_startable (pass->cluster, job);
   while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < STARTS_PER_PASS)
     {
       /* Not past a task that was passed over: it once was forgotten with that, and a replica never
@@ -237,7 +237,7 @@
       mh_runtime_wake_at (pass->runtime, job->placement.retry_after_us);
       return;
     }
-  if (mh_task_failure_startable (pass->cluster, job) == 0 || !counts_are_known (pass, job)
+  if (mh_task_failure_count_startable (pass->cluster, job) == 0 || !counts_are_known (pass, job)
       || !quota_allows_task (pass, job))
     return;
   if (mh_job_is_gang (job))
--- a/src/placement/task-start.c
+++ b/src/placement/task-start.c
@@ -13,7 +13,7 @@
   mh_record_writer_touch (pass->record_writer, record, urgency);
   attempt->required_revision = mh_record_revision (record);
   mh_log_debug (pass->runtime, "task placed job=%s task=%u attempt=%u machine=%s zone=%s image=%s",
-                job->spec->id, index, attempt->attempt, machine->name, machine->zone,
+                job->spec->id, index, attempt->number, machine->name, machine->zone,
                 mh_machine_has_image (machine, job->image) ? "present" : "absent");
   return attempt;
 }
--- a/src/placement/victim.c
+++ b/src/placement/victim.c
@@ -28,7 +28,7 @@
     return false;
   /* The one task with which a starved job begins gives way to urgent work alone: it once was
      stopped in the very pass that had placed it. */
-  if (victim->of_starved_job && mh_job_queue_tier (preemptor) > MH_TIER_URGENT)
+  if (victim->job_was_starved && mh_job_queue_tier (preemptor) > MH_TIER_URGENT)
     return false;
   /* Urgent work beyond its quota and normal work within one once stopped each other a thousand
      times. */
--- a/tests/test-cluster-states.c
+++ b/tests/test-cluster-states.c
@@ -16,23 +16,23 @@
 /* In the order of MhAttemptEvent: start sent, start refused, shown waiting, shown running, stop
    wanted, proven over. */
 static const StateRow attempt_rows[] = {
-  [MH_ATTEMPT_RECORDED] = { "recorded",
-                            { MH_ATTEMPT_START_IN_FLIGHT, REFUSED, MH_ATTEMPT_FETCHING,
-                              MH_ATTEMPT_RUNNING, MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+  [MH_ATTEMPT_PLACED] = { "recorded",
+                          { MH_ATTEMPT_START_IN_FLIGHT, REFUSED, MH_ATTEMPT_WAITING,
+                            MH_ATTEMPT_RUNNING, MH_ATTEMPT_STOPPING, MH_ATTEMPT_ENDED } },
   [MH_ATTEMPT_START_IN_FLIGHT]
   = { "start-in-flight",
-      { MH_ATTEMPT_START_IN_FLIGHT, MH_ATTEMPT_RECORDED, MH_ATTEMPT_FETCHING, MH_ATTEMPT_RUNNING,
-        MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
-  [MH_ATTEMPT_FETCHING] = { "fetching",
-                            { REFUSED, REFUSED, MH_ATTEMPT_FETCHING, MH_ATTEMPT_RUNNING,
-                              MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+      { MH_ATTEMPT_START_IN_FLIGHT, MH_ATTEMPT_PLACED, MH_ATTEMPT_WAITING, MH_ATTEMPT_RUNNING,
+        MH_ATTEMPT_STOPPING, MH_ATTEMPT_ENDED } },
+  [MH_ATTEMPT_WAITING] = { "fetching",
+                           { REFUSED, REFUSED, MH_ATTEMPT_WAITING, MH_ATTEMPT_RUNNING,
+                             MH_ATTEMPT_STOPPING, MH_ATTEMPT_ENDED } },
   [MH_ATTEMPT_RUNNING] = { "running",
-                           { REFUSED, REFUSED, MH_ATTEMPT_FETCHING, MH_ATTEMPT_RUNNING,
-                             MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
+                           { REFUSED, REFUSED, MH_ATTEMPT_WAITING, MH_ATTEMPT_RUNNING,
+                             MH_ATTEMPT_STOPPING, MH_ATTEMPT_ENDED } },
   [MH_ATTEMPT_STOPPING] = { "stopping",
                             { REFUSED, MH_ATTEMPT_STOPPING, MH_ATTEMPT_STOPPING,
-                              MH_ATTEMPT_STOPPING, MH_ATTEMPT_STOPPING, MH_ATTEMPT_OVER } },
-  [MH_ATTEMPT_OVER] = { "over", { REFUSED, REFUSED, REFUSED, REFUSED, REFUSED, REFUSED } },
+                              MH_ATTEMPT_STOPPING, MH_ATTEMPT_STOPPING, MH_ATTEMPT_ENDED } },
+  [MH_ATTEMPT_ENDED] = { "over", { REFUSED, REFUSED, REFUSED, REFUSED, REFUSED, REFUSED } },
 };
 
 /* In the order of MhMachineEvent: reported, drain started, drain cancelled, release wanted, release
@@ -59,10 +59,10 @@
 {
   const StateRow *row = data;
   MhAttemptState before = (MhAttemptState)(row - attempt_rows);
-  for (int event = 0; event <= MH_ATTEMPT_EVENT_PROVEN_OVER; event++)
+  for (int event = 0; event <= MH_ATTEMPT_EVENT_PROVEN_ENDED; event++)
     {
       MhAttemptState state = before;
-      bool accepted = mh_attempt_state_after (&state, (MhAttemptEvent)event);
+      bool accepted = mh_attempt_state_apply (&state, (MhAttemptEvent)event);
       g_assert_cmpint (accepted, ==, row->after[event] != REFUSED);
       g_assert_cmpint (state, ==, accepted ? (MhAttemptState)row->after[event] : before);
     }
@@ -97,7 +97,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  G_STATIC_ASSERT (G_N_ELEMENTS (attempt_rows) == MH_ATTEMPT_OVER + 1);
+  G_STATIC_ASSERT (G_N_ELEMENTS (attempt_rows) == MH_ATTEMPT_ENDED + 1);
   G_STATIC_ASSERT (G_N_ELEMENTS (machine_rows) == MH_MACHINE_RELEASED + 1);
   add_rows ("attempt", attempt_rows, G_N_ELEMENTS (attempt_rows), test_attempt);
   add_rows ("machine", machine_rows, G_N_ELEMENTS (machine_rows), test_machine);
--- a/tests/test-machine.c
+++ b/tests/test-machine.c
@@ -79,14 +79,14 @@
   add_start (machine, 0, 7);
   add_start (machine, 1, 8);
   machine->heartbeat.token = 7;
-  mh_fencing_forget_fenced (machine);
+  mh_fencing_remove_fenced (machine);
   g_assert_true (has_start (machine, 0));
   machine->heartbeat.token = 8;
-  mh_fencing_forget_fenced (machine);
+  mh_fencing_remove_fenced (machine);
   g_assert_false (has_start (machine, 0));
   g_assert_true (has_start (machine, 1));
   machine->heartbeat.incarnation = 4;
-  mh_fencing_forget_fenced (machine);
+  mh_fencing_remove_fenced (machine);
   g_assert_false (has_start (machine, 1));
   mh_machine_free (machine);
 }
--- a/tests/test-placement-steps.c
+++ b/tests/test-placement-steps.c
@@ -298,10 +298,10 @@
   g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* no further back */
   normal.placement.guaranteed = true;
   g_assert_true (mh_victim_is_eligible (&normal, &attempt));
-  attempt.of_starved_job = true;
+  attempt.job_was_starved = true;
   g_assert_false (mh_victim_is_eligible (&normal, &attempt));
   g_assert_true (mh_victim_is_eligible (&urgent, &attempt));
-  attempt.of_starved_job = false;
+  attempt.job_was_starved = false;
   fixture->spec.shape = MH_SHAPE_GANG;
   g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* for a quota alone */
   fixture->spec.shape = MH_SHAPE_ARRAY;
