--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -118,7 +118,7 @@
   machine->probe.in_flight = false;
   if (report == NULL || strcmp (report->machine, machine->name) != 0)
     handle_probe_failure (cluster, machine);
-  else if (mh_heartbeat_take_answer (cluster, machine, report))
+  else if (mh_heartbeat_receive_response (cluster, machine, report))
     {
       /* The worker may still send heartbeats to a former leader that is partitioned. After this
          command its next heartbeat carries the new token, which makes the former leader step down.
