--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -19,7 +19,7 @@
 mh_capacity_estimate_count_tasks (const MhCapacityEstimate *estimate, const MhJobSpec *spec,
                                   guint tasks)
 {
-  return mh_resources_slots (&estimate->available, spec, tasks);
+  return mh_resources_count_slots (&estimate->available, spec, tasks);
 }
 
 void
--- a/src/autoscaler/completion-forecast.c
+++ b/src/autoscaler/completion-forecast.c
@@ -109,8 +109,8 @@
   guint reserved = 0;
   while (reserved < request->tasks)
     {
-      guint fitting
-          = mh_resource_slots (forecast->free_cpus, request->cpus, request->tasks - reserved);
+      guint fitting = mh_resources_count_slots_of_one (forecast->free_cpus, request->cpus,
+                                                       request->tasks - reserved);
       if (fitting)
         {
           forecast->free_cpus -= request->cpus * fitting;
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -139,7 +139,7 @@
 {
   if (spec->shape == MH_SHAPE_SERVICE)
     return 0;
-  guint repeated = mh_resource_slots (MAX (plan->lost_cpus, 0), spec->cpus, tasks);
+  guint repeated = mh_resources_count_slots_of_one (MAX (plan->lost_cpus, 0), spec->cpus, tasks);
   plan->lost_cpus -= spec->cpus * repeated;
   return repeated;
 }
--- a/src/controller/cluster-callbacks.c
+++ b/src/controller/cluster-callbacks.c
@@ -26,7 +26,7 @@
 gang_task_over (gpointer owner, MhJob *job, bool done)
 {
   MhCore *core = owner;
-  mh_gang_attempts_task_ended (core->gang_attempts, job, done);
+  mh_gang_attempts_handle_task_end (core->gang_attempts, job, done);
 }
 
 static void
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -10,12 +10,15 @@
 #include "placement/resources.h"
 #include "placement/score.h"
 
-/* A machine that has not come after so many of its type's boot times is not counted on. */
+/* Age, in boot times of its type, up to which a machine that has not reported counts as booting. No
+   task waits for an older one. */
 #define MAX_BOOT_TIMES 2
-/* What is late is expected within a part of the boot time. */
-#define LATE_BOOT_PART 4
-/* A machine is silent after so many halves of the time between reports. */
-#define SILENT_REPORT_HALVES 5
+/* A booting machine is not expected before this fraction (1/n) of its type's boot time from now,
+   also when its boot time is over. */
+#define LATE_BOOT_DIVISOR 4
+/* Silence, in halves of the report interval, after which a machine may be partitioned and does not
+   count as live. */
+#define SILENT_HALF_INTERVALS 5
 
 /* ---- a pass ---- */
 
@@ -36,7 +39,7 @@
 }
 
 static void
-add_arrival (MhPlacementPass *pass, const MhMachine *machine)
+add_booting_machine (MhPlacementPass *pass, const MhMachine *machine)
 {
   if (machine->heartbeat.reported || mh_machine_is_releasing (machine) || machine->type == NULL
       || machine->zone == NULL || machine->boot.late_age_us)
@@ -44,17 +47,17 @@
   gint64 boot_us = machine->type->boot_us;
   if (pass->now_us - machine->boot.rented_us > MAX_BOOT_TIMES * boot_us)
     return;
-  MhArrival arrival = { .machine = machine,
-                        .arrives_us = MAX (machine->boot.rented_us + boot_us,
-                                           pass->now_us + boot_us / LATE_BOOT_PART),
-                        .cpus = machine->type->cpus,
-                        .mem_gb = machine->type->mem_gb };
-  g_array_append_val (pass->arrivals, arrival);
+  MhBootingMachine booting = { .machine = machine,
+                               .ready_us = MAX (machine->boot.rented_us + boot_us,
+                                                pass->now_us + boot_us / LATE_BOOT_DIVISOR),
+                               .cpus = machine->type->cpus,
+                               .mem_gb = machine->type->mem_gb };
+  g_array_append_val (pass->booting_machines, booting);
 }
 
-/* The index of the zone among those of the pass. */
+/* Returns the index of the zone in the pass's zones, and adds the zone if it is new. */
 static guint
-zone_index (MhPlacementPass *pass, const char *name)
+find_or_add_zone (MhPlacementPass *pass, const char *name)
 {
   for (guint i = 0; i < pass->zones->len; i++)
     if (g_array_index (pass->zones, MhZoneCount, i).name == name)
@@ -65,7 +68,7 @@
 }
 
 static void
-collect_usable_machines (MhPlacementPass *pass)
+collect_machines (MhPlacementPass *pass)
 {
   GHashTableIter it;
   gpointer value;
@@ -74,13 +77,14 @@
     {
       MhMachine *machine = value;
       machine->usage.reserved_cpus = machine->usage.reserved_mem_gb = 0;
-      add_arrival (pass, machine);
-      /* A machine that may be cut off is no live one: a partitioned zone leaves the count. */
+      add_booting_machine (pass, machine);
+      /* A silent machine may be partitioned and does not count as live. A zone whose machines are
+         all silent is left out of the zones, and with it out of topology spread. */
       if (!is_live (machine)
           || mh_cluster_is_silent (pass->cluster, machine,
-                                   pass->settings->report_interval_us * SILENT_REPORT_HALVES / 2))
+                                   pass->settings->report_interval_us * SILENT_HALF_INTERVALS / 2))
         continue;
-      machine->zone_index = zone_index (pass, machine->zone);
+      machine->zone_index = find_or_add_zone (pass, machine->zone);
       if (is_usable (pass, machine))
         g_ptr_array_add (pass->usable_machines, machine);
     }
@@ -92,9 +96,9 @@
   pass->usable_machines = g_ptr_array_new ();
   pass->zones = g_array_new (FALSE, FALSE, sizeof (MhZoneCount));
   pass->infeasible = mh_infeasible_new ();
-  pass->not_preempting = g_ptr_array_new ();
-  pass->arrivals = g_array_new (FALSE, FALSE, sizeof (MhArrival));
-  collect_usable_machines (pass);
+  pass->failed_preemptors = g_ptr_array_new ();
+  pass->booting_machines = g_array_new (FALSE, FALSE, sizeof (MhBootingMachine));
+  collect_machines (pass);
 }
 
 void
@@ -103,11 +107,11 @@
   g_ptr_array_unref (pass->usable_machines);
   g_array_unref (pass->zones);
   mh_infeasible_free (pass->infeasible);
-  g_ptr_array_unref (pass->not_preempting);
-  g_array_unref (pass->arrivals);
+  g_ptr_array_unref (pass->failed_preemptors);
+  g_array_unref (pass->booting_machines);
 }
 
-/* ---- the cycle of a job ---- */
+/* ---- a job's cycle ---- */
 
 static void
 count_task (MhJobCycle *cycle, const MhAttempt *attempt)
@@ -126,7 +130,7 @@
 count_tasks (MhJobCycle *cycle)
 {
   const MhJobSpec *spec = cycle->job->spec;
-  /* Counting walks all tasks of the job; most arrays need no counts. */
+  /* Counting walks all tasks of the job. Most arrays need no counts. */
   if (cycle->job->n_live == 0
       || !(cycle->is_service || spec->single_zone || spec->spread_over_zones))
     return;
@@ -134,9 +138,10 @@
     count_task (cycle, cycle->job->tasks[i].live);
 }
 
-/* A zone counts when it has live machines and passes the job's zone filter, feasible or not. */
+/* A zone is counted if it has live machines and the job may run there, whether or not it is
+   feasible (MhZoneCount). */
 static void
-count_zones (MhJobCycle *cycle)
+collect_counted_zones (MhJobCycle *cycle)
 {
   const GArray *all_zones = cycle->pass->zones;
   const char *required = mh_filter_required_zone (cycle->job);
@@ -144,9 +149,9 @@
   for (guint i = 0; i < all_zones->len; i++)
     {
       MhZoneCount zone = g_array_index (all_zones, MhZoneCount, i);
-      bool counts = required == NULL || zone.name == required;
-      cycle->zone_of[i] = counts ? cycle->zones->len : MH_ZONE_NOT_COUNTED;
-      if (counts)
+      bool is_counted = required == NULL || zone.name == required;
+      cycle->zone_of[i] = is_counted ? cycle->zones->len : MH_ZONE_NOT_COUNTED;
+      if (is_counted)
         g_array_append_val (cycle->zones, zone);
     }
 }
@@ -167,7 +172,7 @@
                       .next_task = job->placement.first_pending };
   for (guint i = 0; i < pass->types->len; i++)
     cycle->type_fits[i] = mh_job_spec_fits_type (job->spec, g_ptr_array_index (pass->types, i));
-  count_zones (cycle);
+  collect_counted_zones (cycle);
   count_tasks (cycle);
 }
 
@@ -198,8 +203,8 @@
   g_array_index (cycle->zones, MhZoneCount, candidate.zone).feasible = true;
 }
 
-/* A replica may keep its machine for long after everything else on it has ended, so that those
-   which cost much more than another of the kind are marked. */
+/* A replica can keep its machine in use long after all other tasks there have ended. Candidates
+   that cost much more than the cheapest machine that passes the filters are therefore marked. */
 static void
 mark_above_price_cap (MhJobCycle *cycle, double lowest_price)
 {
@@ -228,8 +233,9 @@
         add_candidate (cycle, machine);
     }
   if (cycle->candidates->len == 0)
-    mh_infeasible_remember (cycle->pass->infeasible, spec);
-  /* A service has few tasks, and each start changes what is best for the next: it is not sorted. */
+    mh_infeasible_add (cycle->pass->infeasible, spec);
+  /* The candidates of a service are not sorted: it has few tasks, and each start changes the
+     scores. */
   if (cycle->is_service)
     mark_above_price_cap (cycle, lowest_price);
   else
@@ -237,26 +243,27 @@
 }
 
 static bool
-passes_now (const MhJobCycle *cycle, const MhCandidate *candidate)
+passes_filters_now (const MhJobCycle *cycle, const MhCandidate *candidate)
 {
   return mh_filter_resources (candidate->machine, cycle->job->spec)
          && mh_filter_zone (cycle, candidate->zone);
 }
 
-/* Among the sorted candidates of an array: first fit. */
+/* Returns the first fit among the sorted candidates of an array. */
 static MhCandidate *
 select_first (MhJobCycle *cycle)
 {
   for (guint i = cycle->first_with_room; i < cycle->candidates->len; i++)
     {
       MhCandidate *candidate = &g_array_index (cycle->candidates, MhCandidate, i);
-      if (passes_now (cycle, candidate))
+      if (passes_filters_now (cycle, candidate))
         return candidate;
     }
   return NULL;
 }
 
-/* Among the candidates of a service, whose scores change with each start. */
+/* Returns the best candidate of a service. All of them are compared, since the scores change with
+   each start. */
 static MhCandidate *
 select_best (MhJobCycle *cycle)
 {
@@ -264,7 +271,7 @@
   for (guint i = cycle->first_with_room; i < cycle->candidates->len; i++)
     {
       MhCandidate *candidate = &g_array_index (cycle->candidates, MhCandidate, i);
-      if (!passes_now (cycle, candidate))
+      if (!passes_filters_now (cycle, candidate))
         continue;
       if (cycle->spread.soft)
         candidate->spread_score = mh_topology_spread_score_zone (
@@ -288,25 +295,25 @@
   return cycle->is_service ? select_best (cycle) : select_first (cycle);
 }
 
-/* ---- machines on their way ---- */
+/* ---- booting machines ---- */
 
 static bool
-arrival_can_take (const MhJobCycle *cycle, const MhArrival *arrival)
+can_take_task (const MhJobCycle *cycle, const MhBootingMachine *booting)
 {
   const MhJob *job = cycle->job;
-  const MhMachine *machine = arrival->machine;
-  if (arrival->image && arrival->image != job->image)
+  const MhMachine *machine = booting->machine;
+  if (booting->image && booting->image != job->image)
     return false;
   if (machine->spot || !cycle->type_fits[machine->type_index])
     return false;
   if (job->zone && job->zone != machine->zone)
     return false;
-  return arrival->cpus + MH_RESOURCE_EPSILON >= job->spec->cpus
-         && arrival->mem_gb + MH_RESOURCE_EPSILON >= job->spec->mem_gb;
+  return booting->cpus + MH_RESOURCE_EPSILON >= job->spec->cpus
+         && booting->mem_gb + MH_RESOURCE_EPSILON >= job->spec->mem_gb;
 }
 
 bool
-mh_arrival_claim (MhJobCycle *cycle, gint64 image_wait_us)
+mh_booting_machine_claim (MhJobCycle *cycle, gint64 image_wait_us)
 {
   const MhJob *job = cycle->job;
   if (!cycle->is_service)
@@ -314,15 +321,16 @@
   gint64 fetch_us = mh_job_spec_fetch_us (job->spec, cycle->pass->types);
   if (image_wait_us <= fetch_us)
     return false;
-  for (guint i = 0; i < cycle->pass->arrivals->len; i++)
+  for (guint i = 0; i < cycle->pass->booting_machines->len; i++)
     {
-      MhArrival *arrival = &g_array_index (cycle->pass->arrivals, MhArrival, i);
-      if (!arrival_can_take (cycle, arrival)
-          || arrival->arrives_us - cycle->pass->now_us + fetch_us >= image_wait_us)
+      MhBootingMachine *booting
+          = &g_array_index (cycle->pass->booting_machines, MhBootingMachine, i);
+      if (!can_take_task (cycle, booting)
+          || booting->ready_us - cycle->pass->now_us + fetch_us >= image_wait_us)
         continue;
-      arrival->image = job->image;
-      arrival->cpus -= job->spec->cpus;
-      arrival->mem_gb -= job->spec->mem_gb;
+      booting->image = job->image;
+      booting->cpus -= job->spec->cpus;
+      booting->mem_gb -= job->spec->mem_gb;
       return true;
     }
   return false;
--- a/src/placement/candidate.h
+++ b/src/placement/candidate.h
@@ -1,15 +1,15 @@
-/* Candidates: the machines of one placement pass, and those of them that may take a job's next
-   task. */
+/* Setup of a placement pass and of a job's cycle in it, and the choice of the machine for the job's
+   next task among the candidates. */
 #pragma once
 
 #include "placement/placement-types.h"
 
 /**
  * mh_placement_pass_init:
- * @pass: the fields that hold for the controller are set; the rest is filled in
+ * @pass: (inout): a pass; the caller has set the fields that do not depend on the machines
  *
- * Looks at all machines once: which may take tasks, which zones count, and which are on their way.
- * Reservations of the last pass end.
+ * Walks all machines once and collects the machines that may take tasks, the machines that are
+ * booting, and the zones with live machines. Drops the reservations of the previous pass.
  */
 void
 mh_placement_pass_init (MhPlacementPass *pass);
@@ -17,17 +17,20 @@
 /**
  * mh_placement_pass_clear:
  * @pass: a pass
+ *
+ * Frees what mh_placement_pass_init() has collected.
  */
 void
 mh_placement_pass_clear (MhPlacementPass *pass);
 
 /**
  * mh_job_cycle_init:
- * @cycle: is filled in
+ * @cycle: (out): the cycle to initialize
  * @pass: the pass
  * @job: a job
  *
- * Works out which machine types and zones the job may use, and counts its tasks by zone.
+ * Determines the machine types and zones that the job may use, and counts its tasks in each of
+ * these zones.
  */
 void
 mh_job_cycle_init (MhJobCycle *cycle, MhPlacementPass *pass, MhJob *job);
@@ -35,6 +38,8 @@
 /**
  * mh_job_cycle_clear:
  * @cycle: a cycle
+ *
+ * Frees the arrays of @cycle.
  */
 void
 mh_job_cycle_clear (MhJobCycle *cycle);
@@ -43,8 +48,8 @@
  * mh_candidates_collect:
  * @cycle: a cycle
  *
- * Collects the machines that pass all filters but those of zones that depend on where the job's
- * other tasks are, and scores them.
+ * Collects and scores the machines that pass all filters except mh_filter_zone(), whose result
+ * changes with each task that is placed.
  */
 void
 mh_candidates_collect (MhJobCycle *cycle);
@@ -53,22 +58,23 @@
  * mh_candidates_select:
  * @cycle: a cycle
  *
- * Returns: (transfer none) (nullable): the best candidate that passes all filters now; %NULL if
- * none does
+ * Returns: (transfer none) (nullable): the best candidate that currently passes all filters; %NULL
+ * if none does
  */
 MhCandidate *
 mh_candidates_select (MhJobCycle *cycle);
 
 /**
- * mh_arrival_claim:
+ * mh_booting_machine_claim:
  * @cycle: a cycle
- * @image_wait_us: how long the job's image takes on the machine that was found
+ * @image_wait_us: time until the job's image is present on the best candidate
  *
- * Fetches side by side share a machine's rate, so that each takes as long as all. A replica whose
- * image would come later so than on a machine that is on its way, and has no other to fetch, waits
- * for that one.
+ * Claims resources of a booting machine for a replica of a service. Concurrent image fetches share
+ * the fetch rate of a machine, so that each of them takes as long as all together. If a machine
+ * that is booting, and has no other image to fetch, would have the image earlier than the best
+ * candidate, the replica waits for that machine.
  *
- * Returns: whether a task of the job does; it has a place on that machine, in this pass
+ * Returns: whether a task of the job waits; the claim holds until the end of this pass
  */
 bool
-mh_arrival_claim (MhJobCycle *cycle, gint64 image_wait_us);
+mh_booting_machine_claim (MhJobCycle *cycle, gint64 image_wait_us);
--- a/src/placement/filter.c
+++ b/src/placement/filter.c
@@ -11,7 +11,8 @@
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
       {
-        /* A machine known from a record alone has no zone yet: nothing can be placed beside it. */
+        /* A machine that is known only from a record has no zone yet. Until it has one, no task
+           can be placed in the same zone. */
         const char *zone = job->tasks[i].live->machine->zone;
         return zone ? zone : "";
       }
--- a/src/placement/filter.h
+++ b/src/placement/filter.h
@@ -1,5 +1,5 @@
-/* The filters of placement: where a task may go at all. Each is a step by itself, as in the
-   Kubernetes scheduler's Filter phase. */
+/* The filters of placement: on which machines a task may run. Each filter is a function, like a
+   plugin of the Filter phase in the Kubernetes scheduler. */
 #pragma once
 
 #include "placement/placement-types.h"
@@ -8,9 +8,11 @@
  * mh_filter_required_zone:
  * @job: a job
  *
- * Returns: (nullable): the only zone in which a further task of the job may run: the one that it
- * asks for, or that its other tasks have fixed (same zone); interned; %NULL: any. The empty string
- * if it is fixed, and not known.
+ * The zone that the job asks for, or, for a job whose tasks all run in one zone, the zone of its
+ * live tasks.
+ *
+ * Returns: (nullable): the only zone in which a further task of the job may run, interned; %NULL:
+ * any zone. The empty string if a live task determines the zone and its zone is not known yet.
  */
 const char *
 mh_filter_required_zone (const MhJob *job);
@@ -20,7 +22,7 @@
  * @cycle: a cycle
  * @machine: a machine
  *
- * Returns: whether the job's types, and what a task needs, admit machines of this type
+ * Returns: whether the job accepts the machine's type and a task fits on an empty machine of it
  */
 bool
 mh_filter_type (const MhJobCycle *cycle, const MhMachine *machine);
@@ -30,7 +32,7 @@
  * @spec: a job
  * @machine: a machine
  *
- * Returns: whether the job may run there as far as preemptible (spot) machines are concerned
+ * Returns: whether the machine is not a spot machine, or the job accepts spot machines
  */
 bool
 mh_filter_spot (const MhJobSpec *spec, const MhMachine *machine);
@@ -40,7 +42,7 @@
  * @cycle: a cycle
  * @machine: a machine
  *
- * Returns: whether the machine's zone is one in which the job may run
+ * Returns: whether the machine's zone is a counted one (MhJobCycle): the job may run there
  */
 bool
 mh_filter_counted_zone (const MhJobCycle *cycle, const MhMachine *machine);
@@ -50,7 +52,8 @@
  * @cycle: a cycle
  * @machine: a machine
  *
- * Returns: whether the machine passes the filters that hold for the whole cycle: type, spot, zone
+ * Returns: whether the machine passes the filters whose results are the same throughout the cycle:
+ * type, spot, counted zone
  */
 bool
 mh_filter_machine (const MhJobCycle *cycle, const MhMachine *machine);
@@ -60,7 +63,7 @@
  * @machine: a machine
  * @spec: a job
  *
- * Returns: whether one more task of the job has room there now
+ * Returns: whether the machine currently has room for one more task of the job
  */
 bool
 mh_filter_resources (const MhMachine *machine, const MhJobSpec *spec);
@@ -70,7 +73,8 @@
  * @cycle: a cycle
  * @zone: index into the cycle's zones
  *
- * Returns: whether a scattered job may have one more task in the zone: at most half of all
+ * Returns: whether at most half of the job's tasks, rounded up, would be in the zone with one more
+ * task there; always %TRUE for a job that is not scattered
  */
 bool
 mh_filter_scatter (const MhJobCycle *cycle, guint zone);
@@ -80,8 +84,10 @@
  * @cycle: a cycle
  * @zone: index into the cycle's zones
  *
- * Returns: whether a job whose tasks all run in one zone has none in another; an earlier task of
- * this very pass may have fixed the zone
+ * For a job whose tasks all run in one zone. Checks the counts of the cycle, since a task that was
+ * started earlier in this cycle may have determined the zone.
+ *
+ * Returns: whether the job has no task in any other zone; always %TRUE for other jobs
  */
 bool
 mh_filter_one_zone (const MhJobCycle *cycle, guint zone);
@@ -91,7 +97,8 @@
  * @cycle: a cycle
  * @zone: index into the cycle's zones
  *
- * Returns: whether a service's hard topology spread constraint allows one more task in the zone
+ * Returns: whether the hard topology spread constraint allows one more task in the zone; always
+ * %TRUE for a soft constraint, and for jobs other than services
  */
 bool
 mh_filter_topology_spread (const MhJobCycle *cycle, guint zone);
@@ -101,8 +108,8 @@
  * @cycle: a cycle
  * @zone: index into the cycle's zones
  *
- * Returns: whether the zone passes the filters that depend on where the job's tasks are: scatter,
- * one zone, topology spread
+ * Returns: whether the zone passes the filters that depend on the zones of the job's other tasks:
+ * scatter, one zone, topology spread
  */
 bool
 mh_filter_zone (const MhJobCycle *cycle, guint zone);
@@ -112,7 +119,7 @@
  * @cycle: a cycle
  * @machine: a machine
  *
- * Returns: whether the machine passes all filters but that of resources
+ * Returns: whether the machine passes all filters except that of resources
  */
 bool
 mh_filter_admits (const MhJobCycle *cycle, const MhMachine *machine);
--- a/src/placement/gang-attempt.h
+++ b/src/placement/gang-attempt.h
@@ -1,22 +1,22 @@
-/* The attempts of gangs: whatever ends one task of an attempt ends the attempt.
+/* The attempts of gangs. The end of one task ends the attempt of the whole gang.
 
-   All tasks carry one attempt number. A start leaves only when the whole attempt is on record;
-   tasks are told together to stop; and the next attempt begins when every task of the last is
-   proven gone. What follows from a task's end for the others is done in the next step, since the
-   caller may be walking over them. */
+   All tasks have the same attempt number. Starts are sent only once the whole attempt is on record,
+   all tasks are stopped together, and the next attempt begins when every task of the last one is
+   proven gone. The other tasks are stopped or completed in the next step of the controller, since
+   the caller that reports the end of a task may be iterating over them. */
 #pragma once
 
 #include "cluster/cluster.h"
 #include "runtime/runtime.h"
 
-/** MhGangAttempts: the gangs that a task's end has consequences for. */
+/** MhGangAttempts: the gangs of which a task has ended, or that are being stopped. */
 typedef struct MhGangAttempts MhGangAttempts;
 
 /**
  * mh_gang_attempts_new:
- * @cluster: (transfer none): whose attempts are told to stop; must outlive the gangs
- * @runtime: (transfer none): must outlive the gangs
- * @jobs: (element-type utf8 MhJob): all jobs by id; a reference is held
+ * @cluster: (transfer none): the cluster that the attempts belong to; must outlive the object
+ * @runtime: (transfer none): time, log and settings; must outlive the object
+ * @jobs: (element-type utf8 MhJob): all jobs by id; the object holds a reference
  *
  * Returns: (transfer full): free it with mh_gang_attempts_free()
  */
@@ -34,49 +34,52 @@
  * mh_gang_attempts_clear:
  * @attempts: the gangs
  *
- * Forgets them all: this controller no longer leads.
+ * Forgets all gangs, when this controller is no longer the leader.
  */
 void
 mh_gang_attempts_clear (MhGangAttempts *attempts);
 
 /**
  * mh_gang_attempts_reconcile:
- * @attempts: the gangs; this controller leads
+ * @attempts: the gangs; this controller is the leader
  *
- * Carries on what the end of tasks means for their gangs; and takes back gangs that have not become
- * complete when their workers are about to give up.
+ * Stops or completes the other tasks of gangs of which a task has ended. Also stops gangs that are
+ * not complete shortly before their workers give up waiting.
  */
 void
 mh_gang_attempts_reconcile (MhGangAttempts *attempts);
 
 /**
  * mh_gang_attempts_restore:
- * @attempts: the gangs; this controller has begun to lead
+ * @attempts: the gangs; this controller has become the leader
  * @job: a gang whose records have been read
  *
- * A task that is done, or missing, on record: so is the attempt.
+ * Restores the state of the attempt. If the records show a task as done, or only some of the tasks
+ * as started, the attempt is over.
  */
 void
 mh_gang_attempts_restore (MhGangAttempts *attempts, MhJob *job);
 
 /**
- * mh_gang_attempts_task_ended:
+ * mh_gang_attempts_handle_task_end:
  * @attempts: the gangs
  * @job: a gang
  * @done: whether the task is done
  *
- * A task is over; what that means for the others follows in mh_gang_attempts_reconcile().
+ * Handles the end of one task. The other tasks are stopped or completed in
+ * mh_gang_attempts_reconcile().
  */
 void
-mh_gang_attempts_task_ended (MhGangAttempts *attempts, MhJob *job, bool done);
+mh_gang_attempts_handle_task_end (MhGangAttempts *attempts, MhJob *job, bool done);
 
 /**
  * mh_gang_attempts_stop:
  * @attempts: the gangs
  * @job: a gang
- * @grace_us: what a task needs to save its checkpoint
+ * @grace_us: time that a task needs to save its checkpoint
  *
- * All tasks are told together, with the time to save and to wait for each other.
+ * Stops all tasks together. If they save a checkpoint, each one also gets the time in which all
+ * tasks have to learn of the stop.
  */
 void
 mh_gang_attempts_stop (MhGangAttempts *attempts, MhJob *job, gint64 grace_us);
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -12,12 +12,13 @@
 
 #include <string.h>
 
-/* What is available in its best zone is held for a gang that waits, until machines requested for
-   the rest have had the time to come; after that only when it is starved. */
-#define HOLD_US (90 * MH_SECOND_US)
+/* Time for which a pending gang holds available capacity in its best zone. It is long enough for
+   machines that were requested for the rest of the gang to boot. After that only a starved gang
+   holds capacity. */
+#define CAPACITY_HOLD_US (90 * MH_SECOND_US)
 
-/* Whether a type that fits is offered in another zone than `first`, which is set by the first one.
- */
+/* Whether the type is offered in a zone other than `*first`. The first zone of the first type sets
+   `*first`. */
 static bool
 has_second_zone (const MhMachineType *type, const char **first)
 {
@@ -50,7 +51,7 @@
 /* ---- starting ---- */
 
 static guint32
-last_attempt (const MhJob *job)
+last_attempt_number (const MhJob *job)
 {
   guint32 last = 0;
   for (guint i = 0; i < job->spec->tasks; i++)
@@ -59,16 +60,16 @@
 }
 
 static void
-start_selected (MhGangSites *sites)
+start_selected_tasks (MhGangSites *sites)
 {
   MhJob *job = sites->job;
-  guint32 attempt = last_attempt (job) + 1;
+  guint32 attempt = last_attempt_number (job) + 1;
   guint index = 0;
   mh_job_gang_apply (&job->gang, MH_GANG_EVENT_PLACED, sites->pass->now_us);
   for (guint i = 0; i < sites->sites->len; i++)
     {
       const MhGangSite *site = &g_array_index (sites->sites, MhGangSite, i);
-      for (guint j = 0; j < site->taken; j++)
+      for (guint j = 0; j < site->selected_tasks; j++)
         mh_task_start (sites->pass, job, index++, attempt, site->machine, MH_URGENCY_USER);
     }
 }
@@ -79,35 +80,39 @@
 stop_victims (MhGangSites *sites, const MhGangSite *site, GPtrArray *victims)
 {
   MhResources preemptible;
-  MhResources soon = mh_victims_capacity (sites->job, site->machine, &preemptible);
-  mh_victims_select (sites->pass->now_us, sites->job, site->machine, soon, site->taken, victims);
+  MhResources after_stops = mh_victims_capacity (sites->job, site->machine, &preemptible);
+  mh_victims_select (sites->pass->now_us, sites->job, site->machine, after_stops,
+                     site->selected_tasks, victims);
   mh_preemption_stop_victims (sites->pass, sites->job, victims);
 }
 
-/* Stops lesser work for as many tasks as there is no room for. */
+/* Selects sites for all tasks and preempts the tasks that occupy the missing room. Returns false if
+   preemption cannot make room for all tasks. */
 static bool
 make_room (MhGangSites *sites, gint64 max_wait_us)
 {
   mh_gang_sites_rank_by_cost (sites);
-  if (!mh_gang_sites_select_best (sites, MH_GANG_ROOM_PREEMPTIBLE, max_wait_us))
+  if (!mh_gang_sites_select_best (sites, MH_GANG_CAPACITY_PREEMPTIBLE, max_wait_us))
     return false;
   g_autoptr (GPtrArray) victims = g_ptr_array_new ();
   for (guint i = 0; i < sites->sites->len; i++)
     {
       const MhGangSite *site = &g_array_index (sites->sites, MhGangSite, i);
-      if (site->taken > site->slots[MH_GANG_ROOM_SOON])
+      if (site->selected_tasks > site->slots[MH_GANG_CAPACITY_AFTER_STOPS])
         stop_victims (sites, site, victims);
     }
   mh_gang_sites_reserve (sites);
   return true;
 }
 
-/* Room that is being made, or can be, where the last image comes in time. */
+/* Reserves room that is being freed, or makes it by preemption, on machines where all images are
+   present within `max_wait_us`. Returns false if there is no such room. */
 static bool
-wait_for_room (MhGangSites *sites, bool may_preempt, gint64 max_wait_us, MhGangPlacement *placement)
+reserve_or_make_room (MhGangSites *sites, bool may_preempt, gint64 max_wait_us,
+                      MhGangPlacementResult *placement)
 {
   *placement = MH_GANG_PENDING;
-  if (mh_gang_sites_select_best (sites, MH_GANG_ROOM_SOON, max_wait_us))
+  if (mh_gang_sites_select_best (sites, MH_GANG_CAPACITY_AFTER_STOPS, max_wait_us))
     {
       mh_gang_sites_reserve (sites);
       return true;
@@ -118,8 +123,8 @@
   return true;
 }
 
-/* Holds what is available where there is the most of it: machines come and fall free one by one,
-   and each would be taken by smaller work before the next one is there. */
+/* Holds the available capacity of the zone in which most tasks fit. Machines boot and become free
+   one at a time, and smaller work would take each one before the next one is available. */
 static void
 hold_capacity (MhGangSites *sites)
 {
@@ -129,7 +134,7 @@
   for (guint i = 0; i < sites->zones->len; i++)
     {
       const char *zone = g_ptr_array_index (sites->zones, i);
-      guint tasks = mh_gang_sites_select (sites, zone, MH_GANG_ROOM_NOW).tasks;
+      guint tasks = mh_gang_sites_select (sites, zone, MH_GANG_CAPACITY_AVAILABLE).tasks;
       if (tasks > most)
         {
           most = tasks;
@@ -138,7 +143,7 @@
     }
   if (best == NULL)
     return;
-  gang->held_tasks = mh_gang_sites_select (sites, best, MH_GANG_ROOM_NOW).tasks;
+  gang->held_tasks = mh_gang_sites_select (sites, best, MH_GANG_CAPACITY_AVAILABLE).tasks;
   gang->held_zone = sites->job->spec->single_zone ? best : NULL;
   mh_gang_sites_reserve (sites);
 }
@@ -148,14 +153,15 @@
 static bool
 start_now (MhGangSites *sites, gint64 max_wait_us)
 {
-  if (!mh_gang_sites_select_best (sites, MH_GANG_ROOM_NOW, max_wait_us))
+  if (!mh_gang_sites_select_best (sites, MH_GANG_CAPACITY_AVAILABLE, max_wait_us))
     return false;
-  start_selected (sites);
+  start_selected_tasks (sites);
   return true;
 }
 
-/* Like a service, an urgent gang that would come too late by its image rather takes the room of
-   lesser work where the image is. */
+/* Returns the image wait up to which the gang's start is in time. Where the images of an urgent
+   gang would be late, it takes the room of tasks further back in the queue instead, on machines
+   where its images are in time, as a service does. */
 static gint64
 max_image_wait_us (const MhPlacementPass *pass, const MhJob *job)
 {
@@ -164,27 +170,28 @@
   return MAX (mh_objective_slack_us (pass->settings, job, pass->now_us), 0);
 }
 
-static MhGangPlacement
-place (MhGangSites *sites, bool may_preempt)
+static MhGangPlacementResult
+place_all_tasks (MhGangSites *sites, bool may_preempt)
 {
   MhJob *job = sites->job;
   const MhPlacementPass *pass = sites->pass;
-  gint64 in_time_us = max_image_wait_us (pass, job);
-  MhGangPlacement placement;
-  if (start_now (sites, in_time_us))
+  gint64 in_time_wait_us = max_image_wait_us (pass, job);
+  MhGangPlacementResult placement;
+  if (start_now (sites, in_time_wait_us))
     return MH_GANG_STARTED;
-  if (in_time_us < G_MAXINT64 && wait_for_room (sites, may_preempt, in_time_us, &placement))
+  if (in_time_wait_us < G_MAXINT64
+      && reserve_or_make_room (sites, may_preempt, in_time_wait_us, &placement))
     return placement;
   if (start_now (sites, G_MAXINT64))
     return MH_GANG_STARTED;
-  if (wait_for_room (sites, may_preempt, G_MAXINT64, &placement))
+  if (reserve_or_make_room (sites, may_preempt, G_MAXINT64, &placement))
     return placement;
-  if (job->placement.starved || pass->now_us - job->placement.unplaced_since_us < HOLD_US)
+  if (job->placement.starved || pass->now_us - job->placement.unplaced_since_us < CAPACITY_HOLD_US)
     hold_capacity (sites);
   return MH_GANG_PENDING;
 }
 
-MhGangPlacement
+MhGangPlacementResult
 mh_gang_place (const MhPlacementPass *pass, MhJob *job, bool may_preempt)
 {
   const MhJobSpec *spec = job->spec;
@@ -196,7 +203,7 @@
     return MH_GANG_PENDING;
   MhGangSites sites;
   mh_gang_sites_init (&sites, pass, job);
-  MhGangPlacement placement = place (&sites, may_preempt);
+  MhGangPlacementResult placement = place_all_tasks (&sites, may_preempt);
   mh_gang_sites_clear (&sites);
   return placement;
 }
--- a/src/placement/gang-placement.h
+++ b/src/placement/gang-placement.h
@@ -1,29 +1,33 @@
-/* Placement of gangs: places for all tasks in one pass, or for none (gang scheduling). KEP-895's
-   spread is about services and does not apply here. */
+/* Placement of gangs: all tasks are placed in the same pass, or none is (gang scheduling). The
+   topology spread of KEP-895 is for services and does not apply to gangs. */
 #pragma once
 
 #include "placement/placement-types.h"
 
 /**
- * MhGangPlacement:
- * @MH_GANG_PENDING: there is no room for all
- * @MH_GANG_PREEMPTING: room is being made, by stopping lesser work
- * @MH_GANG_STARTED: every task has its machine
+ * MhGangPlacementResult:
+ * @MH_GANG_PENDING: no task was started and no task was preempted
+ * @MH_GANG_PREEMPTING: tasks were preempted to make room for the gang
+ * @MH_GANG_STARTED: all tasks were started
+ *
+ * The result of the placement of one gang in one pass.
  */
 typedef enum
 {
   MH_GANG_PENDING,
   MH_GANG_PREEMPTING,
   MH_GANG_STARTED
-} MhGangPlacement;
+} MhGangPlacementResult;
 
 /**
  * mh_gang_is_feasible:
  * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
  * @spec: a gang
  *
- * Returns: whether its tasks could ever run all at once, with the zones that it allows and that its
- * types are offered in
+ * Checks only the zones: a scattered gang of more than one task needs at least two zones. They must
+ * be allowed by the gang, and machine types that fit must be offered in them.
+ *
+ * Returns: whether all tasks could ever run at the same time
  */
 bool
 mh_gang_is_feasible (const GPtrArray *types, const MhJobSpec *spec);
@@ -32,11 +36,12 @@
  * mh_gang_place:
  * @pass: the pass
  * @job: a gang
- * @may_preempt: whether lesser work may be stopped for it
+ * @may_preempt: whether tasks of jobs further back in the queue may be stopped for it
  *
- * Starts all tasks, or none. For one that cannot start, capacity may be held or made.
+ * Starts all tasks or none. For a gang that cannot start, may reserve available capacity, or make
+ * room by preemption.
  *
- * Returns: what was done
+ * Returns: the result
  */
-MhGangPlacement
+MhGangPlacementResult
 mh_gang_place (const MhPlacementPass *pass, MhJob *job, bool may_preempt);
--- a/src/placement/gang-site.h
+++ b/src/placement/gang-site.h
@@ -1,50 +1,56 @@
-/* Sites of a gang: the machines with room for its tasks, and the choice among them. */
+/* Sites of a gang: the machines that have room for its tasks, and the selection among them. */
 #pragma once
 
 #include "placement/placement-types.h"
 
 /**
- * MhGangRoom:
- * @MH_GANG_ROOM_NOW: what is available
- * @MH_GANG_ROOM_SOON: ... with what leaves when it has been stopped
- * @MH_GANG_ROOM_PREEMPTIBLE: ... with what could be stopped as well
+ * MhGangCapacity:
+ * @MH_GANG_CAPACITY_AVAILABLE: resources that are available now
+ * @MH_GANG_CAPACITY_AFTER_STOPS: ... and those of tasks that are being stopped
+ * @MH_GANG_CAPACITY_PREEMPTIBLE: ... and those of tasks that could be preempted
+ *
+ * Which resources of a machine count as room.
  */
 typedef enum
 {
-  MH_GANG_ROOM_NOW,
-  MH_GANG_ROOM_SOON,
-  MH_GANG_ROOM_PREEMPTIBLE
-} MhGangRoom;
-/** MH_GANG_ROOMS: number of kinds of room */
-#define MH_GANG_ROOMS (MH_GANG_ROOM_PREEMPTIBLE + 1)
+  MH_GANG_CAPACITY_AVAILABLE,
+  MH_GANG_CAPACITY_AFTER_STOPS,
+  MH_GANG_CAPACITY_PREEMPTIBLE
+} MhGangCapacity;
+/** MH_GANG_CAPACITY_KINDS: number of kinds of room */
+#define MH_GANG_CAPACITY_KINDS (MH_GANG_CAPACITY_PREEMPTIBLE + 1)
 
 /**
  * MhGangSite:
  * @machine: a machine
- * @slots: by MhGangRoom: for how many tasks it has room
- * @taken: tasks of the last selection
- * @image_wait_us: until the image is there
- * @cost: of a task there, where room has to be made; see mh_gang_sites_rank_by_cost()
+ * @slots: by MhGangCapacity: number of tasks for which the machine has room
+ * @selected_tasks: number of tasks that the last selection put on the machine
+ * @image_wait_us: time until the gang's image is present on the machine
+ * @cost: cost of making room for one task; see mh_gang_sites_rank_by_cost()
+ *
+ * A machine with room for tasks of the gang.
  */
 typedef struct
 {
   MhMachine *machine;
-  guint slots[MH_GANG_ROOMS];
-  guint taken;
+  guint slots[MH_GANG_CAPACITY_KINDS];
+  guint selected_tasks;
   gint64 image_wait_us;
   double cost;
 } MhGangSite;
 
 /**
  * MhGangSelection:
- * @tasks: that have a site
- * @last_image_us: when the last image comes
- * @cost: of all of them
+ * @tasks: number of tasks that have a site
+ * @last_image_wait_us: longest image wait among the selected sites
+ * @cost: sum of the cost of these tasks; see MhGangSite
+ *
+ * The result of a selection of sites.
  */
 typedef struct
 {
   guint tasks;
-  gint64 last_image_us;
+  gint64 last_image_wait_us;
   double cost;
 } MhGangSelection;
 
@@ -52,8 +58,10 @@
  * MhGangSites:
  * @pass: the pass
  * @job: the gang
- * @sites: (element-type MhGangSite): in the order in which they are taken
- * @zones: distinct, interned
+ * @sites: (element-type MhGangSite): in the order in which selections consider them
+ * @zones: (element-type utf8): the distinct zones of the sites, interned
+ *
+ * The sites of a gang in one placement pass.
  */
 typedef struct
 {
@@ -65,9 +73,11 @@
 
 /**
  * mh_gang_sites_init:
- * @sites: is filled in
+ * @sites: (out): the sites to initialize
  * @pass: the pass
  * @job: a gang
+ *
+ * Collects the machines that have room for tasks of the gang, or would have it after preemption.
  */
 void
 mh_gang_sites_init (MhGangSites *sites, const MhPlacementPass *pass, MhJob *job);
@@ -75,6 +85,8 @@
 /**
  * mh_gang_sites_clear:
  * @sites: the sites
+ *
+ * Frees the arrays of @sites.
  */
 void
 mh_gang_sites_clear (MhGangSites *sites);
@@ -83,9 +95,10 @@
  * mh_gang_sites_rank_by_cost:
  * @sites: the sites
  *
- * Where room has to be made, what is lost counts, and the wait for the image as work of the gang
- * itself. By the image alone, long runs of arrays were stopped while others beside them had just
- * begun, and one task that has to run again makes its whole array late.
+ * Sorts the sites by the cost of making room there: the work that is lost by preemption, and the
+ * image wait, which counts as lost work of the gang itself. When only the image wait counted, array
+ * tasks that had run for long were stopped while others next to them had just begun. One task that
+ * has to run again makes its whole array late.
  */
 void
 mh_gang_sites_rank_by_cost (MhGangSites *sites);
@@ -93,35 +106,38 @@
 /**
  * mh_gang_sites_select:
  * @sites: the sites
- * @zone: (nullable): the only zone; interned; %NULL: all
- * @room: which room counts
+ * @zone: (nullable): the only zone to select in, interned; %NULL: all zones
+ * @capacity: which resources count as room
  *
- * Takes sites for as many tasks as there is room for, at most half in one zone where the gang is
- * scattered. The first image and the last must come within what the workers wait for each other.
+ * Selects sites for as many of the gang's tasks as there is room for. A scattered gang gets at most
+ * half of its tasks, rounded up, in one zone. The image waits of the selected sites may differ only
+ * by a share of the time for which the workers wait for a gang to be complete.
  *
- * Returns: what was taken; which is in MhGangSite.taken until the next selection
+ * Returns: the selection; MhGangSite.selected_tasks has its number of tasks by site until the next
+ * selection
  */
 MhGangSelection
-mh_gang_sites_select (MhGangSites *sites, const char *zone, MhGangRoom room);
+mh_gang_sites_select (MhGangSites *sites, const char *zone, MhGangCapacity capacity);
 
 /**
  * mh_gang_sites_select_best:
  * @sites: the sites
- * @room: which room counts
- * @max_wait_us: the last image must come within this time
+ * @capacity: which resources count as room
+ * @max_wait_us: maximum image wait of a selected site
  *
- * Takes sites for all tasks, in the best zone where the gang is bound to one.
+ * Selects sites for all tasks of the gang. If they all have to run in one zone, selects the best
+ * zone.
  *
- * Returns: %FALSE if there is no room for all
+ * Returns: %FALSE if there is no room for all tasks
  */
 bool
-mh_gang_sites_select_best (MhGangSites *sites, MhGangRoom room, gint64 max_wait_us);
+mh_gang_sites_select_best (MhGangSites *sites, MhGangCapacity capacity, gint64 max_wait_us);
 
 /**
  * mh_gang_sites_reserve:
  * @sites: the sites
  *
- * Keeps what the last selection took, until the next pass.
+ * Reserves the resources of the last selection until the next pass.
  */
 void
 mh_gang_sites_reserve (MhGangSites *sites);
--- a/src/placement/infeasible.c
+++ b/src/placement/infeasible.c
@@ -27,7 +27,7 @@
 }
 
 void
-mh_infeasible_remember (MhInfeasible *infeasible, const MhJobSpec *spec)
+mh_infeasible_add (MhInfeasible *infeasible, const MhJobSpec *spec)
 {
   if (spec->types || spec->zone || spec->single_zone)
     return;
--- a/src/placement/infeasible.h
+++ b/src/placement/infeasible.h
@@ -1,46 +1,46 @@
-/* What found no machine in this pass: nor will a task that needs as much or more, until the next.
- */
+/* The requests for which no machine was found in a placement pass. A task that needs as much or
+   more finds none in this pass either, and the machines need not be searched for it. */
 #pragma once
 
 #include "jobs/job.h"
 
-/** MhInfeasible: the requests that found no machine. */
+/** MhInfeasible: a set of requests for which no machine was found. */
 typedef struct MhInfeasible MhInfeasible;
 
 /**
  * mh_infeasible_new:
  *
- * Returns: (transfer full): an empty memory, for one pass
+ * Returns: (transfer full): an empty set, for one pass; free it with mh_infeasible_free()
  */
 MhInfeasible *
 mh_infeasible_new (void);
 
 /**
  * mh_infeasible_free:
- * @infeasible: (transfer full): a memory
+ * @infeasible: (transfer full): a set
  */
 void
 mh_infeasible_free (MhInfeasible *infeasible);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhInfeasible, mh_infeasible_free)
 
 /**
- * mh_infeasible_remember:
- * @infeasible: a memory
- * @spec: a job of which no task fits on any machine
+ * mh_infeasible_add:
+ * @infeasible: a set
+ * @spec: a job of which no task currently fits on any machine
  *
- * Remembers what a task of it needs; ignored where the job itself rules machines out by type or
- * zone, which says nothing of others.
+ * Adds the needs of one task. Does nothing for a job that restricts machine types or zones itself,
+ * since other jobs may find a machine elsewhere.
  */
 void
-mh_infeasible_remember (MhInfeasible *infeasible, const MhJobSpec *spec);
+mh_infeasible_add (MhInfeasible *infeasible, const MhJobSpec *spec);
 
 /**
  * mh_infeasible_is_known:
- * @infeasible: a memory
+ * @infeasible: a set
  * @spec: a job
  *
- * Returns: whether a task that needs no more, and could go to all machines that one of this job
- * could, found none
+ * Returns: whether the set has a request that needs no more than a task of @spec, and that could
+ * use every machine that @spec could use
  */
 bool
 mh_infeasible_is_known (const MhInfeasible *infeasible, const MhJobSpec *spec);
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -1,7 +1,7 @@
-/* What is known of the machines in one placement pass, and in the pass's look at one job.
+/* State of one placement pass, and of one job's scheduling cycle within it.
 
-   The structures are shared by the steps of placement (filter, score, preemption) and by nobody
-   else. They hold nothing beyond the pass. */
+   Only the steps of placement (filter, score, preemption, gangs) use these structures. Nothing in
+   them is kept after the pass. */
 #pragma once
 
 #include "cluster/cluster-types.h"
@@ -12,42 +12,43 @@
 #include "storage/record-writer.h"
 
 /**
- * MhArrival:
- * @machine: a machine that has been requested and has not reported
- * @arrives_us: when it is expected, by the steady clock
- * @image: the interned image that tasks wait for it with; %NULL: none
- * @cpus: cores that no task waits for
- * @mem_gb: memory that no task waits for
+ * MhBootingMachine:
+ * @machine: a machine that has been requested and has not reported yet
+ * @ready_us: when it is expected to report, by the monotonic clock
+ * @image: (nullable): the interned image of the tasks that wait for the machine; %NULL: none waits
+ * @cpus: cores that are not claimed by waiting tasks
+ * @mem_gb: memory in GB that is not claimed by waiting tasks
  *
- * A machine that is on its way.
+ * A machine that is booting, and the resources of it that this pass has not promised to tasks yet.
  */
 typedef struct
 {
   const MhMachine *machine;
-  gint64 arrives_us;
+  gint64 ready_us;
   const GRefString *image;
   double cpus, mem_gb;
-} MhArrival;
+} MhBootingMachine;
 
 /**
  * MhPlacementPass:
  * @cluster: the machines
+ * @record_writer: writes the records of attempts
  * @runtime: time, log and wake-ups
- * @record_writer: writes the attempts
- * @settings: its settings
+ * @settings: the controller's settings
  * @types: (element-type MhMachineType): the machine types
- * @now_us: the present, by the steady clock
- * @is_rebuilt: whether every machine that should has reported to this leader, or has had the time
+ * @now_us: the current time, by the monotonic clock
+ * @is_recovery_complete: whether every machine that is expected to report has reported to this
+ * leader, or the time limit for that has passed
  * @usable_machines: (element-type MhMachine): those that may take tasks
  * @zones: (element-type MhZoneCount): all zones with live machines; MhMachine.zone_index is an
- * index into these
- * @infeasible: requests that found no machine
- * @not_preempting: (element-type MhJob): jobs for which no task could be preempted
- * @arrivals: (element-type MhArrival): machines on their way
- * @starts: tasks that were started
- * @preemptions: how often room was made
- * @may_preempt: whether this pass looks for tasks to preempt
- * @last_preemption_us: when tasks to preempt were last looked for
+ * index into this array
+ * @infeasible: requests for which no machine was found in this pass
+ * @failed_preemptors: (element-type MhJob): jobs for which preemption failed in this pass
+ * @booting_machines: (element-type MhBootingMachine): machines that are booting
+ * @starts: number of tasks started in this pass
+ * @preemptions: number of times that this pass made room by preemption
+ * @may_preempt: whether this pass may look for tasks to preempt
+ * @last_preemption_us: when a pass last looked for tasks to preempt
  *
  * One pass over the job queue.
  */
@@ -59,12 +60,12 @@
   const MhSettings *settings;
   const GPtrArray *types;
   gint64 now_us;
-  bool is_rebuilt;
+  bool is_recovery_complete;
   GPtrArray *usable_machines;
   GArray *zones;
   MhInfeasible *infeasible;
-  GPtrArray *not_preempting;
-  GArray *arrivals;
+  GPtrArray *failed_preemptors;
+  GArray *booting_machines;
   guint starts, preemptions;
   bool may_preempt;
   gint64 last_preemption_us;
@@ -72,13 +73,13 @@
 
 /**
  * MhCandidate:
- * @machine: had room when the candidates were collected
- * @zone: index into the job's zones
- * @image_wait_us: until the image is there
- * @spread_score: of the soft topology spread; the lowest is best
+ * @machine: a machine that had room for a task when the candidates were collected
+ * @zone: index into MhJobCycle.zones
+ * @image_wait_us: time until the job's image is present on the machine
+ * @spread_score: score of the soft topology spread constraint; lowest is best
  * @cost: see mh_score_cost()
  * @replicas_on_machine: for a service: see mh_score_replicas_on_machine()
- * @above_price_cap: for a service: costs much more than another machine that would do
+ * @above_price_cap: for a service: see mh_score_is_above_price_cap()
  *
  * A machine that may take the job's next task.
  */
@@ -93,27 +94,29 @@
   bool above_price_cap;
 } MhCandidate;
 
-/** Of a zone in which the job may not run. */
+/** In MhJobCycle.zone_of: the job may not run in this zone, and the zone is not counted. */
 #define MH_ZONE_NOT_COUNTED G_MAXUINT
 
 /**
  * MhJobCycle:
  * @pass: the pass
  * @job: the job
- * @candidates: (element-type MhCandidate): sorted, unless the job is a service
- * @zones: (element-type MhZoneCount): those in which the job may run, with its tasks there
+ * @candidates: (element-type MhCandidate): best first, except for a service, whose candidates are
+ * not sorted
+ * @zones: (element-type MhZoneCount): the counted zones: those in which the job may run, with the
+ * number of its tasks there
  * @zone_of: by MhMachine.zone_index: index into @zones, or %MH_ZONE_NOT_COUNTED
- * @type_fits: by MhMachine.type_index: whether the type can take a task
- * @is_service: its tasks are spread over zones and machines
+ * @type_fits: by MhMachine.type_index: whether a machine of the type can take a task
+ * @is_service: whether the job is a service; topology spread applies to services only
  * @spread: the topology spread constraint
  * @start_slack_us: how long a start may still take; see mh_objective_slack_us()
- * @next_task: no task below it is to be started in this cycle
- * @first_with_room: no sorted candidate below it has room
- * @awaits_arrival: a task waits for a machine that is on its way
- * @passed_over: a pending task was left for later
- * @room_made: tasks for which room is being made
+ * @next_task: lowest index of a task that may still be started in this cycle
+ * @first_with_room: index into @candidates; no candidate before it has room
+ * @awaits_booting_machine: whether a task waits for a machine that is booting
+ * @has_deferred_task: whether a pending task was skipped and left for a later pass
+ * @tasks_awaiting_room: number of tasks that wait for preempted tasks to leave
  *
- * The pass's look at one job (the scheduling cycle of Kubernetes).
+ * Placement of one job in one pass (a scheduling cycle in Kubernetes).
  */
 typedef struct
 {
@@ -128,7 +131,7 @@
   gint64 start_slack_us;
   guint next_task;
   guint first_with_room;
-  bool awaits_arrival;
-  bool passed_over;
-  guint room_made;
+  bool awaits_booting_machine;
+  bool has_deferred_task;
+  guint tasks_awaiting_room;
 } MhJobCycle;
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -13,16 +13,20 @@
 #include "placement/score.h"
 #include "placement/task-start.h"
 
-/* A pass looks at the machines for every job that waits, which on a small share of a core is
-   expensive: only what is expected to start within seconds calls for one at once. Looking for tasks
-   to preempt looks at every task there is, and is done less often. */
-#define URGENT_PASS_US 20000
-#define REQUESTED_PASS_US 50000
-#define IDLE_PASS_US (MH_SECOND_US / 2)
+/* Minimum time between passes. A pass examines the machines for every pending job, which is
+   expensive on a small share of a core. The shortest interval is therefore only for changes that
+   may let a task start that is expected to start within seconds. */
+#define URGENT_PASS_INTERVAL_US 20000
+#define REQUESTED_PASS_INTERVAL_US 50000
+/* Time between passes that nothing has requested. */
+#define IDLE_PASS_INTERVAL_US (MH_SECOND_US / 2)
+/* Minimum time between passes that look for tasks to preempt, which examines every task. */
 #define PREEMPTION_INTERVAL_US (MH_SECOND_US / 5)
-#define MIN_WAKE_UP_US 5000
-/* Starts in one pass: a huge array must not hold up everything else in the process. */
-#define STARTS_PER_PASS 400u
+/* Minimum time until the wake-up for a pass that cannot run yet. */
+#define MIN_WAKE_UP_DELAY_US 5000
+/* Number of starts in one pass after which no more tasks of arrays and services start, so that a
+   huge array does not block the process. Gangs start whole. */
+#define MAX_STARTS_PER_PASS 400u
 
 struct MhPlacement
 {
@@ -86,63 +90,66 @@
   return cycle->next_task < job->spec->tasks;
 }
 
-/* Whether the task rather waits than to start on the candidate. */
+/* Skips the next task in this pass if waiting is better than a start on the candidate. Returns
+   whether it did. */
 static bool
-pass_over (MhJobCycle *cycle, const MhCandidate *candidate)
+defer_task (MhJobCycle *cycle, const MhCandidate *candidate)
 {
-  /* A service that would come too late by its image rather takes the room of lesser work where the
-     image is. */
+  /* A replica whose image would be late on the candidate takes the room of tasks further back in
+     the queue instead, on a machine where its image is in time. */
   if (cycle->is_service && candidate->image_wait_us > cycle->start_slack_us
-      && cycle->pass->is_rebuilt
+      && cycle->pass->is_recovery_complete
       && mh_preemption_make_room_for_task (cycle, MAX (cycle->start_slack_us, 0)))
-    cycle->room_made++;
-  else if (mh_arrival_claim (cycle, candidate->image_wait_us))
-    cycle->awaits_arrival = true;
+    cycle->tasks_awaiting_room++;
+  else if (mh_booting_machine_claim (cycle, candidate->image_wait_us))
+    cycle->awaits_booting_machine = true;
   else
     return false;
-  cycle->passed_over = true;
+  cycle->has_deferred_task = true;
   cycle->next_task++;
   return true;
 }
 
-/* NULL: no machine passes the filters; if none has room either, that is remembered for larger
- * tasks. */
+/* Returns NULL if no candidate passes the filters now. If none of them has room any more, adds the
+   request to the infeasible ones, so that the machines are not searched for tasks that need as much
+   or more. */
 static MhCandidate *
 select_candidate (MhJobCycle *cycle)
 {
   MhCandidate *candidate = mh_candidates_select (cycle);
   if (candidate == NULL && cycle->candidates->len
       && cycle->first_with_room == cycle->candidates->len)
-    mh_infeasible_remember (cycle->pass->infeasible, cycle->job->spec);
+    mh_infeasible_add (cycle->pass->infeasible, cycle->job->spec);
   return candidate;
 }
 
 static bool
-quota_allows_task (const MhPlacementPass *pass, const MhJob *job)
+is_task_within_quota (const MhPlacementPass *pass, const MhJob *job)
 {
   const MhTeamUse *use = mh_cluster_team_use (pass->cluster, job->spec->team);
   return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
 }
 
-/* Starts what finds room. */
+/* Starts pending tasks for as long as a machine is found for the next one. A starved job starts one
+   task. */
 static void
 start_tasks (MhJobCycle *cycle)
 {
   const MhPlacementPass *pass = cycle->pass;
   MhJob *job = cycle->job;
   guint startable = mh_task_failure_startable (pass->cluster, job);
-  while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < STARTS_PER_PASS)
+  while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < MAX_STARTS_PER_PASS)
     {
-      /* Not past a task that was passed over: it once was forgotten with that, and a replica never
-         started. */
-      if (!cycle->passed_over)
+      /* Does not advance past a deferred task, which later passes would skip. Without this check, a
+         replica was never started. */
+      if (!cycle->has_deferred_task)
         job->placement.first_pending = cycle->next_task;
-      if (!quota_allows_task (pass, job))
+      if (!is_task_within_quota (pass, job))
         return;
       MhCandidate *candidate = select_candidate (cycle);
       if (candidate == NULL)
         return;
-      if (pass_over (cycle, candidate))
+      if (defer_task (cycle, candidate))
         continue;
       start_next_task (cycle, candidate);
       startable--;
@@ -151,8 +158,8 @@
     }
 }
 
-/* Room that falls free bit by bit would always be taken by smaller tasks: the machine that has the
-   most is kept for a starved job until it is enough. */
+/* Reserves the machine with the most unused cores for a starved job until a task fits there.
+   Without the reservation smaller tasks would always take what becomes free there bit by bit. */
 static void
 reserve_machine (MhJobCycle *cycle)
 {
@@ -174,10 +181,10 @@
 static void
 place_gang (MhPlacementPass *pass, MhJob *job)
 {
-  bool may_preempt = pass->may_preempt && pass->preemptions < MH_PREEMPTIONS_PER_PASS
+  bool may_preempt = pass->may_preempt && pass->preemptions < MH_MAX_PREEMPTIONS_PER_PASS
                      && mh_preemption_is_allowed (
                          pass, job, mh_objective_slack_us (pass->settings, job, pass->now_us));
-  MhGangPlacement placement = mh_gang_place (pass, job, may_preempt);
+  MhGangPlacementResult placement = mh_gang_place (pass, job, may_preempt);
   if (placement == MH_GANG_STARTED)
     pass->starts += job->spec->tasks;
   if (placement == MH_GANG_PREEMPTING)
@@ -196,8 +203,8 @@
   start_tasks (&cycle);
   if (job->placement.starved && job->n_live == 0)
     reserve_machine (&cycle);
-  /* Nothing is stopped for a job that is only tried. */
-  if (mh_job_pending_tasks (job) && !cycle.awaits_arrival && pass->may_preempt
+  /* No task is preempted for a job in back-off, of which a start is only a retry. */
+  if (mh_job_pending_tasks (job) && !cycle.awaits_booting_machine && pass->may_preempt
       && !mh_job_backs_off (job))
     mh_preemption_make_room (&cycle);
   mh_job_cycle_clear (&cycle);
@@ -212,17 +219,20 @@
   return false;
 }
 
-/* The counts of a job are rebuilt when every machine on record for it has reported. Since a start
-   is on record before it is sent, a job without one has no task anywhere. When the time for that
-   is over, the zones must be known at least: a machine known from a record alone has none yet, and
-   the task on it would be left out of the count. */
+/* Whether the counts of a job's tasks by zone are complete. They are when every machine on which
+   the records show a task of the job has reported to this leader. Since a start is recorded before
+   it is sent, the job has no tasks that the records do not show.
+
+   Once recovery has ended without all of these reports, at least the zones of these machines must
+   be known where placement depends on them: a machine that is known only from a record has no zone
+   yet, and the task on it would be left out of the counts. */
 static bool
-counts_are_known (const MhPlacementPass *pass, const MhJob *job)
+has_known_counts (const MhPlacementPass *pass, const MhJob *job)
 {
   const MhJobSpec *spec = job->spec;
   if (job->n_unreported == 0)
     return true;
-  if (!pass->is_rebuilt)
+  if (!pass->is_recovery_complete)
     return false;
   if (spec->shape != MH_SHAPE_SERVICE && !spec->spread_over_zones && !spec->single_zone)
     return true;
@@ -237,8 +247,8 @@
       mh_runtime_wake_at (pass->runtime, job->placement.retry_after_us);
       return;
     }
-  if (mh_task_failure_startable (pass->cluster, job) == 0 || !counts_are_known (pass, job)
-      || !quota_allows_task (pass, job))
+  if (mh_task_failure_startable (pass->cluster, job) == 0 || !has_known_counts (pass, job)
+      || !is_task_within_quota (pass, job))
     return;
   if (mh_job_is_gang (job))
     place_gang (pass, job);
@@ -252,26 +262,27 @@
 next_pass_us (const MhPlacement *placement)
 {
   if (placement->urgent)
-    return placement->last_pass_us + URGENT_PASS_US;
+    return placement->last_pass_us + URGENT_PASS_INTERVAL_US;
   if (placement->pass_requested)
-    return placement->last_pass_us + REQUESTED_PASS_US;
-  return placement->last_pass_us + IDLE_PASS_US;
+    return placement->last_pass_us + REQUESTED_PASS_INTERVAL_US;
+  return placement->last_pass_us + IDLE_PASS_INTERVAL_US;
 }
 
-/* A stop that frees room at once is used in the next pass. */
+/* Preemption can free room at once, if the start of a task was not sent yet. That room is used in
+   the next pass. */
 static void
-run_pass (MhPlacement *placement, const GPtrArray *jobs, bool is_rebuilt)
+run_pass (MhPlacement *placement, const GPtrArray *jobs, bool is_recovery_complete)
 {
-  gint64 now = mh_runtime_now_us (placement->runtime);
+  gint64 now_us = mh_runtime_now_us (placement->runtime);
   MhPlacementPass pass
       = { .cluster = placement->cluster,
           .runtime = placement->runtime,
           .record_writer = placement->record_writer,
           .settings = mh_runtime_settings (placement->runtime),
           .types = mh_cluster_types (placement->cluster),
-          .now_us = now,
-          .is_rebuilt = is_rebuilt,
-          .may_preempt = now >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
+          .now_us = now_us,
+          .is_recovery_complete = is_recovery_complete,
+          .may_preempt = now_us >= placement->last_preemption_us + PREEMPTION_INTERVAL_US,
           .last_preemption_us = placement->last_preemption_us };
   mh_placement_pass_init (&pass);
   for (guint i = 0; i < jobs->len; i++)
@@ -281,19 +292,19 @@
 }
 
 void
-mh_placement_run (MhPlacement *placement, bool is_rebuilt)
+mh_placement_run (MhPlacement *placement, bool is_recovery_complete)
 {
   const GPtrArray *types = mh_cluster_types (placement->cluster);
-  gint64 now = mh_runtime_now_us (placement->runtime), next = next_pass_us (placement);
-  if (now < next || types == NULL)
+  gint64 now_us = mh_runtime_now_us (placement->runtime), next_us = next_pass_us (placement);
+  if (now_us < next_us || types == NULL)
     {
-      mh_runtime_wake_at (placement->runtime, MAX (next, now + MIN_WAKE_UP_US));
+      mh_runtime_wake_at (placement->runtime, MAX (next_us, now_us + MIN_WAKE_UP_DELAY_US));
       return;
     }
-  placement->last_pass_us = now;
+  placement->last_pass_us = now_us;
   placement->pass_requested = placement->urgent = false;
   g_autoptr (GPtrArray) jobs
-      = mh_job_queue_pending (placement->queue, MH_JOB_QUEUE_ACCEPTED, types, now);
+      = mh_job_queue_pending (placement->queue, MH_JOB_QUEUE_ACCEPTED, types, now_us);
   if (jobs->len > 0)
-    run_pass (placement, jobs, is_rebuilt);
+    run_pass (placement, jobs, is_recovery_complete);
 }
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,7 +1,8 @@
-/* Placement: which pending task is started on which machine.
+/* Placement decides which pending task is started on which machine.
 
-   A pass walks the job queue in its order; for each task the machines are filtered, scored, and the
-   best is taken; for what finds none, lesser tasks may be preempted. See README.md. */
+   A pass walks the job queue in its order. For each task it filters and scores the machines, and
+   takes the best one. Where there is none, it may preempt tasks of jobs that are further back in
+   the queue. See README.md. */
 #pragma once
 
 #include "jobs/job-queue.h"
@@ -9,15 +10,15 @@
 #include "runtime/runtime.h"
 #include "storage/record-writer.h"
 
-/** MhPlacement: when the next pass is due, and when tasks were last preempted. */
+/** MhPlacement: schedules the placement passes and runs them. */
 typedef struct MhPlacement MhPlacement;
 
 /**
  * mh_placement_new:
- * @cluster: (transfer none): whose machines are used; must outlive the placement
+ * @cluster: (transfer none): the machines; must outlive the placement
  * @runtime: (transfer none): must outlive the placement
  * @record_writer: (transfer none): must outlive the placement
- * @queue: (transfer none): must outlive the placement
+ * @queue: (transfer none): the jobs to place; must outlive the placement
  *
  * Returns: (transfer full): free it with mh_placement_free()
  */
@@ -35,9 +36,9 @@
 /**
  * mh_placement_request_pass:
  * @placement: a placement
- * @urgent: whether what has changed lets something start that is expected within seconds
+ * @urgent: whether the change may let a task start whose start is expected within seconds
  *
- * Something has changed that a pass should look at: the next one comes earlier.
+ * Requests an earlier pass after a change that may let tasks start.
  */
 void
 mh_placement_request_pass (MhPlacement *placement, bool urgent);
@@ -45,9 +46,10 @@
 /**
  * mh_placement_run:
  * @placement: a placement
- * @is_rebuilt: whether every machine that should has reported to this leader, or has had the time
+ * @is_recovery_complete: whether every machine that is expected to report has reported to this
+ * leader, or the time limit for that has passed
  *
- * Runs a pass if one is due; else asks to be woken for it.
+ * Runs a pass if one is due; otherwise schedules a wake-up for the next one.
  */
 void
-mh_placement_run (MhPlacement *placement, bool is_rebuilt);
+mh_placement_run (MhPlacement *placement, bool is_recovery_complete);
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -12,14 +12,15 @@
 
 #include <string.h>
 
-/* Of the time that a job has, the part in which it waits for running tasks to end by themselves. */
-#define WAIT_PART 3
+/* Fraction (1/n) of its start slack for which a job waits for running tasks to complete before it
+   may preempt any. */
+#define START_SLACK_DIVISOR 3
 
-/* ---- may it be made ---- */
+/* ---- conditions ---- */
 
-/* A gang that is urgent once did, and began three seconds later for it. */
+/* An urgent gang does not wait: the wait delayed its start by three seconds. */
 static bool
-waits_for_endings (const MhJobSpec *spec)
+should_wait_for_completions (const MhJobSpec *spec)
 {
   return spec->shape == MH_SHAPE_ARRAY
          || (spec->shape == MH_SHAPE_GANG && spec->priority < MH_PRIORITY_HIGH);
@@ -28,55 +29,57 @@
 bool
 mh_preemption_is_allowed (const MhPlacementPass *pass, const MhJob *job, gint64 start_slack_us)
 {
-  if (!pass->is_rebuilt
+  if (!pass->is_recovery_complete
       || (mh_job_queue_tier (job) == MH_TIER_REST && job->spec->priority <= MH_PRIORITY_LOW))
     return false;
-  gint64 waits_until_us = job->placement.unplaced_since_us + start_slack_us / WAIT_PART;
-  if (waits_for_endings (job->spec) && pass->now_us < waits_until_us)
+  gint64 wait_until_us = job->placement.unplaced_since_us + start_slack_us / START_SLACK_DIVISOR;
+  if (should_wait_for_completions (job->spec) && pass->now_us < wait_until_us)
     {
-      mh_runtime_wake_at (pass->runtime, waits_until_us);
+      mh_runtime_wake_at (pass->runtime, wait_until_us);
       return false;
     }
   return true;
 }
 
-/* Whether an earlier job that might have stopped all that this one may, for no more room, could
- * not. */
+/* Whether preemption has already failed in this pass for a job that needs no more room, and that
+   may stop every task that this job may stop. */
 static bool
 is_known_to_fail (const MhPlacementPass *pass, const MhJob *job)
 {
   const MhJobSpec *spec = job->spec;
-  for (guint i = 0; i < pass->not_preempting->len; i++)
+  for (guint i = 0; i < pass->failed_preemptors->len; i++)
     {
-      const MhJob *other = g_ptr_array_index (pass->not_preempting, i);
-      bool no_less_rank = mh_job_queue_tier (other) <= mh_job_queue_tier (job)
-                          && other->spec->priority >= spec->priority;
-      bool no_more_room = other->spec->cpus <= spec->cpus && other->spec->mem_gb <= spec->mem_gb
-                          && (other->spec->spot || !spec->spot);
-      bool same_quota
+      const MhJob *other = g_ptr_array_index (pass->failed_preemptors, i);
+      bool has_no_lower_rank = mh_job_queue_tier (other) <= mh_job_queue_tier (job)
+                               && other->spec->priority >= spec->priority;
+      bool needs_no_more = other->spec->cpus <= spec->cpus && other->spec->mem_gb <= spec->mem_gb
+                           && (other->spec->spot || !spec->spot);
+      bool has_same_quota_rights
           = !job->placement.guaranteed
             || (other->placement.guaranteed && strcmp (other->spec->team, spec->team) == 0);
-      if (no_less_rank && no_more_room && same_quota)
+      if (has_no_lower_rank && needs_no_more && has_same_quota_rights)
         return true;
     }
   return false;
 }
 
-/* What holds for others too: the job itself rules no machine out. */
+/* Whether the job has no constraints on machines or zones of its own, so that what fails for it
+   also fails for other jobs. */
 static bool
-may_go_anywhere (const MhJobCycle *cycle)
+is_unconstrained (const MhJobCycle *cycle)
 {
   const MhJobSpec *spec = cycle->job->spec;
   return !cycle->is_service && !spec->types && !spec->zone && !spec->single_zone
          && !spec->spread_over_zones;
 }
 
-/* ---- making it ---- */
+/* ---- making room ---- */
 
-/* Whether room for the task is being made where its image comes in time. Without this look a
-   replica, for which a task had been stopped, was started elsewhere before that one was gone. */
+/* Reserves room on a machine where the image is in time and the task fits once the tasks that are
+   being stopped have left. Returns whether there is such a machine. Without this check, a replica
+   for which a task had been stopped was started elsewhere before that task was gone. */
 static bool
-keep_room_being_made (MhJobCycle *cycle, gint64 image_wait_us)
+reserve_room_being_freed (MhJobCycle *cycle, gint64 image_wait_us)
 {
   const MhJobSpec *spec = cycle->job->spec;
   for (guint i = 0; i < cycle->pass->usable_machines->len; i++)
@@ -97,17 +100,18 @@
   return false;
 }
 
-/* A machine on which room could be made. */
+/* A machine on which room could be made, and what that would cost. */
 typedef struct
 {
   MhMachine *machine;
   gint64 image_wait_us;
   double loss;
-} Site;
+} PreemptionSite;
 
-/* False: the task cannot go there, or its image comes too late. */
+/* Returns false if the task cannot run on the machine, or its image would be late there. */
 static bool
-evaluate_site (const MhJobCycle *cycle, gint64 max_wait_us, GPtrArray *victims, Site *site)
+evaluate_site (const MhJobCycle *cycle, gint64 max_wait_us, GPtrArray *victims,
+               PreemptionSite *site)
 {
   const MhJobSpec *spec = cycle->job->spec;
   MhResources preemptible;
@@ -126,14 +130,14 @@
   return true;
 }
 
-static Site
-find_least_loss (const MhJobCycle *cycle, gint64 max_wait_us)
+static PreemptionSite
+find_site_with_least_loss (const MhJobCycle *cycle, gint64 max_wait_us)
 {
-  Site best = { .loss = G_MAXDOUBLE };
+  PreemptionSite best = { .loss = G_MAXDOUBLE };
   g_autoptr (GPtrArray) victims = g_ptr_array_new ();
   for (guint i = 0; i < cycle->pass->usable_machines->len; i++)
     {
-      Site site = { .machine = g_ptr_array_index (cycle->pass->usable_machines, i) };
+      PreemptionSite site = { .machine = g_ptr_array_index (cycle->pass->usable_machines, i) };
       if (evaluate_site (cycle, max_wait_us, victims, &site) && site.loss < best.loss)
         best = site;
     }
@@ -147,23 +151,24 @@
   for (guint i = 0; i < victims->len; i++)
     {
       MhAttempt *victim = g_ptr_array_index (victims, i);
-      mh_log_info (pass->runtime, "task stopped to make room job=%s task=%u machine=%s for_job=%s",
+      mh_log_info (pass->runtime, "task preempted job=%s task=%u machine=%s for_job=%s",
                    victim->job->spec->id, victim->index, victim->machine->name,
                    preemptor->spec->id);
       mh_attempt_stop (pass->cluster, victim, mh_job_grace_us (victim->job));
     }
 }
 
-/* False: there is no machine on which enough could be stopped. */
+/* Returns false if there is no machine on which stopping tasks would make enough room. */
 static bool
 preempt_for_task (MhJobCycle *cycle, gint64 max_wait_us)
 {
-  Site site = find_least_loss (cycle, max_wait_us);
+  PreemptionSite site = find_site_with_least_loss (cycle, max_wait_us);
   if (site.machine == NULL)
     return false;
-  /* Else it would be passed over on the very room that was made, others would take it, and more
-     would be made: at the start of a day one service had eighty tasks stopped so. */
-  if (mh_arrival_claim (cycle, site.image_wait_us))
+  /* A replica that waits for a booting machine needs no room. Without this check, it was deferred
+     when the room made for it was free, other tasks took the room, and more tasks were stopped to
+     make room again: at the start of a day, eighty tasks were stopped for one service. */
+  if (mh_booting_machine_claim (cycle, site.image_wait_us))
     return true;
   g_autoptr (GPtrArray) victims = g_ptr_array_new ();
   MhResources preemptible;
@@ -180,9 +185,9 @@
   MhPlacementPass *pass = cycle->pass;
   if (cycle->job->spec->gpus > 0)
     return false;
-  if (keep_room_being_made (cycle, image_wait_us))
+  if (reserve_room_being_freed (cycle, image_wait_us))
     return true;
-  if (!pass->may_preempt || pass->preemptions >= MH_PREEMPTIONS_PER_PASS)
+  if (!pass->may_preempt || pass->preemptions >= MH_MAX_PREEMPTIONS_PER_PASS)
     return false;
   pass->last_preemption_us = pass->now_us;
   if (!preempt_for_task (cycle, image_wait_us))
@@ -200,17 +205,17 @@
   if (!mh_preemption_is_allowed (pass, job, cycle->start_slack_us))
     return;
   double cpus = 0;
-  for (guint i = mh_job_pending_tasks (job); i > cycle->room_made; i--)
+  for (guint i = mh_job_pending_tasks (job); i > cycle->tasks_awaiting_room; i--)
     {
       cpus += job->spec->cpus;
       if (!mh_quota_fits (pass->settings, use, job, cpus, 0) || is_known_to_fail (cycle->pass, job))
         return;
-      /* In time at first; then late rather than not at all. */
+      /* First tries machines where the image is in time. A late start is better than none. */
       if (mh_preemption_make_room_for_task (cycle, cycle->start_slack_us)
           || mh_preemption_make_room_for_task (cycle, G_MAXINT64))
         continue;
-      if (cycle->pass->preemptions < MH_PREEMPTIONS_PER_PASS && may_go_anywhere (cycle))
-        g_ptr_array_add (cycle->pass->not_preempting, job);
+      if (cycle->pass->preemptions < MH_MAX_PREEMPTIONS_PER_PASS && is_unconstrained (cycle))
+        g_ptr_array_add (cycle->pass->failed_preemptors, job);
       return;
     }
 }
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -1,10 +1,11 @@
-/* Preemption: stops tasks of lesser jobs to make room for those that found none. */
+/* Preemption: stops tasks of jobs further back in the queue to make room for tasks that no machine
+   has room for. */
 #pragma once
 
 #include "placement/placement-types.h"
 
-/** How often a pass makes room. */
-#define MH_PREEMPTIONS_PER_PASS 16u
+/** Maximum number of times that one pass makes room; one time is for one task, or for a gang. */
+#define MH_MAX_PREEMPTIONS_PER_PASS 16u
 
 /**
  * mh_preemption_is_allowed:
@@ -12,8 +13,10 @@
  * @job: a job with pending tasks
  * @start_slack_us: how long a start may still take
  *
- * Running tasks end by themselves: what is not urgent gives them a part of the time that it has.
- * And machines that have not reported yet to a new leader may have room.
+ * Nothing is stopped before every machine has reported to a new leader, or the time limit for that
+ * has passed: machines that have not reported yet may have room. Nothing is stopped for
+ * low-priority work beyond its team's quota. An array, or a gang that is not urgent, first waits a
+ * fraction of its start slack, in which running tasks may complete.
  *
  * Returns: whether tasks may be stopped for the job now
  */
@@ -25,9 +28,9 @@
  * @cycle: a cycle
  * @image_wait_us: the image must come within this time
  *
- * Makes room for one task of the job, or keeps what is being made already.
+ * Makes room for one task of the job, or reserves room that is becoming free already.
  *
- * Returns: whether the task can wait for that room
+ * Returns: whether room is reserved, for which the task can wait
  */
 bool
 mh_preemption_make_room_for_task (MhJobCycle *cycle, gint64 image_wait_us);
@@ -36,7 +39,7 @@
  * mh_preemption_make_room:
  * @cycle: a cycle
  *
- * Makes room for the pending tasks for which none is being made yet, as far as the team's quota
+ * Makes room for the pending tasks that do not wait for room already, as far as the team's quota
  * allows.
  */
 void
@@ -46,9 +49,9 @@
  * mh_preemption_stop_victims:
  * @pass: the pass
  * @preemptor: the job for which they are stopped
- * @victims: (element-type MhAttempt): on one machine
+ * @victims: (element-type MhAttempt): the attempts to stop, all on one machine
  *
- * Stops the victims gracefully.
+ * Stops the victims. Each one gets the time that it needs to save its checkpoint.
  */
 void
 mh_preemption_stop_victims (const MhPlacementPass *pass, const MhJob *preemptor,
--- a/src/placement/quota.c
+++ b/src/placement/quota.c
@@ -13,13 +13,13 @@
          && (use ? use->gpus : 0) + more_gpus <= team->gpus_max + MH_RESOURCE_EPSILON;
 }
 
-/* How many of `tasks` tasks that need `each` stay within `left`. */
+/* Returns how many of `tasks` tasks, of which each one uses `per_task`, fit in `available`. */
 static guint
-tasks_within (double left, double each, guint tasks)
+count_fitting_tasks (double available, double per_task, guint tasks)
 {
-  if (each <= 0 || each * tasks <= left)
+  if (per_task <= 0 || per_task * tasks <= available)
     return tasks;
-  return left > 0 ? (guint)(left / each) : 0;
+  return available > 0 ? (guint)(available / per_task) : 0;
 }
 
 guint
@@ -31,5 +31,6 @@
     return 0;
   double cpus = team->cpus_max - planned->cpus - (use ? use->cpus : 0) + MH_RESOURCE_EPSILON;
   double gpus = team->gpus_max - planned->gpus - (use ? use->gpus : 0) + MH_RESOURCE_EPSILON;
-  return tasks_within (gpus, job->spec->gpus, tasks_within (cpus, job->spec->cpus, tasks));
+  return count_fitting_tasks (gpus, job->spec->gpus,
+                              count_fitting_tasks (cpus, job->spec->cpus, tasks));
 }
--- a/src/placement/quota.h
+++ b/src/placement/quota.h
@@ -1,4 +1,4 @@
-/* Team quotas: what the tasks of a team may use at the same time. */
+/* Team quotas: the cpus and GPUs that the tasks of a team may use at the same time. */
 #pragma once
 
 #include "cluster/machine.h"
@@ -6,14 +6,14 @@
 
 /**
  * mh_quota_fits:
- * @settings: with the teams' quotas
- * @use: (nullable): what tasks of the team may be using now; %NULL: nothing
+ * @settings: settings with the teams' quotas
+ * @use: (nullable): what tasks of the team may currently use; %NULL: nothing
  * @job: a job
- * @more_cpus: cores that further tasks of it would use
+ * @more_cpus: cores that further tasks of the job would use
  * @more_gpus: GPUs that they would use
  *
- * Returns: whether the quota of the job's team allows these besides what may be in use now; %FALSE
- * for a team that the settings do not know
+ * Returns: whether the quota of the job's team allows this in addition to @use; %FALSE for a team
+ * that the settings do not list
  */
 bool
 mh_quota_fits (const MhSettings *settings, const MhTeamUse *use, const MhJob *job, double more_cpus,
@@ -21,14 +21,14 @@
 
 /**
  * mh_quota_allowed_tasks:
- * @settings: with the teams' quotas
- * @use: (nullable): what tasks of the team may be using now; %NULL: nothing
+ * @settings: settings with the teams' quotas
+ * @use: (nullable): what tasks of the team may currently use; %NULL: nothing
  * @job: a job
- * @planned: what is planned for the team besides what may be in use now
- * @tasks: how many tasks are wanted
+ * @planned: what is planned for the team in addition to @use
+ * @tasks: number of further tasks of the job
  *
- * Returns: how many of @tasks further tasks the quota of the job's team allows; 0 for a team that
- * the settings do not know
+ * Returns: how many of @tasks the quota of the job's team allows in addition to @use and @planned;
+ * 0 for a team that the settings do not list
  */
 guint
 mh_quota_allowed_tasks (const MhSettings *settings, const MhTeamUse *use, const MhJob *job,
--- a/src/placement/resources.c
+++ b/src/placement/resources.c
@@ -32,7 +32,7 @@
 }
 
 guint
-mh_resource_slots (double available, double needed, guint limit)
+mh_resources_count_slots_of_one (double available, double needed, guint limit)
 {
   if (needed <= 0 || available >= needed * limit)
     return limit;
@@ -40,9 +40,9 @@
 }
 
 guint
-mh_resources_slots (const MhResources *resources, const MhJobSpec *spec, guint limit)
+mh_resources_count_slots (const MhResources *resources, const MhJobSpec *spec, guint limit)
 {
-  guint slots = mh_resource_slots (resources->mem_gb, spec->mem_gb, limit);
-  slots = mh_resource_slots (resources->gpus, spec->gpus, slots);
-  return mh_resource_slots (resources->cpus, spec->cpus, slots);
+  guint slots = mh_resources_count_slots_of_one (resources->mem_gb, spec->mem_gb, limit);
+  slots = mh_resources_count_slots_of_one (resources->gpus, spec->gpus, slots);
+  return mh_resources_count_slots_of_one (resources->cpus, spec->cpus, slots);
 }
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -1,10 +1,11 @@
-/* Resources of machines, and what tasks need of them. */
+/* Resources of machines, and the amounts that tasks need. */
 #pragma once
 
 #include "cluster/machine.h"
 #include "jobs/job.h"
 
-/** Sums of fractions of a cpu or a GB are exact to less than this. */
+/** Tolerance for amounts of resources, in cores, GPUs or GB: rounding errors in sums of fractions
+   of a cpu or a GB are smaller than this. */
 #define MH_RESOURCE_EPSILON 1e-6
 
 /**
@@ -13,7 +14,7 @@
  * @gpus: GPUs
  * @mem_gb: memory, in GB
  *
- * An amount of resources, on one machine or for some tasks.
+ * Amounts of resources: on one machine, or for a number of tasks.
  */
 typedef struct
 {
@@ -24,7 +25,7 @@
  * mh_resources_available:
  * @machine: a machine whose type is known
  *
- * Returns: what is neither in use nor reserved in this pass
+ * Returns: the resources that are neither in use nor reserved in this pass
  */
 MhResources
 mh_resources_available (const MhMachine *machine);
@@ -33,7 +34,7 @@
  * mh_resources_unused_cpus:
  * @machine: a machine whose type is known
  *
- * Returns: the cores that are not in use, reserved or not
+ * Returns: the cores that are not in use, whether or not they are reserved
  */
 double
 mh_resources_unused_cpus (const MhMachine *machine);
@@ -41,40 +42,43 @@
 /**
  * mh_resources_reserve:
  * @machine: a machine
- * @spec: whose tasks
- * @tasks: how many
+ * @spec: the job
+ * @tasks: number of its tasks
  *
- * Keeps resources on @machine for @tasks of the job, until the next pass.
+ * Reserves cores and memory on @machine for @tasks tasks of the job, until the next pass. GPUs are
+ * not reserved.
  */
 void
 mh_resources_reserve (MhMachine *machine, const MhJobSpec *spec, guint tasks);
 
 /**
  * mh_resources_add_task:
- * @resources: is increased
- * @spec: by what one of whose tasks needs
+ * @resources: (inout): the amounts to increase
+ * @spec: a job
+ *
+ * Adds the needs of one task of the job to @resources.
  */
 void
 mh_resources_add_task (MhResources *resources, const MhJobSpec *spec);
 
 /**
- * mh_resource_slots:
- * @available: of one resource
- * @needed: of it, by one task
- * @limit: no more than so many are looked for
+ * mh_resources_count_slots_of_one:
+ * @available: available amount of a single resource
+ * @needed: amount of it that one task needs
+ * @limit: upper limit of the result
  *
- * Returns: for how many tasks @available is enough, at most @limit
+ * Returns: the number of tasks for which @available is enough, at most @limit
  */
 guint
-mh_resource_slots (double available, double needed, guint limit);
+mh_resources_count_slots_of_one (double available, double needed, guint limit);
 
 /**
- * mh_resources_slots:
- * @resources: what there is
- * @spec: whose tasks
- * @limit: no more than so many are looked for
+ * mh_resources_count_slots:
+ * @resources: the available resources
+ * @spec: the job
+ * @limit: upper limit of the result
  *
- * Returns: for how many tasks of the job @resources are enough, at most @limit
+ * Returns: the number of tasks of the job for which @resources are enough, at most @limit
  */
 guint
-mh_resources_slots (const MhResources *resources, const MhJobSpec *spec, guint limit);
+mh_resources_count_slots (const MhResources *resources, const MhJobSpec *spec, guint limit);
--- a/src/placement/score.c
+++ b/src/placement/score.c
@@ -5,26 +5,29 @@
 #include <math.h>
 #include <string.h>
 
+/* Multiple of the lowest price above which a service prefers another machine. */
 #define PRICE_CAP_FACTOR 2
-/* The part of all replicas that one machine may hold before others are preferred. */
+/* Share of all replicas that one machine may hold before other machines are preferred. */
 #define MAX_REPLICA_SHARE (1 / 24.0)
-/* Machines on which an array would miss the objective for its start by its image come last. */
-#define TOO_LATE_FACTOR 1000
-#define LATE_STEP_US (10 * MH_SECOND_US)
+/* Factor for the cost of a machine on which an array would miss the objective for its start because
+   of the image wait. It is large enough that such machines rank last. */
+#define LATE_START_COST_FACTOR 1000
+/* Late image waits of a service within the same step cost the same. */
+#define IMAGE_WAIT_STEP_US (10 * MH_SECOND_US)
 
-/* Of a service: in steps, so that among equals the price counts. */
-#define IMAGE_THERE 0
-#define IMAGE_IN_TIME 1
-#define IMAGE_LATE 2
+/* Costs for a service. They are coarse so that the price decides among similar machines. */
+#define IMAGE_PRESENT_COST 0
+#define IMAGE_IN_TIME_COST 1
+#define MIN_LATE_IMAGE_COST 2
 
 static double
 service_cost (const MhCandidate *candidate, gint64 start_slack_us)
 {
   if (candidate->image_wait_us <= 0)
-    return IMAGE_THERE;
+    return IMAGE_PRESENT_COST;
   if (candidate->image_wait_us <= start_slack_us)
-    return IMAGE_IN_TIME;
-  return IMAGE_LATE + floor ((double)candidate->image_wait_us / LATE_STEP_US);
+    return IMAGE_IN_TIME_COST;
+  return MIN_LATE_IMAGE_COST + floor ((double)candidate->image_wait_us / IMAGE_WAIT_STEP_US);
 }
 
 double
@@ -34,7 +37,7 @@
     return service_cost (candidate, start_slack_us);
   return mh_machine_hourly_cpu_price (candidate->machine)
          * (double)(candidate->image_wait_us + spec->estimated_run_us + MH_SECOND_US)
-         * (candidate->image_wait_us > start_slack_us ? TOO_LATE_FACTOR : 1);
+         * (candidate->image_wait_us > start_slack_us ? LATE_START_COST_FACTOR : 1);
 }
 
 guint
--- a/src/placement/score.h
+++ b/src/placement/score.h
@@ -1,4 +1,4 @@
-/* The scores of placement: which of the machines that pass the filters is best. */
+/* The scores of placement, which rank the machines that pass the filters. */
 #pragma once
 
 #include "placement/placement-types.h"
@@ -6,13 +6,15 @@
 /**
  * mh_score_cost:
  * @spec: a job
- * @candidate: a machine, with the time that the image takes there
+ * @candidate: a candidate whose machine and image wait are set
  * @start_slack_us: how long a start may still take
  *
- * For an array, what a cpu of the machine costs while the task waits for its image and runs;
- * machines on which it would miss the objective for its start come last. For a service, which is
- * waited for: whether its image is there, comes in time for the objective, or too late, and then in
- * steps; among equals the price counts, since replicas stay where they are.
+ * For an array, the price of one cpu of the machine for the time in which a task waits for its
+ * image and runs. Machines on which the task would miss the objective for its start rank last.
+ *
+ * For a service, whose users wait for its start, the cost depends on the image alone: present, in
+ * time for the objective, or late, and then rising in steps of the wait. The steps are coarse so
+ * that the price decides among similar machines, since replicas stay where they are.
  *
  * Returns: the cost; lowest is best
  */
@@ -21,23 +23,24 @@
 
 /**
  * mh_score_replicas_on_machine:
- * @replicas: of all services, on the machine
- * @total_replicas: on all machines
+ * @replicas: number of replicas, of all services, on the machine
+ * @total_replicas: number of replicas on all machines
  *
- * Up to a part of all replicas they gather on a machine, so that other machines fall empty; beyond
- * it others are preferred, since as many as that are lost with it.
+ * Replicas are packed on a machine up to a share of all replicas, so that other machines become
+ * empty. Beyond that share other machines are preferred, which limits how many replicas are lost
+ * with one machine.
  *
- * Returns: how unwelcome a further replica is there; lowest is best
+ * Returns: the score of the machine for one more replica; lowest is best
  */
 guint
 mh_score_replicas_on_machine (guint replicas, guint total_replicas);
 
 /**
  * mh_score_is_above_price_cap:
- * @price: of a machine, by the hour
- * @lowest_price: of the machines that pass the filters
+ * @price: hourly price of a machine
+ * @lowest_price: lowest hourly price of the machines that pass mh_filter_machine()
  *
- * Returns: whether a service rather takes another machine
+ * Returns: whether the machine costs so much more that a service prefers another one
  */
 bool
 mh_score_is_above_price_cap (double price, double lowest_price);
@@ -47,10 +50,12 @@
  * @left: (type MhCandidate): a candidate
  * @right: (type MhCandidate): another one
  *
- * The documented order: the soft topology spread; the cost; whether it is above the price cap; the
- * replicas there; the cheapest by the cpu; the fullest, so that others fall empty; the name.
+ * Compares in the documented order: score of the soft topology spread; cost; whether the machine is
+ * above the price cap; score of the replicas there; price of a cpu; cores not in use, the fewest
+ * first, so that other machines become empty; name.
  *
- * Returns: less than, equal to, or greater than 0, as @left is better, the same, or worse
+ * Returns: less than, equal to, or greater than 0, if @left is better than, as good as, or worse
+ * than @right
  */
 gint
 mh_score_compare_candidates (gconstpointer left, gconstpointer right);
--- a/src/placement/task-start.h
+++ b/src/placement/task-start.h
@@ -1,4 +1,4 @@
-/* The start of one task: from here on it occupies its machine. */
+/* Starts one task on a machine, which the task occupies from then on. */
 #pragma once
 
 #include "placement/placement-types.h"
@@ -7,12 +7,12 @@
  * mh_task_start:
  * @pass: the pass
  * @job: a job
- * @index: a pending task of it
- * @attempt: the attempt's number, greater than that of any earlier attempt of the task
- * @machine: where it is to run
- * @urgency: of its record, a MhUrgency
+ * @index: index of a pending task of @job
+ * @attempt: number of the attempt, greater than that of any earlier attempt of the task
+ * @machine: the machine to run it on
+ * @urgency: the MhUrgency with which its record is written
  *
- * Creates the attempt and queues its record. The start leaves when the record is durable.
+ * Creates the attempt and queues its record. The start is sent once the record is durable.
  *
  * Returns: (transfer none): the attempt
  */
--- a/src/placement/victim.c
+++ b/src/placement/victim.c
@@ -5,15 +5,17 @@
 
 #include <string.h>
 
-/* How much more the work of each step of priority counts. */
-#define PRIORITY_LOSS 3
-/* What it costs a gang to gather once more. */
+/* Weight that each level of priority adds to the loss of a cpu second. */
+#define PRIORITY_LOSS_WEIGHT 3
+/* Seconds that are added to the run time of a gang's tasks, for gathering the gang again. */
 #define GATHERING_LOSS_S 30
-/* A task that has just begun is no less than this. */
+/* Seconds that are added to the run time of other tasks, so that a task that has just begun counts,
+   too. */
 #define START_LOSS_S 1
 
+/* Whether the holder is behind the preemptor in the queue, by tier and priority. */
 static bool
-stands_further_back (const MhJob *holder, const MhJob *preemptor)
+is_behind_in_queue (const MhJob *holder, const MhJob *preemptor)
 {
   guint holder_tier = mh_job_queue_tier (holder), tier = mh_job_queue_tier (preemptor);
   return tier < holder_tier
@@ -26,18 +28,19 @@
   const MhJob *holder = victim->job;
   if (holder == preemptor || mh_attempt_is_stopping (victim))
     return false;
-  /* The one task with which a starved job begins gives way to urgent work alone: it once was
-     stopped in the very pass that had placed it. */
+  /* The task with which a starved job begins is stopped for urgent work only. Without this rule it
+     was stopped in the same pass that had placed it. */
   if (victim->of_starved_job && mh_job_queue_tier (preemptor) > MH_TIER_URGENT)
     return false;
-  /* Urgent work beyond its quota and normal work within one once stopped each other a thousand
-     times. */
-  if (!stands_further_back (holder, preemptor))
+  /* Without this rule, urgent work beyond its quota and normal work within its quota stopped each
+     other a thousand times. */
+  if (!is_behind_in_queue (holder, preemptor))
     return false;
   if (holder->spec->priority < preemptor->spec->priority)
     return true;
-  /* One task costs the whole gang, which is placed again as soon as there is room: for a quota
-     alone a gang was stopped forty times in a row, and each time for a part of its room. */
+  /* A quota alone is no reason to stop a gang. Stopping one task stops the whole gang, which is
+     placed again as soon as there is room: a gang was stopped forty times in a row for a quota,
+     each time for only a part of its room. */
   return preemptor->placement.guaranteed && !mh_job_is_gang (holder)
          && strcmp (holder->spec->team, preemptor->spec->team) != 0;
 }
@@ -45,30 +48,31 @@
 double
 mh_victim_work_loss (const MhJobSpec *spec, double seconds)
 {
-  return spec->cpus * seconds * (1 + PRIORITY_LOSS * spec->priority);
+  return spec->cpus * seconds * (1 + PRIORITY_LOSS_WEIGHT * spec->priority);
 }
 
-/* Work done again, by the cpu; that of higher priority counts more, else the same arrays are
-   stopped time and again while lesser ones run. */
+/* The loss is the work that has to be done again, in cpu seconds. Higher priority counts more,
+   since otherwise the same arrays are stopped repeatedly while arrays of lower priority run. */
 double
 mh_victim_loss (const MhAttempt *attempt, gint64 now_us)
 {
   const MhJobSpec *spec = attempt->job->spec;
   double ran_s
       = attempt->running_since_us ? (double)(now_us - attempt->running_since_us) / MH_SECOND_US : 0;
-  /* One task of a gang costs the whole of it, which has to gather again, also one that has just
-     begun: those once were stopped first, up to four times in a row. */
+  /* Stopping one task of a gang stops all of them, and the gang has to gather again. This cost also
+     applies to a gang that has just begun: without it, such gangs were stopped first, up to four
+     times in a row. */
   if (mh_job_is_gang (attempt->job))
     return spec->tasks * mh_victim_work_loss (spec, GATHERING_LOSS_S + ran_s);
   return mh_victim_work_loss (spec, START_LOSS_S + ran_s);
 }
 
 static gint
-compare_loss (gconstpointer left, gconstpointer right, gpointer now_us)
+compare_loss (gconstpointer left, gconstpointer right, gpointer data)
 {
-  gint64 now = *(const gint64 *)now_us;
-  double left_loss = mh_victim_loss (*(MhAttempt *const *)left, now);
-  double right_loss = mh_victim_loss (*(MhAttempt *const *)right, now);
+  gint64 now_us = *(const gint64 *)data;
+  double left_loss = mh_victim_loss (*(MhAttempt *const *)left, now_us);
+  double right_loss = mh_victim_loss (*(MhAttempt *const *)right, now_us);
   return left_loss < right_loss ? -1 : left_loss > right_loss;
 }
 
--- a/src/placement/victim.h
+++ b/src/placement/victim.h
@@ -1,4 +1,4 @@
-/* Victims of preemption: which tasks may be stopped for which job, and what is lost with them. */
+/* Victims of preemption: which tasks may be stopped for a job, and how much work is lost. */
 #pragma once
 
 #include "placement/resources.h"
@@ -8,7 +8,7 @@
  * @preemptor: a job with pending tasks
  * @victim: an attempt
  *
- * Only from jobs that stand further back in the queue is anything taken: else two jobs stop each
+ * Only tasks of jobs further back in the queue are eligible. Otherwise two jobs could stop each
  * other in turn.
  *
  * Returns: whether @victim may be stopped for a task of @preemptor
@@ -19,9 +19,10 @@
 /**
  * mh_victim_work_loss:
  * @spec: a job
- * @seconds: for which one of its tasks has run
+ * @seconds: how long one of its tasks has run
  *
- * Returns: what is lost with that work; that of higher priority counts more
+ * Returns: the loss if that work has to be done again, in cpu seconds weighted by the job's
+ * priority
  */
 double
 mh_victim_work_loss (const MhJobSpec *spec, double seconds);
@@ -29,9 +30,10 @@
 /**
  * mh_victim_loss:
  * @attempt: an attempt
- * @now_us: the present, by the steady clock
+ * @now_us: the current time, by the monotonic clock
  *
- * Returns: what is lost if @attempt is stopped; for a gang, with all of its tasks
+ * Returns: the loss if @attempt is stopped; for a gang, the loss of all its tasks, which stop
+ * together; see mh_victim_work_loss()
  */
 double
 mh_victim_loss (const MhAttempt *attempt, gint64 now_us);
@@ -40,38 +42,40 @@
  * mh_victims_capacity:
  * @preemptor: a job with pending tasks
  * @machine: a machine
- * @preemptible: (out): what there is if all eligible tasks are stopped as well
+ * @preemptible: (out): what is available on @machine if all eligible tasks are stopped, too
  *
- * Capacity that is being freed already counts, so that one need is not met twice.
+ * Capacity that is being freed is included in both, so that no room is made twice for the same
+ * task.
  *
- * Returns: what is available on @machine when all tasks that are being stopped have left
+ * Returns: what is available on @machine once all tasks that are being stopped have left
  */
 MhResources
 mh_victims_capacity (const MhJob *preemptor, const MhMachine *machine, MhResources *preemptible);
 
 /**
  * mh_victims_suffice:
- * @resources: what there is, or would be
+ * @resources: available resources
  * @spec: a job that needs no GPU
- * @tasks: how many of its tasks
+ * @tasks: number of its tasks
  *
- * Returns: whether @resources are enough; GPUs are not looked at
+ * Returns: whether cores and memory of @resources are enough; GPUs are ignored
  */
 bool
 mh_victims_suffice (const MhResources *resources, const MhJobSpec *spec, guint tasks);
 
 /**
  * mh_victims_select:
- * @now_us: the present, by the steady clock
+ * @now_us: the current time, by the monotonic clock
  * @preemptor: a job with pending tasks
  * @machine: a machine
- * @available: what there is without victims, see mh_victims_capacity()
- * @tasks: for how many tasks of @preemptor capacity is needed
- * @victims: (element-type MhAttempt): emptied, then filled in
+ * @available: capacity without victims, as returned by mh_victims_capacity()
+ * @tasks: number of tasks of @preemptor that need capacity
+ * @victims: (element-type MhAttempt): emptied, then filled with the victims
  *
- * Selects the eligible attempts with the least loss whose end makes @available enough.
+ * Selects eligible attempts in ascending order of their loss, until @available and what they free
+ * are enough.
  *
- * Returns: what is lost with them
+ * Returns: the sum of the losses; see mh_victim_loss()
  */
 double
 mh_victims_select (gint64 now_us, const MhJob *preemptor, const MhMachine *machine,
--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -195,7 +195,7 @@
       = &g_array_index (worker->machine->tasks, MachineTask, worker->machine->tasks->len - 1);
   task->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   WAIT (simulation, 150, told_done, user);
-  g_assert_true (simulation_logged (simulation, "taken back"));
+  g_assert_true (simulation_logged (simulation, "gang stopped, not complete in time"));
   g_assert_false (simulation_logged (simulation, "incomplete_in_time"));
 }
 
--- a/tests/test-gang-preemption.c
+++ b/tests/test-gang-preemption.c
@@ -16,7 +16,7 @@
   simulation_run (simulation, 5);
   User *urgent = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
   simulation_run (simulation, 1);
-  g_assert_true (simulation_logged (simulation, "cannot be told at once"));
+  g_assert_true (simulation_logged (simulation, "cannot send stop to a gang's machine directly"));
   WAIT (simulation, 60, all_run, urgent);
   user_cancel (urgent);
   simulation->cloud->capacity = 12;
--- a/tests/test-placement-steps.c
+++ b/tests/test-placement-steps.c
@@ -237,10 +237,10 @@
   (void)unused;
   g_autoptr (MhInfeasible) infeasible = mh_infeasible_new ();
   fixture->spec.zone = "a";
-  mh_infeasible_remember (infeasible, &fixture->spec);
+  mh_infeasible_add (infeasible, &fixture->spec);
   g_assert_false (mh_infeasible_is_known (infeasible, &fixture->spec));
   fixture->spec.zone = NULL;
-  mh_infeasible_remember (infeasible, &fixture->spec);
+  mh_infeasible_add (infeasible, &fixture->spec);
   g_assert_true (mh_infeasible_is_known (infeasible, &fixture->spec));
   fixture->spec.spot = true;
   g_assert_false (mh_infeasible_is_known (infeasible, &fixture->spec));
@@ -328,10 +328,10 @@
 {
   (void)unused;
   MhResources resources = { .cpus = 9, .mem_gb = 9 };
-  g_assert_cmpuint (mh_resources_slots (&resources, &fixture->spec, 9), ==, 2);
-  g_assert_cmpuint (mh_resources_slots (&resources, &fixture->spec, 1), ==, 1);
-  g_assert_cmpuint (mh_resource_slots (-1, 2, 9), ==, 0);
-  g_assert_cmpuint (mh_resource_slots (0, 0, 9), ==, 9);
+  g_assert_cmpuint (mh_resources_count_slots (&resources, &fixture->spec, 9), ==, 2);
+  g_assert_cmpuint (mh_resources_count_slots (&resources, &fixture->spec, 1), ==, 1);
+  g_assert_cmpuint (mh_resources_count_slots_of_one (-1, 2, 9), ==, 0);
+  g_assert_cmpuint (mh_resources_count_slots_of_one (0, 0, 9), ==, 9);
 }
 
 #define ADD(name, func) g_test_add (name, Fixture, NULL, set_up, func, tear_down)
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -70,7 +70,7 @@
   simulation_run (simulation, 60);
   guint stops = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
-    stops += strstr (g_ptr_array_index (simulation->log_lines, i), "to make room") != NULL;
+    stops += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
   g_assert_cmpuint (stops, <=, 15);
 }
 
@@ -154,7 +154,7 @@
   for (guint i = 0; i < 4; i++)
     WAIT (simulation, 60, all_run, users[i]);
   /* Nor is anything stopped for them on the machine that is full by now. */
-  g_assert_false (simulation_logged (simulation, "to make room"));
+  g_assert_false (simulation_logged (simulation, "task preempted"));
   guint used = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     used += ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->tasks->len > 0;
@@ -199,7 +199,7 @@
   g_assert_true (worker_of (simulation, "j-000005/0") == worker_of (simulation, "j-000003/0"));
   guint stops = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
-    stops += strstr (g_ptr_array_index (simulation->log_lines, i), "to make room") != NULL;
+    stops += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
   g_assert_cmpuint (stops, ==, 1);
 }
 
