--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -7,25 +7,29 @@
 #include "placement/quota.h"
 #include "cluster/task-failure.h"
 
-#define STEP_INTERVAL_US (MH_SECOND_US / 2)
+/* Interval between two steps of scale-out and consolidation, unless a request for machines ends
+   earlier. */
+#define SCALING_INTERVAL_US (MH_SECOND_US / 2)
+/* Interval between two cluster summaries in the log. */
 #define SUMMARY_INTERVAL_US (10 * MH_SECOND_US)
 
 struct MhAutoscaler
 {
   MhAutoscalerContext context;
-  MhLostCapacity *lost;
+  MhLostCapacity *lost_capacity;
   MhScaleOut *scale_out;
   MhScaleIn *scale_in;
   MhInventory *inventory;
-  gint64 step_due_us, summary_due_us;
+  gint64 scaling_due_us, summary_due_us;
 };
 
-/* A request for machines has ended: what else is needed is asked for at once. */
+/* Makes the next step due at once, so that the machines that are still needed are
+   requested without delay. */
 static void
-scale_out_done (gpointer owner)
+on_scale_out_done (gpointer owner)
 {
   MhAutoscaler *self = owner;
-  self->step_due_us = mh_runtime_now_us (self->context.runtime);
+  self->scaling_due_us = mh_runtime_now_us (self->context.runtime);
 }
 
 MhAutoscaler *
@@ -34,10 +38,10 @@
   g_return_val_if_fail (context != NULL, NULL);
   MhAutoscaler *self = g_new0 (MhAutoscaler, 1);
   self->context = *context;
-  self->lost = mh_lost_capacity_new ();
-  self->scale_out = mh_scale_out_new (&self->context, self->lost);
-  mh_scale_out_set_done_func (self->scale_out, scale_out_done, self);
-  self->scale_in = mh_scale_in_new (&self->context, self->lost);
+  self->lost_capacity = mh_lost_capacity_new ();
+  self->scale_out = mh_scale_out_new (&self->context, self->lost_capacity);
+  mh_scale_out_set_done_func (self->scale_out, on_scale_out_done, self);
+  self->scale_in = mh_scale_in_new (&self->context, self->lost_capacity);
   self->inventory = mh_inventory_new (&self->context, self->scale_in);
   return self;
 }
@@ -50,7 +54,7 @@
   mh_inventory_free (self->inventory);
   mh_scale_in_free (self->scale_in);
   mh_scale_out_free (self->scale_out);
-  mh_lost_capacity_free (self->lost);
+  mh_lost_capacity_free (self->lost_capacity);
   g_free (self);
 }
 
@@ -61,14 +65,14 @@
   mh_inventory_reset (self->inventory);
   mh_scale_out_reset (self->scale_out);
   mh_scale_in_reset (self->scale_in);
-  mh_lost_capacity_clear (self->lost);
+  mh_lost_capacity_clear (self->lost_capacity);
 }
 
 bool
-mh_autoscaler_is_listed (const MhAutoscaler *self)
+mh_autoscaler_is_inventory_loaded (const MhAutoscaler *self)
 {
   g_return_val_if_fail (self != NULL, false);
-  return mh_inventory_is_listed (self->inventory);
+  return mh_inventory_is_loaded (self->inventory);
 }
 
 void
@@ -82,12 +86,13 @@
 mh_autoscaler_load_release (MhAutoscaler *self, const MhKvEntry *entry)
 {
   g_return_if_fail (self != NULL);
-  mh_scale_in_load (self->scale_in, entry);
+  mh_scale_in_load_release (self->scale_in, entry);
 }
 
-/* What waits for its own team's quota needs no machine. */
+/* Counts the pending tasks that may start now. Tasks beyond their team's quota are left out:
+   another machine would not let them start. */
 static guint
-allowed_tasks (const MhAutoscalerContext *context, const MhJob *job)
+count_startable_tasks (const MhAutoscalerContext *context, const MhJob *job)
 {
   const MhTeamUse none = { 0 };
   return mh_quota_allowed_tasks (context->settings,
@@ -104,14 +109,14 @@
   g_hash_table_iter_init (&iter, context->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!mh_job_is_over (value))
-      waiting += allowed_tasks (context, value);
+      waiting += count_startable_tasks (context, value);
   return waiting;
 }
 
 /* ---- the log ---- */
 
 static const char *
-waiting_reason (const MhAutoscalerContext *context, const MhJob *job)
+get_waiting_reason (const MhAutoscalerContext *context, const MhJob *job)
 {
   if (mh_job_backs_off (job))
     return "back_off";
@@ -125,7 +130,7 @@
   return "no_capacity";
 }
 
-/* The job that has waited longest without a place for all its tasks; NULL: none. */
+/* Returns the job that has had unplaced tasks for the longest time, or NULL if there is none. */
 static const MhJob *
 find_longest_waiting_job (const MhAutoscalerContext *context)
 {
@@ -156,13 +161,13 @@
   mh_log_info (self->context.runtime,
                "longest waiting job job=%s team=%s tasks=%u waited_s=%.0f reason=%s", job->spec->id,
                job->spec->team, mh_job_pending_tasks (job), (double)waited_us / MH_SECOND_US,
-               waiting_reason (&self->context, job));
+               get_waiting_reason (&self->context, job));
 }
 
-/* Machines by what they do, and what they cost an hour. */
+/* Numbers of machines by state, their total hourly price, and their CPUs. */
 typedef struct
 {
-  guint reporting, idle, coming, releasing;
+  guint reporting, idle, starting, releasing;
   double hourly_price, cpus, cpus_in_use;
 } ClusterSummary;
 
@@ -177,7 +182,7 @@
     }
   if (!machine->heartbeat.reported)
     {
-      summary->coming++;
+      summary->starting++;
       return;
     }
   summary->reporting++;
@@ -189,7 +194,7 @@
     }
 }
 
-/* One line for the operator: what is paid for and what it does. */
+/* Logs one line for the operator: the machines that are paid for and how they are used. */
 static void
 log_cluster_summary (const MhAutoscaler *self)
 {
@@ -202,7 +207,7 @@
   mh_log_info (self->context.runtime,
                "cluster summary machines=%u idle=%u coming=%u releasing=%u hourly_price=%.2f "
                "used_cpus=%.0f cpus=%.0f waiting_tasks=%u",
-               summary.reporting, summary.idle, summary.coming, summary.releasing,
+               summary.reporting, summary.idle, summary.starting, summary.releasing,
                summary.hourly_price, summary.cpus_in_use, summary.cpus,
                count_waiting_tasks (&self->context));
 }
@@ -219,14 +224,16 @@
 
 /* ---- scaling ---- */
 
-/* Machines that an earlier leader requested show up only when the list does. */
+/* Machines that an earlier leader requested become known only from the cloud's list, which lags. A
+   leader other than the first one therefore waits for longer than that lag, so that it does not
+   create them a second time. */
 static bool
 may_scale_out (const MhAutoscaler *self)
 {
   gint64 leading_us
       = mh_runtime_now_us (self->context.runtime) - mh_election_elected_us (self->context.election);
   return mh_recovery_is_complete (self->context.recovery)
-         && mh_cluster_types (self->context.cluster) && mh_inventory_is_listed (self->inventory)
+         && mh_cluster_types (self->context.cluster) && mh_inventory_is_loaded (self->inventory)
          && !mh_scale_out_is_busy (self->scale_out)
          && (mh_election_epoch (self->context.election) == 1
              || leading_us > self->context.settings->list_lag_us);
@@ -235,20 +242,22 @@
 static void
 scale_out (MhAutoscaler *self)
 {
-  g_autoptr (MhDemandPlan) plan = mh_demand_plan_new (&self->context, self->scale_out, self->lost);
+  g_autoptr (MhDemandPlan) plan
+      = mh_demand_plan_new (&self->context, self->scale_out, self->lost_capacity);
   mh_scale_out_request (self->scale_out, mh_demand_plan_estimates (plan));
 }
 
 static void
 scale_if_due (MhAutoscaler *self, gint64 now_us)
 {
-  if (now_us < self->step_due_us)
+  if (now_us < self->scaling_due_us)
     return;
-  self->step_due_us = now_us + STEP_INTERVAL_US;
+  self->scaling_due_us = now_us + SCALING_INTERVAL_US;
   bool tasks_wait = count_waiting_tasks (&self->context) > 0;
-  /* What ran on machines that are being released waits only when that is confirmed. */
+  /* Tasks on machines that are being released become pending only when the release is confirmed.
+     Until then, no pending task does not mean that the lost capacity is no longer needed. */
   if (!tasks_wait && mh_scale_in_is_idle (self->scale_in))
-    mh_lost_capacity_clear (self->lost);
+    mh_lost_capacity_clear (self->lost_capacity);
   if (may_scale_out (self))
     scale_out (self);
   if (mh_recovery_is_complete (self->context.recovery))
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,5 +1,5 @@
-/* The autoscaler: how many machines there are. Composes the inventory of the cloud, the demand
-   plan, scale-out, scale-in and consolidation. */
+/* The autoscaler decides how many machines of which kind the cluster has. It combines the inventory
+   of the cloud, the demand plan, scale-out, scale-in and consolidation. */
 #pragma once
 
 #include "autoscaler/context.h"
@@ -10,15 +10,15 @@
 /**
  * MhAutoscaler:
  *
- * The autoscaler, with all its parts.
+ * The autoscaler and its parts.
  */
 typedef struct MhAutoscaler MhAutoscaler;
 
 /**
  * mh_autoscaler_new:
- * @context: what lies below; it is copied
+ * @context: the lower layers; copied
  *
- * Returns: (transfer full): an autoscaler that has done nothing yet
+ * Returns: (transfer full): a new autoscaler
  */
 MhAutoscaler *
 mh_autoscaler_new (const MhAutoscalerContext *context);
@@ -27,7 +27,7 @@
  * mh_autoscaler_free:
  * @self: (transfer full) (nullable): an autoscaler
  *
- * Frees it. Calls in flight must have been forgotten before.
+ * Frees the autoscaler. The caller must first discard its calls that are in flight.
  */
 void
 mh_autoscaler_free (MhAutoscaler *self);
@@ -37,8 +37,8 @@
  * mh_autoscaler_reset:
  * @self: an autoscaler
  *
- * Leadership has ended: forgets everything of it but the types of machines. The calls in flight
- * must be forgotten at the same time.
+ * Discards all state of a leadership that has ended, except for the machine types. The caller must
+ * discard the calls in flight at the same time.
  */
 void
 mh_autoscaler_reset (MhAutoscaler *self);
@@ -47,27 +47,28 @@
  * mh_autoscaler_step:
  * @self: an autoscaler
  *
- * Does what is due. Only while this controller leads and the records are loaded.
+ * Runs all autoscaler work that is due. Must only be called while this controller is the leader and
+ * has loaded the records.
  */
 void
 mh_autoscaler_step (MhAutoscaler *self);
 
 /**
- * mh_autoscaler_is_listed:
+ * mh_autoscaler_is_inventory_loaded:
  * @self: an autoscaler
  *
- * Returns: %TRUE once a whole list of the cloud's machines has been read in this leadership
+ * Returns: %TRUE if the complete list of the cloud's machines has been read during this leadership
  */
 bool
-mh_autoscaler_is_listed (const MhAutoscaler *self);
+mh_autoscaler_is_inventory_loaded (const MhAutoscaler *self);
 
 /**
  * mh_autoscaler_release_machine:
  * @self: an autoscaler
  * @machine: a machine
- * @reason: why
+ * @reason: why it is released
  *
- * Decides that the machine is given back; see mh_scale_in_release_machine ().
+ * Starts the release of the machine; see mh_scale_in_release_machine ().
  */
 void
 mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, MhReleaseReason reason);
@@ -77,7 +78,7 @@
  * @self: an autoscaler
  * @entry: a record whose key begins with MH_RECORD_RELEASES
  *
- * Goes on with releases of an earlier leader; see mh_scale_in_load ().
+ * Continues the releases that an earlier leader recorded; see mh_scale_in_load_release ().
  */
 void
 mh_autoscaler_load_release (MhAutoscaler *self, const MhKvEntry *entry);
--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -9,7 +9,8 @@
 }
 
 bool
-mh_capacity_estimate_suits (const MhCapacityEstimate *estimate, const MhJob *job, const char *zone)
+mh_capacity_estimate_suits_job (const MhCapacityEstimate *estimate, const MhJob *job,
+                                const char *zone)
 {
   return (!estimate->spot || job->spec->spot) && (zone == NULL || zone == estimate->zone)
          && mh_job_spec_fits_type (job->spec, estimate->type);
--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -1,6 +1,6 @@
-/* An estimate of the capacity of one machine: of one that stays, of one that is coming, or of one
-   that would have to be created. Consolidation and the demand plan lay tasks out on estimates; no
-   machine is touched by it. */
+/* An estimate of the capacity of one machine: one that remains in service, one that is starting, or
+   one that would have to be created. Consolidation and the demand plan assign tasks to estimates;
+   this does not change any machine. */
 #pragma once
 
 #include "cluster/machine-registry.h"
@@ -9,15 +9,16 @@
 
 /**
  * MhCapacityEstimate:
- * @machine: (nullable): the machine; %NULL: it is not there yet
- * @type: its type
- * @zone: its zone, interned, so that zones are compared by address; borrowed from the machine or
+ * @machine: (nullable): the machine; %NULL if the estimate is for a machine that is starting or not
+ * created yet
+ * @type: the machine type
+ * @zone: the zone, interned, so that zones can be compared by address; borrowed from the machine or
  * the offer
  * @spot: whether it is a spot machine
- * @to_create: whether it would have to be created
- * @available: what is not in use
+ * @to_create: whether the machine would have to be created
+ * @available: resources that are not in use
  *
- * Capacity of one machine.
+ * The capacity of one machine.
  */
 typedef struct
 {
@@ -30,33 +31,35 @@
 
 /**
  * mh_capacity_estimate_for_type:
- * @type: a type of machine
+ * @type: a machine type
  * @zone: an interned zone
  * @spot: whether it is a spot machine
  *
- * Returns: an estimate of a machine of which all is free; it borrows @type and @zone
+ * Returns: an estimate of an empty machine; it borrows @type and @zone
  */
 MhCapacityEstimate
 mh_capacity_estimate_for_type (const MhMachineType *type, const GRefString *zone, bool spot);
 
 /**
- * mh_capacity_estimate_suits:
+ * mh_capacity_estimate_suits_job:
  * @estimate: an estimate
  * @job: a job
- * @zone: (nullable): the only zone that the tasks may go to, interned; %NULL: any
+ * @zone: (nullable): the only zone in which the tasks may run, interned; %NULL: any zone
  *
- * Returns: %TRUE if type, zone and kind of the machine suit the job, whatever is free on it
+ * Returns: %TRUE if the job may run on such a machine by its type, its zone and whether it is a
+ * spot machine, regardless of the resources that are in use
  */
 bool
-mh_capacity_estimate_suits (const MhCapacityEstimate *estimate, const MhJob *job, const char *zone);
+mh_capacity_estimate_suits_job (const MhCapacityEstimate *estimate, const MhJob *job,
+                                const char *zone);
 
 /**
  * mh_capacity_estimate_count_tasks:
  * @estimate: an estimate
- * @spec: what one task needs
- * @tasks: how many there are
+ * @spec: the job whose tasks are to be assigned
+ * @tasks: the number of tasks to assign
  *
- * Returns: how many of the tasks fit into what is free
+ * Returns: how many of the tasks fit into the available resources
  */
 guint
 mh_capacity_estimate_count_tasks (const MhCapacityEstimate *estimate, const MhJobSpec *spec,
@@ -65,10 +68,10 @@
 /**
  * mh_capacity_estimate_reserve:
  * @estimate: an estimate
- * @spec: what one task needs
- * @tasks: how many
+ * @spec: the job whose tasks are assigned
+ * @tasks: the number of tasks
  *
- * Takes the tasks' needs off what is free.
+ * Subtracts the resources of the tasks from the available resources.
  */
 void
 mh_capacity_estimate_reserve (MhCapacityEstimate *estimate, const MhJobSpec *spec, guint tasks);
--- a/src/autoscaler/cloud-error.h
+++ b/src/autoscaler/cloud-error.h
@@ -1,18 +1,20 @@
-/* Errors of calls to the cloud, by what the caller can do about them. */
+/* Errors of calls to the cloud, classified by how the caller can react. */
 #pragma once
 
 #include "protocol/value.h"
 
 /**
  * MhCloudError:
- * @MH_CLOUD_ERROR_NO_CAPACITY: there are no machines of the type, zone and kind for now
- * @MH_CLOUD_ERROR_UNAVAILABLE: the cloud is out; nothing was carried out
- * @MH_CLOUD_ERROR_INVALID_REQUEST: the cloud calls the request malformed; nothing was carried out
- * @MH_CLOUD_ERROR_THROTTLED: too many requests; this one may be sent again
- * @MH_CLOUD_ERROR_MALFORMED_REPLY: the reply cannot be read, though the request was carried out
- * @MH_CLOUD_ERROR_UNKNOWN_OUTCOME: no reply, or one that the protocol does not know
+ * @MH_CLOUD_ERROR_NO_CAPACITY: the cloud has no machines of this kind (type, zone, spot or not) at
+ * present
+ * @MH_CLOUD_ERROR_UNAVAILABLE: the cloud is unavailable; the request was not carried out
+ * @MH_CLOUD_ERROR_INVALID_REQUEST: the cloud rejected the request as malformed; it was not
+ * carried out
+ * @MH_CLOUD_ERROR_THROTTLED: the cloud's rate limit was exceeded; the request may be sent again
+ * @MH_CLOUD_ERROR_MALFORMED_REPLY: the request was carried out, but its reply cannot be decoded
+ * @MH_CLOUD_ERROR_UNKNOWN_OUTCOME: no reply, or a status that the protocol does not define
  *
- * Why a call to the cloud has no result.
+ * Why a call to the cloud returned no result.
  */
 typedef enum
 {
@@ -24,24 +26,25 @@
   MH_CLOUD_ERROR_UNKNOWN_OUTCOME
 } MhCloudError;
 
-/** MH_CLOUD_ERROR: the domain of #GError that cloud calls report */
+/** MH_CLOUD_ERROR: the #GError domain of calls to the cloud */
 #define MH_CLOUD_ERROR (mh_cloud_error_quark ())
 
 /**
  * mh_cloud_error_quark:
  *
- * Returns: the domain of errors of calls to the cloud
+ * Returns: the #GError domain of calls to the cloud
  */
 GQuark
 mh_cloud_error_quark (void);
 
 /**
  * mh_cloud_check_reply:
- * @status: HTTP status of the reply; 0: none came
- * @body: (nullable): the reply
- * @error: (nullable): why the request was not carried out, in the domain %MH_CLOUD_ERROR
+ * @status: HTTP status of the reply; 0 if there was no reply
+ * @body: (nullable): the body of the reply
+ * @error: (nullable): set to an error of the domain %MH_CLOUD_ERROR on failure
  *
- * Tells the replies of the cloud apart (PROTOCOL, "Controller nodes -> cloud").
+ * Classifies a reply of the cloud by its status and error value (PROTOCOL, "Controller nodes ->
+ * cloud").
  *
  * Returns: %TRUE if the request was carried out
  */
@@ -50,13 +53,13 @@
 
 /**
  * mh_cloud_read_created_machines:
- * @status: HTTP status of the reply; 0: none came
- * @body: (nullable): the reply
- * @error: (nullable): why there are none, in the domain %MH_CLOUD_ERROR
+ * @status: HTTP status of the reply; 0 if there was no reply
+ * @body: (nullable): the body of the reply
+ * @error: (nullable): set to an error of the domain %MH_CLOUD_ERROR on failure
  *
- * Reads the reply to a request for machines.
+ * Decodes the reply to a request for machines.
  *
- * Returns: (transfer full) (nullable): the names of the machines; %NULL on an error
+ * Returns: (transfer full) (nullable): the names of the created machines; %NULL on failure
  */
 char **
 mh_cloud_read_created_machines (guint status, const MhValue *body, GError **error);
@@ -65,10 +68,11 @@
  * mh_cloud_error_is_final:
  * @error: an error in the domain %MH_CLOUD_ERROR
  *
- * Whether the cloud has said that the request was not carried out. After any other error it may
- * have been, or it may still be, so that only the same request may be sent again, by the same name.
+ * Checks whether the cloud has confirmed that the request was not carried out. After any other
+ * error it may have been carried out, or may still be, so the caller may only send the same request
+ * again under the same name.
  *
- * Returns: %TRUE if the request created nothing and will create nothing
+ * Returns: %TRUE if the request has created no machine and never will
  */
 bool
 mh_cloud_error_is_final (const GError *error);
--- a/src/autoscaler/completion-forecast.c
+++ b/src/autoscaler/completion-forecast.c
@@ -2,7 +2,7 @@
 #include "cluster/attempt.h"
 #include "placement/resources.h"
 
-/* Cpus that are expected to be free from a time on. */
+/* CPUs that are expected to become free at a time. */
 typedef struct
 {
   gint64 at_us;
@@ -11,9 +11,9 @@
 
 struct MhCompletionForecast
 {
-  GArray *completions; /* Completion, by time */
-  guint next;          /* earlier ones have been given away, or are in free_cpus */
-  double free_cpus;    /* of earlier ones, and not given away */
+  GArray *completions; /* Completion, ordered by time */
+  guint next;          /* index of the first completion whose CPUs are not in free_cpus yet */
+  double free_cpus;    /* of the completions before next, not reserved */
 };
 
 MhCompletionForecast *
@@ -34,7 +34,7 @@
 }
 
 static gint
-compare_times (gconstpointer first, gconstpointer second)
+compare_end_times (gconstpointer first, gconstpointer second)
 {
   gint64 first_us = ((const Completion *)first)->at_us;
   gint64 second_us = ((const Completion *)second)->at_us;
@@ -42,15 +42,16 @@
 }
 
 static gint64
-expected_end_us (const MhAttempt *attempt, gint64 now_us)
+get_expected_end_us (const MhAttempt *attempt, gint64 now_us)
 {
   const MhJob *job = attempt->job;
   gint64 run_us = job->placement.expected_run_us;
-  gint64 left_us = attempt->running_since_us
-                       ? run_us - (now_us - attempt->running_since_us)
-                       : run_us + job->placement.expected_fetch_us - (now_us - attempt->placed_us);
-  /* One that has outrun its estimate goes on for a part of it. */
-  return now_us + MAX (left_us, run_us / 4);
+  gint64 remaining_us = attempt->running_since_us ? run_us - (now_us - attempt->running_since_us)
+                                                  : run_us + job->placement.expected_fetch_us
+                                                        - (now_us - attempt->placed_us);
+  /* At least a quarter of the estimated run time is expected to remain, so that an attempt that
+     exceeds its estimate is not expected to end at once. */
+  return now_us + MAX (remaining_us, run_us / 4);
 }
 
 static void
@@ -62,7 +63,8 @@
       const MhJobSpec *spec = attempt->job->spec;
       if (spec->shape == MH_SHAPE_SERVICE)
         continue;
-      Completion completion = { .at_us = expected_end_us (attempt, now_us), .cpus = spec->cpus };
+      Completion completion
+          = { .at_us = get_expected_end_us (attempt, now_us), .cpus = spec->cpus };
       g_array_append_val (forecast->completions, completion);
     }
 }
@@ -82,11 +84,11 @@
           && machine->notice_until_us < 0)
         add_attempts (forecast, machine, now_us);
     }
-  g_array_sort (forecast->completions, compare_times);
+  g_array_sort (forecast->completions, compare_end_times);
 }
 
 void
-mh_completion_forecast_add (MhCompletionForecast *forecast, gint64 at_us, double cpus)
+mh_completion_forecast_add_completion (MhCompletionForecast *forecast, gint64 at_us, double cpus)
 {
   g_return_if_fail (forecast != NULL);
   Completion completion = { .at_us = at_us, .cpus = cpus };
@@ -124,8 +126,8 @@
         break;
       forecast->free_cpus += next.cpus;
       forecast->next++;
-      /* The task that takes the cpus leaves them again. */
-      mh_completion_forecast_add (forecast, next.at_us + request->hold_us, next.cpus);
+      /* The CPUs become free again when the task that reserves them ends. */
+      mh_completion_forecast_add_completion (forecast, next.at_us + request->hold_us, next.cpus);
     }
   return reserved;
 }
--- a/src/autoscaler/completion-forecast.h
+++ b/src/autoscaler/completion-forecast.h
@@ -1,5 +1,5 @@
-/* When running tasks, and those that the demand plan has placed, are expected to end and leave
-   their cpus to others. */
+/* A forecast of when tasks end and free their CPUs. It covers the tasks on machines and those that
+   the demand plan has assigned. */
 #pragma once
 
 #include "cluster/machine-registry.h"
@@ -7,18 +7,18 @@
 /**
  * MhCompletionForecast:
  *
- * Ends of tasks in the order of time, and which of their cpus are given away.
+ * The expected ends of tasks, ordered by time, and the CPUs that are reserved after these ends.
  */
 typedef struct MhCompletionForecast MhCompletionForecast;
 
 /**
  * MhForecastRequest:
- * @cpus: that one task needs
- * @tasks: how many tasks there are
- * @latest_us: steady time at which a task has to start at the latest
- * @hold_us: for how long a task that starts on such cpus keeps them, in microseconds
+ * @cpus: CPUs that one task needs
+ * @tasks: number of tasks
+ * @latest_us: latest monotonic time at which a task may start, in microseconds
+ * @hold_us: how long a task occupies the CPUs once it has them, in microseconds
  *
- * Tasks that might wait for cpus that others leave.
+ * Tasks that might wait for CPUs that other tasks free.
  */
 typedef struct
 {
@@ -31,7 +31,7 @@
 /**
  * mh_completion_forecast_new:
  *
- * Returns: (transfer full): a forecast in which nothing ends
+ * Returns: (transfer full): an empty forecast
  */
 MhCompletionForecast *
 mh_completion_forecast_new (void);
@@ -40,7 +40,7 @@
  * mh_completion_forecast_free:
  * @forecast: (transfer full) (nullable): a forecast
  *
- * Frees it.
+ * Frees the forecast.
  */
 void
 mh_completion_forecast_free (MhCompletionForecast *forecast);
@@ -48,36 +48,38 @@
 
 /**
  * mh_completion_forecast_add_running:
- * @forecast: a forecast in which nothing ends yet
+ * @forecast: an empty forecast
  * @machines: (element-type utf8 MhMachine): all machines
- * @now_us: steady time
+ * @now_us: current monotonic time, in microseconds
  *
- * Adds the ends of all attempts on machines that stay. Services do not end.
+ * Adds the expected ends of the attempts on machines that have reported to this leader, are not
+ * being released and have no preemption notice. Attempts of services are left out, since they do
+ * not end.
  */
 void
 mh_completion_forecast_add_running (MhCompletionForecast *forecast, GHashTable *machines,
                                     gint64 now_us);
 
 /**
- * mh_completion_forecast_add:
+ * mh_completion_forecast_add_completion:
  * @forecast: a forecast
- * @at_us: steady time at which they are free
- * @cpus: that are free then
+ * @at_us: monotonic time at which the CPUs become free, in microseconds
+ * @cpus: CPUs that become free at that time
  *
- * Adds the end of tasks that the plan has placed.
+ * Adds the expected end of tasks that the plan has assigned.
  */
 void
-mh_completion_forecast_add (MhCompletionForecast *forecast, gint64 at_us, double cpus);
+mh_completion_forecast_add_completion (MhCompletionForecast *forecast, gint64 at_us, double cpus);
 
 /**
  * mh_completion_forecast_reserve:
  * @forecast: a forecast
- * @request: tasks
+ * @request: tasks that might wait for other tasks to end
  *
- * Gives cpus that others leave to as many of the tasks as can start in time, earliest ends first.
- * These tasks end in turn, after @request's hold_us, and leave the cpus again.
+ * Reserves CPUs that become free for as many of the tasks as can start in time, beginning with the
+ * earliest ends. The CPUs become free again after @request's hold_us, when these tasks end.
  *
- * Returns: how many tasks got cpus
+ * Returns: the number of tasks for which CPUs were reserved
  */
 guint
 mh_completion_forecast_reserve (MhCompletionForecast *forecast, const MhForecastRequest *request);
--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -3,42 +3,44 @@
 #include "autoscaler/scale-in.h"
 #include "cluster/attempt.h"
 
-/* A machine is drained when no more of it is in use, and the others would not be fuller than this.
-   Replicas younger than this are left alone: a start that is undone at once is none. */
-#define MAX_USED_SHARE 0.5
-#define MAX_REMAINING_SHARE 0.85
-#define SETTLED_US (35 * MH_SECOND_US)
-/* Of the machines, those that are drained at once; at least one. */
-#define DRAINING_SHARE (1 / 32.0)
-/* Candidates that are looked at in one step. */
-#define MAX_CANDIDATES 8u
+/* The largest used share of its CPUs at which a machine is a candidate for draining. */
+#define MAX_CANDIDATE_USED_SHARE 0.5
+/* The largest used share of the CPUs of all remaining machines after a machine has been drained. */
+#define MAX_REMAINING_USED_SHARE 0.85
+/* A replica must have run for this long before it is moved: one that is stopped right after its
+   start would have been started for nothing. */
+#define MIN_REPLICA_RUNNING_US (35 * MH_SECOND_US)
+/* The share of the machines in service that may be draining at the same time; at least one may. */
+#define MAX_DRAINING_SHARE (1 / 32.0)
+/* The number of candidates that are examined in one step. */
+#define MAX_CANDIDATES_PER_STEP 8u
 
-/* The machines that stay, and how much of them is in use. */
+/* The machines that remain in service, and how many of their CPUs are in use. */
 typedef struct
 {
   GArray *estimates; /* MhCapacityEstimate */
   double cpus, cpus_in_use;
 } RemainingMachines;
 
-/* A machine that might be drained. */
+/* A candidate for draining. */
 typedef struct
 {
   MhMachine *machine;
-  double wasted_price; /* an hour, of what is not in use */
+  double wasted_price; /* hourly, of the CPUs that are not in use */
 } Candidate;
 
-/* One pass over the machines. */
+/* The state of one pass over the machines. */
 typedef struct
 {
   const MhAutoscalerContext *context;
   bool tasks_wait;
   RemainingMachines remaining;
   GArray *candidates; /* Candidate */
-  guint n_steady, n_draining;
+  guint n_in_service, n_draining;
 } Pass;
 
 static bool
-is_steady (const MhMachine *machine)
+is_in_service (const MhMachine *machine)
 {
   return machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->type
          && machine->notice_until_us < 0;
@@ -62,20 +64,20 @@
 find_remaining_machines (Pass *pass)
 {
   MhCluster *cluster = pass->context->cluster;
-  gint64 silent_us = pass->context->settings->report_interval_us * 2;
+  gint64 max_silence_us = pass->context->settings->report_interval_us * 2;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, mh_cluster_machines (cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhMachine *machine = value;
-      if (is_steady (machine) && !mh_machine_is_draining (machine)
-          && !mh_cluster_is_silent (cluster, machine, silent_us))
+      if (is_in_service (machine) && !mh_machine_is_draining (machine)
+          && !mh_cluster_is_silent (cluster, machine, max_silence_us))
         add_remaining_machine (&pass->remaining, machine);
     }
 }
 
-/* ---- whether a machine's replicas fit elsewhere ---- */
+/* ---- target machines for replicas ---- */
 
 static void
 remove_machine (GArray *estimates, const MhMachine *machine)
@@ -88,14 +90,15 @@
       }
 }
 
-/* A service of several tasks stays as spread as it is. */
+/* Checks whether the replica can move to the machine. A replica of a service with several tasks
+   stays in its zone, so that the spread of the service across zones does not change. */
 static bool
-is_target (const MhCapacityEstimate *estimate, const MhAttempt *attempt)
+is_suitable_target (const MhCapacityEstimate *estimate, const MhAttempt *attempt)
 {
   const MhJob *job = attempt->job;
   return mh_capacity_estimate_count_tasks (estimate, job->spec, 1)
          && (job->spec->tasks == 1 || estimate->zone == attempt->machine->zone)
-         && mh_capacity_estimate_suits (estimate, job, job->zone)
+         && mh_capacity_estimate_suits_job (estimate, job, job->zone)
          && mh_machine_has_image (estimate->machine, job->image);
 }
 
@@ -105,7 +108,7 @@
   for (guint i = 0; i < estimates->len; i++)
     {
       MhCapacityEstimate *estimate = &g_array_index (estimates, MhCapacityEstimate, i);
-      if (!is_target (estimate, attempt))
+      if (!is_suitable_target (estimate, attempt))
         continue;
       mh_capacity_estimate_reserve (estimate, attempt->job->spec, 1);
       return true;
@@ -120,8 +123,9 @@
     {
       const MhAttempt *attempt = mh_machine_attempt (machine, i);
       if (attempt->job->spec->shape != MH_SHAPE_SERVICE)
-        continue; /* it ends by itself */
-      if (attempt->running_since_us == 0 || now_us - attempt->running_since_us < SETTLED_US)
+        continue; /* ends without being stopped */
+      if (attempt->running_since_us == 0
+          || now_us - attempt->running_since_us < MIN_REPLICA_RUNNING_US)
         return false;
       if (!reserve_target (estimates, attempt))
         return false;
@@ -129,15 +133,16 @@
   return true;
 }
 
-/* Whether everything on the machine has a place where its image is, on machines that stay; if so,
-   the place is reserved, and the machine is none that stays any longer. */
+/* Reserves capacity for all replicas of the machine on remaining machines that have the image
+   cached, and removes the machine from the remaining ones. Returns false, and changes nothing, if a
+   replica does not fit or may not be moved yet, or if the remaining machines would be too full. */
 static bool
 reserve_elsewhere (Pass *pass, const MhMachine *machine)
 {
   RemainingMachines *remaining = &pass->remaining;
   double own_cpus = mh_machine_is_draining (machine) ? 0 : machine->type->cpus;
   double moved_cpus = mh_machine_is_draining (machine) ? machine->usage.cpus : 0;
-  if (remaining->cpus_in_use + moved_cpus > (remaining->cpus - own_cpus) * MAX_REMAINING_SHARE)
+  if (remaining->cpus_in_use + moved_cpus > (remaining->cpus - own_cpus) * MAX_REMAINING_USED_SHARE)
     return false;
   g_autoptr (GArray) estimates = g_array_copy (remaining->estimates);
   remove_machine (estimates, machine);
@@ -152,7 +157,8 @@
 
 /* ---- draining ---- */
 
-/* Stops one replica at a time, when all else has ended. */
+/* Stops a replica of the machine, unless one is stopping already or the machine still holds
+   attempts that are not replicas. */
 static void
 stop_next_replica (const Pass *pass, const MhMachine *machine)
 {
@@ -172,19 +178,20 @@
 is_candidate (const Pass *pass, const MhMachine *machine)
 {
   gint64 age_us = mh_runtime_now_us (pass->context->runtime) - machine->boot.rented_us;
-  return machine->usage.replicas > 0 && machine->usage.cpus <= machine->type->cpus * MAX_USED_SHARE
+  return machine->usage.replicas > 0
+         && machine->usage.cpus <= machine->type->cpus * MAX_CANDIDATE_USED_SHARE
          && age_us >= MH_MINIMUM_BILLED_US;
 }
 
 static void
-visit_machine (Pass *pass, MhMachine *machine)
+check_machine (Pass *pass, MhMachine *machine)
 {
   if (mh_machine_is_draining (machine)
-      && (pass->tasks_wait || !is_steady (machine) || !reserve_elsewhere (pass, machine)))
+      && (pass->tasks_wait || !is_in_service (machine) || !reserve_elsewhere (pass, machine)))
     mh_machine_change_state (machine, MH_MACHINE_EVENT_DRAIN_CANCELLED);
-  if (pass->tasks_wait || !is_steady (machine))
+  if (pass->tasks_wait || !is_in_service (machine))
     return;
-  pass->n_steady++;
+  pass->n_in_service++;
   if (mh_machine_is_draining (machine))
     {
       pass->n_draining++;
@@ -200,7 +207,7 @@
 }
 
 static gint
-compare_waste (gconstpointer first, gconstpointer second)
+compare_wasted_price (gconstpointer first, gconstpointer second)
 {
   double first_price = ((const Candidate *)first)->wasted_price;
   double second_price = ((const Candidate *)second)->wasted_price;
@@ -208,7 +215,7 @@
 }
 
 static void
-begin_draining (Pass *pass, MhMachine *machine)
+start_draining (Pass *pass, MhMachine *machine)
 {
   mh_log_info (pass->context->runtime,
                "draining machine machine=%s used_cpus=%.0f cpus=%.0f reason=underused",
@@ -218,25 +225,26 @@
   stop_next_replica (pass, machine);
 }
 
-/* The most wasteful ones first. */
+/* Starts draining candidates, beginning with those that waste most. */
 static void
 drain_candidates (Pass *pass)
 {
-  guint max_draining = MAX (1, (guint)(pass->n_steady * DRAINING_SHARE));
-  g_array_sort (pass->candidates, compare_waste);
-  for (guint i = 0; i < pass->candidates->len && i < MAX_CANDIDATES; i++)
+  guint max_draining = MAX (1, (guint)(pass->n_in_service * MAX_DRAINING_SHARE));
+  g_array_sort (pass->candidates, compare_wasted_price);
+  for (guint i = 0; i < pass->candidates->len && i < MAX_CANDIDATES_PER_STEP; i++)
     {
       if (pass->n_draining >= max_draining)
         return;
       MhMachine *machine = g_array_index (pass->candidates, Candidate, i).machine;
       if (reserve_elsewhere (pass, machine))
-        begin_draining (pass, machine);
+        start_draining (pass, machine);
     }
 }
 
-/* A machine that holds a few replicas long after the work that it was created for costs as much as
-   a full one. Its replicas are moved to where their image is, which takes a moment, and it is
-   released. A small part of the machines at a time, and only while nothing waits. */
+/* A machine that holds a few replicas long after the work it was created for has ended costs as
+   much as a full one. Its replicas are moved to machines that have the image cached, where they
+   start quickly, and the machine is released. Only a small share of the machines is drained at a
+   time, and only while no task waits. */
 void
 mh_consolidation_step (const MhAutoscalerContext *context, bool tasks_wait)
 {
@@ -252,7 +260,7 @@
     find_remaining_machines (&pass);
   g_hash_table_iter_init (&iter, mh_cluster_machines (context->cluster));
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    visit_machine (&pass, value);
+    check_machine (&pass, value);
   drain_candidates (&pass);
   g_array_unref (pass.remaining.estimates);
   g_array_unref (pass.candidates);
--- a/src/autoscaler/consolidation.h
+++ b/src/autoscaler/consolidation.h
@@ -1,6 +1,7 @@
-/* Consolidation: replicas on machines that hold little else are moved to machines that have their
-   image, and the machines that are empty then are released by scale-in. No replica is moved for its
-   zone. The state is in each machine's flag `draining`. */
+/* Consolidation drains underused machines: it moves their replicas to machines that have the image
+   cached, and scale-in releases the empty machines. It does not rebalance replicas across zones. A
+   machine that is being drained is in the state MH_MACHINE_DRAINING; consolidation keeps no other
+   state. */
 #pragma once
 
 #include "autoscaler/context.h"
@@ -9,12 +10,11 @@
 
 /**
  * mh_consolidation_step:
- * @context: the layers below
- * @tasks_wait: whether tasks wait for machines, so that none is drained
+ * @context: the lower layers
+ * @tasks_wait: whether tasks wait for machines; no machine is drained then
  *
- * Chooses machines to drain, and goes on with those that were chosen: the replicas of one are
- * stopped one at a time. A machine whose replicas do not fit elsewhere any more is no longer
- * drained.
+ * Selects machines to drain, and stops the replicas of draining machines, one replica of each
+ * machine at a time. Cancels the draining of a machine whose replicas no longer fit elsewhere.
  */
 void
 mh_consolidation_step (const MhAutoscalerContext *context, bool tasks_wait);
--- a/src/autoscaler/context.h
+++ b/src/autoscaler/context.h
@@ -1,4 +1,4 @@
-/* What the autoscaler uses of the layers below. */
+/* The lower layers that the autoscaler uses. */
 #pragma once
 
 #include "cluster/cluster.h"
@@ -10,19 +10,19 @@
 
 /**
  * MhAutoscalerContext:
- * @cluster: machines, and what runs on them
- * @settings: of this controller
- * @runtime: time, wake-ups and the log
+ * @cluster: the machines and the attempts that run on them
+ * @settings: settings of this controller
+ * @runtime: clock, wake-ups and log
  * @calls: calls to the cloud and to the key-value store
- * @election: whether, and under which epoch, this controller leads
- * @recovery: whether the machines have reported to this leader
- * @record_writer: drops records that are of no use any more
+ * @election: whether this controller is the leader, and under which epoch
+ * @recovery: whether the machines have reported to this leader yet
+ * @record_writer: deletes obsolete records
  * @jobs: (element-type utf8 MhJob): all jobs by id
- * @job_queue: which jobs have tasks to start
+ * @job_queue: the jobs that have pending tasks
  * @runtime_estimator: how long tasks are expected to run
  *
- * What lies below the autoscaler; all of it must outlive it. The autoscaler has a copy, which its
- * parts borrow.
+ * The lower layers that the autoscaler uses. They must outlive the autoscaler. The autoscaler keeps
+ * a copy of this struct, and its parts point to that copy.
  */
 typedef struct
 {
@@ -38,5 +38,5 @@
   const MhRuntimeEstimator *runtime_estimator;
 } MhAutoscalerContext;
 
-/** For how long a call to the cloud waits for its reply. */
+/** How long a call to the cloud waits for its reply. */
 #define MH_CLOUD_TIMEOUT_US (4 * MH_SECOND_US)
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -12,32 +12,32 @@
 struct MhDemandPlan
 {
   const MhAutoscalerContext *context;
-  GArray *estimates;       /* MhCapacityEstimate; their zones belong to machines and offers */
-  MhMachineOffers *offers; /* NULL: nothing waits */
-  MhCompletionForecast *forecast; /* of running tasks, and of those that are laid out */
-  double lost_cpus;               /* that no task has been laid out for */
-  GHashTable *team_use;           /* team -> MhTeamUse, of tasks that are laid out */
+  GArray *estimates;       /* MhCapacityEstimate; zones are borrowed from machines and offers */
+  MhMachineOffers *offers; /* NULL: no pending tasks */
+  MhCompletionForecast *forecast; /* of tasks on machines and of assigned tasks */
+  double lost_cpus;               /* lost CPUs that no planned task accounts for yet */
+  GHashTable *team_use;           /* team -> MhTeamUse, of planned tasks */
 };
 
-/* Tasks of a job that are being laid out. */
+/* The tasks of a job that are being assigned. */
 typedef struct
 {
   const MhJob *job;
-  const char *zone; /* the only one that they may go to; NULL: any */
+  const char *zone; /* the only zone in which they may run; NULL: any */
   guint tasks_left;
 } Assignment;
 
 static gint64
-plan_now_us (const MhDemandPlan *plan)
+get_now_us (const MhDemandPlan *plan)
 {
   return mh_runtime_now_us (plan->context->runtime);
 }
 
-/* A machine that has to be created for these tasks; NULL: none can be had. */
+/* Adds a machine to be created for these tasks. Returns NULL if no offer suits them. */
 static MhCapacityEstimate *
 add_machine_to_create (MhDemandPlan *plan, const Assignment *assignment)
 {
-  const MhMachineOffer *offer = mh_machine_offers_cheapest (
+  const MhMachineOffer *offer = mh_machine_offers_find_cheapest (
       plan->offers, assignment->job, assignment->zone, assignment->tasks_left);
   if (offer == NULL)
     return NULL;
@@ -49,9 +49,9 @@
   return &g_array_index (plan->estimates, MhCapacityEstimate, plan->estimates->len - 1);
 }
 
-/* Machines that are coming, as far as they can be counted on. */
+/* Adds the machines that have not reported to this leader yet and are expected to join. */
 static void
-add_coming_machines (MhDemandPlan *plan)
+add_starting_machines (MhDemandPlan *plan)
 {
   GHashTableIter iter;
   gpointer value;
@@ -63,16 +63,17 @@
           || machine->zone == NULL)
         continue;
       if (machine->boot.late_age_us)
-        continue; /* perhaps it never comes */
+        continue; /* may never join */
       MhCapacityEstimate estimate
           = mh_capacity_estimate_for_type (machine->type, machine->zone, machine->spot);
       g_array_append_val (plan->estimates, estimate);
     }
 }
 
-/* How soon a machine for the job could be there; G_MAXINT64: never. */
+/* Returns the shortest boot time among the machine types that fit the job, or G_MAXINT64 if none
+ * does. */
 static gint64
-shortest_boot_us (const GPtrArray *types, const MhJobSpec *spec)
+find_shortest_boot_us (const GPtrArray *types, const MhJobSpec *spec)
 {
   gint64 shortest_us = G_MAXINT64;
   for (guint i = 0; i < types->len; i++)
@@ -84,21 +85,22 @@
   return shortest_us;
 }
 
-/* How many tasks may wait for cpus that running tasks leave: machines created now would not be
-   there sooner, or the tasks would still end in time. Takes the cpus. */
+/* Reserves CPUs that other tasks free for tasks that can wait for them: those that would still end
+   in time, and those for which a machine created now would not be ready sooner. Returns the number
+   of such tasks. */
 static guint
-wait_for_completions (MhDemandPlan *plan, const MhJob *job, guint tasks)
+assign_to_completions (MhDemandPlan *plan, const MhJob *job, guint tasks)
 {
   if (job->spec->shape != MH_SHAPE_ARRAY)
     return 0;
-  gint64 now_us = plan_now_us (plan);
-  gint64 boot_us = shortest_boot_us (mh_cluster_types (plan->context->cluster), job->spec);
-  /* Estimates are often wrong by half. */
+  gint64 now_us = get_now_us (plan);
+  gint64 boot_us = find_shortest_boot_us (mh_cluster_types (plan->context->cluster), job->spec);
+  /* Estimated run times are often wrong by half, so half of the run time is kept as a margin. */
   gint64 latest_us = job->placement.objectives_missed
                          ? now_us
                          : job->placement.latest_start_us - job->placement.expected_run_us / 2;
-  /* What a new machine cannot bring in time any more does not call for one; only a backlog that
-     would outlast its boot does. */
+  /* A new machine would join too late for such a task, so the missed start time does not justify
+     one. Only a backlog that would still wait after twice the boot time does. */
   if (latest_us < now_us + boot_us)
     latest_us = now_us + 2 * boot_us;
   MhForecastRequest request
@@ -109,7 +111,8 @@
   return mh_completion_forecast_reserve (plan->forecast, &request);
 }
 
-/* Lays out as many tasks on the machine as fit, and expects them to end again; returns how many. */
+/* Assigns as many tasks to the machine as fit, and adds their end to the forecast. Returns the
+   number of assigned tasks. */
 static guint
 assign_to_machine (MhDemandPlan *plan, Assignment *assignment, MhCapacityEstimate *machine)
 {
@@ -123,31 +126,35 @@
     assignment->zone = machine->zone;
   assignment->tasks_left -= tasks;
   if (spec->shape != MH_SHAPE_SERVICE)
-    mh_completion_forecast_add (plan->forecast,
-                                plan_now_us (plan) + machine->type->boot_us
-                                    + job->placement.expected_run_us
-                                    + job->placement.expected_fetch_us,
-                                spec->cpus * tasks);
+    mh_completion_forecast_add_completion (plan->forecast,
+                                           get_now_us (plan) + machine->type->boot_us
+                                               + job->placement.expected_run_us
+                                               + job->placement.expected_fetch_us,
+                                           spec->cpus * tasks);
   return tasks;
 }
 
-/* What failed machines ran has to run again beside all that keeps coming: cpus that others leave
-   are not enough for both. With 279 of 590 machines cut off, nothing was created for 45 s, since
-   what waited could never have been in time. Returns how many tasks make up for such work. */
+/* The tasks of machines that are being released have to run again in addition to new work, and the
+   CPUs that other tasks free are not enough for both. Therefore some tasks get machines even if
+   they could wait: without this, after 279 of 590 machines were cut off, no machine was created for
+   45 s, because the pending tasks could not start in time anyway. Returns the number of tasks that
+   stand for lost capacity, and subtracts their CPUs from it. */
 static guint
-take_lost_capacity (MhDemandPlan *plan, const MhJobSpec *spec, guint tasks)
+consume_lost_capacity (MhDemandPlan *plan, const MhJobSpec *spec, guint tasks)
 {
   if (spec->shape == MH_SHAPE_SERVICE)
     return 0;
-  guint repeated = mh_resource_slots (MAX (plan->lost_cpus, 0), spec->cpus, tasks);
-  plan->lost_cpus -= spec->cpus * repeated;
-  return repeated;
+  guint rerun_tasks = mh_resource_slots (MAX (plan->lost_cpus, 0), spec->cpus, tasks);
+  plan->lost_cpus -= spec->cpus * rerun_tasks;
+  return rerun_tasks;
 }
 
-/* What is reserved for a gang is there already, and the rest has to come beside it. Returns false
-   if nothing is to be laid out: a gang that is being stopped will find its own room again. */
+/* Leaves out the tasks of a gang for which the placement pass holds capacity, and restricts the
+   others to the zone of that capacity. Returns false if no task is to be assigned: a gang that
+   still has attempts can start again on the capacity that these free, and one that may not start
+   all its tasks at once may start none. */
 static bool
-prepare_gang (Assignment *assignment)
+prepare_gang_assignment (Assignment *assignment)
 {
   const MhJob *job = assignment->job;
   if (job->n_live || assignment->tasks_left < job->spec->tasks)
@@ -164,7 +171,7 @@
   for (guint i = 0; i < plan->estimates->len && assignment->tasks_left; i++)
     {
       MhCapacityEstimate *machine = &g_array_index (plan->estimates, MhCapacityEstimate, i);
-      if (mh_capacity_estimate_suits (machine, assignment->job, assignment->zone))
+      if (mh_capacity_estimate_suits_job (machine, assignment->job, assignment->zone))
         assign_to_machine (plan, assignment, machine);
     }
 }
@@ -172,15 +179,16 @@
 static void
 assign_tasks (MhDemandPlan *plan, const MhJob *job, guint tasks)
 {
-  /* Tasks that stay together go to one zone, which their first machine decides: what was created
-     for them elsewhere, while some ran, was of no use to them, and they waited on. */
+  /* All tasks of a single-zone job go to the zone of the first machine that they are assigned to.
+     Machines created in another zone, while some of the tasks ran, could not be used by the others,
+     which kept waiting. */
   Assignment assignment
       = { .job = job, .zone = mh_filter_required_zone (job), .tasks_left = tasks };
-  if (mh_job_is_gang (job) && !prepare_gang (&assignment))
+  if (mh_job_is_gang (job) && !prepare_gang_assignment (&assignment))
     return;
   assign_to_planned_machines (plan, &assignment);
-  guint repeated = take_lost_capacity (plan, job->spec, assignment.tasks_left);
-  assignment.tasks_left -= wait_for_completions (plan, job, assignment.tasks_left - repeated);
+  guint rerun_tasks = consume_lost_capacity (plan, job->spec, assignment.tasks_left);
+  assignment.tasks_left -= assign_to_completions (plan, job, assignment.tasks_left - rerun_tasks);
   while (assignment.tasks_left)
     {
       MhCapacityEstimate *machine = add_machine_to_create (plan, &assignment);
@@ -190,7 +198,7 @@
 }
 
 static MhTeamUse *
-planned_team_use (MhDemandPlan *plan, const char *team)
+get_planned_team_use (MhDemandPlan *plan, const char *team)
 {
   MhTeamUse *use = g_hash_table_lookup (plan->team_use, team);
   if (use == NULL)
@@ -206,8 +214,9 @@
 {
   MhCluster *cluster = plan->context->cluster;
   const MhJobSpec *spec = job->spec;
-  MhTeamUse *use = planned_team_use (plan, spec->team);
-  /* Machines once were created for all tasks of jobs that fail everywhere, and stood idle. */
+  MhTeamUse *use = get_planned_team_use (plan, spec->team);
+  /* No machines are planned for tasks that may not start because their job backs off: otherwise
+     machines are created for all tasks of a job that fails everywhere, and stay idle. */
   guint tasks
       = mh_quota_allowed_tasks (plan->context->settings, mh_cluster_team_use (cluster, spec->team),
                                 job, use, mh_task_failure_rentable (cluster, job));
@@ -218,7 +227,7 @@
 }
 
 static void
-renew_expected_times (const MhAutoscalerContext *context)
+update_expected_times (const MhAutoscalerContext *context)
 {
   MhCluster *cluster = context->cluster;
   GHashTableIter iter;
@@ -234,11 +243,13 @@
     }
 }
 
-/* A hundred jobs that come at once are on record only seconds later, and machines take long to
-   come. But what is not on record has not been placed either: once there are machines, those jobs
-   may find room on them, and machines were created for each beside free ones. */
+/* Returns the jobs to plan for. If a hundred jobs are submitted at once, their records become
+   durable only seconds later. As long as no worker has reported to this leader, these jobs are
+   planned for as well, so that the machines, which take long to boot, are requested early. Later,
+   only accepted jobs are planned for: the others have not been placed yet and may still fit on
+   existing machines, and planning for them created machines although others were free. */
 static GPtrArray *
-jobs_to_plan (const MhAutoscalerContext *context)
+find_jobs_to_plan (const MhAutoscalerContext *context)
 {
   MhCluster *cluster = context->cluster;
   MhJobQueueScope scope = mh_zone_any_heard (cluster) ? MH_JOB_QUEUE_ACCEPTED : MH_JOB_QUEUE_ALL;
@@ -248,22 +259,22 @@
 
 MhDemandPlan *
 mh_demand_plan_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-                    const MhLostCapacity *lost)
+                    const MhLostCapacity *lost_capacity)
 {
   MhDemandPlan *plan = g_new0 (MhDemandPlan, 1);
   plan->context = context;
   plan->estimates = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate));
   plan->forecast = mh_completion_forecast_new ();
   plan->team_use = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  plan->lost_cpus = mh_lost_capacity_cpus (lost);
-  g_autoptr (GPtrArray) jobs = jobs_to_plan (context);
+  plan->lost_cpus = mh_lost_capacity_cpus (lost_capacity);
+  g_autoptr (GPtrArray) jobs = find_jobs_to_plan (context);
   if (jobs->len == 0)
     return plan;
-  renew_expected_times (context);
-  add_coming_machines (plan);
+  update_expected_times (context);
+  add_starting_machines (plan);
   plan->offers = mh_machine_offers_new (context, scale_out, plan->estimates);
   mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->cluster),
-                                      plan_now_us (plan));
+                                      get_now_us (plan));
   for (guint i = 0; i < jobs->len; i++)
     plan_job (plan, g_ptr_array_index (jobs, i));
   return plan;
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -1,8 +1,8 @@
-/* Demand: how many machines of which kind the waiting tasks need beyond those that are there or
-   coming.
+/* Demand: how many machines of which kind the pending tasks need in addition to those that are in
+   service or starting.
 
-   Waiting tasks are laid out, in the order of the job queue, on machines that are coming, on cpus
-   that running tasks will leave in time, and on machines that would have to be created. */
+   Pending tasks are assigned, in the order of the job queue, to starting machines, to CPUs that
+   running tasks are expected to free in time, and to machines that would have to be created. */
 #pragma once
 
 #include "autoscaler/lost-capacity.h"
@@ -11,30 +11,30 @@
 /**
  * MhDemandPlan:
  *
- * A layout of all waiting tasks, for one step.
+ * An assignment of all pending tasks, for one step.
  */
 typedef struct MhDemandPlan MhDemandPlan;
 
 /**
  * mh_demand_plan_new:
- * @context: the layers below
- * @scale_out: knows which kinds of machine were refused
- * @lost: capacity that was lost; the plan takes nothing off it
+ * @context: the lower layers
+ * @scale_out: provides the kinds of machine that the cloud refused recently
+ * @lost_capacity: lost capacity that has to be replaced; not changed by the plan
  *
- * Lays out all waiting tasks. The types of machines must be known. Also renews each job's expected
- * run and fetch times.
+ * Assigns all pending tasks. The machine types must be known. Also updates the expected run and
+ * fetch times of each job if any job has pending tasks.
  *
- * Returns: (transfer full): a plan, valid during the current input
+ * Returns: (transfer full): a plan, valid while the current input is processed
  */
 MhDemandPlan *
 mh_demand_plan_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-                    const MhLostCapacity *lost);
+                    const MhLostCapacity *lost_capacity);
 
 /**
  * mh_demand_plan_free:
  * @plan: (transfer full) (nullable): a plan
  *
- * Frees it with its estimates.
+ * Frees the plan and its estimates.
  */
 void
 mh_demand_plan_free (MhDemandPlan *plan);
@@ -44,8 +44,8 @@
  * mh_demand_plan_estimates:
  * @plan: a plan
  *
- * Returns: (transfer none) (element-type MhCapacityEstimate): the machines of the plan: those that
- * are coming, and those that would have to be created, in the order in which tasks ask for them
+ * Returns: (transfer none) (element-type MhCapacityEstimate): the machines of the plan: first the
+ * starting ones, then those that would have to be created, in the order in which tasks need them
  */
 const GArray *
 mh_demand_plan_estimates (const MhDemandPlan *plan);
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -2,22 +2,25 @@
 #include "autoscaler/cloud-error.h"
 #include "protocol/cloud-messages.h"
 
-#define TYPES_INTERVAL_US (60 * MH_SECOND_US)
-#define MIN_LIST_INTERVAL_US (5 * MH_SECOND_US)
-/* After a read that failed, and before the next page of a list that is stuck. */
+/* Interval between two reads of the machine types. */
+#define TYPES_REFRESH_INTERVAL_US (60 * MH_SECOND_US)
+/* Shortest interval between two reads of the list of machines. */
+#define MIN_LIST_REFRESH_INTERVAL_US (5 * MH_SECOND_US)
+/* Delay before the next attempt after a read has failed. */
 #define RETRY_INTERVAL_US MH_SECOND_US
-/* Of all calls to the cloud, those that lists may take: with thousands of machines a list has many
-   pages, and creations and releases once waited behind them. */
-#define LIST_SHARE 0.25
+/* The share of the cloud's rate limit that reading the list may use. With thousands of machines the
+   list has many pages, and without this limit requests to create and release machines wait behind
+   them. */
+#define MAX_LIST_CALL_SHARE 0.25
 
 struct MhInventory
 {
   const MhAutoscalerContext *context;
   MhScaleIn *scale_in;
-  gint64 types_due_us, list_due_us; /* when they are to be read again */
+  gint64 types_due_us, list_due_us; /* time of the next read */
   bool types_in_flight, list_in_flight;
-  bool listed;      /* a whole list has been read in this leadership */
-  guint list_pages; /* of the list that is being read, or was last */
+  bool loaded;      /* the complete list has been read in this leadership */
+  guint list_pages; /* pages read of the current or the last list */
 };
 
 MhInventory *
@@ -41,17 +44,17 @@
   g_return_if_fail (self != NULL);
   self->types_in_flight = self->list_in_flight = false;
   self->types_due_us = self->list_due_us = 0;
-  self->listed = false;
+  self->loaded = false;
 }
 
 bool
-mh_inventory_is_listed (const MhInventory *self)
+mh_inventory_is_loaded (const MhInventory *self)
 {
   g_return_val_if_fail (self != NULL, false);
-  return self->listed;
+  return self->loaded;
 }
 
-/* ---- types of machines ---- */
+/* ---- machine types ---- */
 
 static void
 handle_types_reply (gpointer owner, gpointer data, const MhReply *reply)
@@ -63,7 +66,7 @@
                          : NULL;
   self->types_in_flight = false;
   self->types_due_us = mh_runtime_now_us (self->context->runtime)
-                       + (types ? TYPES_INTERVAL_US : RETRY_INTERVAL_US);
+                       + (types ? TYPES_REFRESH_INTERVAL_US : RETRY_INTERVAL_US);
   if (types)
     mh_cluster_set_types (self->context->cluster, types);
 }
@@ -71,7 +74,8 @@
 static void
 read_types (MhInventory *self)
 {
-  /* Nothing can be accepted or placed before the types are known: they wait for nothing. */
+  /* Nothing can be accepted or placed before the types are known, so the first read goes before all
+     other calls to the cloud. */
   MhCallOptions options
       = { .class = mh_cluster_types (self->context->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
           .timeout_us = MH_CLOUD_TIMEOUT_US,
@@ -84,7 +88,7 @@
 /* ---- the list of machines ---- */
 
 static MhMachine *
-add_listed_machine (MhInventory *self, MhMachine *machine, const MhListedMachine *listed)
+add_or_identify_machine (MhInventory *self, MhMachine *machine, const MhListedMachine *listed)
 {
   MhCluster *cluster = self->context->cluster;
   if (machine == NULL)
@@ -98,25 +102,25 @@
 }
 
 static void
-take_listed_machine (MhInventory *self, const MhListedMachine *listed)
+process_listed_machine (MhInventory *self, const MhListedMachine *listed)
 {
   MhCluster *cluster = self->context->cluster;
   MhMachine *machine = mh_cluster_find_machine (cluster, listed->name);
   if (mh_cluster_was_released (cluster, listed->name)
       || (machine && mh_machine_is_releasing (machine)))
-    return; /* lists lag */
+    return; /* the list lags behind the release */
   if (machine == NULL || machine->type_name == NULL)
-    machine = add_listed_machine (self, machine, listed);
+    machine = add_or_identify_machine (self, machine, listed);
   machine->listed_running = listed->state == MH_LISTED_RUNNING;
   if (listed->state == MH_LISTED_FAILED)
     mh_scale_in_release_machine (self->scale_in, machine, MH_RELEASE_REASON_FAILED);
 }
 
 static gint64
-list_interval_us (const MhInventory *self)
+get_list_interval_us (const MhInventory *self)
 {
-  double seconds = self->list_pages / (LIST_SHARE * self->context->settings->cloud_rps);
-  return MAX (MIN_LIST_INTERVAL_US, (gint64)(seconds * MH_SECOND_US));
+  double seconds = self->list_pages / (MAX_LIST_CALL_SHARE * self->context->settings->cloud_rps);
+  return MAX (MIN_LIST_REFRESH_INTERVAL_US, (gint64)(seconds * MH_SECOND_US));
 }
 
 static void
@@ -138,22 +142,22 @@
     return;
   self->list_pages++;
   for (guint i = 0; i < list->len; i++)
-    take_listed_machine (self, g_ptr_array_index (list, i));
+    process_listed_machine (self, g_ptr_array_index (list, i));
   if (more && list->len)
     {
       const MhListedMachine *last = g_ptr_array_index (list, list->len - 1);
       read_list_page (self, last->name);
       return;
     }
-  self->listed = true;
-  self->list_due_us = now_us + list_interval_us (self);
+  self->loaded = true;
+  self->list_due_us = now_us + get_list_interval_us (self);
 }
 
-/* The page that begins after this machine; NULL: the first one. */
+/* Reads the page that begins after the machine named @after; NULL: the first page. */
 static void
 read_list_page (MhInventory *self, const char *after)
 {
-  MhCallOptions options = { .class = self->listed ? MH_CALL_WORK : MH_CALL_SAFETY,
+  MhCallOptions options = { .class = self->loaded ? MH_CALL_WORK : MH_CALL_SAFETY,
                             .timeout_us = MH_CLOUD_TIMEOUT_US,
                             .func = handle_list_reply,
                             .owner = self };
--- a/src/autoscaler/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -1,7 +1,8 @@
-/* Inventory: what the cloud has. Reads the types of machines, and the list of those that were
-   created for this service; the list lags, and may be older than the one before it (PROTOCOL,
-   "GET /machines"). A machine that is listed and was not known is added to the cluster, and one
-   that is listed as failed is released. Nothing is concluded from a machine's absence in a list. */
+/* Inventory: the machine types that the cloud offers and the machines that it has created for this
+   service. Both are read periodically. The list of machines lags, and may be older than the one
+   read before it (PROTOCOL, "GET /machines"). An unknown machine in the list is added to the
+   cluster, and one that is listed as failed is released. The absence of a machine from the list has
+   no effect. */
 #pragma once
 
 #include "autoscaler/scale-in.h"
@@ -9,16 +10,16 @@
 /**
  * MhInventory:
  *
- * Reads what the cloud has, and knows when it is to be read again.
+ * Reads machine types and machines from the cloud, and schedules the next reads.
  */
 typedef struct MhInventory MhInventory;
 
 /**
  * mh_inventory_new:
- * @context: (not transferred): the layers below; must outlive the object
+ * @context: (not transferred): the lower layers; must outlive the object
  * @scale_in: (not transferred): releases failed machines; must outlive the object
  *
- * Returns: (transfer full): an inventory of which nothing was read yet
+ * Returns: (transfer full): an inventory that has read nothing yet
  */
 MhInventory *
 mh_inventory_new (const MhAutoscalerContext *context, MhScaleIn *scale_in);
@@ -27,7 +28,7 @@
  * mh_inventory_free:
  * @self: (transfer full) (nullable): an inventory
  *
- * Frees it. Calls in flight must have been forgotten before.
+ * Frees the inventory. The caller must first discard its calls that are in flight.
  */
 void
 mh_inventory_free (MhInventory *self);
@@ -37,25 +38,26 @@
  * mh_inventory_reset:
  * @self: an inventory
  *
- * Forgets everything of a leadership that has ended, with its calls, but for the types of machines.
+ * Discards all state of a leadership that has ended, except for the machine types. The caller must
+ * discard the calls in flight at the same time.
  */
 void
 mh_inventory_reset (MhInventory *self);
 
 /**
- * mh_inventory_is_listed:
+ * mh_inventory_is_loaded:
  * @self: an inventory
  *
- * Returns: %TRUE once a whole list of machines has been read in this leadership
+ * Returns: %TRUE if the complete list of machines has been read during this leadership
  */
 bool
-mh_inventory_is_listed (const MhInventory *self);
+mh_inventory_is_loaded (const MhInventory *self);
 
 /**
  * mh_inventory_step:
  * @self: an inventory
  *
- * Reads again what is out of date.
+ * Reads the machine types and the list of machines again if they are due.
  */
 void
 mh_inventory_step (MhInventory *self);
--- a/src/autoscaler/lost-capacity.h
+++ b/src/autoscaler/lost-capacity.h
@@ -1,6 +1,6 @@
-/* Capacity that was in use on machines that are being released, and that no machine created since
-   has replaced. Demand reckons with it: what those machines ran has to run again beside all that
-   keeps coming. */
+/* Lost capacity: CPUs that were in use on machines when their release began, and that no machine
+   created since then replaces. The demand plan takes it into account, because the tasks of those
+   machines have to run again in addition to new work. */
 #pragma once
 
 #include <glib.h>
@@ -8,62 +8,62 @@
 /**
  * MhLostCapacity:
  *
- * An account of cpus.
+ * A counter of lost CPUs.
  */
 typedef struct MhLostCapacity MhLostCapacity;
 
 /**
  * mh_lost_capacity_new:
  *
- * Returns: (transfer full): an account that begins at nothing
+ * Returns: (transfer full): a counter that is 0
  */
 MhLostCapacity *
 mh_lost_capacity_new (void);
 
 /**
  * mh_lost_capacity_free:
- * @lost: (transfer full) (nullable): lost capacity
+ * @lost_capacity: (transfer full) (nullable): lost capacity
  *
- * Frees it.
+ * Frees the counter.
  */
 void
-mh_lost_capacity_free (MhLostCapacity *lost);
+mh_lost_capacity_free (MhLostCapacity *lost_capacity);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhLostCapacity, mh_lost_capacity_free)
 
 /**
  * mh_lost_capacity_add:
- * @lost: lost capacity
- * @cpus: in use on a machine that is being released
+ * @lost_capacity: lost capacity
+ * @cpus: CPUs in use on a machine that is being released
  *
- * Adds what a machine ran.
+ * Adds the CPUs that were in use on the machine.
  */
 void
-mh_lost_capacity_add (MhLostCapacity *lost, double cpus);
+mh_lost_capacity_add (MhLostCapacity *lost_capacity, double cpus);
 
 /**
  * mh_lost_capacity_replace:
- * @lost: lost capacity
- * @cpus: of machines that were created
+ * @lost_capacity: lost capacity
+ * @cpus: CPUs of machines that were created
  *
- * Takes off what new machines make up for; never below nothing.
+ * Subtracts the CPUs that new machines replace. The counter does not fall below 0.
  */
 void
-mh_lost_capacity_replace (MhLostCapacity *lost, double cpus);
+mh_lost_capacity_replace (MhLostCapacity *lost_capacity, double cpus);
 
 /**
  * mh_lost_capacity_clear:
- * @lost: lost capacity
+ * @lost_capacity: lost capacity
  *
- * Begins at nothing again.
+ * Resets the counter to 0.
  */
 void
-mh_lost_capacity_clear (MhLostCapacity *lost);
+mh_lost_capacity_clear (MhLostCapacity *lost_capacity);
 
 /**
  * mh_lost_capacity_cpus:
- * @lost: lost capacity
+ * @lost_capacity: lost capacity
  *
- * Returns: cpus that were lost and not replaced
+ * Returns: CPUs that were lost and have not been replaced
  */
 double
-mh_lost_capacity_cpus (const MhLostCapacity *lost);
+mh_lost_capacity_cpus (const MhLostCapacity *lost_capacity);
--- a/src/autoscaler/machine-offer.c
+++ b/src/autoscaler/machine-offer.c
@@ -2,12 +2,13 @@
 #include "autoscaler/capacity-estimate.h"
 #include "cluster/zone-silence.h"
 
-/* Spot machines are taken back now and then, with what they run: their price counts as this much
-   more. */
-#define SPOT_RISK 1.3
-/* Prices that differ by less are equal. */
+/* The cloud preempts spot machines from time to time, which interrupts their tasks. Their price is
+   multiplied by this factor when offers are compared. */
+#define SPOT_PRICE_FACTOR 1.3
+/* Prices that differ by less than this count as equal. */
 #define PRICE_TOLERANCE 1e-9
-/* Of a task: a division that is short of a whole number by less is that number. */
+/* Added to a computed number of tasks before it is rounded down, so that rounding errors do not
+   cost a task. */
 #define SLOT_TOLERANCE 1e-6
 
 struct MhMachineOffers
@@ -23,7 +24,7 @@
 }
 
 static guint *
-machines_in_zone (MhMachineOffers *offers, const char *zone)
+get_zone_machine_count (MhMachineOffers *offers, const char *zone)
 {
   guint *count = g_hash_table_lookup (offers->machines_by_zone, zone);
   if (count == NULL)
@@ -35,7 +36,7 @@
 }
 
 static void
-count_machines (MhMachineOffers *offers, GHashTable *machines, const GArray *coming)
+count_machines (MhMachineOffers *offers, GHashTable *machines, const GArray *starting)
 {
   GHashTableIter iter;
   gpointer value;
@@ -44,44 +45,44 @@
     {
       const MhMachine *machine = value;
       if (!mh_machine_is_releasing (machine) && machine->heartbeat.reported && machine->zone)
-        (*machines_in_zone (offers, machine->zone))++;
+        (*get_zone_machine_count (offers, machine->zone))++;
     }
-  for (guint i = 0; i < coming->len; i++)
-    (*machines_in_zone (offers, g_array_index (coming, MhCapacityEstimate, i).zone))++;
+  for (guint i = 0; i < starting->len; i++)
+    (*get_zone_machine_count (offers, g_array_index (starting, MhCapacityEstimate, i).zone))++;
 }
 
 static void
-add_type (MhMachineOffers *offers, const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-          const MhMachineType *type)
+add_type_offers (MhMachineOffers *offers, const MhAutoscalerContext *context,
+                 const MhScaleOut *scale_out, const MhMachineType *type)
 {
   for (char **zone = type->zones; zone && *zone; zone++)
     for (int spot = 0; spot < 2; spot++)
       {
         g_autoptr (GRefString) name = g_ref_string_new_intern (*zone);
-        /* What comes up in a zone that is partitioned is of no use until that is over. */
-        if (mh_scale_out_is_refused (scale_out, type, *zone, spot)
+        /* A machine created in a partitioned zone is of no use until the partition ends. */
+        if (mh_scale_out_is_kind_refused (scale_out, type, *zone, spot)
             || mh_zone_is_partitioned (context->cluster, name))
           continue;
         MhMachineOffer offer = { .type = type,
                                  .zone = g_ref_string_acquire (name),
                                  .spot = spot,
-                                 .machines_in_zone = machines_in_zone (offers, *zone) };
+                                 .machines_in_zone = get_zone_machine_count (offers, *zone) };
         g_array_append_val (offers->offers, offer);
       }
 }
 
 MhMachineOffers *
 mh_machine_offers_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-                       const GArray *coming)
+                       const GArray *starting)
 {
   const GPtrArray *types = mh_cluster_types (context->cluster);
   MhMachineOffers *offers = g_new0 (MhMachineOffers, 1);
   offers->offers = g_array_new (FALSE, FALSE, sizeof (MhMachineOffer));
   g_array_set_clear_func (offers->offers, offer_clear);
   offers->machines_by_zone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  count_machines (offers, mh_cluster_machines (context->cluster), coming);
+  count_machines (offers, mh_cluster_machines (context->cluster), starting);
   for (guint i = 0; i < types->len; i++)
-    add_type (offers, context, scale_out, g_ptr_array_index (types, i));
+    add_type_offers (offers, context, scale_out, g_ptr_array_index (types, i));
   return offers;
 }
 
@@ -95,22 +96,23 @@
   g_free (offers);
 }
 
-/* What a task's part of a machine costs an hour, filled with so many of these tasks. More of the
-   kind will come: half a machine counts as filled sooner or later. */
+/* Returns the hourly price per task of a machine that runs @tasks of these tasks, or as many of
+   them as fit. The machine counts as at least half full, because more tasks of this kind are
+   expected. */
 static double
-price_of_task (const MhMachineOffer *offer, const MhJobSpec *spec, guint tasks)
+get_price_per_task (const MhMachineOffer *offer, const MhJobSpec *spec, guint tasks)
 {
   const MhMachineType *type = offer->type;
   double by_cpus = spec->cpus > 0 ? type->cpus / spec->cpus : tasks;
   double by_memory = spec->mem_gb > 0 ? type->mem_gb / spec->mem_gb : tasks;
   double slots = (double)(guint)(MIN (by_cpus, by_memory) + SLOT_TOLERANCE);
   slots = MAX (1, MIN (slots, MAX (tasks, slots / 2)));
-  return (offer->spot ? type->spot_price * SPOT_RISK : type->price) / slots;
+  return (offer->spot ? type->spot_price * SPOT_PRICE_FACTOR : type->price) / slots;
 }
 
 const MhMachineOffer *
-mh_machine_offers_cheapest (const MhMachineOffers *offers, const MhJob *job, const char *zone,
-                            guint tasks)
+mh_machine_offers_find_cheapest (const MhMachineOffers *offers, const MhJob *job, const char *zone,
+                                 guint tasks)
 {
   g_return_val_if_fail (offers != NULL, NULL);
   double best_price = G_MAXDOUBLE;
@@ -120,9 +122,9 @@
       const MhMachineOffer *offer = &g_array_index (offers->offers, MhMachineOffer, i);
       MhCapacityEstimate machine
           = mh_capacity_estimate_for_type (offer->type, offer->zone, offer->spot);
-      if (!mh_capacity_estimate_suits (&machine, job, zone))
+      if (!mh_capacity_estimate_suits_job (&machine, job, zone))
         continue;
-      double price = price_of_task (offer, job->spec, tasks);
+      double price = get_price_per_task (offer, job->spec, tasks);
       bool cheaper = price < best_price - PRICE_TOLERANCE;
       bool equal = price < best_price + PRICE_TOLERANCE;
       if (best == NULL || cheaper || (equal && *offer->machines_in_zone < *best->machines_in_zone))
--- a/src/autoscaler/machine-offer.h
+++ b/src/autoscaler/machine-offer.h
@@ -1,5 +1,6 @@
-/* Kinds of machine that can be created: each type in each zone where the cloud has it, as spot
-   machine or not, without those that were refused a moment ago. */
+/* Offers: the kinds of machine that can be created at present. There is one for each machine type,
+   each zone in which the cloud offers it, and spot or not. Kinds that the cloud refused recently
+   and kinds in partitioned zones are left out. */
 #pragma once
 
 #include "autoscaler/scale-out.h"
@@ -8,10 +9,11 @@
 
 /**
  * MhMachineOffer:
- * @type: the type of machine
- * @zone: (owned): its zone, interned
+ * @type: the machine type
+ * @zone: (owned): the zone, interned
  * @spot: whether it is a spot machine
- * @machines_in_zone: how many machines the zone has or is to get; shared by the offers of the zone
+ * @machines_in_zone: how many machines the zone has, including starting and planned ones; shared by
+ * the offers of the zone
  *
  * A kind of machine that can be created.
  */
@@ -26,44 +28,45 @@
 /**
  * MhMachineOffers:
  *
- * All kinds of machine that can be created now, for one step.
+ * All kinds of machine that can be created at present, for one step.
  */
 typedef struct MhMachineOffers MhMachineOffers;
 
 /**
  * mh_machine_offers_new:
- * @context: the layers below
- * @scale_out: knows which kinds were refused
- * @coming: (element-type MhCapacityEstimate): machines that are coming; they count for their zones
+ * @context: the lower layers
+ * @scale_out: provides the kinds that the cloud refused recently
+ * @starting: (element-type MhCapacityEstimate): starting machines, which count as machines of
+ * their zones
  *
- * Returns: (transfer full): what can be created now
+ * Returns: (transfer full): the kinds of machine that can be created at present
  */
 MhMachineOffers *
 mh_machine_offers_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-                       const GArray *coming);
+                       const GArray *starting);
 
 /**
  * mh_machine_offers_free:
  * @offers: (transfer full) (nullable): offers
  *
- * Frees them.
+ * Frees the offers.
  */
 void
 mh_machine_offers_free (MhMachineOffers *offers);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhMachineOffers, mh_machine_offers_free)
 
 /**
- * mh_machine_offers_cheapest:
+ * mh_machine_offers_find_cheapest:
  * @offers: offers
  * @job: a job
- * @zone: (nullable): the only zone that its tasks may go to, interned; %NULL: any
- * @tasks: how many of its tasks look for a machine
+ * @zone: (nullable): the only zone in which its tasks may run, interned; %NULL: any zone
+ * @tasks: how many of its tasks need a machine
  *
- * Chooses the offer whose machines cost least for each task; among equals the one whose zone has
- * the fewest machines.
+ * Chooses the offer with the lowest price per task; among offers of equal price, the one whose zone
+ * has the fewest machines.
  *
- * Returns: (transfer none) (nullable): the offer; %NULL: none suits the job
+ * Returns: (transfer none) (nullable): the offer; %NULL if none suits the job
  */
 const MhMachineOffer *
-mh_machine_offers_cheapest (const MhMachineOffers *offers, const MhJob *job, const char *zone,
-                            guint tasks);
+mh_machine_offers_find_cheapest (const MhMachineOffers *offers, const MhJob *job, const char *zone,
+                                 guint tasks);
--- a/src/autoscaler/release-state.c
+++ b/src/autoscaler/release-state.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-/* A transition that is not listed is refused. */
+/* All valid transitions; any other one is refused. */
 static const struct
 {
   MhReleaseState from;
--- a/src/autoscaler/release-state.h
+++ b/src/autoscaler/release-state.h
@@ -1,21 +1,22 @@
 /* The states of a machine that is being released, and the transitions between them.
 
-   What is about to be released is on record before the cloud is asked: a new leader neither uses
-   such a machine, which a late request of an earlier leader may still delete, nor forgets it. */
+   A release is recorded before the cloud is asked to delete the machine. A new leader therefore
+   does not use such a machine, which a delayed request of an earlier leader may still delete, and
+   does not lose track of it either. */
 #pragma once
 
 #include <stdbool.h>
 
 /**
  * MhReleaseState:
- * @MH_RELEASE_REQUESTED: decided in memory; waits for others to share a record and a call
+ * @MH_RELEASE_REQUESTED: decided in memory; waits to be batched with other releases
  * @MH_RELEASE_RECORDING: the record is being written
- * @MH_RELEASE_DELETING: the record is durable, and the cloud is being asked to delete the machine
- * @MH_RELEASE_CONFIRMED: the cloud has confirmed that the machine, with all that ran on it, is gone
- * @MH_RELEASE_ABANDONED: leadership has ended first; the next leader goes on from the record, if
- * it was written
+ * @MH_RELEASE_DELETING: the record is durable, and the cloud is asked to delete the machine
+ * @MH_RELEASE_CONFIRMED: the cloud has confirmed that the machine, with all tasks on it, is gone
+ * @MH_RELEASE_ABANDONED: leadership ended before the record was confirmed; if the record was
+ * written, the next leader continues the release
  *
- * How far the release of a machine has come under this leader.
+ * The progress of the release of a machine under this leader.
  */
 typedef enum
 {
@@ -30,15 +31,15 @@
 
 /**
  * MhReleaseEvent:
- * @MH_RELEASE_EVENT_BATCHED: it was put into a batch, whose record is sent
+ * @MH_RELEASE_EVENT_BATCHED: it was put into a batch, and the record of the batch is sent
  * @MH_RELEASE_EVENT_RECORD_DURABLE: the record is in the key-value store
- * @MH_RELEASE_EVENT_RECORD_UNKNOWN: the write was not answered, or not carried out for now; the
- * same one is sent again
- * @MH_RELEASE_EVENT_LEADERSHIP_LOST: the store refused the write, so that leadership ends
- * @MH_RELEASE_EVENT_DELETION_CONFIRMED: the cloud has answered that the machines are gone
- * @MH_RELEASE_EVENT_DELETION_UNKNOWN: it has not; the same request is sent again
+ * @MH_RELEASE_EVENT_RECORD_UNKNOWN: there was no reply, or the write was not carried out at
+ * present; the same write is sent again
+ * @MH_RELEASE_EVENT_LEADERSHIP_LOST: the key-value store refused the write, so leadership ends
+ * @MH_RELEASE_EVENT_DELETION_CONFIRMED: the cloud has confirmed that the machines are gone
+ * @MH_RELEASE_EVENT_DELETION_UNKNOWN: there was no confirmation; the same request is sent again
  *
- * What may happen to a release.
+ * Events that change the state of a release.
  */
 typedef enum
 {
@@ -54,13 +55,13 @@
 
 /**
  * mh_release_state_advance:
- * @state: (inout): the state; left as it is if the transition is refused
- * @event: what has happened
+ * @state: (inout): the state; unchanged if the transition is refused
+ * @event: the event
  *
- * The only place where the state of a release changes. The cloud is never asked before the record
- * is durable.
+ * Applies a transition. This is the only place where the state of a release changes. The
+ * transitions ensure that the cloud is never asked before the record is durable.
  *
- * Returns: %FALSE if @event cannot happen in @state
+ * Returns: %FALSE if @event is not valid in @state
  */
 bool
 mh_release_state_advance (MhReleaseState *state, MhReleaseEvent event);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -8,43 +8,46 @@
 
 #include <string.h>
 
+/* How long the write of a record waits for its reply. */
 #define RECORD_TIMEOUT_US (MH_SECOND_US)
-/* Machines that are found idle or silent together go in one call. */
-#define GATHERING_US (MH_SECOND_US / 4)
-/* After a call to the cloud without a confirmation. */
-#define RETRY_PAUSE_US 500000
-#define RETRY_PAUSE_SPREAD_US 500000
-/* In one call (PROTOCOL, "POST /machines/release"). */
+/* Interval between two batches: machines that become idle or unresponsive at about the same time
+   are released in one call. */
+#define BATCH_INTERVAL_US (MH_SECOND_US / 4)
+/* Back-off after a call to the cloud that was not confirmed, and the random time added to it. */
+#define RETRY_BACK_OFF_US 500000
+#define RETRY_BACK_OFF_JITTER_US 500000
+/* Most machines in one call (PROTOCOL, "POST /machines/release"). */
 #define MAX_MACHINES_PER_BATCH 100u
-/* In flight at once; what is found meanwhile is gathered. Calls for a few machines each once took
-   all that the cloud allows, and creations and lists waited behind them. */
+/* Most batches in flight at the same time; further releases wait for a later batch. Without this
+   limit, calls for a few machines each use up the cloud's rate limit, and requests to create and
+   list machines wait behind them. */
 #define MAX_BATCHES_IN_FLIGHT 2u
-/* What the encoding of a name takes besides the name. */
-#define NAME_OVERHEAD_BYTES 4u
+/* Bytes that the encoding of a machine name in the record adds to the name. */
+#define ENCODED_NAME_OVERHEAD_BYTES 4u
 
-/* Machines that have to go into one batch: a single one, or those of an earlier leader's record. */
+/* Machines that must be in the same batch: a single one, or all of an earlier leader's record. */
 typedef struct
 {
   char **machines;
-  char *record_key; /* of the earlier record; NULL: none */
+  char *record_key; /* key of the earlier leader's record; NULL: none */
 } ReleaseRequest;
 
 /* Machines that are released together. */
 typedef struct
 {
   MhReleaseState state;
-  char *key;               /* of its record */
+  char *key;               /* key of its record */
   char **machines;         /* names */
-  char **replaced_records; /* keys of earlier leaders' records, which its own one replaces */
+  char **replaced_records; /* keys of earlier leaders' records that its record replaces */
 } ReleaseBatch;
 
 struct MhScaleIn
 {
   const MhAutoscalerContext *context;
-  MhLostCapacity *lost;
-  GQueue pending_releases; /* ReleaseRequest */
-  gint64 next_batch_us;    /* no batch is made before */
-  guint n_batches;         /* of this leadership */
+  MhLostCapacity *lost_capacity;
+  GQueue pending_releases;  /* ReleaseRequest */
+  gint64 next_batch_due_us; /* earliest time of the next batch */
+  guint n_batches;          /* batches made in this leadership */
   guint batches_in_flight;
 };
 
@@ -73,11 +76,11 @@
 }
 
 MhScaleIn *
-mh_scale_in_new (const MhAutoscalerContext *context, MhLostCapacity *lost)
+mh_scale_in_new (const MhAutoscalerContext *context, MhLostCapacity *lost_capacity)
 {
   MhScaleIn *self = g_new0 (MhScaleIn, 1);
   self->context = context;
-  self->lost = lost;
+  self->lost_capacity = lost_capacity;
   g_queue_init (&self->pending_releases);
   return self;
 }
@@ -96,7 +99,7 @@
 {
   g_return_if_fail (self != NULL);
   g_queue_clear_full (&self->pending_releases, release_request_free);
-  self->next_batch_us = 0;
+  self->next_batch_due_us = 0;
   self->n_batches = self->batches_in_flight = 0;
 }
 
@@ -127,13 +130,13 @@
   mh_log_info (self->context->runtime, "releasing machine reason=%s machine=%s",
                mh_release_reason_text (reason), machine->name);
   mh_machine_change_state (machine, MH_MACHINE_EVENT_RELEASE_WANTED);
-  mh_lost_capacity_add (self->lost, machine->usage.cpus);
+  mh_lost_capacity_add (self->lost_capacity, machine->usage.cpus);
   const char *names[] = { machine->name, NULL };
   queue_request (self, g_strdupv ((char **)names), NULL);
 }
 
 void
-mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry)
+mh_scale_in_load_release (MhScaleIn *self, const MhKvEntry *entry)
 {
   g_return_if_fail (self != NULL);
   MhCluster *cluster = self->context->cluster;
@@ -156,7 +159,7 @@
 /* ---- the call to the cloud ---- */
 
 static void
-advance (ReleaseBatch *batch, MhReleaseEvent event)
+advance_batch (ReleaseBatch *batch, MhReleaseEvent event)
 {
   if (!mh_release_state_advance (&batch->state, event))
     g_return_if_reached ();
@@ -169,7 +172,7 @@
 confirm_batch (MhScaleIn *self, ReleaseBatch *batch)
 {
   MhCluster *cluster = self->context->cluster;
-  advance (batch, MH_RELEASE_EVENT_DELETION_CONFIRMED);
+  advance_batch (batch, MH_RELEASE_EVENT_DELETION_CONFIRMED);
   for (char **name = batch->machines; *name; name++)
     {
       MhMachine *machine = mh_cluster_find_machine (cluster, *name);
@@ -191,9 +194,10 @@
       confirm_batch (self, batch);
       return;
     }
-  /* Whatever the error, machines that may still run something are asked for until they are gone. */
-  advance (batch, MH_RELEASE_EVENT_DELETION_UNKNOWN);
-  mh_call_queue_pause_cloud (self->context->calls, RETRY_PAUSE_US, RETRY_PAUSE_SPREAD_US);
+  /* Retry after every kind of error: the machines may still run tasks, so their deletion is
+     requested until it is confirmed. */
+  advance_batch (batch, MH_RELEASE_EVENT_DELETION_UNKNOWN);
+  mh_call_queue_pause_cloud (self->context->calls, RETRY_BACK_OFF_US, RETRY_BACK_OFF_JITTER_US);
   delete_machines (self, batch);
 }
 
@@ -230,23 +234,23 @@
   ReleaseBatch *batch = data;
   if (is_leader_condition_refused (reply))
     {
-      advance (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
+      advance_batch (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
       mh_election_step_down (self->context->election, MH_LOSS_ANOTHER_LEADER);
     }
-  /* Refused because it is there: a copy that was not answered has been carried out. */
+  /* 409: the record exists, so an earlier write whose reply was lost has been carried out. */
   else if (reply->status == 200 || reply->status == 409)
     {
-      advance (batch, MH_RELEASE_EVENT_RECORD_DURABLE);
+      advance_batch (batch, MH_RELEASE_EVENT_RECORD_DURABLE);
       delete_machines (self, batch);
     }
   else if (reply->status == 400)
     {
-      advance (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
+      advance_batch (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
       mh_election_step_down (self->context->election, MH_LOSS_RECORD_REFUSED);
     }
   else
     {
-      advance (batch, MH_RELEASE_EVENT_RECORD_UNKNOWN);
+      advance_batch (batch, MH_RELEASE_EVENT_RECORD_UNKNOWN);
       mh_call_queue_store_failed (self->context->calls, reply->status);
       write_record (self, batch);
     }
@@ -281,24 +285,25 @@
 
 /* ---- batches ---- */
 
-/* What a batch holds so far. */
+/* The size of a batch. */
 typedef struct
 {
   guint machines, replaced_records;
-  gsize bytes; /* of the machines' names in the record */
+  gsize bytes; /* encoded size of the machine names in the record */
 } BatchSize;
 
 static BatchSize
-size_with (BatchSize size, const ReleaseRequest *request)
+add_to_size (BatchSize size, const ReleaseRequest *request)
 {
   for (char **name = request->machines; *name; name++)
-    size.bytes += strlen (*name) + NAME_OVERHEAD_BYTES;
+    size.bytes += strlen (*name) + ENCODED_NAME_OVERHEAD_BYTES;
   size.machines += g_strv_length (request->machines);
   size.replaced_records += request->record_key != NULL;
   return size;
 }
 
-/* The record has to fit a value, and the write a transaction. */
+/* Checks whether a batch is too large: for one call to the cloud, for the value of its record, or
+   for the transaction that writes the record and deletes the replaced ones. */
 static bool
 exceeds_limits (const MhScaleIn *self, const BatchSize *size)
 {
@@ -307,9 +312,9 @@
          || size->replaced_records >= settings->txn_ops;
 }
 
-/* Takes pending releases as far as one batch has room for them; the first one always. */
+/* Creates a batch from the first pending releases: as many as fit, and at least one. */
 static ReleaseBatch *
-take_batch (MhScaleIn *self)
+create_batch (MhScaleIn *self)
 {
   g_autoptr (GStrvBuilder) machines = g_strv_builder_new ();
   g_autoptr (GStrvBuilder) replaced_records = g_strv_builder_new ();
@@ -317,7 +322,7 @@
   for (ReleaseRequest *request; (request = g_queue_peek_head (&self->pending_releases));)
     {
       bool is_first = size.machines == 0;
-      size = size_with (size, request);
+      size = add_to_size (size, request);
       if (!is_first && exceeds_limits (self, &size))
         break;
       g_strv_builder_addv (machines, (const char **)request->machines);
@@ -327,7 +332,7 @@
     }
   ReleaseBatch *batch = g_rc_box_new0 (ReleaseBatch);
   batch->state = MH_RELEASE_REQUESTED;
-  /* The epoch is this leadership's alone. */
+  /* The epoch is unique to this leadership, so the key is unique as well. */
   batch->key = g_strdup_printf ("%s%" G_GUINT64_FORMAT "/%u", MH_RECORD_RELEASES,
                                 mh_election_epoch (self->context->election), ++self->n_batches);
   batch->machines = g_strv_builder_end (machines);
@@ -366,19 +371,19 @@
   g_return_if_fail (self != NULL);
   MhRuntime *runtime = self->context->runtime;
   gint64 now_us = mh_runtime_now_us (runtime);
-  if (now_us < self->next_batch_us)
+  if (now_us < self->next_batch_due_us)
     {
       if (self->pending_releases.length)
-        mh_runtime_wake_at (runtime, self->next_batch_us);
+        mh_runtime_wake_at (runtime, self->next_batch_due_us);
       return;
     }
-  self->next_batch_us = now_us + GATHERING_US;
+  self->next_batch_due_us = now_us + BATCH_INTERVAL_US;
   release_idle_machines (self, now_us);
   if (self->pending_releases.length == 0 || self->batches_in_flight >= MAX_BATCHES_IN_FLIGHT)
     return;
-  ReleaseBatch *batch = take_batch (self);
+  ReleaseBatch *batch = create_batch (self);
   self->batches_in_flight++;
-  advance (batch, MH_RELEASE_EVENT_BATCHED);
+  advance_batch (batch, MH_RELEASE_EVENT_BATCHED);
   write_record (self, batch);
   release_batch_unref (batch);
 }
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -1,6 +1,6 @@
-/* Scale-in: machines are given back to the cloud. A release is recorded first, then the cloud is
-   asked, then it is confirmed; see release-state.h. Releases that are found together share a record
-   and a call. */
+/* Scale-in releases machines to the cloud. A release is first recorded in the key-value store, then
+   requested from the cloud, then confirmed by the cloud; see release-state.h. Several releases
+   share one record and one call. */
 #pragma once
 
 #include "autoscaler/context.h"
@@ -10,31 +10,32 @@
 #include "cluster/release-reason.h"
 #include "protocol/key-value-messages.h"
 
-/** A machine that is deleted costs at least this (PROTOCOL, "GET /machine_types"). */
+/** Minimum time that the cloud bills for a machine (PROTOCOL, "GET /machine_types"). */
 #define MH_MINIMUM_BILLED_US (60 * MH_SECOND_US)
 
 /**
  * MhScaleIn:
  *
- * Gives machines back, and knows which releases are pending or in flight.
+ * Releases machines, and keeps track of the releases that are pending or in flight.
  */
 typedef struct MhScaleIn MhScaleIn;
 
 /**
  * mh_scale_in_new:
- * @context: (not transferred): the layers below; must outlive the object
- * @lost: (not transferred): is told what released machines ran; must outlive the object
+ * @context: (not transferred): the lower layers; must outlive the object
+ * @lost_capacity: (not transferred): receives the CPUs in use on released machines; must outlive
+ * the object
  *
  * Returns: (transfer full): an object without pending releases
  */
 MhScaleIn *
-mh_scale_in_new (const MhAutoscalerContext *context, MhLostCapacity *lost);
+mh_scale_in_new (const MhAutoscalerContext *context, MhLostCapacity *lost_capacity);
 
 /**
  * mh_scale_in_free:
  * @self: (transfer full) (nullable): an object
  *
- * Frees it. Calls in flight must have been forgotten before.
+ * Frees the object. The caller must first discard its calls that are in flight.
  */
 void
 mh_scale_in_free (MhScaleIn *self);
@@ -44,8 +45,9 @@
  * mh_scale_in_reset:
  * @self: an object
  *
- * Forgets everything of a leadership that has ended, with its calls. Records stay, and the next
- * leader goes on with them.
+ * Discards all state of a leadership that has ended. The caller must discard the calls in flight at
+ * the same time. The records stay in the key-value store, and the next leader continues the
+ * releases.
  */
 void
 mh_scale_in_reset (MhScaleIn *self);
@@ -54,23 +56,24 @@
  * mh_scale_in_release_machine:
  * @self: an object
  * @machine: a machine
- * @reason: why
+ * @reason: why it is released
  *
- * Decides that the machine is given back. It takes no new work from now on, but only the cloud's
- * confirmation proves that its tasks are gone. Nothing happens if it is being released already.
+ * Starts the release of the machine. It gets no new tasks from now on, but only the cloud's
+ * confirmation proves that its tasks are gone. Does nothing if it is being released already.
  */
 void
 mh_scale_in_release_machine (MhScaleIn *self, MhMachine *machine, MhReleaseReason reason);
 
 /**
- * mh_scale_in_load:
+ * mh_scale_in_load_release:
  * @self: an object
- * @entry: a record of releases of an earlier leader
+ * @entry: a release record of an earlier leader
  *
- * Goes on with the releases of the record: they are written and asked for once more.
+ * Continues the releases of the record: writes them to a new record, which replaces this one, and
+ * requests them from the cloud again.
  */
 void
-mh_scale_in_load (MhScaleIn *self, const MhKvEntry *entry);
+mh_scale_in_load_release (MhScaleIn *self, const MhKvEntry *entry);
 
 /**
  * mh_scale_in_is_idle:
@@ -85,7 +88,8 @@
  * mh_scale_in_step:
  * @self: an object
  *
- * Releases idle machines, and records pending releases as far as calls in flight allow.
+ * Releases idle machines, and sends the next batch of pending releases unless too many batches are
+ * in flight.
  */
 void
 mh_scale_in_step (MhScaleIn *self);
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -3,24 +3,25 @@
 #include "autoscaler/cloud-error.h"
 #include "protocol/cloud-messages.h"
 
-/* A kind of machine of which there was none, or that was refused for another reason, is asked for
-   again after this. */
-#define NO_CAPACITY_PAUSE_US (15 * MH_SECOND_US)
-#define REFUSED_PAUSE_US (2 * MH_SECOND_US)
-/* After a request whose outcome is unknown. */
-#define RETRY_PAUSE_US 300000
-#define RETRY_PAUSE_SPREAD_US 300000
-/* In one request (PROTOCOL, "POST /machines"). */
+/* How long a kind of machine is not requested again after the cloud had no capacity for it. */
+#define NO_CAPACITY_BACK_OFF_US (15 * MH_SECOND_US)
+/* The same after it was refused for another reason. */
+#define REFUSED_BACK_OFF_US (2 * MH_SECOND_US)
+/* Back-off before a request that may have been carried out, or that was throttled, is sent again,
+   and the random time added to it. */
+#define RETRY_BACK_OFF_US 300000
+#define RETRY_BACK_OFF_JITTER_US 300000
+/* Most machines in one request (PROTOCOL, "POST /machines"). */
 #define MAX_MACHINES_PER_REQUEST 50u
 
 struct MhScaleOut
 {
   const MhAutoscalerContext *context;
-  MhLostCapacity *lost;
+  MhLostCapacity *lost_capacity;
   MhScaleOutDoneFunc done_func;
   gpointer done_owner;
   bool request_in_flight;
-  guint64 n_requests;           /* of this leadership */
+  guint64 n_requests;           /* requests made in this leadership */
   GHashTable *refused_until_us; /* type/zone/spot -> gint64 */
 };
 
@@ -52,11 +53,11 @@
 send_request (MhScaleOut *self, CreateRequest *request);
 
 MhScaleOut *
-mh_scale_out_new (const MhAutoscalerContext *context, MhLostCapacity *lost)
+mh_scale_out_new (const MhAutoscalerContext *context, MhLostCapacity *lost_capacity)
 {
   MhScaleOut *self = g_new0 (MhScaleOut, 1);
   self->context = context;
-  self->lost = lost;
+  self->lost_capacity = lost_capacity;
   self->refused_until_us = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return self;
 }
@@ -94,33 +95,35 @@
   return self->request_in_flight;
 }
 
-/* ---- kinds that were refused ---- */
+/* ---- refused kinds ---- */
 
 static char *
-kind_key (const char *type, const char *zone, bool spot)
+make_kind_key (const char *type, const char *zone, bool spot)
 {
   return g_strdup_printf ("%s/%s/%d", type, zone, spot);
 }
 
 bool
-mh_scale_out_is_refused (const MhScaleOut *self, const MhMachineType *type, const char *zone,
-                         bool spot)
+mh_scale_out_is_kind_refused (const MhScaleOut *self, const MhMachineType *type, const char *zone,
+                              bool spot)
 {
   g_return_val_if_fail (self != NULL, true);
-  g_autofree char *key = kind_key (type->name, zone, spot);
+  g_autofree char *key = make_kind_key (type->name, zone, spot);
   const gint64 *until_us = g_hash_table_lookup (self->refused_until_us, key);
   return until_us && mh_runtime_now_us (self->context->runtime) < *until_us;
 }
 
-/* Not all that was asked for: the kind is not asked for again for a while. */
+/* Notes that the cloud did not create all requested machines of a kind, which is therefore not
+   requested again for a while. */
 static void
-refuse_kind (MhScaleOut *self, const CreateRequest *request, guint missing, bool no_capacity)
+mark_kind_refused (MhScaleOut *self, const CreateRequest *request, guint missing, bool no_capacity)
 {
   MhRuntime *runtime = self->context->runtime;
   gint64 *until_us = g_new (gint64, 1);
-  *until_us = mh_runtime_now_us (runtime) + (no_capacity ? NO_CAPACITY_PAUSE_US : REFUSED_PAUSE_US);
+  *until_us
+      = mh_runtime_now_us (runtime) + (no_capacity ? NO_CAPACITY_BACK_OFF_US : REFUSED_BACK_OFF_US);
   g_hash_table_insert (self->refused_until_us,
-                       kind_key (request->type, request->zone, request->spot), until_us);
+                       make_kind_key (request->type, request->zone, request->spot), until_us);
   mh_log_info (runtime, "machines refused count=%u type=%s zone=%s spot=%d reason=%s", missing,
                request->type, request->zone, request->spot,
                no_capacity ? "no_capacity" : "refused");
@@ -136,7 +139,7 @@
   mh_log_info (self->context->runtime,
                "machines created count=%u requested=%u type=%s zone=%s spot=%d", created,
                request->count, request->type, request->zone, request->spot);
-  mh_lost_capacity_replace (self->lost, request->cpus_per_machine * created);
+  mh_lost_capacity_replace (self->lost_capacity, request->cpus_per_machine * created);
   for (guint i = 0; i < created; i++)
     if (mh_cluster_find_machine (cluster, names[i]) == NULL
         && !mh_cluster_was_released (cluster, names[i]))
@@ -144,7 +147,7 @@
           ->boot.rented_here
           = true;
   if (created < request->count)
-    refuse_kind (self, request, request->count - created, true);
+    mark_kind_refused (self, request, request->count - created, true);
 }
 
 static void
@@ -157,12 +160,13 @@
   if (names)
     add_created_machines (self, request, names);
   else if (mh_cloud_error_is_final (error))
-    refuse_kind (self, request, request->count,
-                 g_error_matches (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_NO_CAPACITY));
+    mark_kind_refused (self, request, request->count,
+                       g_error_matches (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_NO_CAPACITY));
   else
     {
-      /* Not known, or not now: the same name again, so that nothing is created twice. */
-      mh_call_queue_pause_cloud (self->context->calls, RETRY_PAUSE_US, RETRY_PAUSE_SPREAD_US);
+      /* The request was throttled, or may have been carried out. It is sent again under the same
+         name, so that no machine is created twice. */
+      mh_call_queue_pause_cloud (self->context->calls, RETRY_BACK_OFF_US, RETRY_BACK_OFF_JITTER_US);
       send_request (self, request);
       return;
     }
@@ -194,9 +198,10 @@
   return first->type == second->type && first->spot == second->spot && first->zone == second->zone;
 }
 
-/* The first machine that has to be created, and how many of its kind do; NULL: none. */
+/* Returns the first machine that has to be created, and sets @count to the number of machines of
+   its kind that have to be. Returns NULL if there is none. */
 static const MhCapacityEstimate *
-first_kind_to_create (const GArray *estimates, guint *count)
+find_kind_to_create (const GArray *estimates, guint *count)
 {
   const MhCapacityEstimate *first = NULL;
   *count = 0;
@@ -217,11 +222,11 @@
 {
   g_return_if_fail (self != NULL && !self->request_in_flight);
   guint count;
-  const MhCapacityEstimate *kind = first_kind_to_create (estimates, &count);
+  const MhCapacityEstimate *kind = find_kind_to_create (estimates, &count);
   if (kind == NULL)
     return;
   CreateRequest *request = g_rc_box_new0 (CreateRequest);
-  /* The epoch is this leadership's alone, so the name was never used before. */
+  /* The epoch is unique to this leadership, so the name has never been used before. */
   request->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                                    mh_election_epoch (self->context->election), ++self->n_requests);
   request->type = g_strdup (kind->type->name);
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -1,6 +1,7 @@
-/* Scale-out: requests for machines. One request is in flight at a time, and its name is never used
-   for another, so that a late or repeated copy of it creates nothing more (PROTOCOL,
-   "POST /machines"). A kind of machine that the cloud refused is left alone for a while. */
+/* Scale-out requests machines from the cloud. One request is in flight at a time. Its name is never
+   used for another request, so that a delayed or repeated copy of it creates no further machines
+   (PROTOCOL, "POST /machines"). After the cloud has refused a kind of machine (type, zone, spot or
+   not), that kind is not requested again for a while. */
 #pragma once
 
 #include "autoscaler/context.h"
@@ -12,33 +13,34 @@
 /**
  * MhScaleOut:
  *
- * Makes requests for machines, one at a time.
+ * Requests machines, one request at a time.
  */
 typedef struct MhScaleOut MhScaleOut;
 
 /**
  * MhScaleOutDoneFunc:
- * @owner: what was registered with the function
+ * @owner: the pointer that was registered with the function
  *
- * A request has ended: the next one may be made.
+ * Called when a request has ended, so that the next one may be made.
  */
 typedef void (*MhScaleOutDoneFunc) (gpointer owner);
 
 /**
  * mh_scale_out_new:
- * @context: (not transferred): the layers below; must outlive the object
- * @lost: (not transferred): is told what new machines make up for; must outlive the object
+ * @context: (not transferred): the lower layers; must outlive the object
+ * @lost_capacity: (not transferred): reduced by the CPUs of new machines; must outlive the
+ * object
  *
  * Returns: (transfer full): an object without a request in flight
  */
 MhScaleOut *
-mh_scale_out_new (const MhAutoscalerContext *context, MhLostCapacity *lost);
+mh_scale_out_new (const MhAutoscalerContext *context, MhLostCapacity *lost_capacity);
 
 /**
  * mh_scale_out_free:
  * @self: (transfer full) (nullable): an object
  *
- * Frees it. Calls in flight must have been forgotten before.
+ * Frees the object. The caller must first discard its calls that are in flight.
  */
 void
 mh_scale_out_free (MhScaleOut *self);
@@ -47,10 +49,10 @@
 /**
  * mh_scale_out_set_done_func:
  * @self: an object
- * @func: is called when a request has ended
+ * @func: called when a request has ended
  * @owner: passed to @func
  *
- * Registers who waits for the end of a request.
+ * Sets the function that is called at the end of each request.
  */
 void
 mh_scale_out_set_done_func (MhScaleOut *self, MhScaleOutDoneFunc func, gpointer owner);
@@ -59,7 +61,8 @@
  * mh_scale_out_reset:
  * @self: an object
  *
- * Forgets everything of a leadership that has ended, with its calls.
+ * Discards all state of a leadership that has ended. The caller must discard the calls in flight at
+ * the same time.
  */
 void
 mh_scale_out_reset (MhScaleOut *self);
@@ -74,25 +77,26 @@
 mh_scale_out_is_busy (const MhScaleOut *self);
 
 /**
- * mh_scale_out_is_refused:
+ * mh_scale_out_is_kind_refused:
  * @self: an object
- * @type: a type of machine
+ * @type: a machine type
  * @zone: a zone
- * @spot: whether spot machines are meant
+ * @spot: whether the kind is a spot machine
  *
- * Returns: %TRUE if the cloud refused such machines a moment ago
+ * Returns: %TRUE if the cloud refused this kind of machine recently, so that it must not be
+ * requested yet
  */
 bool
-mh_scale_out_is_refused (const MhScaleOut *self, const MhMachineType *type, const char *zone,
-                         bool spot);
+mh_scale_out_is_kind_refused (const MhScaleOut *self, const MhMachineType *type, const char *zone,
+                              bool spot);
 
 /**
  * mh_scale_out_request:
  * @self: an object without a request in flight
- * @estimates: (element-type MhCapacityEstimate): machines of a demand plan
+ * @estimates: (element-type MhCapacityEstimate): the machines of a demand plan
  *
- * Requests machines of the first kind among @estimates that has to be created, as many as the plan
- * has, up to what one request may ask for. Nothing happens if none has to be created.
+ * Finds the first machine in @estimates that has to be created, and requests all machines of its
+ * kind, up to the limit of one request. Does nothing if no machine has to be created.
  */
 void
 mh_scale_out_request (MhScaleOut *self, const GArray *estimates);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -83,7 +83,8 @@
 static bool
 all_machines_reported (const MhCore *core)
 {
-  if (mh_cluster_types (core->cluster) == NULL || !mh_autoscaler_is_listed (core->autoscaler))
+  if (mh_cluster_types (core->cluster) == NULL
+      || !mh_autoscaler_is_inventory_loaded (core->autoscaler))
     return false;
   GHashTableIter it;
   gpointer value;
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -1,5 +1,5 @@
-/* The autoscaler's parts: errors of the cloud, the states of a release, estimates and forecasts,
-   what is offered, and scale-out and scale-in by the replies that they get. */
+/* Tests of the parts of the autoscaler: release states, cloud errors, capacity estimates,
+   completion forecasts, offers, demand, and how scale-out and scale-in react to replies. */
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/completion-forecast.h"
@@ -17,7 +17,7 @@
 
 #define REFUSED (-1)
 
-/* What follows on each event, by state. */
+/* The expected state after each event, by state. */
 static const gint next_states[MH_RELEASE_STATES][MH_RELEASE_EVENTS]
     = { [MH_RELEASE_REQUESTED] = { [MH_RELEASE_EVENT_BATCHED] = MH_RELEASE_RECORDING,
                                    [MH_RELEASE_EVENT_RECORD_DURABLE] = REFUSED,
@@ -40,8 +40,8 @@
         [MH_RELEASE_CONFIRMED] = { REFUSED, REFUSED, REFUSED, REFUSED, REFUSED, REFUSED },
         [MH_RELEASE_ABANDONED] = { REFUSED, REFUSED, REFUSED, REFUSED, REFUSED, REFUSED } };
 
-/* The cloud would be asked to delete machines of which nothing is on record, or a machine would be
-   taken for gone without the cloud's word. */
+/* Guards against deleting machines whose release is not recorded, and against treating a machine as
+   gone before the cloud has confirmed it. */
 static void
 test_release_state (gconstpointer data)
 {
@@ -61,7 +61,7 @@
 typedef struct
 {
   guint status;
-  const char *reason; /* in the body; NULL: no body */
+  const char *reason; /* error value in the body; NULL: no body */
   MhCloudError code;
   bool is_final;
 } CloudReply;
@@ -75,8 +75,8 @@
         { 0, NULL, MH_CLOUD_ERROR_UNKNOWN_OUTCOME, false },
         { 500, NULL, MH_CLOUD_ERROR_UNKNOWN_OUTCOME, false } };
 
-/* A request that may have been carried out would be made anew by another name, and create machines
-   twice. */
+/* Guards against repeating a request that may have been carried out under another name, which would
+   create its machines twice. */
 static void
 test_cloud_errors (void)
 {
@@ -102,7 +102,7 @@
   return body;
 }
 
-/* A reply that cannot be read would be taken for "nothing was created". */
+/* Guards against treating a reply that cannot be decoded as if no machine had been created. */
 static void
 test_malformed_reply (void)
 {
@@ -116,40 +116,41 @@
   g_assert_true (g_strv_equal ((const char *const *)created, names));
 }
 
-/* ---- reasons ---- */
+/* ---- release reasons ---- */
 
-/* Two reasons would share a word, or have none, and the log would not tell why a machine went. */
+/* Every reason needs a distinct text without spaces, so that the log shows why a machine was
+   released. */
 static void
 test_release_reasons (void)
 {
-  g_autoptr (GHashTable) words = g_hash_table_new (g_str_hash, g_str_equal);
+  g_autoptr (GHashTable) texts = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint reason = 0; reason <= MH_RELEASE_REASON_FAILS_EVERY_TASK; reason++)
     {
-      const char *word = mh_release_reason_text ((MhReleaseReason)reason);
-      g_assert_nonnull (word);
-      g_assert_null (strchr (word, ' '));
-      g_assert_true (g_hash_table_add (words, (gpointer)word));
+      const char *text = mh_release_reason_text ((MhReleaseReason)reason);
+      g_assert_nonnull (text);
+      g_assert_null (strchr (text, ' '));
+      g_assert_true (g_hash_table_add (texts, (gpointer)text));
     }
   g_assert_cmpstr (mh_release_reason_text (MH_RELEASE_REASON_SILENT_ZONE), ==, "silent_zone");
 }
 
 /* ---- lost capacity ---- */
 
-/* Machines beyond what was lost would count as lost work of negative size, and later losses would
-   be replaced only in part. */
+/* Guards against a negative counter: if new machines have more CPUs than were lost, later losses
+   would be replaced only in part. */
 static void
 test_lost_capacity (void)
 {
-  g_autoptr (MhLostCapacity) lost = mh_lost_capacity_new ();
-  mh_lost_capacity_add (lost, 6);
-  mh_lost_capacity_add (lost, 2);
-  mh_lost_capacity_replace (lost, 4);
-  g_assert_cmpfloat (mh_lost_capacity_cpus (lost), ==, 4);
-  mh_lost_capacity_replace (lost, 32);
-  g_assert_cmpfloat (mh_lost_capacity_cpus (lost), ==, 0);
-  mh_lost_capacity_add (lost, 1);
-  mh_lost_capacity_clear (lost);
-  g_assert_cmpfloat (mh_lost_capacity_cpus (lost), ==, 0);
+  g_autoptr (MhLostCapacity) lost_capacity = mh_lost_capacity_new ();
+  mh_lost_capacity_add (lost_capacity, 6);
+  mh_lost_capacity_add (lost_capacity, 2);
+  mh_lost_capacity_replace (lost_capacity, 4);
+  g_assert_cmpfloat (mh_lost_capacity_cpus (lost_capacity), ==, 4);
+  mh_lost_capacity_replace (lost_capacity, 32);
+  g_assert_cmpfloat (mh_lost_capacity_cpus (lost_capacity), ==, 0);
+  mh_lost_capacity_add (lost_capacity, 1);
+  mh_lost_capacity_clear (lost_capacity);
+  g_assert_cmpfloat (mh_lost_capacity_cpus (lost_capacity), ==, 0);
 }
 
 /* ---- completion forecast ---- */
@@ -162,56 +163,56 @@
   return mh_completion_forecast_reserve (forecast, &request);
 }
 
-/* Tasks would be told to wait for cpus that are free too late for them, and no machine would be
-   created in time. */
+/* Guards against letting tasks wait for CPUs that become free too late for them, so that no machine
+   is created in time. */
 static void
 test_forecast_in_time (void)
 {
   g_autoptr (MhCompletionForecast) forecast = mh_completion_forecast_new ();
-  mh_completion_forecast_add (forecast, 50, 2);
-  mh_completion_forecast_add (forecast, 10, 1);
-  mh_completion_forecast_add (forecast, 30, 1);
+  mh_completion_forecast_add_completion (forecast, 50, 2);
+  mh_completion_forecast_add_completion (forecast, 10, 1);
+  mh_completion_forecast_add_completion (forecast, 30, 1);
   g_assert_cmpuint (reserve (forecast, 5, 1, 9), ==, 0);
   g_assert_cmpuint (reserve (forecast, 5, 1, 30), ==, 2);
   g_assert_cmpuint (reserve (forecast, 5, 1, 49), ==, 0);
 }
 
-/* The same cpus would be given to one task after the other without the time that each takes, or a
-   backlog would never find them again. */
+/* CPUs that are reserved for a task become free again after its run time: neither at once, which
+   would let several tasks use them at the same time, nor never. */
 static void
 test_forecast_tasks_end_again (void)
 {
   g_autoptr (MhCompletionForecast) forecast = mh_completion_forecast_new ();
-  mh_completion_forecast_add (forecast, 10, 1);
+  mh_completion_forecast_add_completion (forecast, 10, 1);
   g_assert_cmpuint (reserve (forecast, 5, 1, 109), ==, 1);
   g_assert_cmpuint (reserve (forecast, 5, 1, 110), ==, 1);
   g_assert_cmpuint (reserve (forecast, 5, 1, 310), ==, 2);
 }
 
-/* A task would be counted on the cpus of several that end at different times before the last one
-   has. */
+/* A task that needs the CPUs of several other tasks must not start before the last of them has
+   ended. */
 static void
 test_forecast_adds_up (void)
 {
   g_autoptr (MhCompletionForecast) forecast = mh_completion_forecast_new ();
-  mh_completion_forecast_add (forecast, 10, 1);
-  mh_completion_forecast_add (forecast, 20, 1);
+  mh_completion_forecast_add_completion (forecast, 10, 1);
+  mh_completion_forecast_add_completion (forecast, 20, 1);
   g_assert_cmpuint (reserve (forecast, 1, 2, 19), ==, 0);
   g_assert_cmpuint (reserve (forecast, 1, 2, 20), ==, 1);
 }
 
-/* ---- with machines, jobs and the cloud's replies ---- */
+/* ---- tests with machines, jobs and replies of the cloud ---- */
 
 typedef struct
 {
   MhSettings *settings;
   MhCore *core;
   MhAutoscalerContext context;
-  MhLostCapacity *lost;
+  MhLostCapacity *lost_capacity;
   MhScaleOut *scale_out;
   MhScaleIn *scale_in;
-  guint64 call; /* the one that was made last */
-  guint ended;  /* requests for machines */
+  guint64 last_call;    /* id of the latest call */
+  guint ended_requests; /* ended requests for machines */
 } Fixture;
 
 static void
@@ -237,9 +238,9 @@
 }
 
 static void
-count_ended (gpointer owner)
+on_request_ended (gpointer owner)
 {
-  ((Fixture *)owner)->ended++;
+  ((Fixture *)owner)->ended_requests++;
 }
 
 static void
@@ -269,10 +270,10 @@
                                             .jobs = core->jobs,
                                             .job_queue = core->job_queue,
                                             .runtime_estimator = core->runtime_estimator };
-  fixture->lost = mh_lost_capacity_new ();
-  fixture->scale_out = mh_scale_out_new (&fixture->context, fixture->lost);
-  mh_scale_out_set_done_func (fixture->scale_out, count_ended, fixture);
-  fixture->scale_in = mh_scale_in_new (&fixture->context, fixture->lost);
+  fixture->lost_capacity = mh_lost_capacity_new ();
+  fixture->scale_out = mh_scale_out_new (&fixture->context, fixture->lost_capacity);
+  mh_scale_out_set_done_func (fixture->scale_out, on_request_ended, fixture);
+  fixture->scale_in = mh_scale_in_new (&fixture->context, fixture->lost_capacity);
 }
 
 static void
@@ -282,25 +283,25 @@
   mh_core_free (fixture->core);
   mh_scale_in_free (fixture->scale_in);
   mh_scale_out_free (fixture->scale_out);
-  mh_lost_capacity_free (fixture->lost);
+  mh_lost_capacity_free (fixture->lost_capacity);
   mh_settings_free (fixture->settings);
 }
 
-/* The next call that is made is the one that reply () answers. */
+/* Makes reply () answer the next call. */
 static void
 expect_call (Fixture *fixture)
 {
-  fixture->call = mh_runtime_next_id (fixture->core->runtime) + 1;
+  fixture->last_call = mh_runtime_next_id (fixture->core->runtime) + 1;
 }
 
-/* Answers the last call; the one that it leads to, if any, is the last one then. */
+/* Answers the latest call. A call that is made in response becomes the latest one. */
 static void
 reply (Fixture *fixture, guint status, const MhValue *body)
 {
   MhReply answer = { .status = status, .body = body };
-  guint64 call = fixture->call;
+  guint64 last_call = fixture->last_call;
   expect_call (fixture);
-  mh_call_queue_complete (fixture->core->calls, call, &answer);
+  mh_call_queue_complete (fixture->core->calls, last_call, &answer);
 }
 
 static MhMachine *
@@ -333,7 +334,7 @@
   return job;
 }
 
-/* Requests so many machines of four cpus in zone a. */
+/* Requests @count machines of type "small", with four CPUs each, in zone a. */
 static void
 request_machines (Fixture *fixture, guint count)
 {
@@ -349,14 +350,15 @@
 }
 
 static bool
-small_is_refused (const Fixture *fixture, const char *zone)
+is_small_type_refused (const Fixture *fixture, const char *zone)
 {
-  return mh_scale_out_is_refused (fixture->scale_out,
-                                  g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0),
-                                  zone, false);
+  return mh_scale_out_is_kind_refused (
+      fixture->scale_out, g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0), zone,
+      false);
 }
 
-/* Tasks would be laid out where memory, kind or zone do not suit them. */
+/* Guards against assigning tasks to machines whose memory, kind (spot or not) or zone does not suit
+   them. */
 static void
 test_capacity_estimate (Fixture *fixture, gconstpointer data)
 {
@@ -366,10 +368,11 @@
   g_autoptr (GRefString) other = g_ref_string_new_intern ("b");
   const MhMachineType *small = g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0);
   MhCapacityEstimate estimate = mh_capacity_estimate_for_type (small, zone, true);
-  g_assert_false (mh_capacity_estimate_suits (&estimate, job, NULL)); /* no spot job */
+  g_assert_false (mh_capacity_estimate_suits_job (&estimate, job,
+                                                  NULL)); /* the job does not allow spot machines */
   estimate.spot = false;
-  g_assert_true (mh_capacity_estimate_suits (&estimate, job, zone));
-  g_assert_false (mh_capacity_estimate_suits (&estimate, job, other));
+  g_assert_true (mh_capacity_estimate_suits_job (&estimate, job, zone));
+  g_assert_false (mh_capacity_estimate_suits_job (&estimate, job, other));
   g_assert_cmpuint (mh_capacity_estimate_count_tasks (&estimate, job->spec, 10), ==, 4);
   job->spec->mem_gb = 8;
   g_assert_cmpuint (mh_capacity_estimate_count_tasks (&estimate, job->spec, 10), ==, 2);
@@ -378,28 +381,29 @@
   g_assert_cmpfloat (estimate.available.cpus, ==, 3);
 }
 
-/* A large machine would be created for a few tasks, or small ones for many; and all of them in one
-   zone. */
+/* Guards against creating a large machine for a few tasks, small ones for many tasks, or all
+   machines in one zone. */
 static void
 test_cheapest_offer (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   MhJob *job = add_job (fixture, 40, 3);
   add_machine (fixture, "vm-1", "a");
-  g_autoptr (GArray) coming = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate));
+  g_autoptr (GArray) starting = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate));
   g_autoptr (MhMachineOffers) offers
-      = mh_machine_offers_new (&fixture->context, fixture->scale_out, coming);
-  const MhMachineOffer *offer = mh_machine_offers_cheapest (offers, job, NULL, 2);
+      = mh_machine_offers_new (&fixture->context, fixture->scale_out, starting);
+  const MhMachineOffer *offer = mh_machine_offers_find_cheapest (offers, job, NULL, 2);
   g_assert_cmpstr (offer->type->name, ==, "small");
-  g_assert_cmpstr (offer->zone, ==, "b"); /* with the fewest machines */
+  g_assert_cmpstr (offer->zone, ==, "b"); /* zone with the fewest machines */
   g_assert_false (offer->spot);
-  offer = mh_machine_offers_cheapest (offers, job, NULL, 40);
+  offer = mh_machine_offers_find_cheapest (offers, job, NULL, 40);
   g_assert_cmpstr (offer->type->name, ==, "large");
   job->spec->cpus = 64;
-  g_assert_null (mh_machine_offers_cheapest (offers, job, NULL, 2));
+  g_assert_null (mh_machine_offers_find_cheapest (offers, job, NULL, 2));
 }
 
-/* A kind that is exhausted would be asked for again and again, and nothing else in its place. */
+/* Guards against requesting an exhausted kind of machine again and again instead of another kind.
+ */
 static void
 test_no_capacity (Fixture *fixture, gconstpointer data)
 {
@@ -410,52 +414,55 @@
   g_assert_true (mh_scale_out_is_busy (fixture->scale_out));
   reply (fixture, 503, body);
   g_assert_false (mh_scale_out_is_busy (fixture->scale_out));
-  g_assert_cmpuint (fixture->ended, ==, 1);
-  g_assert_true (small_is_refused (fixture, "a"));
-  g_assert_false (small_is_refused (fixture, "b"));
+  g_assert_cmpuint (fixture->ended_requests, ==, 1);
+  g_assert_true (is_small_type_refused (fixture, "a"));
+  g_assert_false (is_small_type_refused (fixture, "b"));
   MhJob *job = add_job (fixture, 1, 1);
-  g_autoptr (GArray) coming = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate));
+  g_autoptr (GArray) starting = g_array_new (FALSE, FALSE, sizeof (MhCapacityEstimate));
   g_autoptr (MhMachineOffers) offers
-      = mh_machine_offers_new (&fixture->context, fixture->scale_out, coming);
-  g_assert_cmpstr (mh_machine_offers_cheapest (offers, job, NULL, 1)->zone, ==, "b");
+      = mh_machine_offers_new (&fixture->context, fixture->scale_out, starting);
+  g_assert_cmpstr (mh_machine_offers_find_cheapest (offers, job, NULL, 1)->zone, ==, "b");
   set_time (fixture, START_US + 15 * MH_SECOND_US);
-  g_assert_false (small_is_refused (fixture, "a"));
+  g_assert_false (is_small_type_refused (fixture, "a"));
 }
 
-/* During an outage of the cloud each kind would be left alone for as long as an exhausted one. */
+/* After an outage of the cloud, a kind of machine must be requested again sooner than after the
+   cloud had no capacity for it. */
 static void
 test_unavailable (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   request_machines (fixture, 2);
   reply (fixture, 503, NULL);
-  g_assert_true (small_is_refused (fixture, "a"));
+  g_assert_true (is_small_type_refused (fixture, "a"));
   set_time (fixture, START_US + 2 * MH_SECOND_US);
-  g_assert_false (small_is_refused (fixture, "a"));
+  g_assert_false (is_small_type_refused (fixture, "a"));
 }
 
-/* A request whose answer was lost would be forgotten, and its machines created a second time. */
+/* Guards against dropping a request whose reply was lost, which would create its machines a second
+   time. */
 static void
 test_unknown_outcome (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   const char *names[] = { "vm-1", "vm-2", NULL };
   g_autoptr (MhValue) body = created_machines (names);
-  mh_lost_capacity_add (fixture->lost, 10);
+  mh_lost_capacity_add (fixture->lost_capacity, 10);
   request_machines (fixture, 2);
   reply (fixture, 0, NULL);
   reply (fixture, 429, NULL);
   g_assert_true (mh_scale_out_is_busy (fixture->scale_out));
-  g_assert_false (small_is_refused (fixture, "a"));
+  g_assert_false (is_small_type_refused (fixture, "a"));
   reply (fixture, 200, body);
   g_assert_false (mh_scale_out_is_busy (fixture->scale_out));
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-2"));
-  g_assert_false (small_is_refused (fixture, "a"));
-  g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost), ==, 2);
+  g_assert_false (is_small_type_refused (fixture, "a"));
+  g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost_capacity), ==, 2);
 }
 
-/* A kind of which the last machines were created would be asked for once more at once. */
+/* Guards against requesting a kind again at once although the cloud created only some of the
+   requested machines, which means that it has no more of them. */
 static void
 test_partly_filled (Fixture *fixture, gconstpointer data)
 {
@@ -465,10 +472,10 @@
   request_machines (fixture, 2);
   reply (fixture, 200, body);
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
-  g_assert_true (small_is_refused (fixture, "a"));
+  g_assert_true (is_small_type_refused (fixture, "a"));
 }
 
-/* What a leadership has learnt would hold in the next one. */
+/* Guards against keeping refused kinds, or a request in flight, of an earlier leadership. */
 static void
 test_scale_out_reset (Fixture *fixture, gconstpointer data)
 {
@@ -479,7 +486,7 @@
   mh_call_queue_forget_all (fixture->core->calls);
   mh_scale_out_reset (fixture->scale_out);
   g_assert_false (mh_scale_out_is_busy (fixture->scale_out));
-  g_assert_false (small_is_refused (fixture, "a"));
+  g_assert_false (is_small_type_refused (fixture, "a"));
 }
 
 static void
@@ -489,8 +496,8 @@
   mh_scale_in_step (fixture->scale_in);
 }
 
-/* A machine would be taken for gone before the cloud has confirmed it, or would stay in the cluster
-   when it has. */
+/* Guards against treating a machine as gone before the cloud has confirmed its release, and against
+   keeping it in the cluster afterwards. */
 static void
 test_release (Fixture *fixture, gconstpointer data)
 {
@@ -499,20 +506,21 @@
   machine->usage.cpus = 3;
   mh_scale_in_release_machine (fixture->scale_in, machine, MH_RELEASE_REASON_FAILED);
   mh_scale_in_release_machine (fixture->scale_in, machine,
-                               MH_RELEASE_REASON_FAILED); /* once only */
+                               MH_RELEASE_REASON_FAILED); /* no effect */
   g_assert_true (mh_machine_is_releasing (machine));
-  g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost), ==, 3);
+  g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost_capacity), ==, 3);
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
   step_scale_in (fixture);
-  reply (fixture, 200, NULL); /* the record */
+  reply (fixture, 200, NULL); /* write of the record */
   g_assert_true (mh_cluster_find_machine (fixture->core->cluster, "vm-1") == machine);
-  reply (fixture, 200, NULL); /* the cloud */
+  reply (fixture, 200, NULL); /* release by the cloud */
   g_assert_null (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
 
-/* A lost answer would leave a machine that is paid for and never used again. */
+/* Guards against a machine that is paid for but never used again, because a reply was lost and the
+   release was not retried. */
 static void
 test_release_is_retried (Fixture *fixture, gconstpointer data)
 {
@@ -520,9 +528,9 @@
   mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"),
                                MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
-  reply (fixture, 0, NULL);   /* the record: not known */
-  reply (fixture, 409, NULL); /* it is there: the first copy was carried out */
-  reply (fixture, 0, NULL);   /* the cloud: not known */
+  reply (fixture, 0, NULL);   /* write of the record: unknown outcome */
+  reply (fixture, 409, NULL); /* the record exists: the first write was carried out */
+  reply (fixture, 0, NULL);   /* release by the cloud: unknown outcome */
   reply (fixture, 503, NULL);
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
@@ -531,7 +539,7 @@
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
 
-/* A controller that is no leader any more would delete machines that its successor uses. */
+/* Guards against a former leader that deletes machines that its successor uses. */
 static void
 test_release_by_former_leader (Fixture *fixture, gconstpointer data)
 {
@@ -543,14 +551,15 @@
                                MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
   reply (fixture, 409, body);
-  reply (fixture, 200, NULL); /* of no call */
+  reply (fixture, 200, NULL); /* there is no call to answer */
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   mh_call_queue_forget_all (fixture->core->calls);
   mh_scale_in_reset (fixture->scale_in);
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
 
-/* A new leader would use a machine that a late request of an earlier one may still delete. */
+/* Guards against a new leader that uses a machine which a delayed request of an earlier leader may
+   still delete. */
 static void
 test_loaded_release (Fixture *fixture, gconstpointer data)
 {
@@ -559,7 +568,7 @@
   MhKvEntry entry
       = { .key = (char *)"x/1/1", .value = mh_record_write_release ((char **)names), .version = 7 };
   MhMachine *known = add_machine (fixture, "vm-1", "a");
-  mh_scale_in_load (fixture->scale_in, &entry);
+  mh_scale_in_load_release (fixture->scale_in, &entry);
   mh_value_unref (entry.value);
   g_assert_true (mh_machine_is_releasing (known));
   g_assert_true (
@@ -571,7 +580,8 @@
   g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-2"));
 }
 
-/* A machine would be released while it is paid for anyway, or just before its next task. */
+/* Guards against releasing a machine within the minimum billed time, or as soon as it is idle, when
+   its next task may come soon. */
 static void
 test_idle_machine (Fixture *fixture, gconstpointer data)
 {
@@ -587,7 +597,8 @@
   g_assert_false (mh_machine_is_releasing (young));
 }
 
-/* What a plan would create for nine tasks of one cpu, while a machine of four is coming. */
+/* Returns the CPUs of the machines that a plan would create for nine tasks of one CPU each, while a
+   machine with four CPUs is starting. */
 static guint
 cpus_to_create (Fixture *fixture, MhShape shape)
 {
@@ -599,7 +610,7 @@
   job->accepted = true;
   add_machine (fixture, "vm-1", "a")->heartbeat.reported = false;
   g_autoptr (MhDemandPlan) plan
-      = mh_demand_plan_new (&fixture->context, fixture->scale_out, fixture->lost);
+      = mh_demand_plan_new (&fixture->context, fixture->scale_out, fixture->lost_capacity);
   const GArray *estimates = mh_demand_plan_estimates (plan);
   double cpus = 0;
   for (guint i = 0; i < estimates->len; i++)
@@ -610,16 +621,16 @@
   return (guint)cpus;
 }
 
-/* The same machines would be asked for twice, for tasks that those on their way will hold. */
+/* Guards against requesting machines twice, for tasks that starting machines will run. */
 static void
-test_demand_counts_coming_machines (Fixture *fixture, gconstpointer data)
+test_demand_counts_starting_machines (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   g_assert_cmpuint (cpus_to_create (fixture, MH_SHAPE_SERVICE), ==, 8);
 }
 
-/* Machines would be created for tasks that find room when others end, long before it is too late
-   for them. */
+/* Guards against creating machines for tasks that can start in time on CPUs that other tasks free.
+ */
 static void
 test_demand_waits_for_completions (Fixture *fixture, gconstpointer data)
 {
@@ -627,12 +638,12 @@
   g_assert_cmpuint (cpus_to_create (fixture, MH_SHAPE_ARRAY), ==, 0);
 }
 
-/* What failed machines ran would wait behind all that keeps coming. */
+/* Guards against letting the tasks of failed machines wait behind new work. */
 static void
 test_demand_replaces_lost_capacity (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  mh_lost_capacity_add (fixture->lost, 2);
+  mh_lost_capacity_add (fixture->lost_capacity, 2);
   g_assert_cmpuint (cpus_to_create (fixture, MH_SHAPE_ARRAY), >=, 2);
 }
 
@@ -649,7 +660,7 @@
     }
   g_test_add_func ("/autoscaler/cloud-error/replies", test_cloud_errors);
   g_test_add_func ("/autoscaler/cloud-error/malformed-reply", test_malformed_reply);
-  g_test_add_func ("/autoscaler/release-reason/words", test_release_reasons);
+  g_test_add_func ("/autoscaler/release-reason/texts", test_release_reasons);
   g_test_add_func ("/autoscaler/lost-capacity/never-negative", test_lost_capacity);
   g_test_add_func ("/autoscaler/forecast/in-time", test_forecast_in_time);
   g_test_add_func ("/autoscaler/forecast/tasks-end-again", test_forecast_tasks_end_again);
@@ -657,7 +668,7 @@
 #define ADD(path, func) g_test_add ("/autoscaler/" path, Fixture, NULL, set_up, func, tear_down)
   ADD ("capacity-estimate/suits-and-counts", test_capacity_estimate);
   ADD ("offers/cheapest", test_cheapest_offer);
-  ADD ("demand/counts-coming-machines", test_demand_counts_coming_machines);
+  ADD ("demand/counts-starting-machines", test_demand_counts_starting_machines);
   ADD ("demand/waits-for-completions", test_demand_waits_for_completions);
   ADD ("demand/replaces-lost-capacity", test_demand_replaces_lost_capacity);
   ADD ("scale-out/no-capacity", test_no_capacity);
