--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -1,13 +1,14 @@
-/* Machines that are slow to join, or never do. */
+/* Tests with machines that join late or never. */
 #include "steps.h"
 
 #include <string.h>
 
 #define TASKS 16u
 
-/* Four machines of four cpus are wanted for as long as the test looks. */
+/* Submits a job that needs four machines with four CPUs each for longer than the tests run, and
+   waits until they are created. */
 static User *
-wants_four_machines (Simulation *simulation)
+submit_job_for_four_machines (Simulation *simulation)
 {
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
   use_small_machines (spec);
@@ -19,13 +20,14 @@
   return user;
 }
 
-/* All boots take four times what they should. Those on their way are counted on: all once were
-   rented a second time. */
+/* All boots take 18 s instead of the expected 4 s. Only the first late machine may be replaced: its
+   age raises the expected boot time of the others. Without that, all of them were created a second
+   time. */
 static void
 test_slow_boots (Simulation *simulation)
 {
   simulation->cloud->boot_us = 18 * MH_SECOND_US;
-  User *user = wants_four_machines (simulation);
+  User *user = submit_job_for_four_machines (simulation);
   simulation_run (simulation, 14);
   g_assert_cmpuint (simulation->cloud->machines->len, <=, 5);
   g_assert_true (simulation_logged (simulation, "machine late to join"));
@@ -34,12 +36,12 @@
   WAIT (simulation, 200, told_done, user);
 }
 
-/* One of them never joins: without another in its place its tasks would wait for ever, and if it
-   were kept it would be paid for. */
+/* One machine never joins. It must be replaced, otherwise its tasks wait forever, and released,
+   otherwise it costs money without being of use. */
 static void
 test_never_joins (Simulation *simulation)
 {
-  wants_four_machines (simulation);
+  submit_job_for_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = G_MAXINT64;
   simulation_run (simulation, 25);
@@ -49,12 +51,12 @@
   g_assert_true (simulation_logged (simulation, "never_joined"));
 }
 
-/* One joins after another was rented in its place: given back though it is there, its boot would
-   have been for nothing. */
+/* One machine joins after another was created in its place. It must not be released then, since its
+   boot has already been paid for. */
 static void
 test_joins_late (Simulation *simulation)
 {
-  wants_four_machines (simulation);
+  submit_job_for_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   machine->up_us = simulation->clock->now_us + 10 * MH_SECOND_US;
   simulation_run (simulation, 20);
@@ -63,21 +65,22 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
 }
 
-/* Boots were fast for a while, and then are as usual: those on their way would be taken for failed,
-   and rented a second time. */
+/* Boots are fast for a while and then take as long as expected. Guards against an expected boot
+   time that follows the fast boots so closely that machines with normal boots count as late and are
+   created a second time. */
 static void
-test_fast_boots_and_usual_ones (Simulation *simulation)
+test_fast_then_normal_boots (Simulation *simulation)
 {
   simulation->cloud->boot_us = MH_SECOND_US / 5;
-  User *user = wants_four_machines (simulation);
+  User *user = submit_job_for_four_machines (simulation);
   simulation_run (simulation, 3);
-  guint rented = simulation->cloud->machines->len;
+  guint machines_before = simulation->cloud->machines->len;
   simulation->cloud->boot_us = 6 * MH_SECOND_US;
-  User *more = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
-  WAIT (simulation, 30, all_run, more);
-  g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
+  User *service_user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
+  WAIT (simulation, 30, all_run, service_user);
+  g_assert_cmpuint (simulation->cloud->machines->len - machines_before, <=, 4);
   simulation_run (simulation, 10);
-  g_assert_cmpuint (simulation->cloud->machines->len - rented, <=, 4);
+  g_assert_cmpuint (simulation->cloud->machines->len - machines_before, <=, 4);
   WAIT (simulation, 200, told_done, user);
 }
 
@@ -88,6 +91,6 @@
   simulation_test_add ("/boot-time/slow", 61, test_slow_boots);
   simulation_test_add ("/boot-time/never-joins", 62, test_never_joins);
   simulation_test_add ("/boot-time/joins-late", 63, test_joins_late);
-  simulation_test_add ("/boot-time/fast-and-usual", 64, test_fast_boots_and_usual_ones);
+  simulation_test_add ("/boot-time/fast-then-normal", 64, test_fast_then_normal_boots);
   return g_test_run ();
 }
