--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -12,7 +12,7 @@
 #define MIN_REPLICA_RUNNING_US (35 * MH_SECOND_US)
 /* The share of the machines in service that may be draining at the same time; at least one may. */
 #define MAX_DRAINING_SHARE (1 / 32.0)
-/* The number of candidates that are examined in one step. */
+/* Maximum number of candidates that are examined in one step. */
 #define MAX_CANDIDATES_PER_STEP 8u
 
 /* The machines that remain in service, and how many of their CPUs are in use. */
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -16,9 +16,9 @@
 /* Back-off after a call to the cloud that was not confirmed, and the random time added to it. */
 #define RETRY_BACK_OFF_US 500000
 #define RETRY_BACK_OFF_JITTER_US 500000
-/* Most machines in one call (PROTOCOL, "POST /machines/release"). */
+/* Maximum number of machines in one call (PROTOCOL, "POST /machines/release"). */
 #define MAX_MACHINES_PER_BATCH 100u
-/* Most batches in flight at the same time; further releases wait for a later batch. Without this
+/* Maximum number of batches in flight; further releases wait for a later batch. Without this
    limit, calls for a few machines each use up the cloud's rate limit, and requests to create and
    list machines wait behind them. */
 #define MAX_BATCHES_IN_FLIGHT 2u
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -5,13 +5,13 @@
 
 /* How long a kind of machine is not requested again after the cloud had no capacity for it. */
 #define NO_CAPACITY_BACK_OFF_US (15 * MH_SECOND_US)
-/* The same after it was refused for another reason. */
+/* How long a kind of machine is not requested again after it was refused for another reason. */
 #define REFUSED_BACK_OFF_US (2 * MH_SECOND_US)
 /* Back-off before a request that may have been carried out, or that was throttled, is sent again,
    and the random time added to it. */
 #define RETRY_BACK_OFF_US 300000
 #define RETRY_BACK_OFF_JITTER_US 300000
-/* Most machines in one request (PROTOCOL, "POST /machines"). */
+/* Maximum number of machines in one request (PROTOCOL, "POST /machines"). */
 #define MAX_MACHINES_PER_REQUEST 50u
 
 struct MhScaleOut
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -75,7 +75,7 @@
         { 0, NULL, MH_CLOUD_ERROR_UNKNOWN_OUTCOME, false },
         { 500, NULL, MH_CLOUD_ERROR_UNKNOWN_OUTCOME, false } };
 
-/* Guards against repeating a request that may have been carried out under another name, which would
+/* A request that may have been carried out must not be repeated under another name, which would
    create its machines twice. */
 static void
 test_cloud_errors (void)
@@ -368,8 +368,7 @@
   g_autoptr (GRefString) other = g_ref_string_new_intern ("b");
   const MhMachineType *small = g_ptr_array_index (mh_cluster_types (fixture->core->cluster), 0);
   MhCapacityEstimate estimate = mh_capacity_estimate_for_type (small, zone, true);
-  g_assert_false (mh_capacity_estimate_suits_job (&estimate, job,
-                                                  NULL)); /* the job does not allow spot machines */
+  g_assert_false (mh_capacity_estimate_suits_job (&estimate, job, NULL)); /* not a spot job */
   estimate.spot = false;
   g_assert_true (mh_capacity_estimate_suits_job (&estimate, job, zone));
   g_assert_false (mh_capacity_estimate_suits_job (&estimate, job, other));
@@ -402,8 +401,7 @@
   g_assert_null (mh_machine_offers_find_cheapest (offers, job, NULL, 2));
 }
 
-/* Guards against requesting an exhausted kind of machine again and again instead of another kind.
- */
+/* Guards against repeated requests for an exhausted kind of machine instead of another kind. */
 static void
 test_no_capacity (Fixture *fixture, gconstpointer data)
 {
@@ -629,8 +627,7 @@
   g_assert_cmpuint (cpus_to_create (fixture, MH_SHAPE_SERVICE), ==, 8);
 }
 
-/* Guards against creating machines for tasks that can start in time on CPUs that other tasks free.
- */
+/* Guards against creating machines for tasks that can start in time on CPUs freed by others. */
 static void
 test_demand_waits_for_completions (Fixture *fixture, gconstpointer data)
 {
