--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -247,7 +247,7 @@
   else
     {
       advance (batch, MH_RELEASE_EVENT_RECORD_UNKNOWN);
-      mh_call_queue_store_failed (self->context->calls, reply->status);
+      mh_call_queue_handle_store_failure (self->context->calls, reply->status);
       write_record (self, batch);
     }
 }
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -219,7 +219,8 @@
 static void
 answer_report (MhCluster *cluster, guint64 request_id, guint status, MhValue *body)
 {
-  MhAction *action = mh_runtime_act (cluster->runtime, MH_ACTION_ANSWER_REPORT, request_id);
+  MhAction *action
+      = mh_runtime_add_action (cluster->runtime, MH_ACTION_ANSWER_HEARTBEAT, request_id);
   action->status = status;
   action->body = body;
   /* Without commands it may be given for longer, but nothing is gained by telling those apart: a
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -76,14 +76,14 @@
     return;
   if (!known && failures->machines->len < FAILING_TRIES)
     g_ptr_array_add (failures->machines, g_strdup (machine));
-  failures->tries++;
+  failures->count++;
   failures->failed_us = mh_runtime_now_us (cluster->runtime);
 }
 
 static bool
 fails_everywhere (const MhJob *job)
 {
-  return mh_job_backs_off (job) || job->failures.tries >= FAILING_TRIES;
+  return mh_job_backs_off (job) || job->failures.count >= FAILING_TRIES;
 }
 
 static void
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -53,7 +53,7 @@
 static void
 redirect_worker (MhCore *core, guint64 id)
 {
-  MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_ANSWER_REPORT, id);
+  MhAction *action = mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_HEARTBEAT, id);
   action->status = STATUS_MISDIRECTED;
   action->body = mh_redirect_encode (mh_election_leader_name (core->election));
 }
@@ -120,7 +120,7 @@
          && mono_us >= action->lease_until_us)
     {
       refuse_action (action);
-      if (action->kind != MH_ACTION_CALL)
+      if (action->kind != MH_ACTION_SEND_REQUEST)
         break;
       mh_call_queue_complete (core->calls, action->id, &(MhReply){ .status = 0 });
       mh_action_free (action);
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -78,7 +78,7 @@
  * mh_core_report:
  * @core: a controller
  * @now: the present time
- * @id: of the request; its MH_ACTION_ANSWER_REPORT carries it
+ * @id: of the request; its MH_ACTION_ANSWER_HEARTBEAT carries it
  * @report: (not transferred): the worker's heartbeat
  *
  * A worker's heartbeat.
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -27,7 +27,7 @@
 static void
 answer (MhCore *core, guint64 id, const MhUserAnswer *given)
 {
-  mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *given;
+  mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *given;
 }
 
 static void
@@ -39,7 +39,7 @@
 static void
 answer_state_of_job (MhCore *core, guint64 id, const MhJob *job)
 {
-  MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id);
+  MhAction *action = mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id);
   mh_job_fill_answer (job, &action->answer);
   action->answer.status = STATUS_OK;
 }
@@ -130,7 +130,8 @@
 static void
 forward (MhCore *core, const MhUserRequest *request)
 {
-  MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_FORWARD, request->id);
+  MhAction *action
+      = mh_runtime_add_action (core->runtime, MH_ACTION_FORWARD_USER_REQUEST, request->id);
   action->node = g_strdup (mh_election_leader_name (core->election));
   action->timeout_us = FORWARD_TIMEOUT_US;
   g_hash_table_insert (core->forwarded_requests, g_memdup2 (&request->id, sizeof request->id),
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -218,8 +218,8 @@
   for (guint i = 0; i < members->len; i++)
     {
       const MhMember *member = g_ptr_array_index (members, i);
-      MhAction *action
-          = mh_runtime_act (election->runtime, MH_ACTION_ANNOUNCE_LEADER, election->own_epoch);
+      MhAction *action = mh_runtime_add_action (election->runtime, MH_ACTION_ANNOUNCE_LEADER,
+                                                election->own_epoch);
       action->node = g_strdup (member->name);
     }
 }
--- a/src/jobs/final-answers.c
+++ b/src/jobs/final-answers.c
@@ -1,14 +1,16 @@
 #include "jobs/final-answers.h"
 
-/* Of the memory, the part (one in so many) for these answers, and what one takes. */
-#define MEMORY_PART 32
+/* The cache may take one part in MEMORY_DIVISOR of the memory of the process. */
+#define MEMORY_DIVISOR 32
+/* Memory that one entry takes, in bytes. */
 #define ENTRY_BYTES 200
+/* The cache holds at least this many entries, however small the memory is. */
 #define MIN_ENTRIES 2000u
 
 struct MhFinalAnswers
 {
-  GHashTable *by_id; /* job's id -> MhUserAnswer */
-  GQueue oldest;     /* ids, the oldest first */
+  GHashTable *by_id; /* job id -> MhUserAnswer */
+  GQueue oldest;     /* job ids, the oldest entry first */
   guint max_entries;
 };
 
@@ -17,7 +19,7 @@
 {
   MhFinalAnswers *answers = g_new0 (MhFinalAnswers, 1);
   answers->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  answers->max_entries = MAX (MIN_ENTRIES, (guint)(memory_bytes / MEMORY_PART / ENTRY_BYTES));
+  answers->max_entries = MAX (MIN_ENTRIES, (guint)(memory_bytes / MEMORY_DIVISOR / ENTRY_BYTES));
   g_queue_init (&answers->oldest);
   return answers;
 }
--- a/src/jobs/final-answers.h
+++ b/src/jobs/final-answers.h
@@ -1,6 +1,8 @@
-/* What users may be told of jobs that are over: a bounded cache of final records.
+/* A bounded cache of the final states of jobs that are over, from which users' requests are
+   answered.
 
-   What is not in it is asked of the state service. The oldest entries go first. */
+   The state of a job that is not in the cache is read from the key-value store. When the cache is
+   full, the oldest entry is evicted. */
 #pragma once
 
 #include "protocol/user-messages.h"
@@ -10,7 +12,7 @@
 
 /**
  * mh_final_answers_new:
- * @memory_bytes: memory of the process, of which the cache may take a part
+ * @memory_bytes: memory of the process, in bytes; bounds the size of the cache
  *
  * Returns: (transfer full): an empty cache; free it with mh_final_answers_free()
  */
@@ -39,9 +41,9 @@
  * mh_final_answers_add:
  * @answers: a cache
  * @job_id: a job's id
- * @answer: its final state, which is durable
+ * @answer: the job's final state, whose record is durable
  *
- * Final states never change: one that is there stays.
+ * Adds an entry. Final states never change: an entry that exists is kept as it is.
  */
 void
 mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserAnswer *answer);
--- a/src/jobs/gang-state.c
+++ b/src/jobs/gang-state.c
@@ -23,7 +23,7 @@
       *next = MH_GANG_STATE_GATHERING;
       return true;
     case MH_GANG_EVENT_TASK_LOST:
-    case MH_GANG_EVENT_STOPPED:
+    case MH_GANG_EVENT_STOP_REQUESTED:
       *next = MH_GANG_STATE_ENDING;
       return true;
     case MH_GANG_EVENT_COMPLETED:
--- a/src/jobs/gang-state.h
+++ b/src/jobs/gang-state.h
@@ -1,5 +1,5 @@
-/* The state machine of a gang's attempt: one attempt number for all tasks, which run all at the
-   same time or not at all (gang scheduling). */
+/* The state machine of a gang's attempt. All tasks of a gang share one attempt number; they run all
+   at the same time or not at all (gang scheduling). */
 #pragma once
 
 #include <glib.h>
@@ -7,11 +7,14 @@
 
 /**
  * MhGangState:
- * @MH_GANG_STATE_IDLE: no attempt, or none that is known
+ * @MH_GANG_STATE_IDLE: the gang has no attempt, or none that this leader knows of
  * @MH_GANG_STATE_PLACED: every task has a machine
- * @MH_GANG_STATE_GATHERING: a task has its image and waits for the others; remembered when they run
- * @MH_GANG_STATE_ENDING: a task of the attempt is over, or all are told to stop; the next attempt
- * begins when each task of this one is proven gone
+ * @MH_GANG_STATE_GATHERING: at least one task has fetched its image and waits for the others. The
+ * gang stays in this state when its tasks run
+ * @MH_GANG_STATE_ENDING: a task of the attempt has ended, or all tasks were requested to stop. The
+ * next attempt begins after each task of this one is proven gone
+ *
+ * The state of a gang's attempt.
  */
 typedef enum
 {
@@ -23,13 +26,15 @@
 
 /**
  * MhGangEvent:
- * @MH_GANG_EVENT_PLACED: a new attempt: all tasks were given machines
- * @MH_GANG_EVENT_RESTORED: a whole attempt is known from records
- * @MH_GANG_EVENT_TASK_GATHERING: a task reports that it waits for the others
- * @MH_GANG_EVENT_TASK_LOST: a task is over and not done, or missing from the records
- * @MH_GANG_EVENT_STOPPED: all tasks are told to stop
+ * @MH_GANG_EVENT_PLACED: a placement pass has assigned machines to all tasks: a new attempt
+ * @MH_GANG_EVENT_RESTORED: a new leader has loaded an attempt of all tasks from records
+ * @MH_GANG_EVENT_TASK_GATHERING: a worker reports that a task waits for the others
+ * @MH_GANG_EVENT_TASK_LOST: a task has ended without being done, or is missing from the records
+ * @MH_GANG_EVENT_STOP_REQUESTED: all tasks are requested to stop
  * @MH_GANG_EVENT_COMPLETED: all tasks are done
  * @MH_GANG_EVENT_GONE: each task of the attempt is proven gone
+ *
+ * What happens to a gang's attempt.
  */
 typedef enum
 {
@@ -37,7 +42,7 @@
   MH_GANG_EVENT_RESTORED,
   MH_GANG_EVENT_TASK_GATHERING,
   MH_GANG_EVENT_TASK_LOST,
-  MH_GANG_EVENT_STOPPED,
+  MH_GANG_EVENT_STOP_REQUESTED,
   MH_GANG_EVENT_COMPLETED,
   MH_GANG_EVENT_GONE
 } MhGangEvent;
@@ -46,13 +51,15 @@
 
 /**
  * MhJobGang:
- * @state: of the attempt
- * @gathering_since_us: in %MH_GANG_STATE_GATHERING: a task waits for the others since, by the
- * steady clock
- * @held_tasks: tasks for which capacity is held in this placement pass
- * @held_zone: (nullable): the only zone in which it is held; interned; %NULL: any
+ * @state: state of the attempt
+ * @gathering_since_us: in %MH_GANG_STATE_GATHERING: steady time at which the first task was
+ * reported to wait for the others
+ * @held_tasks: number of tasks for which the last placement pass held capacity, since the whole
+ * gang could not be placed
+ * @held_zone: (nullable): the zone in which the capacity is held, for a gang that must run in a
+ * single zone; interned; %NULL: capacity may be in any zone
  *
- * What is known of a job whose tasks run all at once.
+ * The gang state of a job.
  */
 typedef struct
 {
@@ -64,12 +71,13 @@
 
 /**
  * mh_gang_state_next:
- * @state: the state
- * @event: what has happened
- * @next: (out): the state after it; on refusal, @state
+ * @state: the present state
+ * @event: what happens
+ * @next: (out): the state after @event; @state if the event is refused
  *
- * The transitions. An ending attempt takes no new one and no task that gathers: it ends
- * first. What is known of an attempt from reports is not replaced by records.
+ * Looks up a transition. While an attempt is ending, a new attempt is refused, and so is a report
+ * that a task waits for the others. Records do not replace what reports have already shown of an
+ * attempt: %MH_GANG_EVENT_RESTORED is refused unless the gang is idle.
  *
  * Returns: %FALSE if the event is refused
  */
@@ -79,10 +87,10 @@
 /**
  * mh_job_gang_apply:
  * @gang: a gang
- * @event: what has happened
+ * @event: what happens
  * @now_us: the present, by the steady clock
  *
- * Goes to the next state, see mh_gang_state_next(). An event that is refused changes nothing.
+ * Moves to the next state, see mh_gang_state_next(). A refused event changes nothing.
  *
  * Returns: %FALSE if the event is refused
  */
--- a/src/jobs/job-failures.c
+++ b/src/jobs/job-failures.c
@@ -4,6 +4,6 @@
 mh_job_failures_clear (MhJobFailures *failures)
 {
   g_clear_pointer (&failures->machines, g_ptr_array_unref);
-  failures->tries = 0;
+  failures->count = 0;
   failures->back_off_level = 0;
 }
--- a/src/jobs/job-failures.h
+++ b/src/jobs/job-failures.h
@@ -1,4 +1,4 @@
-/* What is known of a job's task failures. */
+/* The failures of a job's tasks. */
 #pragma once
 
 #include <glib.h>
@@ -6,16 +6,18 @@
 /**
  * MhJobFailures:
  * @machines: (nullable): names of the machines on which a task of the job has failed; %NULL: none
- * @tries: how many tries have failed, each on another machine or after a while
- * @failed_us: monotonic time of the last one, in microseconds
- * @back_off_level: of the exponential back-off; 0: the job does not back off
+ * @count: number of failures. Another failure on the same machine shortly after the last one is not
+ * counted: tasks that start together on one machine fail together
+ * @failed_us: steady time of the last failure that was counted, in microseconds
+ * @back_off_level: level of the exponential back-off; 0: the job does not back off
  *
- * What is known of a job's failures since it last succeeded. Kept by src/cluster/task-failure.c.
+ * The failures of a job's tasks since the job last succeeded. src/cluster/task-failure.c updates
+ * them.
  */
 typedef struct
 {
   GPtrArray *machines;
-  guint tries;
+  guint count;
   gint64 failed_us;
   guint back_off_level;
 } MhJobFailures;
@@ -24,7 +26,7 @@
  * mh_job_failures_clear:
  * @failures: failures of a job
  *
- * Forgets them: the job runs, or goes away.
+ * Resets the failures, when a task of the job has succeeded or the job is freed.
  */
 void
 mh_job_failures_clear (MhJobFailures *failures);
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -4,10 +4,12 @@
 
 #include <string.h>
 
-/* A job of which nothing has begun for so long goes before all work that is not urgent, with one
-   task: else the largest and the least would wait for ever behind a steady stream of small ones. */
-#define STARVATION_US (150 * MH_SECOND_US)
-#define EPSILON 1e-6
+/* A job is starved if none of its tasks is placed or done this long after its submission. It then
+   goes before all work that is not urgent, with one task at first. Otherwise the largest jobs and
+   those of the lowest priority would wait for ever behind a steady stream of small ones. */
+#define STARVATION_THRESHOLD_US (150 * MH_SECOND_US)
+/* Tolerance for the rounding errors of sums of fractional resources. */
+#define RESOURCE_EPSILON 1e-6
 
 struct MhJobQueue
 {
@@ -53,7 +55,7 @@
 }
 
 static MhJobTier
-tier_in_order (const MhJob *job)
+effective_tier (const MhJob *job)
 {
   MhJobTier tier = mh_job_queue_tier (job);
   return job->placement.starved ? MIN (tier, MH_TIER_GUARANTEED) : tier;
@@ -63,7 +65,7 @@
 mh_job_queue_compare (gconstpointer left, gconstpointer right)
 {
   const MhJob *first = *(MhJob *const *)left, *second = *(MhJob *const *)right;
-  MhJobTier first_tier = tier_in_order (first), second_tier = tier_in_order (second);
+  MhJobTier first_tier = effective_tier (first), second_tier = effective_tier (second);
   if (first_tier != second_tier)
     return first_tier < second_tier ? -1 : 1;
   if (first->placement.starved != second->placement.starved)
@@ -77,43 +79,43 @@
   return compare_submission (left, right);
 }
 
-/* ---- what depends on the present ---- */
+/* ---- updating jobs ---- */
 
 static bool
 is_starved (const MhJob *job, gint64 now_us)
 {
   return job->n_live == 0 && job->n_done == 0 && !mh_job_backs_off (job)
-         && now_us - job->submitted_us > STARVATION_US;
+         && now_us - job->submitted_us > STARVATION_THRESHOLD_US;
 }
 
 static MhTeamUse *
-team_sum (GHashTable *sums, const char *team)
+find_or_add_team_use (GHashTable *team_uses, const char *team)
 {
-  MhTeamUse *sum = g_hash_table_lookup (sums, team);
-  if (sum == NULL)
+  MhTeamUse *use = g_hash_table_lookup (team_uses, team);
+  if (use == NULL)
     {
-      sum = g_new0 (MhTeamUse, 1);
-      g_hash_table_insert (sums, (gpointer)team, sum);
+      use = g_new0 (MhTeamUse, 1);
+      g_hash_table_insert (team_uses, (gpointer)team, use);
     }
-  return sum;
+  return use;
 }
 
-/* A job is within its team's quota if it fits into it together with the team's earlier unfinished
-   jobs. */
+/* A job is within its team's quota if the quota covers its unfinished tasks together with those of
+   the team's earlier unfinished jobs. `jobs` is sorted by submission. */
 static void
 mark_guaranteed (const MhSettings *settings, GPtrArray *jobs)
 {
-  g_autoptr (GHashTable) sums = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
+  g_autoptr (GHashTable) team_uses = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   for (guint i = 0; i < jobs->len; i++)
     {
       MhJob *job = g_ptr_array_index (jobs, i);
       const MhTeam *team = mh_settings_team (settings, job->spec->team);
-      MhTeamUse *sum = team_sum (sums, job->spec->team);
+      MhTeamUse *use = find_or_add_team_use (team_uses, job->spec->team);
       double unfinished = job->spec->tasks - job->n_done;
-      sum->cpus += unfinished * job->spec->cpus;
-      sum->gpus += unfinished * job->spec->gpus;
-      job->placement.guaranteed
-          = team && sum->cpus <= team->cpus + EPSILON && sum->gpus <= team->gpus + EPSILON;
+      use->cpus += unfinished * job->spec->cpus;
+      use->gpus += unfinished * job->spec->gpus;
+      job->placement.guaranteed = team && use->cpus <= team->cpus + RESOURCE_EPSILON
+                                  && use->gpus <= team->gpus + RESOURCE_EPSILON;
     }
 }
 
--- a/src/jobs/job-queue.h
+++ b/src/jobs/job-queue.h
@@ -1,4 +1,4 @@
-/* The job queue: which jobs have tasks to start, and which of them come first. */
+/* The job queue: the jobs that have tasks to start, in the order in which they are started. */
 #pragma once
 
 #include "jobs/job.h"
@@ -7,8 +7,10 @@
 
 /**
  * MhJobQueueScope:
- * @MH_JOB_QUEUE_ACCEPTED: jobs that may be started
- * @MH_JOB_QUEUE_ALL: ... and those whose first record is still being written
+ * @MH_JOB_QUEUE_ACCEPTED: jobs whose first record is durable, so that their tasks may be started
+ * @MH_JOB_QUEUE_ALL: these, and jobs whose first record is still being written
+ *
+ * Which jobs a query of the queue covers.
  */
 typedef enum
 {
@@ -18,12 +20,12 @@
 
 /**
  * MhJobTier:
- * @MH_TIER_URGENT_GUARANTEED: urgent work within its team's quota
- * @MH_TIER_URGENT: urgent work beyond it
- * @MH_TIER_GUARANTEED: other work within a quota
- * @MH_TIER_REST: the rest
+ * @MH_TIER_URGENT_GUARANTEED: jobs of high priority within their team's quota
+ * @MH_TIER_URGENT: jobs of high priority beyond their team's quota
+ * @MH_TIER_GUARANTEED: other jobs within their team's quota
+ * @MH_TIER_REST: all other jobs
  *
- * Classes of work: whatever stands in an earlier one comes first.
+ * Tiers of jobs. All jobs of a tier come before those of the next one.
  */
 typedef enum
 {
@@ -33,16 +35,16 @@
   MH_TIER_REST
 } MhJobTier;
 
-/** MhJobQueue: the queue; it owns no jobs. */
+/** MhJobQueue: the job queue. It does not own the jobs. */
 typedef struct MhJobQueue MhJobQueue;
 
 /**
  * mh_job_queue_new:
- * @settings: (transfer none): with quotas and objectives; must outlive the queue
- * @jobs: (element-type utf8 MhJob): all jobs by id; a reference is held
- * @estimator: (transfer none): must outlive the queue
+ * @settings: (transfer none): settings with quotas and objectives; must outlive the queue
+ * @jobs: (element-type utf8 MhJob): all jobs by id; the queue holds a reference
+ * @estimator: (transfer none): estimates run times; must outlive the queue
  *
- * Returns: (transfer full): free it with mh_job_queue_free()
+ * Returns: (transfer full): a queue; free it with mh_job_queue_free()
  */
 MhJobQueue *
 mh_job_queue_new (const MhSettings *settings, GHashTable *jobs,
@@ -58,13 +60,13 @@
 /**
  * mh_job_queue_pending:
  * @queue: a queue
- * @scope: which jobs
+ * @scope: which jobs to return
  * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
  * @now_us: the present, by the steady clock
  *
- * Works out for each job what depends on the present (MhJobPlacement), and sorts.
+ * Updates the members of MhJobPlacement that depend on the present, and sorts the jobs.
  *
- * Returns: (transfer container) (element-type MhJob): jobs with pending tasks, in the order in
+ * Returns: (transfer container) (element-type MhJob): the jobs with pending tasks, in the order in
  * which they are to be started
  */
 GPtrArray *
@@ -73,9 +75,9 @@
 
 /**
  * mh_job_queue_tier:
- * @job: a job that has been in the queue
+ * @job: a job that mh_job_queue_pending() has updated
  *
- * Returns: its class of work
+ * Returns: the tier of the job
  */
 MhJobTier
 mh_job_queue_tier (const MhJob *job);
@@ -85,10 +87,12 @@
  * @left: (type MhJob**): a job
  * @right: (type MhJob**): another one
  *
- * The documented order: tier; starved jobs within theirs, by submission; priority; the latest start
- * that is in time; submission.
+ * Compares two jobs by the documented order. Starved jobs below %MH_TIER_GUARANTEED count as of
+ * that tier. The keys are: tier; starved jobs before others, and among each other by submission;
+ * priority; the latest start that is in time; submission.
  *
- * Returns: less than, equal to, or greater than 0, as @left comes first, or not
+ * Returns: less than, equal to, or greater than 0, if @left comes before, equals, or comes after
+ * @right
  */
 gint
 mh_job_queue_compare (gconstpointer left, gconstpointer right);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -4,21 +4,24 @@
 #include "protocol/cloud-messages.h"
 #include "protocol/user-messages.h"
 
-/* Of a record, in JSON: a task, with a machine's name of sixteen characters, and what is neither
-   job nor task. A record that turns out larger is re-chunked. */
+/* Estimated size of a task's entry in a record, in JSON, with a machine name of sixteen characters.
+   A stored job whose records hold more tasks than fit by this estimate is re-chunked when it is
+   loaded. */
 #define TASK_JSON_BYTES ((gsize)40)
-#define RECORD_JSON_BYTES 200u
+/* Estimated size of a record without the job and its tasks, in JSON. */
+#define RECORD_OVERHEAD_JSON_BYTES 200u
+/* A job is too large if its first record has room for fewer tasks than this. */
 #define MIN_TASKS_PER_RECORD 16u
-/* A larger record would be written whole for ever smaller parts of it. */
+/* Bounds the size of a record, since a change of one task writes the whole record. */
 #define MAX_TASKS_PER_RECORD 512u
-/* Sums of fractions of a cpu or a GB are exact to less than this. */
-#define EPSILON 1e-6
+/* Tolerance for the rounding errors of sums of fractional cpus or GB. */
+#define RESOURCE_EPSILON 1e-6
 
 guint
 mh_job_tasks_per_record (const MhJobSpec *spec, guint value_bytes)
 {
   g_autoptr (MhValue) submission = mh_submission_encode (spec);
-  gsize used = mh_value_json_size (submission) + RECORD_JSON_BYTES;
+  gsize used = mh_value_json_size (submission) + RECORD_OVERHEAD_JSON_BYTES;
   if (used + MIN_TASKS_PER_RECORD * TASK_JSON_BYTES > value_bytes)
     return 0;
   return (guint)MIN ((value_bytes - used) / TASK_JSON_BYTES, MAX_TASKS_PER_RECORD);
@@ -27,7 +30,7 @@
 static void
 create_records (MhJob *job)
 {
-  job->n_records = (job->spec->tasks + job->chunk - 1) / job->chunk;
+  job->n_records = (job->spec->tasks + job->tasks_per_record - 1) / job->tasks_per_record;
   job->records = g_new0 (MhRecord, job->n_records);
   for (guint i = 0; i < job->n_records; i++)
     {
@@ -37,7 +40,7 @@
 }
 
 MhJob *
-mh_job_new (MhJobSpec *spec, guint chunk, guint value_bytes, gint64 submitted_wall_us,
+mh_job_new (MhJobSpec *spec, guint tasks_per_record, guint value_bytes, gint64 submitted_wall_us,
             const MhNow *now)
 {
   MhJob *job = g_new0 (MhJob, 1);
@@ -47,8 +50,9 @@
   job->submitted_wall_us = submitted_wall_us;
   job->submitted_us = now->mono_us - MAX (0, now->wall_us - submitted_wall_us);
   job->tasks = g_new0 (MhTask, spec->tasks);
-  job->chunk
-      = chunk ? chunk : MAX (mh_job_tasks_per_record (spec, value_bytes), MIN_TASKS_PER_RECORD);
+  job->tasks_per_record
+      = tasks_per_record ? tasks_per_record
+                         : MAX (mh_job_tasks_per_record (spec, value_bytes), MIN_TASKS_PER_RECORD);
   create_records (job);
   job->waiters = g_array_new (FALSE, FALSE, sizeof (MhWaiter));
   return job;
@@ -70,7 +74,7 @@
 MhRecord *
 mh_job_record (MhJob *job, guint index)
 {
-  return &job->records[index / job->chunk];
+  return &job->records[index / job->tasks_per_record];
 }
 
 bool
@@ -150,8 +154,8 @@
     return false;
   if (spec->zone && type->zones && !g_strv_contains ((const char *const *)type->zones, spec->zone))
     return false;
-  return spec->cpus <= type->cpus + EPSILON && spec->gpus <= type->gpus + EPSILON
-         && spec->mem_gb <= type->mem_gb + EPSILON;
+  return spec->cpus <= type->cpus + RESOURCE_EPSILON && spec->gpus <= type->gpus + RESOURCE_EPSILON
+         && spec->mem_gb <= type->mem_gb + RESOURCE_EPSILON;
 }
 
 gint64
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,7 +1,7 @@
 /* Jobs, their tasks and their records in memory.
 
-   A job belongs to the leader's memory from its submission until its final record is durable. What
-   users are told of it (mh_job_fill_answer) rests on durable records alone. */
+   The leader keeps a job in memory from its submission until its final record is durable. The
+   acceptance, cancellation and end of a job are shown to users only when they are durable. */
 #pragma once
 
 #include "runtime/runtime.h"
@@ -12,11 +12,11 @@
 #include "protocol/user-messages.h"
 #include "runtime/runtime.h"
 
-/** MhJob: a job in memory */
+/** MhJob: a job in the leader's memory */
 typedef struct MhJob MhJob;
 /** MhRecord: a record of a job in the key-value store */
 typedef struct MhRecord MhRecord;
-/** MhAttempt: one go at running a task; see src/cluster/attempt.h. Opaque to the jobs layer. */
+/** MhAttempt: one start of a task; see src/cluster/attempt.h. Opaque to the jobs layer. */
 typedef struct MhAttempt MhAttempt;
 
 /**
@@ -24,34 +24,34 @@
  * @cpus: processors
  * @gpus: accelerators
  *
- * What tasks of one team occupy, or are planned to.
+ * The resources that the tasks of one team use, or are planned to use.
  */
 typedef struct
 {
   double cpus, gpus;
 } MhTeamUse;
 
-/** MhTaskState: whether a task has still to be started, and whether it is done. */
+/** MhTaskState: the state of a task. */
 typedef enum
 {
-  MH_TASK_PENDING,
-  MH_TASK_LIVE, /* an attempt may be on a machine */
-  MH_TASK_DONE
+  MH_TASK_PENDING, /* has to be started */
+  MH_TASK_LIVE,    /* has an attempt, which may be on a machine */
+  MH_TASK_DONE     /* has completed */
 } MhTaskState;
 
 /** MhTask: one task of a job. */
 typedef struct
 {
-  MhAttempt *live; /* not owned; NULL unless @state is MH_TASK_LIVE */
+  MhAttempt *live; /* the live attempt, not owned; NULL unless @state is MH_TASK_LIVE */
   guint32 attempt; /* number of the last attempt; 0: none yet */
-  guint8 state;    /* MhTaskState, in a byte: a job may have 100,000 tasks */
+  guint8 state;    /* an MhTaskState, in one byte since a job may have 100,000 tasks */
 } MhTask;
 
 /**
  * MhUrgency:
- * @MH_URGENCY_USER: a user or a service waits
- * @MH_URGENCY_START: a start, or the end of a job
- * @MH_URGENCY_PROGRESS: anything else
+ * @MH_URGENCY_USER: a user waits for the write, or it records the start of a service or a gang
+ * @MH_URGENCY_START: the write records another start, or the end of a job
+ * @MH_URGENCY_PROGRESS: any other write
  *
  * How soon a record must be written, the most urgent first.
  */
@@ -66,16 +66,19 @@
 
 /**
  * MhRecordState:
- * @MH_RECORD_CLEAN: nothing of it waits to be written
- * @MH_RECORD_QUEUED: waits to be written
- * @MH_RECORD_REFUSED: the store refused it as malformed; waits, and is not written again for a
- * while
- * @MH_RECORD_WRITING: a transaction with it is under way
- * @MH_RECORD_REWRITTEN: ... and memory has changed since
- * @MH_RECORD_WRITING_QUEUED: ... and it waits to be written once more
- * @MH_RECORD_IN_DOUBT: a submission met an earlier job with the same id; a read under way decides
+ * @MH_RECORD_CLEAN: the record needs no write
+ * @MH_RECORD_QUEUED: the record is in the queue of records to be written
+ * @MH_RECORD_REFUSED: the record is in the queue, but the store has refused it as malformed; it is
+ * not written again until a back-off has passed
+ * @MH_RECORD_WRITING: a transaction that carries the record is in flight
+ * @MH_RECORD_WRITING_CHANGED: a transaction that carries the record is in flight, and the record
+ * has changed in memory since the transaction was made
+ * @MH_RECORD_WRITING_QUEUED: a transaction that carries the record along with the first record of
+ * its job is in flight, and the record is also in the queue, so that it is written again
+ * @MH_RECORD_IN_DOUBT: the write of a submission conflicted with an earlier job of the same id; a
+ * read in flight decides what the submission is answered
  *
- * Between memory and the store; see storage/record-state.h.
+ * The state of a record between memory and the key-value store; see storage/record-state.h.
  */
 typedef enum
 {
@@ -83,7 +86,7 @@
   MH_RECORD_QUEUED,
   MH_RECORD_REFUSED,
   MH_RECORD_WRITING,
-  MH_RECORD_REWRITTEN,
+  MH_RECORD_WRITING_CHANGED,
   MH_RECORD_WRITING_QUEUED,
   MH_RECORD_IN_DOUBT
 } MhRecordState;
@@ -92,21 +95,25 @@
 
 /**
  * MhRecord:
- * @job: that it belongs to, and that owns it
- * @chunk: which part of the job's tasks it tells of; 0 carries the job itself, too
- * @state: between memory and the store
- * @urgency: in which queue it waits, while it does
- * @requeue_urgency: how soon what changed while it was being written must be written
- * @write_alone: was refused as malformed with others; is to be written by itself
- * @version: of its key in the store; 0: does not exist yet
- * @revision: of the last change in memory
- * @durable_revision: what memory held then is stored
- * @rechunked_revision: what memory held then is stored, but while the job is being re-chunked it
- * counts only after that; 0: nothing is
- * @refused_until_us: not written before that steady time, in microseconds
- * @queue_link: its place in the queue
+ * @job: the job that the record belongs to, and that owns it
+ * @chunk: index of the record: which part of the job's tasks it holds. Record 0 also holds the job
+ * itself
+ * @state: its state between memory and the store
+ * @urgency: the queue that holds it, while it is in one
+ * @requeue_urgency: the urgency of changes that were made while the record was being written; if it
+ * has to be written again, it is queued with this urgency
+ * @write_alone: a transaction with the record was refused as malformed; the next transaction that
+ * carries it carries no other record
+ * @version: version of its key in the store; 0: the key does not exist yet
+ * @revision: revision of its last change in memory
+ * @durable_revision: the last revision that is durable
+ * @rechunked_revision: the last revision that is stored; 0: none. While the job is being
+ * re-chunked, it becomes durable only when the new layout is in force
+ * @refused_until_us: steady time before which the record is not written again after the store has
+ * refused it, in microseconds
+ * @queue_link: its link in the queue
  *
- * A record of a job in the key-value store.
+ * A record of a job, as memory and the key-value store hold it.
  */
 struct MhRecord
 {
@@ -124,64 +131,64 @@
   GList queue_link;
 };
 
-/** MhWaiter: a user's request that is answered when the job's record is durable. */
+/** MhWaiter: a user's request that is answered when a record of the job is durable. */
 typedef struct
 {
   guint64 id;
   MhUserVerb verb;
 } MhWaiter;
 
-/** MhCancellation: how far the cancellation by the user has come; it is never taken back. */
+/** MhCancellation: the progress of a cancellation by the user; it is never revoked. */
 typedef enum
 {
   MH_CANCELLATION_NONE,
-  MH_CANCELLATION_REQUESTED, /* the user asked */
-  MH_CANCELLATION_DURABLE    /* ... and may be told so */
+  MH_CANCELLATION_REQUESTED, /* the user has asked for it */
+  MH_CANCELLATION_DURABLE    /* it is durable, and may be confirmed to the user */
 } MhCancellation;
 
-/** MhCompletion: how far the end of the job has come; it is never taken back. */
+/** MhCompletion: the progress of the job's end; it is never revoked. */
 typedef enum
 {
   MH_COMPLETION_NONE,
-  MH_COMPLETION_UNWRITTEN, /* nothing left to do: the final record is wanted */
+  MH_COMPLETION_UNWRITTEN, /* the job is finished; its final record has to be written */
   MH_COMPLETION_DURABLE    /* the final record is durable */
 } MhCompletion;
 
-/** MhJobPlacement: what the job queue and placement work out for a job; not on record. */
+/** MhJobPlacement: what the job queue and placement compute for a job. It is not stored. */
 typedef struct
 {
   bool guaranteed;          /* within its team's quota, together with the team's earlier jobs */
-  bool starved;             /* nothing of it has begun for long */
-  bool objectives_missed;   /* no service-level objective can be met any more */
+  bool starved;             /* none of its tasks has started for a long time */
+  bool objectives_missed;   /* its deadline, or all its objectives, can no longer be met */
   guint first_pending;      /* no pending task has a lower index */
-  gint64 unplaced_since_us; /* has pending tasks since; 0: has none */
-  gint64 latest_start_us;   /* the latest start that is in time */
-  gint64 retry_after_us;    /* no start before; after failures or a worker's refusal */
-  gint64 expected_run_us;   /* of one task; kept by the scale-out plan */
-  gint64 expected_fetch_us; /* of the image, alone on a machine; kept by the scale-out plan */
+  gint64 unplaced_since_us; /* steady time since when it has pending tasks; 0: it has none */
+  gint64 latest_start_us;   /* latest start that meets its deadline or objectives */
+  gint64 retry_after_us;    /* no start before; set after failures or a worker's refusal */
+  gint64 expected_run_us;   /* run time of one task; updated by the scale-out plan */
+  gint64 expected_fetch_us; /* fetch time of the image alone; updated by the scale-out plan */
 } MhJobPlacement;
 
 /** MhJob: a job in the leader's memory. */
 struct MhJob
 {
-  /* as submitted */
+  /* The job as submitted. */
   MhJobSpec *spec;   /* owned */
-  GRefString *image; /* the spec's, interned: compared by address */
-  GRefString *zone;  /* the spec's, interned; NULL: any */
+  GRefString *image; /* the spec's image, interned: compared by address */
+  GRefString *zone;  /* the spec's zone, interned; NULL: any */
   gint64 submitted_wall_us, submitted_us;
   GArray *waiters; /* MhWaiter */
 
-  /* tasks */
+  /* Tasks. */
   MhTask *tasks;
   guint n_done, n_live, n_running;
   guint n_unreported; /* live attempts on machines that have not reported to this leader */
 
-  /* durable state */
+  /* Durable state. */
   MhRecord *records;
   guint n_records;
-  guint chunk;             /* tasks in one record */
-  guint unchunked_records; /* that are being replaced by smaller ones; 0: none are */
-  bool accepted;           /* its first record is durable */
+  guint tasks_per_record;
+  guint n_old_layout_records; /* stored records that re-chunking replaces; 0: none */
+  bool accepted;              /* its first record is durable */
   MhCancellation cancellation;
   MhCompletion completion;
   MhJobState final_state; /* with MH_COMPLETION_DURABLE */
@@ -194,15 +201,15 @@
 /**
  * mh_job_new:
  * @spec: (transfer full): the job as submitted
- * @chunk: tasks in one record; 0: as many as values of @value_bytes take
- * @value_bytes: the state service's limit for one value
+ * @tasks_per_record: tasks in one record; 0: as many as fit values of @value_bytes
+ * @value_bytes: the key-value store's limit for one value
  * @submitted_wall_us: wall-clock time of the submission
  * @now: the present, by both clocks
  *
  * Returns: (transfer full): a job whose tasks are all pending; free it with mh_job_free()
  */
 MhJob *
-mh_job_new (MhJobSpec *spec, guint chunk, guint value_bytes, gint64 submitted_wall_us,
+mh_job_new (MhJobSpec *spec, guint tasks_per_record, guint value_bytes, gint64 submitted_wall_us,
             const MhNow *now);
 
 /**
@@ -226,7 +233,7 @@
  * mh_job_pending_tasks:
  * @job: a job
  *
- * Returns: how many tasks are neither done nor have a live attempt
+ * Returns: the number of tasks that are not done and have no live attempt
  */
 guint
 mh_job_pending_tasks (const MhJob *job);
@@ -235,7 +242,7 @@
  * mh_job_is_gang:
  * @job: a job
  *
- * Returns: whether its tasks run all at the same time, or none does (gang scheduling)
+ * Returns: %TRUE if its tasks run all at the same time or not at all (gang scheduling)
  */
 bool
 mh_job_is_gang (const MhJob *job);
@@ -244,8 +251,8 @@
  * mh_job_backs_off:
  * @job: a job
  *
- * Returns: %TRUE if its tasks have failed wherever they were started: one is tried at a time, after
- * exponentially growing waits
+ * Returns: %TRUE if its tasks have failed wherever they were started. One task (or, of a gang, one
+ * attempt) is then tried at a time, after exponentially growing waits
  */
 bool
 mh_job_backs_off (const MhJob *job);
@@ -254,7 +261,7 @@
  * mh_job_is_cancelled:
  * @job: a job
  *
- * Returns: whether the user asked for its end, durably or not
+ * Returns: %TRUE if the user has cancelled it, whether or not that is durable yet
  */
 bool
 mh_job_is_cancelled (const MhJob *job);
@@ -263,7 +270,7 @@
  * mh_job_is_cancel_durable:
  * @job: a job
  *
- * Returns: whether its cancellation is on record, so that no later leader starts a task of it
+ * Returns: %TRUE if its cancellation is durable, so that no later leader starts a task of it
  */
 bool
 mh_job_is_cancel_durable (const MhJob *job);
@@ -272,7 +279,7 @@
  * mh_job_is_finished:
  * @job: a job
  *
- * Returns: whether nothing is left to do but to write its final record, if that is not written yet
+ * Returns: %TRUE if the job has ended: at most the write of its final record remains to be done
  */
 bool
 mh_job_is_finished (const MhJob *job);
@@ -281,7 +288,7 @@
  * mh_job_is_final:
  * @job: a job
  *
- * Returns: whether its final record is durable
+ * Returns: %TRUE if its final record is durable
  */
 bool
 mh_job_is_final (const MhJob *job);
@@ -290,7 +297,8 @@
  * mh_job_is_over:
  * @job: a job
  *
- * Returns: whether it takes no more starts: cancelled, finished, or all tasks done
+ * Returns: %TRUE if no task of it may be started any more: it is cancelled or finished, or all its
+ * tasks are done
  */
 bool
 mh_job_is_over (const MhJob *job);
@@ -299,8 +307,8 @@
  * mh_job_grace_us:
  * @job: a job
  *
- * Returns: the time that a task needs to save its checkpoint when it is stopped; 0 for a job
- * without checkpoints, whose tasks end at once
+ * Returns: the time that a task needs to save its checkpoint when it is stopped, in microseconds; 0
+ * for a job without checkpoints, whose tasks are stopped at once
  */
 gint64
 mh_job_grace_us (const MhJob *job);
@@ -310,8 +318,9 @@
  * @job: a job whose first record is durable
  * @answer: its state and counts of tasks are filled in
  *
- * What a user may be told. Only what is durable counts: an answer that a successor would take back
- * is never given.
+ * Fills in the answer to a user's request. A cancellation or the end of the job shows in the state
+ * only when it is durable, so that no later leader contradicts the answer. Otherwise the state and
+ * the counts of tasks are those in memory.
  */
 void
 mh_job_fill_answer (const MhJob *job, MhUserAnswer *answer);
@@ -319,9 +328,9 @@
 /**
  * mh_job_tasks_per_record:
  * @spec: a job as submitted
- * @value_bytes: the state service's limit for one value
+ * @value_bytes: the key-value store's limit for one value
  *
- * Returns: how many tasks' entries fit a value beside the job itself; 0: the job alone is too large
+ * Returns: how many tasks' entries fit into a value beside the job itself; 0: the job is too large
  */
 guint
 mh_job_tasks_per_record (const MhJobSpec *spec, guint value_bytes);
@@ -331,8 +340,8 @@
  * @spec: a job as submitted
  * @type: a machine type
  *
- * Returns: whether an empty machine of @type could take one task: the type and zone that the job
- * asks for, and its resources
+ * Returns: %TRUE if an empty machine of @type could run one task: it has the type and zone that the
+ * job asks for, and the resources
  */
 bool
 mh_job_spec_fits_type (const MhJobSpec *spec, const MhMachineType *type);
@@ -342,8 +351,8 @@
  * @spec: a job as submitted
  * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
  *
- * Returns: how long the fetch of the job's image takes alone, on the first type that fits; 0 if
- * none does
+ * Returns: how long the fetch of the job's image takes on the first type that fits, without
+ * competing fetches, in microseconds; 0 if no type fits
  */
 gint64
 mh_job_spec_fetch_us (const MhJobSpec *spec, const GPtrArray *types);
--- a/src/jobs/objective.h
+++ b/src/jobs/objective.h
@@ -1,5 +1,5 @@
-/* Service-level objectives: until when a job should start, and how long its start may still take.
- */
+/* Service-level objectives: the latest start of a job that meets them, and the remaining time
+   for its start. */
 #pragma once
 
 #include "jobs/job.h"
@@ -9,7 +9,9 @@
 /**
  * MhStartTarget:
  * @at_us: the latest start that is in time, by the steady clock
- * @missed: no objective of the job can be met any more
+ * @missed: the job has a deadline or objectives, and none of them can be met any more
+ *
+ * By when a job should start.
  */
 typedef struct
 {
@@ -19,17 +21,19 @@
 
 /**
  * mh_objective_latest_start:
- * @settings: with the objectives
+ * @settings: settings with the objectives
  * @job: a job
- * @expected_us: what a task of it takes, with the fetch of its image
- * @run_us: ... of which it runs
+ * @expected_us: the time that a task of the job is expected to take, including the fetch of its
+ * image
+ * @run_us: the time that it is expected to run, without the fetch
  * @now_us: the present, by the steady clock
  *
- * When the job's tasks should start at the latest, by its deadline or its class's objectives, of
- * which those count that can still be met. A job that can meet none is due later: it goes behind
- * those that can, but not for ever.
+ * Computes the latest start of the job's tasks that meets its deadline. For a job without a
+ * deadline, the earliest of the objectives of its class that can still be met counts. A job that
+ * can meet none counts as due later, so that it goes behind jobs that can, but does not wait for
+ * ever.
  *
- * Returns: the target
+ * Returns: the latest start
  */
 MhStartTarget
 mh_objective_latest_start (const MhSettings *settings, const MhJob *job, gint64 expected_us,
@@ -37,14 +41,15 @@
 
 /**
  * mh_objective_slack_us:
- * @settings: with the objectives
+ * @settings: settings with the objectives
  * @job: a job
  * @now_us: the present, by the steady clock
  *
- * How long a start of the job may still take, by the objectives that hold for it. Once it is late
- * there is no hurry. A quota without an objective of its own means soon.
+ * Computes how long a start of the job may still take by the objectives for waiting times and
+ * quotas that apply to it. An objective that the job has already missed no longer counts. For a job
+ * within its team's quota, a short time counts if the settings have no objective for quotas.
  *
- * Returns: the time, in microseconds
+ * Returns: the remaining time, in microseconds
  */
 gint64
 mh_objective_slack_us (const MhSettings *settings, const MhJob *job, gint64 now_us);
--- a/src/jobs/runtime-estimate.c
+++ b/src/jobs/runtime-estimate.c
@@ -1,11 +1,14 @@
 #include "jobs/runtime-estimate.h"
 #include "base/time-units.h"
 
+/* With fewer samples of a class, users' estimates are used unchanged. */
 #define MIN_SAMPLES 3
+/* Bounds of the ratio that estimates are multiplied by. */
 #define MIN_RATIO 0.25
 #define MAX_RATIO 4
-/* Of the latest sample, once there are many. */
-#define MIN_WEIGHT 0.02
+/* Lower bound of the latest sample's weight in the moving average, which is 1/n for the n-th sample
+   until then. */
+#define MIN_SAMPLE_WEIGHT 0.02
 
 typedef struct
 {
@@ -45,7 +48,7 @@
       g_hash_table_insert (estimator->classes, g_strdup (spec->class_name), statistics);
     }
   statistics->samples++;
-  double weight = MAX (1.0 / statistics->samples, MIN_WEIGHT);
+  double weight = MAX (1.0 / statistics->samples, MIN_SAMPLE_WEIGHT);
   statistics->ratio
       += weight * ((double)ran_us / (double)spec->estimated_run_us - statistics->ratio);
 }
--- a/src/jobs/runtime-estimate.h
+++ b/src/jobs/runtime-estimate.h
@@ -1,19 +1,19 @@
-/* How long tasks run, as far as can be told.
+/* Estimates of how long tasks run.
 
-   Owners' estimates are often wrong, and on some days all in one direction. What the tasks of a
-   class took is kept as a multiple of what their owners said: an exponential moving average that
-   begins as the plain mean. */
+   Users' estimates are often wrong, and on some days all in the same direction. For each class of
+   jobs, the estimator keeps the ratio of the actual run time to the user's estimate, as an
+   exponential moving average that begins as the plain mean. */
 #pragma once
 
 #include "protocol/job-spec.h"
 
-/** MhRuntimeEstimator: the statistics of all classes of jobs. */
+/** MhRuntimeEstimator: run-time statistics of all classes of jobs. */
 typedef struct MhRuntimeEstimator MhRuntimeEstimator;
 
 /**
  * mh_runtime_estimator_new:
  *
- * Returns: (transfer full): an estimator that has seen nothing
+ * Returns: (transfer full): an estimator without samples
  */
 MhRuntimeEstimator *
 mh_runtime_estimator_new (void);
@@ -30,9 +30,10 @@
  * mh_runtime_estimator_observe:
  * @estimator: an estimator
  * @spec: a job
- * @ran_us: for how long a task of it has run until it was done
+ * @ran_us: how long a task of the job has run until it was done
  *
- * Jobs whose owner said nothing, or less than a second, tell nothing of others.
+ * Adds a sample. Jobs whose estimate is missing or less than a second are ignored: their ratio says
+ * nothing about other jobs of the class.
  */
 void
 mh_runtime_estimator_observe (MhRuntimeEstimator *estimator, const MhJobSpec *spec, gint64 ran_us);
@@ -42,8 +43,8 @@
  * @estimator: an estimator
  * @class_name: a class of jobs
  *
- * Returns: what tasks of the class take, as a multiple of their owners' estimates, within bounds; 1
- * until some have been seen
+ * Returns: the ratio of the run time of tasks of the class to their users' estimates, within fixed
+ * bounds; 1 while there are too few samples
  */
 double
 mh_runtime_estimator_ratio (const MhRuntimeEstimator *estimator, const char *class_name);
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -104,7 +104,8 @@
   bool saves = grace_us > 0 && job->n_running;
   if (saves && job->gang.state != MH_GANG_STATE_ENDING)
     log_if_unreachable (attempts, job);
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOPPED, mh_runtime_now_us (attempts->runtime));
+  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOP_REQUESTED,
+                     mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
--- a/src/runtime/action.h
+++ b/src/runtime/action.h
@@ -1,5 +1,7 @@
-/* Actions: what the state machine asks its host to do. The host (src/server, or the fake clock of
-   the tests) takes them with mh_core_pop () after each input and carries them out in order. */
+/* Actions: what the state machine asks its host to do.
+
+   After each input, the host (src/server, or the simulation of the tests) takes the actions with
+   mh_core_pop () and carries them out in order. */
 #pragma once
 
 #include "protocol/request.h"
@@ -7,39 +9,43 @@
 
 /**
  * MhActionKind:
- * @MH_ACTION_CALL: make a request; its reply comes back through mh_core_reply ()
- * @MH_ACTION_ANNOUNCE_LEADER: tell another controller that this one leads, with epoch `id`
- * @MH_ACTION_FORWARD: hand a user's request to another controller
+ * @MH_ACTION_SEND_REQUEST: send a request; the host passes its reply to mh_core_reply ()
+ * @MH_ACTION_ANNOUNCE_LEADER: announce to another controller that this one leads, with epoch @id
+ * @MH_ACTION_FORWARD_USER_REQUEST: forward a user's request to another controller
  * @MH_ACTION_ANSWER_USER: answer a user's request
- * @MH_ACTION_ANSWER_REPORT: answer a worker's heartbeat
+ * @MH_ACTION_ANSWER_HEARTBEAT: answer a worker's heartbeat
  * @MH_ACTION_LOG: write a line to the log
+ *
+ * What the host has to do.
  */
 typedef enum
 {
-  MH_ACTION_CALL,
+  MH_ACTION_SEND_REQUEST,
   MH_ACTION_ANNOUNCE_LEADER,
-  MH_ACTION_FORWARD,
+  MH_ACTION_FORWARD_USER_REQUEST,
   MH_ACTION_ANSWER_USER,
-  MH_ACTION_ANSWER_REPORT,
+  MH_ACTION_ANSWER_HEARTBEAT,
   MH_ACTION_LOG
 } MhActionKind;
 
 /**
  * MhAction:
- * @kind: what is to be done; the other fields apply to the kinds that they name
- * @id: of the call, or of the request that is answered; the epoch of ANNOUNCE_LEADER
- * @timeout_us: CALL, FORWARD: how long to wait for a reply, in microseconds
- * @request: (owned) (nullable): CALL
- * @answer: ANSWER_USER
- * @status: ANSWER_REPORT: the HTTP status
- * @body: (owned) (nullable): ANSWER_REPORT
- * @node: (owned) (nullable): FORWARD, ANNOUNCE_LEADER: the controller that it goes to
- * @line: (owned) (nullable): LOG
- * @level: LOG
- * @lease_until_us: steady time at which the leader's lease ends that the action rests on; it must
- * not leave the process after that. 0: it rests on no lease
+ * @kind: what is to be done; each of the other members applies only to the kinds that its
+ * description names
+ * @id: SEND_REQUEST: number of the call; ANNOUNCE_LEADER: the epoch; FORWARD_USER_REQUEST,
+ * ANSWER_USER, ANSWER_HEARTBEAT: number of the request that is forwarded or answered
+ * @timeout_us: SEND_REQUEST, FORWARD_USER_REQUEST: how long to wait for a reply, in microseconds
+ * @request: (owned) (nullable): SEND_REQUEST: the request
+ * @answer: ANSWER_USER: the answer
+ * @status: ANSWER_HEARTBEAT: the HTTP status
+ * @body: (owned) (nullable): ANSWER_HEARTBEAT: the body of the answer
+ * @node: (owned) (nullable): FORWARD_USER_REQUEST, ANNOUNCE_LEADER: the controller to send to
+ * @line: (owned) (nullable): LOG: the line
+ * @level: LOG: its log level
+ * @lease_until_us: all kinds: steady time at which the leader lease ends that the action depends
+ * on; the action must not leave the process after that. 0: it depends on no lease
  *
- * One action.
+ * An action.
  */
 typedef struct
 {
@@ -60,7 +66,7 @@
  * mh_action_free:
  * @action: (transfer full) (nullable): an action
  *
- * Frees the action with all that it owns.
+ * Frees the action and what it owns.
  */
 void
 mh_action_free (MhAction *action);
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -2,24 +2,27 @@
 
 #include "base/token-bucket.h"
 
-/* Of the rate of changes, and the burst; the other controllers write a little too. */
-#define WRITE_SHARE 0.9
+/* Changes of keys in the key-value store: the share of the store's rate limit that this controller
+   uses, and the burst of its token bucket, in seconds of the whole limit. The other controllers
+   write a little too. */
+#define WRITE_RATE_SHARE 0.9
 #define WRITE_BURST_S 0.8
-/* Of the rate of requests to the key-value store, and the burst; the other controllers read and
-   watch a little too. */
-#define STORE_SHARE 0.75
+/* Likewise for requests to the key-value store. The other controllers also read and watch. */
+#define STORE_RATE_SHARE 0.75
 #define STORE_BURST_S 0.4
-#define CLOUD_SHARE 0.9
+/* Likewise for requests to the cloud. */
+#define CLOUD_RATE_SHARE 0.9
 #define CLOUD_BURST_S 1.5
-/* After a call to the key-value store that failed. */
-#define STORE_PAUSE_US (MH_SECOND_US / 10)
-#define STORE_PAUSE_SPREAD_US 150000
-/* What waits for tokens is looked at again after so long. */
-#define STORE_RETRY_US 20000
-#define CLOUD_RETRY_US 100000
-/* Calls to workers under way at once: one in so many of all connections, and at least so many. */
-#define WORKER_CALLS_PART 12u
-#define LEAST_WORKER_CALLS 16u
+/* Pause of calls to the key-value store after one has failed, and the random addition to it. */
+#define STORE_FAILURE_PAUSE_US (MH_SECOND_US / 10)
+#define STORE_FAILURE_PAUSE_JITTER_US 150000
+/* Time until calls that wait for tokens are tried again. */
+#define STORE_TOKEN_RETRY_US 20000
+#define CLOUD_TOKEN_RETRY_US 100000
+/* Bound on the calls to workers that are in flight: one part in WORKER_CALLS_DIVISOR of all
+   connections, but at least MIN_WORKER_CALLS. */
+#define WORKER_CALLS_DIVISOR 12u
+#define MIN_WORKER_CALLS 16u
 
 typedef struct
 {
@@ -32,16 +35,16 @@
 typedef struct
 {
   MhCallOptions options;
-  bool to_worker; /* and has left */
+  bool sent_to_worker; /* a call to a worker that is in flight */
 } PendingCall;
 
 struct MhCallQueue
 {
   MhRuntime *runtime;
-  GHashTable *pending; /* guint64 id -> PendingCall: queued or under way */
+  GHashTable *pending; /* guint64 id -> PendingCall: queued or in flight */
   GQueue store_queue[MH_CALL_CLASSES], cloud_queue[MH_CALL_CLASSES]; /* QueuedCall */
   GQueue worker_queue;                                               /* QueuedCall */
-  guint worker_calls;                                                /* under way */
+  guint worker_calls_in_flight;
   MhTokenBucket store_bucket, write_bucket, cloud_bucket;
   gint64 store_paused_until_us, cloud_paused_until_us;
   bool write_rate_lowered;
@@ -73,11 +76,11 @@
   MhCallQueue *queue = g_new0 (MhCallQueue, 1);
   queue->runtime = runtime;
   queue->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_call_free);
-  mh_token_bucket_init (&queue->store_bucket, settings->store_rps * STORE_SHARE,
+  mh_token_bucket_init (&queue->store_bucket, settings->store_rps * STORE_RATE_SHARE,
                         settings->store_rps * STORE_BURST_S, now_us);
-  mh_token_bucket_init (&queue->write_bucket, settings->store_write_rps * WRITE_SHARE,
+  mh_token_bucket_init (&queue->write_bucket, settings->store_write_rps * WRITE_RATE_SHARE,
                         settings->store_write_rps * WRITE_BURST_S, now_us);
-  mh_token_bucket_init (&queue->cloud_bucket, settings->cloud_rps * CLOUD_SHARE,
+  mh_token_bucket_init (&queue->cloud_bucket, settings->cloud_rps * CLOUD_RATE_SHARE,
                         settings->cloud_rps * CLOUD_BURST_S, now_us);
   return queue;
 }
@@ -137,7 +140,7 @@
   if (!g_hash_table_steal_extended (queue->pending, &id, &key, &value))
     return;
   PendingCall *pending = value;
-  queue->worker_calls -= pending->to_worker;
+  queue->worker_calls_in_flight -= pending->sent_to_worker;
   pending->options.func (pending->options.owner, pending->options.data, reply);
   g_free (key);
   pending_call_free (pending);
@@ -153,23 +156,23 @@
     }
   g_queue_clear_full (&queue->worker_queue, queued_call_free);
   g_hash_table_remove_all (queue->pending);
-  queue->worker_calls = 0;
+  queue->worker_calls_in_flight = 0;
 }
 
 guint
-mh_call_queue_waiting (const MhCallQueue *queue, MhCallClass class)
+mh_call_queue_count_waiting (const MhCallQueue *queue, MhCallClass class)
 {
   return queue->store_queue[class].length;
 }
 
 /* ---- sending ---- */
 
-/* Commands and calls that change something in the cloud rest on the lease. What is written to the
-   store has its own conditions. */
+/* Commands to workers and calls that change something in the cloud carry the end of the leader
+   lease. Writes to the key-value store carry the conditions of their transaction instead. */
 static void
 send_call (MhCallQueue *queue, QueuedCall *queued)
 {
-  MhAction *action = mh_runtime_act (queue->runtime, MH_ACTION_CALL, queued->id);
+  MhAction *action = mh_runtime_add_action (queue->runtime, MH_ACTION_SEND_REQUEST, queued->id);
   action->request = g_steal_pointer (&queued->request);
   action->timeout_us = queued->timeout_us;
   if (action->request->target != MH_TARGET_KEY_VALUE_STORE && action->request->body)
@@ -185,11 +188,11 @@
          && mh_token_bucket_has (&queue->store_bucket, 1, now_us);
 }
 
-/* Calls of the class in their order. Changes that have to wait hold up other changes, but not
-   reads: else questions about finished jobs would go unanswered as long as there is much to write.
-   False: the store takes no further call now. */
+/* Sends the calls of a class in their order. A write that waits for tokens blocks later writes, but
+   no reads: otherwise users' requests about finished jobs would not be answered as long as there is
+   much to write. Returns false if no further call may be sent to the store now. */
 static bool
-flush_store_class (MhCallQueue *queue, MhCallClass class, bool *writes_wait)
+flush_store_class (MhCallQueue *queue, MhCallClass class, bool *writes_blocked)
 {
   gint64 now_us = mh_runtime_now_us (queue->runtime);
   for (GList *link = queue->store_queue[class].head, *next; link; link = next)
@@ -200,14 +203,14 @@
       if (limited && !store_has_token (queue))
         {
           mh_runtime_wake_at (queue->runtime,
-                              MAX (now_us + STORE_RETRY_US, queue->store_paused_until_us));
+                              MAX (now_us + STORE_TOKEN_RETRY_US, queue->store_paused_until_us));
           return false;
         }
       if (limited && queued->changes > 0)
-        *writes_wait |= !mh_token_bucket_has (&queue->write_bucket, queued->changes, now_us);
-      if (limited && queued->changes > 0 && *writes_wait)
+        *writes_blocked |= !mh_token_bucket_has (&queue->write_bucket, queued->changes, now_us);
+      if (limited && queued->changes > 0 && *writes_blocked)
         {
-          mh_runtime_wake_at (queue->runtime, now_us + STORE_RETRY_US);
+          mh_runtime_wake_at (queue->runtime, now_us + STORE_TOKEN_RETRY_US);
           continue;
         }
       mh_token_bucket_take (&queue->store_bucket, 1);
@@ -218,14 +221,14 @@
   return true;
 }
 
-/* The lease is renewed whatever the buckets say: its calls are few, and without it nothing else
- * counts. */
+/* Calls that keep or win the leader lease wait for no tokens: they are few, and without the lease
+   all other calls are useless. They still take tokens. */
 static void
 flush_store (MhCallQueue *queue)
 {
-  bool writes_wait = false;
+  bool writes_blocked = false;
   for (guint class = 0; class < MH_CALL_CLASSES; class ++)
-    if (!flush_store_class (queue, (MhCallClass) class, &writes_wait))
+    if (!flush_store_class (queue, (MhCallClass) class, &writes_blocked))
       return;
 }
 
@@ -242,7 +245,7 @@
             || !mh_token_bucket_has (&queue->cloud_bucket, 1, now_us))
           {
             mh_runtime_wake_at (queue->runtime,
-                                MAX (now_us + CLOUD_RETRY_US, queue->cloud_paused_until_us));
+                                MAX (now_us + CLOUD_TOKEN_RETRY_US, queue->cloud_paused_until_us));
             return;
           }
         mh_token_bucket_take (&queue->cloud_bucket, 1);
@@ -250,22 +253,22 @@
       }
 }
 
-/* Machines that are cut off hold their connections until the call is given up: those must hold up
-   neither the lease nor those who connect to us. A call that has waited leaves only while the lease
-   holds, like one that is new: from a queue behind the state machine, commands once left after its
-   end. */
+/* A call to a machine that is cut off holds its connection until the call times out. The bound on
+   calls in flight keeps connections free for the renewal of the lease and for incoming requests. A
+   queued call is sent only while the lease is valid, like a new one: when calls waited in a queue
+   behind the state machine, commands were sent after the lease had ended. */
 static void
 flush_workers (MhCallQueue *queue)
 {
   guint connections = mh_runtime_settings (queue->runtime)->max_connections;
-  guint most = MAX (LEAST_WORKER_CALLS, connections / WORKER_CALLS_PART);
-  while (queue->worker_queue.length && queue->worker_calls < most
+  guint max_calls = MAX (MIN_WORKER_CALLS, connections / WORKER_CALLS_DIVISOR);
+  while (queue->worker_queue.length && queue->worker_calls_in_flight < max_calls
          && mh_runtime_is_leader (queue->runtime))
     {
       QueuedCall *queued = g_queue_pop_head (&queue->worker_queue);
       PendingCall *pending = g_hash_table_lookup (queue->pending, &queued->id);
-      pending->to_worker = true;
-      queue->worker_calls++;
+      pending->sent_to_worker = true;
+      queue->worker_calls_in_flight++;
       send_call (queue, queued);
     }
 }
@@ -279,7 +282,7 @@
   flush_workers (queue);
 }
 
-/* ---- the key-value store's limits ---- */
+/* ---- limits of the key-value store ---- */
 
 double
 mh_call_queue_store_rate (const MhCallQueue *queue)
@@ -297,10 +300,10 @@
 mh_call_queue_may_write (MhCallQueue *queue, double changes, double *tokens)
 {
   gint64 now_us = mh_runtime_now_us (queue->runtime);
-  bool may = now_us >= queue->store_paused_until_us
-             && mh_token_bucket_has (&queue->write_bucket, changes, now_us);
+  bool allowed = now_us >= queue->store_paused_until_us
+                 && mh_token_bucket_has (&queue->write_bucket, changes, now_us);
   *tokens = queue->write_bucket.tokens;
-  return may;
+  return allowed;
 }
 
 gint64
@@ -310,15 +313,15 @@
 }
 
 void
-mh_call_queue_pause_store (MhCallQueue *queue, gint64 least_us, gint64 spread_us)
+mh_call_queue_pause_store (MhCallQueue *queue, gint64 min_delay_us, gint64 jitter_us)
 {
-  queue->store_paused_until_us = mh_runtime_jittered_us (queue->runtime, least_us, spread_us);
+  queue->store_paused_until_us = mh_runtime_jittered_us (queue->runtime, min_delay_us, jitter_us);
 }
 
 void
-mh_call_queue_pause_cloud (MhCallQueue *queue, gint64 least_us, gint64 spread_us)
+mh_call_queue_pause_cloud (MhCallQueue *queue, gint64 min_delay_us, gint64 jitter_us)
 {
-  queue->cloud_paused_until_us = mh_runtime_jittered_us (queue->runtime, least_us, spread_us);
+  queue->cloud_paused_until_us = mh_runtime_jittered_us (queue->runtime, min_delay_us, jitter_us);
 }
 
 static const char *
@@ -346,13 +349,13 @@
 }
 
 void
-mh_call_queue_store_failed (MhCallQueue *queue, guint status)
+mh_call_queue_handle_store_failure (MhCallQueue *queue, guint status)
 {
   g_return_if_fail (queue);
   mh_call_queue_log_store_failure (queue, status);
   if (status == 429)
     mh_call_queue_lower_write_rate (queue);
-  mh_call_queue_pause_store (queue, STORE_PAUSE_US, STORE_PAUSE_SPREAD_US);
+  mh_call_queue_pause_store (queue, STORE_FAILURE_PAUSE_US, STORE_FAILURE_PAUSE_JITTER_US);
 }
 
 void
@@ -362,12 +365,12 @@
   if (next_rate <= 0 || queue->write_rate_lowered)
     return;
   queue->write_rate_lowered = true;
-  if (queue->write_bucket.rate <= next_rate * WRITE_SHARE)
+  if (queue->write_bucket.rate <= next_rate * WRITE_RATE_SHARE)
     return;
-  mh_log_info (queue->runtime, "key-value store takes fewer changes changes_per_second=%.1f",
-               next_rate);
-  mh_token_bucket_init (&queue->write_bucket, next_rate * WRITE_SHARE, next_rate * WRITE_BURST_S,
-                        mh_runtime_now_us (queue->runtime));
+  mh_log_info (queue->runtime,
+               "lowering rate of changes to key-value store changes_per_second=%.1f", next_rate);
+  mh_token_bucket_init (&queue->write_bucket, next_rate * WRITE_RATE_SHARE,
+                        next_rate * WRITE_BURST_S, mh_runtime_now_us (queue->runtime));
   mh_token_bucket_take (&queue->write_bucket, queue->write_bucket.burst);
 }
 
--- a/src/runtime/call-queue.h
+++ b/src/runtime/call-queue.h
@@ -1,24 +1,25 @@
-/* Calls to the key-value store, the cloud and the workers, and the token buckets that they wait
-   for.
+/* Calls to the key-value store, the cloud and the workers, and the token buckets that limit their
+   rate.
 
-   Replies come back as inputs; a call whose leadership has ended is forgotten, and its reply is
-   ignored. Calls to the cloud and to workers leave only while this controller may act as leader,
-   and carry the end of its lease. */
+   A call is a request and its reply, which arrives as a later input. At the end of a leadership its
+   calls are forgotten, and their replies are ignored. Calls to the cloud and to workers are sent
+   only while this controller may act as leader. Those that change something carry the end of its
+   leader lease. */
 #pragma once
 
 #include "runtime/runtime.h"
 
-/** MhCallQueue: the calls of this controller, and the token buckets that they wait for */
+/** MhCallQueue: the calls of this controller, and the token buckets that limit their rate */
 typedef struct MhCallQueue MhCallQueue;
 
 /**
  * MhCallClass:
- * @MH_CALL_LEASE: keeps or wins leadership; waits for no token
- * @MH_CALL_SAFETY: what the rules rest on: reloads, cancellations, releases
+ * @MH_CALL_LEASE: calls that keep or win the leadership; they wait for no token
+ * @MH_CALL_SAFETY: calls that correctness depends on: loading of records, cancellations, releases
  * @MH_CALL_WORK: starts, results, scale-out
- * @MH_CALL_BACKGROUND: reads for users about jobs that are not in memory
+ * @MH_CALL_BACKGROUND: reads for users' requests about jobs that are not in memory
  *
- * The order in which calls get the tokens of their bucket.
+ * Classes of calls. Calls of an earlier class get tokens first.
  */
 typedef enum
 {
@@ -32,10 +33,11 @@
 
 /**
  * MhReply:
- * @status: HTTP status; 0: no answer came, so that whether the request was carried out is unknown
- * @body: (nullable): valid during the call of the function
+ * @status: HTTP status; 0: no answer arrived, so that it is unknown whether the request was carried
+ * out
+ * @body: (nullable): body of the answer; valid only while the MhReplyFunc runs
  *
- * The end of a call.
+ * The outcome of a call.
  */
 typedef struct
 {
@@ -46,24 +48,25 @@
 /**
  * MhReplyFunc:
  * @owner: the module that made the call
- * @data: (nullable): what the call is about
- * @reply: how it ended
+ * @data: (nullable): data of the call
+ * @reply: the outcome
  *
- * Takes a reply. It is not called for calls that were forgotten.
+ * Handles a reply. It is not called for calls that were forgotten.
  */
 typedef void (*MhReplyFunc) (gpointer owner, gpointer data, const MhReply *reply);
 
 /**
  * MhCallOptions:
- * @class: the order in which it gets its tokens
- * @changes: keys that it changes in the key-value store; each takes a token of the write bucket
- * @timeout_us: how long to wait for a reply once it has left, in microseconds
- * @func: takes the reply
+ * @class: class of the call
+ * @changes: number of keys that it changes in the key-value store; each takes a token of the write
+ * bucket
+ * @timeout_us: how long to wait for a reply after the request was sent, in microseconds
+ * @func: handles the reply
  * @owner: passed to @func
  * @data: (nullable): passed to @func
  * @free_data: (nullable): frees @data after the reply, or when the call is forgotten
  *
- * How a call is made.
+ * Options of a call.
  */
 typedef struct
 {
@@ -80,7 +83,8 @@
  * mh_call_queue_new:
  * @runtime: (not transferred): must outlive the queue
  *
- * Returns: (transfer full): a queue with full buckets, by the rates of the settings
+ * Returns: (transfer full): an empty queue; its token buckets are full and have the rates of the
+ * settings
  */
 MhCallQueue *
 mh_call_queue_new (MhRuntime *runtime);
@@ -89,7 +93,7 @@
  * mh_call_queue_free:
  * @queue: (transfer full) (nullable): a queue
  *
- * Frees it; calls under way are forgotten.
+ * Frees the queue. Calls that are queued or in flight are forgotten.
  */
 void
 mh_call_queue_free (MhCallQueue *queue);
@@ -98,10 +102,10 @@
 /**
  * mh_call_queue_add:
  * @queue: a queue
- * @request: (transfer full): what is asked, and of whom
- * @options: how
+ * @request: (transfer full): the request, which names the target
+ * @options: options of the call
  *
- * Queues a call. It leaves with mh_call_queue_flush (), once its bucket has the tokens.
+ * Queues a call. mh_call_queue_flush () sends it once its buckets have the tokens.
  */
 void
 mh_call_queue_add (MhCallQueue *queue, MhRequest *request, const MhCallOptions *options);
@@ -110,7 +114,7 @@
  * mh_call_queue_flush:
  * @queue: a queue
  *
- * Sends what the buckets allow, and asks for a wake-up where something has to wait for tokens.
+ * Sends the calls that the token buckets allow, and requests a wake-up if calls wait for tokens.
  */
 void
 mh_call_queue_flush (MhCallQueue *queue);
@@ -118,10 +122,10 @@
 /**
  * mh_call_queue_complete:
  * @queue: a queue
- * @id: of the call
- * @reply: how it ended
+ * @id: number of the call
+ * @reply: the outcome
  *
- * Hands the reply to who made the call. Nothing happens if the call was forgotten.
+ * Passes the reply to the module that made the call. Does nothing if the call was forgotten.
  */
 void
 mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhReply *reply);
@@ -130,28 +134,28 @@
  * mh_call_queue_forget_all:
  * @queue: a queue
  *
- * Forgets all calls, queued or under way; replies that still come are ignored.
+ * Forgets all calls that are queued or in flight. Replies that still arrive are ignored.
  */
 void
 mh_call_queue_forget_all (MhCallQueue *queue);
 
 /**
- * mh_call_queue_waiting:
+ * mh_call_queue_count_waiting:
  * @queue: a queue
  * @class: a class of calls
  *
- * Returns: how many calls of @class to the key-value store wait for tokens
+ * Returns: the number of calls of @class to the key-value store that have not been sent yet
  */
 guint
-mh_call_queue_waiting (const MhCallQueue *queue, MhCallClass class);
+mh_call_queue_count_waiting (const MhCallQueue *queue, MhCallClass class);
 
-/* ---- the key-value store's limits ---- */
+/* ---- limits of the key-value store ---- */
 
 /**
  * mh_call_queue_store_rate:
  * @queue: a queue
  *
- * Returns: the requests a second that this controller makes to the key-value store at most
+ * Returns: the limit of requests a second that this controller sends to the key-value store
  */
 double
 mh_call_queue_store_rate (const MhCallQueue *queue);
@@ -160,7 +164,7 @@
  * mh_call_queue_write_burst:
  * @queue: a queue
  *
- * Returns: the most changes that may leave at once
+ * Returns: the burst of the write bucket: the number of changes that may be sent at once
  */
 double
 mh_call_queue_write_burst (const MhCallQueue *queue);
@@ -168,11 +172,10 @@
 /**
  * mh_call_queue_may_write:
  * @queue: a queue
- * @changes: keys to be changed
- * @tokens: (out): what the write bucket holds now
+ * @changes: number of keys to be changed
+ * @tokens: (out): tokens that the write bucket holds now
  *
- * Returns: %TRUE if the write bucket has tokens for so many changes and the store is not left alone
- * for now
+ * Returns: %TRUE if the write bucket has tokens for @changes, and calls to the store are not paused
  */
 bool
 mh_call_queue_may_write (MhCallQueue *queue, double changes, double *tokens);
@@ -181,7 +184,8 @@
  * mh_call_queue_store_paused_until_us:
  * @queue: a queue
  *
- * Returns: the steady time until which no call to the store leaves, but for the lease
+ * Returns: the steady time until which calls to the key-value store are paused, except for those of
+ * %MH_CALL_LEASE
  */
 gint64
 mh_call_queue_store_paused_until_us (const MhCallQueue *queue);
@@ -189,43 +193,43 @@
 /**
  * mh_call_queue_pause_store:
  * @queue: a queue
- * @least_us: for so long, in microseconds
- * @spread_us: and a random part of this more
+ * @min_delay_us: shortest duration of the pause, in microseconds
+ * @jitter_us: upper bound of the random addition to it, in microseconds
  *
- * Leaves the key-value store alone for a while, but for the lease.
+ * Pauses all calls to the key-value store except for those of %MH_CALL_LEASE.
  */
 void
-mh_call_queue_pause_store (MhCallQueue *queue, gint64 least_us, gint64 spread_us);
+mh_call_queue_pause_store (MhCallQueue *queue, gint64 min_delay_us, gint64 jitter_us);
 
 /**
  * mh_call_queue_pause_cloud:
  * @queue: a queue
- * @least_us: for so long, in microseconds
- * @spread_us: and a random part of this more
+ * @min_delay_us: shortest duration of the pause, in microseconds
+ * @jitter_us: upper bound of the random addition to it, in microseconds
  *
- * Leaves the cloud alone for a while.
+ * Pauses all calls to the cloud.
  */
 void
-mh_call_queue_pause_cloud (MhCallQueue *queue, gint64 least_us, gint64 spread_us);
+mh_call_queue_pause_cloud (MhCallQueue *queue, gint64 min_delay_us, gint64 jitter_us);
 
 /**
- * mh_call_queue_store_failed:
+ * mh_call_queue_handle_store_failure:
  * @queue: a queue
- * @status: of the reply; 0: none came
+ * @status: HTTP status of the reply; 0: no answer arrived
  *
- * A call to the key-value store was not answered, or not carried out for now: it is logged, and
- * further calls wait. After a 429 the rate of changes that the settings announce as the next one
- * holds.
+ * Handles a call to the key-value store that was not answered, or that the store could not carry
+ * out at the time: logs it, and pauses further calls for a short time. After a 429 it also lowers
+ * the rate of changes, see mh_call_queue_lower_write_rate ().
  */
 void
-mh_call_queue_store_failed (MhCallQueue *queue, guint status);
+mh_call_queue_handle_store_failure (MhCallQueue *queue, guint status);
 
 /**
  * mh_call_queue_log_store_failure:
  * @queue: a queue
- * @status: of the reply; 0: none came
+ * @status: HTTP status of the reply; 0: no answer arrived
  *
- * Logs that a call to the key-value store failed, once a second at the most.
+ * Logs that a call to the key-value store failed, at most once a second.
  */
 void
 mh_call_queue_log_store_failure (MhCallQueue *queue, guint status);
@@ -234,7 +238,8 @@
  * mh_call_queue_lower_write_rate:
  * @queue: a queue
  *
- * From now on the rate of changes holds that the settings announce as the next one, if they do.
+ * Lowers the rate of changes to the one that the settings announce as the next limit of the store
+ * (MhSettings.next_write_rps). Does nothing if they announce none.
  */
 void
 mh_call_queue_lower_write_rate (MhCallQueue *queue);
@@ -243,7 +248,7 @@
  * mh_call_queue_write_rate_is_lowered:
  * @queue: a queue
  *
- * Returns: %TRUE once the store was found to hold to the announced next rate
+ * Returns: %TRUE if the announced next limit has been found to be in force
  */
 bool
 mh_call_queue_write_rate_is_lowered (const MhCallQueue *queue);
--- a/src/runtime/runtime.c
+++ b/src/runtime/runtime.c
@@ -1,10 +1,11 @@
 #include "runtime/runtime.h"
 
-/* A tick that comes so much too late was not held up by work. */
-#define STOOD_STILL_US MH_SECOND_US
-/* Without anything else to do, a step is taken so often. */
-#define REGULAR_STEP_US (MH_SECOND_US / 2)
-/* Lines on one subject are at least so far apart. */
+/* An input that comes this much later than the requested wake-up shows that the process was paused:
+   the handling of inputs never delays a wake-up that long. */
+#define PAUSE_THRESHOLD_US MH_SECOND_US
+/* Longest time between two steps, if no earlier wake-up is requested. */
+#define REGULAR_STEP_INTERVAL_US (MH_SECOND_US / 2)
+/* Shortest time between two log lines on the same subject. */
 #define LOG_INTERVAL_US MH_SECOND_US
 
 struct MhRuntime
@@ -17,7 +18,7 @@
   gconstpointer lease_owner;
   guint64 last_id;
   GQueue actions;
-  gint64 next_line_us[MH_LOG_SUBJECTS];
+  gint64 next_log_us[MH_LOG_SUBJECTS];
 };
 
 MhRuntime *
@@ -60,9 +61,9 @@
 mh_runtime_begin_input (MhRuntime *runtime, const MhNow *now)
 {
   g_return_if_fail (runtime && now);
-  if (runtime->wake_up_us && now->mono_us > runtime->wake_up_us + STOOD_STILL_US)
+  if (runtime->wake_up_us && now->mono_us > runtime->wake_up_us + PAUSE_THRESHOLD_US)
     {
-      mh_log_info (runtime, "process stood still seconds=%.1f",
+      mh_log_info (runtime, "process was paused seconds=%.1f",
                    (double)(now->mono_us - runtime->wake_up_us) / MH_SECOND_US);
       runtime->resumed_us = now->mono_us;
     }
@@ -82,9 +83,9 @@
 }
 
 gint64
-mh_runtime_jittered_us (const MhRuntime *runtime, gint64 least_us, gint64 spread_us)
+mh_runtime_jittered_us (const MhRuntime *runtime, gint64 min_delay_us, gint64 jitter_us)
 {
-  return runtime->now.mono_us + least_us + (gint64)(runtime->now.jitter * (double)spread_us);
+  return runtime->now.mono_us + min_delay_us + (gint64)(runtime->now.jitter * (double)jitter_us);
 }
 
 gint64
@@ -102,7 +103,7 @@
 void
 mh_runtime_reset_wake_up (MhRuntime *runtime)
 {
-  runtime->wake_up_us = runtime->now.mono_us + REGULAR_STEP_US;
+  runtime->wake_up_us = runtime->now.mono_us + REGULAR_STEP_INTERVAL_US;
 }
 
 void
@@ -140,7 +141,7 @@
 }
 
 MhAction *
-mh_runtime_act (MhRuntime *runtime, MhActionKind kind, guint64 id)
+mh_runtime_add_action (MhRuntime *runtime, MhActionKind kind, guint64 id)
 {
   MhAction *action = g_new0 (MhAction, 1);
   action->kind = kind;
@@ -154,7 +155,7 @@
 void
 mh_runtime_answer_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s)
 {
-  MhAction *action = mh_runtime_act (runtime, MH_ACTION_ANSWER_USER, id);
+  MhAction *action = mh_runtime_add_action (runtime, MH_ACTION_ANSWER_USER, id);
   action->answer.status = status;
   action->answer.retry_after_s = retry_after_s;
 }
@@ -171,7 +172,7 @@
 mh_runtime_log (MhRuntime *runtime, GLogLevelFlags level, const char *format, ...)
 {
   va_list args;
-  MhAction *action = mh_runtime_act (runtime, MH_ACTION_LOG, 0);
+  MhAction *action = mh_runtime_add_action (runtime, MH_ACTION_LOG, 0);
   action->level = level;
   va_start (args, format);
   action->line = g_strdup_vprintf (format, args);
@@ -182,8 +183,8 @@
 mh_runtime_may_log (MhRuntime *runtime, MhLogSubject subject)
 {
   g_return_val_if_fail (subject < MH_LOG_SUBJECTS, false);
-  if (runtime->now.mono_us < runtime->next_line_us[subject])
+  if (runtime->now.mono_us < runtime->next_log_us[subject])
     return false;
-  runtime->next_line_us[subject] = runtime->now.mono_us + LOG_INTERVAL_US;
+  runtime->next_log_us[subject] = runtime->now.mono_us + LOG_INTERVAL_US;
   return true;
 }
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -1,5 +1,5 @@
-/* The runtime of the state machine: the time of the current input, wake-ups, actions that are to
-   leave, and log lines. Nothing here does I/O, and no time passes while an input is handled. */
+/* The runtime of the state machine: the time of the current input, wake-ups, the queue of actions,
+   and log lines. It does no I/O, and the time stays the same while an input is handled. */
 #pragma once
 
 #include "runtime/action.h"
@@ -7,11 +7,11 @@
 
 /**
  * MhNow:
- * @mono_us: steady clock, in microseconds
- * @wall_us: time of day, in microseconds since 1970
- * @jitter: a fresh random number in [0, 1)
+ * @mono_us: steady time, in microseconds
+ * @wall_us: wall-clock time, in microseconds since 1970
+ * @jitter: a new random number in [0, 1)
  *
- * What the host hands over with each input.
+ * The time and random number that the host passes with each input.
  */
 typedef struct
 {
@@ -25,22 +25,22 @@
 
 /**
  * MhLeaseFunc:
- * @owner: what was registered with the function
- * @now_us: steady time
+ * @owner: as passed to mh_runtime_set_lease_source ()
+ * @now_us: steady time, in microseconds
  *
- * Returns: the steady time at which the leader's lease ends that this controller holds; 0 if it may
+ * Returns: the steady time at which this controller's leader lease ends; 0 if the controller may
  * not act as leader at @now_us
  */
 typedef gint64 (*MhLeaseFunc) (gconstpointer owner, gint64 now_us);
 
 /**
  * MhLogSubject:
- * @MH_LOG_BOOT: machines that join late
+ * @MH_LOG_BOOT: machines whose boot takes longer than expected
  * @MH_LOG_STORE: calls to the key-value store that failed
  * @MH_LOG_PEER: requests that another controller did not answer
  *
- * Subjects of which thousands of machines or calls may give a line at once; each is logged once a
- * second at most.
+ * Subjects of rate-limited log lines. Thousands of machines or calls may cause a line on one of
+ * them at the same time; at most one line a second is logged on each.
  */
 typedef enum
 {
@@ -56,7 +56,7 @@
  * @settings: (not transferred): must outlive the runtime
  * @now: the present time
  *
- * Returns: (transfer full): a runtime in which no controller leads
+ * Returns: (transfer full): a runtime without a lease source: this controller may not act as leader
  */
 MhRuntime *
 mh_runtime_new (const MhSettings *settings, const MhNow *now);
@@ -65,7 +65,7 @@
  * mh_runtime_free:
  * @runtime: (transfer full) (nullable): a runtime
  *
- * Frees it with the actions that nobody took.
+ * Frees the runtime and the actions that were not taken.
  */
 void
 mh_runtime_free (MhRuntime *runtime);
@@ -74,10 +74,10 @@
 /**
  * mh_runtime_set_lease_source:
  * @runtime: a runtime
- * @func: tells the end of the leader's lease
+ * @func: returns the end of the leader lease
  * @owner: passed to @func
  *
- * Registers who knows whether this controller may act as leader (the election).
+ * Registers the function that decides whether this controller may act as leader (the election's).
  */
 void
 mh_runtime_set_lease_source (MhRuntime *runtime, MhLeaseFunc func, gconstpointer owner);
@@ -98,8 +98,9 @@
  * @runtime: a runtime
  * @now: the time of the input
  *
- * Every input begins here. If the wake-up that was asked for comes far too late, the process stood
- * still: that is logged and remembered, see mh_runtime_resumed_us ().
+ * Sets the time of the current input; to be called first for every input. An input that comes long
+ * after the requested wake-up shows that the process was paused: this is logged, and @now becomes
+ * the time of mh_runtime_resumed_us ().
  */
 void
 mh_runtime_begin_input (MhRuntime *runtime, const MhNow *now);
@@ -125,22 +126,22 @@
 /**
  * mh_runtime_jittered_us:
  * @runtime: a runtime
- * @least_us: the shortest delay, in microseconds
- * @spread_us: how much longer it may be, in microseconds
+ * @min_delay_us: the shortest delay, in microseconds
+ * @jitter_us: upper bound of the random addition to it, in microseconds
  *
- * Returns: the steady time after a random delay between @least_us and @least_us + @spread_us, so
- * that controllers do not retry at the same moment
+ * Returns: the steady time after a random delay between @min_delay_us and @min_delay_us +
+ * @jitter_us, so that controllers do not retry at the same moment
  */
 gint64
-mh_runtime_jittered_us (const MhRuntime *runtime, gint64 least_us, gint64 spread_us);
+mh_runtime_jittered_us (const MhRuntime *runtime, gint64 min_delay_us, gint64 jitter_us);
 
 /**
  * mh_runtime_resumed_us:
  * @runtime: a runtime
  *
- * Returns: the steady time at which this process last went on after it had stood still or had
- * refused all workers; 0 if it never did. Silence that began earlier says nothing about those who
- * were not heard.
+ * Returns: the steady time at which this process last resumed after a pause, or after it had
+ * refused all workers' heartbeats; 0 if it never did. That no message of a peer arrived before this
+ * time does not show that the peer has failed.
  */
 gint64
 mh_runtime_resumed_us (const MhRuntime *runtime);
@@ -149,7 +150,7 @@
  * mh_runtime_mark_resumed:
  * @runtime: a runtime
  *
- * Notes that until now nobody could be heard; see mh_runtime_resumed_us ().
+ * Records that messages could not be received until now; see mh_runtime_resumed_us ().
  */
 void
 mh_runtime_mark_resumed (MhRuntime *runtime);
@@ -158,7 +159,7 @@
  * mh_runtime_reset_wake_up:
  * @runtime: a runtime
  *
- * Begins a step: forgets earlier wake-ups, and asks for the regular one.
+ * Discards earlier wake-ups and requests the regular one. To be called at the beginning of a step.
  */
 void
 mh_runtime_reset_wake_up (MhRuntime *runtime);
@@ -168,7 +169,7 @@
  * @runtime: a runtime
  * @at_us: steady time, in microseconds
  *
- * Asks the host for a tick at @at_us at the latest.
+ * Requests a tick at @at_us at the latest.
  */
 void
 mh_runtime_wake_at (MhRuntime *runtime, gint64 at_us);
@@ -177,7 +178,7 @@
  * mh_runtime_next_wake_up_us:
  * @runtime: a runtime
  *
- * Returns: the steady time of the next tick that is needed
+ * Returns: the steady time of the earliest wake-up that was requested
  */
 gint64
 mh_runtime_next_wake_up_us (const MhRuntime *runtime);
@@ -188,7 +189,7 @@
  * mh_runtime_lease_until_us:
  * @runtime: a runtime
  *
- * Returns: the steady time at which the leader's lease ends; 0 if this controller may not act as
+ * Returns: the steady time at which this controller's leader lease ends; 0 if it may not act as
  * leader now
  */
 gint64
@@ -209,32 +210,32 @@
  * mh_runtime_next_id:
  * @runtime: a runtime
  *
- * Returns: a number for a call that no other call has
+ * Returns: a number that is unique among the calls of this runtime
  */
 guint64
 mh_runtime_next_id (MhRuntime *runtime);
 
 /**
- * mh_runtime_act:
+ * mh_runtime_add_action:
  * @runtime: a runtime
  * @kind: what is to be done
- * @id: of the request that is answered, or as MhAction says
+ * @id: the number or epoch that MhAction describes for @kind
  *
- * Adds an action. Answers to users carry the end of the lease that they rest on.
+ * Adds an action to the end of the queue. Answers to users carry the end of the leader lease.
  *
- * Returns: (transfer none): the action, to be filled in before the input ends
+ * Returns: (transfer none): the action, which the caller fills in while it handles the input
  */
 MhAction *
-mh_runtime_act (MhRuntime *runtime, MhActionKind kind, guint64 id);
+mh_runtime_add_action (MhRuntime *runtime, MhActionKind kind, guint64 id);
 
 /**
  * mh_runtime_answer_user:
  * @runtime: a runtime
- * @id: of the user's request
+ * @id: number of the user's request
  * @status: HTTP status
- * @retry_after_s: when the user should come back, in seconds; 0: not said
+ * @retry_after_s: after how long the user should retry, in seconds; 0: not given
  *
- * Answers a user without a job's state.
+ * Answers a user's request without the state of a job.
  */
 void
 mh_runtime_answer_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s);
@@ -243,7 +244,9 @@
  * mh_runtime_pop_action:
  * @runtime: a runtime
  *
- * Returns: (transfer full) (nullable): the oldest action that has not been taken
+ * Removes the oldest action from the queue.
+ *
+ * Returns: (transfer full) (nullable): the action; %NULL if the queue is empty
  */
 MhAction *
 mh_runtime_pop_action (MhRuntime *runtime);
@@ -253,7 +256,7 @@
 /**
  * mh_runtime_log:
  * @runtime: a runtime
- * @level: level of the line
+ * @level: log level of the line
  * @format: a fixed message, followed by key=value pairs
  *
  * Adds a line to the log.
@@ -267,7 +270,9 @@
  * @runtime: a runtime
  * @subject: what the line is about
  *
- * Returns: %TRUE if a line on @subject is due, which is then counted
+ * Checks the rate limit of log lines, and counts a line on @subject if it allows one.
+ *
+ * Returns: %TRUE if the line may be logged
  */
 bool
 mh_runtime_may_log (MhRuntime *runtime, MhLogSubject subject);
@@ -276,7 +281,7 @@
 #define mh_log_info(runtime, ...) mh_runtime_log (runtime, G_LOG_LEVEL_INFO, __VA_ARGS__)
 /** mh_log_debug: logs a line at debug level; see mh_runtime_log () */
 #define mh_log_debug(runtime, ...) mh_runtime_log (runtime, G_LOG_LEVEL_DEBUG, __VA_ARGS__)
-/** mh_log_info_limited: logs a line at info level if one on its subject is due; see
+/** mh_log_info_limited: logs a line at info level if the rate limit of its subject allows it; see
  * mh_runtime_may_log () */
 #define mh_log_info_limited(runtime, subject, ...)                                                 \
   G_STMT_START                                                                                     \
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -76,17 +76,17 @@
 {
   switch (action->kind)
     {
-    case MH_ACTION_CALL:
+    case MH_ACTION_SEND_REQUEST:
       mh_http_client_send (server->http_client, action->id, action->request, action->timeout_us);
       break;
-    case MH_ACTION_FORWARD:
+    case MH_ACTION_FORWARD_USER_REQUEST:
       forward_request (server, action);
       break;
     case MH_ACTION_ANNOUNCE_LEADER:
       announce_leader (server, action);
       break;
     case MH_ACTION_ANSWER_USER:
-    case MH_ACTION_ANSWER_REPORT:
+    case MH_ACTION_ANSWER_HEARTBEAT:
       answer_request (server, action);
       break;
     case MH_ACTION_LOG:
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -135,7 +135,7 @@
   MhJob *job
       = mh_job_new (g_steal_pointer (&stored->spec), too_large ? fits : stored->chunk, value_bytes,
                     stored->submitted_wall_us, mh_runtime_now (loader->runtime));
-  job->unchunked_records = too_large ? old_records : 0;
+  job->n_old_layout_records = too_large ? old_records : 0;
   job->accepted = true;
   loader->callbacks->back_off_found (loader->owner, job, stored->back_off_level);
   job->cancellation = stored->cancelled ? MH_CANCELLATION_DURABLE : MH_CANCELLATION_NONE;
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -95,7 +95,7 @@
   for (guint i = 0; i < request_ids->len; i++)
     {
       guint64 id = g_array_index (request_ids, guint64, i);
-      mh_runtime_act (runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
+      mh_runtime_add_action (runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
     }
   g_array_set_size (request_ids, 0);
 }
@@ -257,7 +257,7 @@
 static bool
 too_many_waiting (const MhJobLookup *lookup)
 {
-  guint waiting = mh_call_queue_waiting (lookup->calls, MH_CALL_BACKGROUND);
+  guint waiting = mh_call_queue_count_waiting (lookup->calls, MH_CALL_BACKGROUND);
   double served = mh_call_queue_store_rate (lookup->calls) * MAX_WAIT_S;
   return waiting >= MAX (LEAST_WAITING, served);
 }
--- a/src/storage/rechunk.c
+++ b/src/storage/rechunk.c
@@ -6,13 +6,13 @@
 bool
 mh_rechunk_is_pending (const MhJob *job)
 {
-  return job->unchunked_records > 0;
+  return job->n_old_layout_records > 0;
 }
 
 guint
 mh_rechunk_together (const MhJob *job, guint max_changes)
 {
-  return MIN (job->unchunked_records, max_changes);
+  return MIN (job->n_old_layout_records, max_changes);
 }
 
 bool
@@ -23,7 +23,7 @@
   if (record->rechunked_revision || (record->chunk && record->chunk < together))
     return false;
   /* One in the place of an old one: what that held must be in the others, and durable. */
-  bool replaces = record->chunk < job->unchunked_records;
+  bool replaces = record->chunk < job->n_old_layout_records;
   guint first_before = replaces ? MAX (record->chunk + 1, together) : job->n_records;
   for (guint i = first_before; i < job->n_records; i++)
     if (job->records[i].rechunked_revision == 0)
@@ -34,8 +34,8 @@
 static bool
 has_attempts (const MhJob *job, guint chunk)
 {
-  guint end = MIN ((chunk + 1) * job->chunk, job->spec->tasks);
-  for (guint i = chunk * job->chunk; i < end; i++)
+  guint end = MIN ((chunk + 1) * job->tasks_per_record, job->spec->tasks);
+  for (guint i = chunk * job->tasks_per_record; i < end; i++)
     if (job->tasks[i].attempt)
       return true;
   return false;
@@ -44,7 +44,8 @@
 bool
 mh_rechunk_prepare (MhRecord *record)
 {
-  if (record->chunk < record->job->unchunked_records || has_attempts (record->job, record->chunk))
+  if (record->chunk < record->job->n_old_layout_records
+      || has_attempts (record->job, record->chunk))
     return true;
   record->rechunked_revision = REVISION_OF_EMPTY_RECORD;
   return false;
@@ -53,7 +54,7 @@
 void
 mh_rechunk_finish (MhJob *job)
 {
-  job->unchunked_records = 0;
+  job->n_old_layout_records = 0;
   for (guint i = 0; i < job->n_records; i++)
     {
       MhRecord *record = &job->records[i];
--- a/src/storage/record-state.c
+++ b/src/storage/record-state.c
@@ -35,7 +35,7 @@
                           [MH_RECORD_REJECTED] = REFUSED,
                           [MH_RECORD_CONFLICTED] = REFUSED,
                           [MH_RECORD_DISCARDED] = MH_RECORD_CLEAN },
-  [MH_RECORD_WRITING] = { [MH_RECORD_CHANGED] = MH_RECORD_REWRITTEN,
+  [MH_RECORD_WRITING] = { [MH_RECORD_CHANGED] = MH_RECORD_WRITING_CHANGED,
                           [MH_RECORD_REQUEUED] = REFUSED,
                           [MH_RECORD_SENT] = REFUSED,
                           [MH_RECORD_SENT_ALONG] = REFUSED,
@@ -45,16 +45,16 @@
                           [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
                           [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
                           [MH_RECORD_DISCARDED] = MH_RECORD_WRITING },
-  [MH_RECORD_REWRITTEN] = { [MH_RECORD_CHANGED] = MH_RECORD_REWRITTEN,
-                            [MH_RECORD_REQUEUED] = REFUSED,
-                            [MH_RECORD_SENT] = REFUSED,
-                            [MH_RECORD_SENT_ALONG] = REFUSED,
-                            [MH_RECORD_WRITTEN] = MH_RECORD_QUEUED,
-                            [MH_RECORD_STAGED] = MH_RECORD_CLEAN,
-                            [MH_RECORD_NOT_WRITTEN] = MH_RECORD_QUEUED,
-                            [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
-                            [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
-                            [MH_RECORD_DISCARDED] = MH_RECORD_REWRITTEN },
+  [MH_RECORD_WRITING_CHANGED] = { [MH_RECORD_CHANGED] = MH_RECORD_WRITING_CHANGED,
+                                  [MH_RECORD_REQUEUED] = REFUSED,
+                                  [MH_RECORD_SENT] = REFUSED,
+                                  [MH_RECORD_SENT_ALONG] = REFUSED,
+                                  [MH_RECORD_WRITTEN] = MH_RECORD_QUEUED,
+                                  [MH_RECORD_STAGED] = MH_RECORD_CLEAN,
+                                  [MH_RECORD_NOT_WRITTEN] = MH_RECORD_QUEUED,
+                                  [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
+                                  [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
+                                  [MH_RECORD_DISCARDED] = MH_RECORD_WRITING_CHANGED },
   [MH_RECORD_WRITING_QUEUED] = { [MH_RECORD_CHANGED] = MH_RECORD_WRITING_QUEUED,
                                  [MH_RECORD_REQUEUED] = REFUSED,
                                  [MH_RECORD_SENT] = REFUSED,
@@ -98,7 +98,7 @@
 bool
 mh_record_state_is_writing (MhRecordState state)
 {
-  return state == MH_RECORD_WRITING || state == MH_RECORD_REWRITTEN
+  return state == MH_RECORD_WRITING || state == MH_RECORD_WRITING_CHANGED
          || state == MH_RECORD_WRITING_QUEUED || state == MH_RECORD_IN_DOUBT;
 }
 
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -61,7 +61,7 @@
 {
   mh_value_set (map, "s", mh_submission_encode (job->spec));
   mh_value_set_uint (map, "at", (guint64)MAX (job->submitted_wall_us, 0));
-  mh_value_set_uint (map, "c", job->chunk);
+  mh_value_set_uint (map, "c", job->tasks_per_record);
   if (mh_job_is_cancelled (job))
     mh_value_set_bool (map, "x", true);
   if (mh_job_backs_off (job))
@@ -77,8 +77,8 @@
   if (record->chunk == 0)
     write_job (map, job);
   MhValue *list = mh_value_list ();
-  guint first = record->chunk * job->chunk;
-  guint end = MIN (first + job->chunk, job->spec->tasks);
+  guint first = record->chunk * job->tasks_per_record;
+  guint end = MIN (first + job->tasks_per_record, job->spec->tasks);
   for (guint i = first; i < end; i++)
     if (job->tasks[i].attempt)
       mh_value_push (list, write_task (&job->tasks[i], i, machine_name));
--- a/src/storage/transaction.c
+++ b/src/storage/transaction.c
@@ -254,7 +254,7 @@
     case MH_TRANSACTION_THROTTLED:
     case MH_TRANSACTION_UNAVAILABLE:
       transaction->has_unknown_copy |= outcome == MH_TRANSACTION_UNKNOWN;
-      mh_call_queue_store_failed (transaction->calls, reply->status);
+      mh_call_queue_handle_store_failure (transaction->calls, reply->status);
       send_copy (transaction);
       break;
     }
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -66,7 +66,7 @@
           continue;
         }
       g_array_remove_index (job->waiters, i);
-      MhAction *action = mh_runtime_act (writer->runtime, MH_ACTION_ANSWER_USER, waiter.id);
+      MhAction *action = mh_runtime_add_action (writer->runtime, MH_ACTION_ANSWER_USER, waiter.id);
       mh_job_fill_answer (job, &action->answer);
       action->answer.status = waiter.verb == MH_USER_SUBMIT ? 201 : 200;
     }
@@ -78,7 +78,7 @@
   for (guint i = 0; i < job->waiters->len; i++)
     {
       guint64 id = g_array_index (job->waiters, MhWaiter, i).id;
-      mh_runtime_act (writer->runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
+      mh_runtime_add_action (writer->runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
     }
   g_array_set_size (job->waiters, 0);
 }
@@ -151,8 +151,8 @@
 tell_attempts_recorded (MhRecordWriter *writer, const MhRecord *record)
 {
   MhJob *job = record->job;
-  guint first = record->chunk * job->chunk;
-  guint end = MIN (first + job->chunk, job->spec->tasks);
+  guint first = record->chunk * job->tasks_per_record;
+  guint end = MIN (first + job->tasks_per_record, job->spec->tasks);
   writer->callbacks->attempts_recorded (writer->owner, job, first, end);
 }
 
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -136,13 +136,13 @@
 {
   switch (action->kind)
     {
-    case MH_ACTION_CALL:
+    case MH_ACTION_SEND_REQUEST:
       outgoing_call_send (node, g_steal_pointer (&action->request), action);
       break;
     case MH_ACTION_ANNOUNCE_LEADER:
       peer_message_announce (node, action);
       break;
-    case MH_ACTION_FORWARD:
+    case MH_ACTION_FORWARD_USER_REQUEST:
       peer_message_forward (node, action, g_hash_table_lookup (node->pending, &action->id));
       break;
     case MH_ACTION_LOG:
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -115,11 +115,11 @@
 }
 
 static const MhActionKind kinds[] = {
-  [PRODUCTION_CALL] = MH_ACTION_CALL,
+  [PRODUCTION_CALL] = MH_ACTION_SEND_REQUEST,
   [PRODUCTION_ANNOUNCE_LEADER] = MH_ACTION_ANNOUNCE_LEADER,
-  [PRODUCTION_FORWARD] = MH_ACTION_FORWARD,
+  [PRODUCTION_FORWARD] = MH_ACTION_FORWARD_USER_REQUEST,
   [PRODUCTION_ANSWER_USER] = MH_ACTION_ANSWER_USER,
-  [PRODUCTION_ANSWER_REPORT] = MH_ACTION_ANSWER_REPORT,
+  [PRODUCTION_ANSWER_REPORT] = MH_ACTION_ANSWER_HEARTBEAT,
   [PRODUCTION_LOG] = MH_ACTION_LOG,
 };
 static const MhTarget targets[] = {
@@ -156,7 +156,7 @@
                                    .state = (MhJobState)popped->answer.state,
                                    .done = popped->answer.done,
                                    .running = popped->answer.running };
-  if (action->kind == MH_ACTION_CALL)
+  if (action->kind == MH_ACTION_SEND_REQUEST)
     action->request = to_request (popped, body);
   else
     action->body = body;
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -108,7 +108,8 @@
 pop_call (Fixture *fixture)
 {
   MhAction *action;
-  while ((action = mh_runtime_pop_action (fixture->runtime)) && action->kind != MH_ACTION_CALL)
+  while ((action = mh_runtime_pop_action (fixture->runtime))
+         && action->kind != MH_ACTION_SEND_REQUEST)
     {
       fixture->announcements += action->kind == MH_ACTION_ANNOUNCE_LEADER;
       mh_action_free (action);
--- a/tests/test-gang-state.c
+++ b/tests/test-gang-state.c
@@ -1,4 +1,4 @@
-/* Every transition of a gang's state, and every event that is refused. */
+/* Unit test of the gang state machine: every transition, and every event that is refused. */
 #include "jobs/gang-state.h"
 
 #define STATES (MH_GANG_STATE_ENDING + 1)
@@ -7,11 +7,11 @@
 typedef struct
 {
   const char *name;
-  int after[MH_GANG_EVENTS]; /* by MhGangEvent */
+  int after[MH_GANG_EVENTS]; /* state after each MhGangEvent, or REFUSED */
 } StateRow;
 
-/* In the order of MhGangEvent: placed, restored, task gathering, task lost, stopped, completed,
-   gone. */
+/* In the order of MhGangEvent: placed, restored, task gathering, task lost, stop requested,
+   completed, gone. */
 static const StateRow rows[STATES] = {
   [MH_GANG_STATE_IDLE]
   = { "idle",
@@ -30,7 +30,8 @@
                                MH_GANG_STATE_ENDING, MH_GANG_STATE_IDLE, MH_GANG_STATE_IDLE } },
 };
 
-/* Without this a gang could be placed anew while tasks of its last attempt may still run. */
+/* With a wrong transition, a gang could be placed again while tasks of its last attempt may still
+   run. */
 static void
 test_state (gconstpointer data)
 {
@@ -45,7 +46,8 @@
     }
 }
 
-/* Without this a gang whose tasks report every second would never be taken back. */
+/* If each report restarted the time, a gang whose tasks report every second that they wait would
+   never be stopped for not being complete in time. */
 static void
 test_gathering_since_first_report (void)
 {
@@ -55,7 +57,7 @@
   g_assert_cmpint (gang.gathering_since_us, ==, 5);
 }
 
-/* Without this a late report would bring back to life what is told to stop. */
+/* If a late report were not refused, an attempt that is being stopped would count as live again. */
 static void
 test_refused_event_changes_nothing (void)
 {
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -1,4 +1,4 @@
-/* The order of the job queue, objectives, estimates of run times, and answers, each by itself. */
+/* Unit tests of the job queue's order, objectives, estimates of run times, and answers to users. */
 #include "jobs/final-answers.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
@@ -47,30 +47,32 @@
                                     NOW_US);
 }
 
-/* A job that can still be in time would wait behind one that cannot, or that one for ever. */
+/* With a wrong latest start, a job that can still be in time would wait behind one that cannot, or
+   a job that cannot be in time would wait for ever. */
 static void
 test_latest_start (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhStartTarget target = latest_start (fixture, MH_SECOND_US);
-  g_assert_cmpint (target.at_us, ==, NOW_US + 599 * MH_SECOND_US); /* no objective */
+  g_assert_cmpint (target.at_us, ==, NOW_US + 599 * MH_SECOND_US); /* no deadline or objective */
   g_assert_false (target.missed);
   add_objective (fixture, MH_OBJECTIVE_FINISHED, 20 * MH_SECOND_US);
   add_objective (fixture, MH_OBJECTIVE_FINISHED, 50 * MH_SECOND_US);
   target = latest_start (fixture, 10 * MH_SECOND_US);
   g_assert_cmpint (target.at_us, ==, NOW_US + 10 * MH_SECOND_US);
-  target = latest_start (fixture, 30 * MH_SECOND_US); /* the first cannot be met */
+  target = latest_start (fixture, 30 * MH_SECOND_US); /* the first objective cannot be met */
   g_assert_cmpint (target.at_us, ==, NOW_US + 20 * MH_SECOND_US);
   g_assert_false (target.missed);
-  target = latest_start (fixture, 60 * MH_SECOND_US); /* none can */
+  target = latest_start (fixture, 60 * MH_SECOND_US); /* no objective can be met */
   g_assert_cmpint (target.at_us, ==, NOW_US + (50 + 180 - 60) * MH_SECOND_US);
   g_assert_true (target.missed);
-  fixture->spec.deadline_us = 100 * MH_SECOND_US; /* goes before the class's */
+  fixture->spec.deadline_us = 100 * MH_SECOND_US; /* overrides the class's objectives */
   target = latest_start (fixture, 60 * MH_SECOND_US);
   g_assert_cmpint (target.at_us, ==, NOW_US + 40 * MH_SECOND_US);
 }
 
-/* Other work would be stopped for a job that has time, or none for one that has not. */
+/* With a wrong slack, other work would be preempted for a job that can still wait, or would not be
+   preempted for a job that cannot. */
 static void
 test_slack (Fixture *fixture, gconstpointer unused)
 {
@@ -86,10 +88,10 @@
   g_assert_cmpint (mh_objective_slack_us (settings, job, NOW_US + 4 * MH_SECOND_US), ==,
                    6 * MH_SECOND_US);
   g_assert_cmpint (mh_objective_slack_us (settings, job, NOW_US + 40 * MH_SECOND_US), ==,
-                   60 * MH_SECOND_US); /* late: no hurry */
+                   60 * MH_SECOND_US); /* missed objectives no longer count */
 }
 
-/* Each key decides only where all before it are equal. */
+/* Each sort key decides only if all keys before it are equal. */
 static void
 test_order (Fixture *fixture, gconstpointer unused)
 {
@@ -114,7 +116,7 @@
   g_assert_cmpint (mh_job_queue_compare (&left, &right), >, 0); /* by tier */
 }
 
-/* Urgent work, and work within a quota, would be mixed up with the rest. */
+/* With a wrong tier, urgent work or work within a quota would wait behind other work. */
 static void
 test_tier (Fixture *fixture, gconstpointer unused)
 {
@@ -128,7 +130,8 @@
   g_assert_cmpint (mh_job_queue_tier (&fixture->job), ==, MH_TIER_URGENT);
 }
 
-/* Owners who are wrong would be believed, or a single odd task. */
+/* Without the correction, wrong estimates of users would be used unchanged; without its bounds, a
+   few unusual tasks would distort the estimates of a whole class. */
 static void
 test_runtime_estimate (Fixture *fixture, gconstpointer unused)
 {
@@ -144,10 +147,11 @@
   g_assert_cmpfloat (mh_runtime_estimator_ratio (estimator, "other"), ==, 1);
   for (guint i = 0; i < 100; i++)
     mh_runtime_estimator_observe (estimator, &fixture->spec, 900 * MH_SECOND_US);
-  g_assert_cmpfloat (mh_runtime_estimator_ratio (estimator, "batch"), ==, 4); /* bounded */
+  g_assert_cmpfloat (mh_runtime_estimator_ratio (estimator, "batch"), ==, 4); /* the upper bound */
 }
 
-/* The user would be told of a state that a successor takes back. */
+/* An answer that shows a cancellation or an end before it is durable may be contradicted by the
+   next leader. */
 static void
 test_answer_is_durable (Fixture *fixture, gconstpointer unused)
 {
@@ -170,14 +174,14 @@
   g_assert_cmpuint (answer.running, ==, 0);
 }
 
-/* The memory would grow with every job that was ever over. */
+/* Without a bound, the memory would grow with every job that ends. */
 static void
 test_final_answers (void)
 {
   g_autoptr (MhFinalAnswers) answers = mh_final_answers_new (0);
   const MhUserAnswer done = { .state = MH_JOB_DONE }, cancelled = { .state = MH_JOB_CANCELLED };
   mh_final_answers_add (answers, "first", &done);
-  mh_final_answers_add (answers, "first", &cancelled); /* the first one stays */
+  mh_final_answers_add (answers, "first", &cancelled); /* does not replace the first */
   g_assert_cmpint (mh_final_answers_find (answers, "first")->state, ==, MH_JOB_DONE);
   g_assert_null (mh_final_answers_find (answers, "other"));
   for (guint i = 0; i < 2000; i++)
--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -37,7 +37,7 @@
   simulation->store->outage_until_us = simulation->clock->now_us + 11 * MH_SECOND_US;
   simulation_freeze_node (simulation, old->index, 11);
   simulation_run (simulation, 20);
-  g_assert_true (simulation_logged (simulation, "stood still seconds="));
+  g_assert_true (simulation_logged (simulation, "process was paused seconds="));
   g_assert_true (simulation_leader (simulation) == old);
   g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
 }
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -61,7 +61,7 @@
   Simulation *simulation = simulation_after_rate_fell (1);
   guint first_leader = simulation->store->throttled_writes;
   g_assert_cmpuint (first_leader, <=, 6); /* those that were under way together */
-  g_assert_true (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_true (simulation_logged (simulation, "lowering rate of changes to key-value store"));
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "limits"));
 
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -89,7 +89,7 @@
   submit_many (simulation, 1, 40);
   WAIT (simulation, 30, refused, NULL);
   WAIT (simulation, 300, simulation_all_settled, NULL);
-  g_assert_false (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_false (simulation_logged (simulation, "lowering rate of changes to key-value store"));
   g_assert_null (g_tree_lookup (simulation->store->keys, "limits"));
 }
 
@@ -109,7 +109,7 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
   simulation_run (simulation, 20);
-  g_assert_false (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_false (simulation_logged (simulation, "lowering rate of changes to key-value store"));
   WAIT (simulation, 300, simulation_all_settled, NULL);
   finish (simulation);
 }
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -355,8 +355,8 @@
   /* The record says how many tasks it holds, so that another version or another limit can read it.
    */
   MhJob *job = mh_job_new (spec, 0, value_bytes, 0, &now);
-  g_assert_cmpuint (mh_job_tasks_per_record (spec, value_bytes), ==, job->chunk);
-  g_assert_cmpuint (job->chunk, >=, small ? 16 : 64);
+  g_assert_cmpuint (mh_job_tasks_per_record (spec, value_bytes), ==, job->tasks_per_record);
+  g_assert_cmpuint (job->tasks_per_record, >=, small ? 16 : 64);
   MhMachine machine = { .name = (char *)"vm-000000000001" };
   MhAttempt attempt = { .machine = &machine };
   for (guint i = 0; i < spec->tasks; i++)
@@ -371,7 +371,7 @@
           g_auto (MhStoredJob) read = {};
           g_assert_true (mh_record_read_job (value, spec->id, &read, NULL));
           g_assert_nonnull (read.spec);
-          g_assert_cmpuint (read.chunk, ==, job->chunk);
+          g_assert_cmpuint (read.chunk, ==, job->tasks_per_record);
         }
     }
   mh_job_free (job);
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -119,7 +119,7 @@
 {
   for (MhAction *action; (action = mh_runtime_pop_action (fixture->runtime));)
     {
-      if (action->kind == MH_ACTION_CALL)
+      if (action->kind == MH_ACTION_SEND_REQUEST)
         {
           g_queue_push_tail (&fixture->requests, action);
           continue;
@@ -316,20 +316,20 @@
     { MH_RECORD_REFUSED, MH_RECORD_SENT, MH_RECORD_WRITING },
     { MH_RECORD_REFUSED, MH_RECORD_SENT_ALONG, MH_RECORD_WRITING_QUEUED },
     { MH_RECORD_REFUSED, MH_RECORD_DISCARDED, MH_RECORD_CLEAN },
-    { MH_RECORD_WRITING, MH_RECORD_CHANGED, MH_RECORD_REWRITTEN },
+    { MH_RECORD_WRITING, MH_RECORD_CHANGED, MH_RECORD_WRITING_CHANGED },
     { MH_RECORD_WRITING, MH_RECORD_WRITTEN, MH_RECORD_CLEAN },
     { MH_RECORD_WRITING, MH_RECORD_STAGED, MH_RECORD_CLEAN },
     { MH_RECORD_WRITING, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
     { MH_RECORD_WRITING, MH_RECORD_REJECTED, MH_RECORD_REFUSED },
     { MH_RECORD_WRITING, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
     { MH_RECORD_WRITING, MH_RECORD_DISCARDED, MH_RECORD_WRITING },
-    { MH_RECORD_REWRITTEN, MH_RECORD_CHANGED, MH_RECORD_REWRITTEN },
-    { MH_RECORD_REWRITTEN, MH_RECORD_WRITTEN, MH_RECORD_QUEUED },
-    { MH_RECORD_REWRITTEN, MH_RECORD_STAGED, MH_RECORD_CLEAN },
-    { MH_RECORD_REWRITTEN, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
-    { MH_RECORD_REWRITTEN, MH_RECORD_REJECTED, MH_RECORD_REFUSED },
-    { MH_RECORD_REWRITTEN, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
-    { MH_RECORD_REWRITTEN, MH_RECORD_DISCARDED, MH_RECORD_REWRITTEN },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_CHANGED, MH_RECORD_WRITING_CHANGED },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_STAGED, MH_RECORD_CLEAN },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_REJECTED, MH_RECORD_REFUSED },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
+    { MH_RECORD_WRITING_CHANGED, MH_RECORD_DISCARDED, MH_RECORD_WRITING_CHANGED },
     { MH_RECORD_WRITING_QUEUED, MH_RECORD_CHANGED, MH_RECORD_WRITING_QUEUED },
     { MH_RECORD_WRITING_QUEUED, MH_RECORD_WRITTEN, MH_RECORD_QUEUED },
     { MH_RECORD_WRITING_QUEUED, MH_RECORD_NOT_WRITTEN, MH_RECORD_QUEUED },
@@ -364,7 +364,7 @@
     [MH_RECORD_QUEUED] = true, [MH_RECORD_REFUSED] = true, [MH_RECORD_WRITING_QUEUED] = true
   };
   static const bool writing[MH_RECORD_STATES] = { [MH_RECORD_WRITING] = true,
-                                                  [MH_RECORD_REWRITTEN] = true,
+                                                  [MH_RECORD_WRITING_CHANGED] = true,
                                                   [MH_RECORD_WRITING_QUEUED] = true,
                                                   [MH_RECORD_IN_DOUBT] = true };
   for (guint state = 0; state < MH_RECORD_STATES; state++)
@@ -434,7 +434,7 @@
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
   mh_record_writer_touch (fixture->writer, &job->records[0], MH_URGENCY_START);
-  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REWRITTEN);
+  g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING_CHANGED);
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1);
 
@@ -692,7 +692,7 @@
   MhJob *job = add_job (fixture, JOB, 75);
   g_assert_cmpuint (job->n_records, ==, 3);
   job->accepted = true;
-  job->unchunked_records = 2;
+  job->n_old_layout_records = 2;
   for (guint i = 0; i < 75; i++)
     job->tasks[i] = (MhTask){ .attempt = 1, .state = MH_TASK_DONE };
   for (guint i = 0; i < 2; i++)
@@ -711,7 +711,7 @@
   g_assert_cmpuint (fixture->n_rechunked, ==, 0);
   reply (fixture, 200, revision (21));
   g_assert_cmpuint (fixture->n_rechunked, ==, 1);
-  g_assert_cmpuint (job->unchunked_records, ==, 0);
+  g_assert_cmpuint (job->n_old_layout_records, ==, 0);
   g_assert_cmpuint (job->records[2].durable_revision, >, 0);
 }
 
--- a/tests/test-runtime.c
+++ b/tests/test-runtime.c
@@ -1,5 +1,4 @@
-/* The runtime's units: token bucket, clock, wake-ups, and the queue of calls. No simulated cluster.
- */
+/* Unit tests of the runtime: token bucket, clock, wake-ups, log limits, and the call queue. */
 #include "base/token-bucket.h"
 #include "protocol/cloud-messages.h"
 #include "protocol/key-value-messages.h"
@@ -89,7 +88,7 @@
                                        .free_data = on_free });
 }
 
-/* How many calls leave now; `last` takes the id of the last one. */
+/* Returns how many calls are sent now, and the id of the last one in `last`, which may be NULL. */
 static guint
 flush (Fixture *fixture, guint64 *last)
 {
@@ -97,7 +96,7 @@
   mh_call_queue_flush (fixture->calls);
   for (MhAction *action; (action = mh_runtime_pop_action (fixture->runtime)); sent++)
     {
-      g_assert_cmpint (action->kind, ==, MH_ACTION_CALL);
+      g_assert_cmpint (action->kind, ==, MH_ACTION_SEND_REQUEST);
       if (last)
         *last = action->id;
       mh_action_free (action);
@@ -107,9 +106,9 @@
 
 /* ---- token bucket ---- */
 
-/* A bucket that fills beyond its burst would let a limit be exceeded after a quiet time. */
+/* If a bucket were filled beyond its burst, the rate limit would be exceeded after an idle time. */
 static void
-test_bucket_holds_its_burst (void)
+test_bucket_is_bounded_by_burst (void)
 {
   MhTokenBucket bucket;
   mh_token_bucket_init (&bucket, 10, 4, START_US);
@@ -122,9 +121,9 @@
   g_assert_false (mh_token_bucket_has (&bucket, 1, START_US + 100 * MH_SECOND_US));
 }
 
-/* A call that needs more than the burst would wait for ever. */
+/* If a full bucket did not allow it, a call that needs more than the burst would wait for ever. */
 static void
-test_bucket_lets_large_calls_pass_when_full (void)
+test_full_bucket_allows_large_calls (void)
 {
   MhTokenBucket bucket;
   mh_token_bucket_init (&bucket, 10, 4, START_US);
@@ -136,9 +135,9 @@
 
 /* ---- time ---- */
 
-/* A later wake-up would make due work wait for the regular step. */
+/* If a later wake-up replaced an earlier one, work that is due would wait for the regular step. */
 static void
-test_earliest_wake_up_counts (Fixture *fixture, gconstpointer unused)
+test_earliest_wake_up_wins (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   mh_runtime_reset_wake_up (fixture->runtime);
@@ -149,9 +148,10 @@
   g_assert_cmpint (mh_runtime_next_wake_up_us (fixture->runtime), ==, START_US + 1000);
 }
 
-/* Silence in which this process stood still would be taken for that of the workers. */
+/* If a pause of this process went unnoticed, workers whose messages it missed would count as
+   unresponsive. */
 static void
-test_standing_still_is_remembered (Fixture *fixture, gconstpointer unused)
+test_process_pause_is_recorded (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   mh_runtime_reset_wake_up (fixture->runtime);
@@ -162,10 +162,11 @@
   g_assert_cmpint (mh_runtime_resumed_us (fixture->runtime), ==, due_us + 5 * MH_SECOND_US);
   g_autoptr (MhAction) line = mh_runtime_pop_action (fixture->runtime);
   g_assert_cmpint (line->kind, ==, MH_ACTION_LOG);
-  g_assert_true (g_str_has_prefix (line->line, "process stood still seconds="));
+  g_assert_true (g_str_has_prefix (line->line, "process was paused seconds="));
 }
 
-/* An answer that rests on a lease must be refused once the lease is over. */
+/* An answer that depends on the leader lease must not be sent after the lease has ended, so it must
+   carry the end of the lease. */
 static void
 test_answers_carry_the_lease (Fixture *fixture, gconstpointer unused)
 {
@@ -180,9 +181,9 @@
   g_assert_cmpint (as_follower->lease_until_us, ==, 0);
 }
 
-/* A mass failure would fill the log with one line a machine. */
+/* Without the limit, a mass failure would flood the log with one line for each machine. */
 static void
-test_lines_on_a_subject_are_limited (Fixture *fixture, gconstpointer unused)
+test_log_lines_are_rate_limited (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   g_assert_true (mh_runtime_may_log (fixture->runtime, MH_LOG_BOOT));
@@ -194,9 +195,9 @@
 
 /* ---- calls ---- */
 
-/* A lease that waited behind other calls would end under load. */
+/* If the renewal of the lease waited behind other calls, the lease would end under load. */
 static void
-test_lease_calls_wait_for_no_token (Fixture *fixture, gconstpointer unused)
+test_lease_calls_need_no_tokens (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   for (guint i = 0; i < 2 * STORE_RPS; i++)
@@ -208,9 +209,10 @@
   g_assert_cmpuint (flush (fixture, NULL), ==, 1);
 }
 
-/* Questions about finished jobs would go unanswered as long as there is much to write. */
+/* If waiting writes blocked reads, users' requests about finished jobs would not be answered as
+   long as there is much to write. */
 static void
-test_waiting_writes_do_not_hold_up_reads (Fixture *fixture, gconstpointer unused)
+test_waiting_writes_do_not_block_reads (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   add_call (fixture, mh_kv_request_get ("j/1"), MH_CALL_WORK, WRITE_RPS);
@@ -219,12 +221,12 @@
   g_assert_cmpuint (flush (fixture, NULL), ==, 2); /* the first write and the read */
   g_assert_cmpuint (flush (fixture, NULL), ==, 0);
   set_time (fixture, START_US + MH_SECOND_US);
-  g_assert_cmpuint (flush (fixture, NULL), ==, 0); /* 8 tokens less 10, and 9 more: not full yet */
+  g_assert_cmpuint (flush (fixture, NULL), ==, 0); /* 8 - 10 + 9 tokens: not full yet */
   set_time (fixture, START_US + 2 * MH_SECOND_US);
   g_assert_cmpuint (flush (fixture, NULL), ==, 1);
 }
 
-/* Commands and calls to the cloud must not leave after the end of the lease. */
+/* Calls to workers and to the cloud must not be sent unless the lease is valid. */
 static void
 test_cloud_and_workers_need_a_lease (Fixture *fixture, gconstpointer unused)
 {
@@ -236,7 +238,7 @@
   g_assert_cmpuint (flush (fixture, NULL), ==, 2);
 }
 
-/* Machines that are cut off would take all connections. */
+/* Without a bound, calls to machines that are cut off would hold all connections. */
 static void
 test_calls_to_workers_are_bounded (Fixture *fixture, gconstpointer unused)
 {
@@ -250,7 +252,7 @@
   g_assert_cmpuint (flush (fixture, NULL), ==, 1);
 }
 
-/* A reply of an earlier leadership would change what the present one knows. */
+/* A reply to a call of an earlier leadership would change the state of the present one. */
 static void
 test_forgotten_calls_take_no_reply (Fixture *fixture, gconstpointer unused)
 {
@@ -272,18 +274,19 @@
   g_assert_cmpuint (flush (fixture, NULL), ==, 0);
 }
 
-/* Each leader would be refused again at the rate that the store no longer takes. */
+/* If a 429 did not lower the write rate, the store would refuse each leader's writes again, at a
+   rate that it no longer allows. */
 static void
-test_throttled_store_lowers_the_rate_once (Fixture *fixture, gconstpointer unused)
+test_throttling_lowers_write_rate (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   double tokens;
   g_assert_false (mh_call_queue_write_rate_is_lowered (fixture->calls));
-  mh_call_queue_store_failed (fixture->calls, 503);
+  mh_call_queue_handle_store_failure (fixture->calls, 503);
   g_assert_false (mh_call_queue_write_rate_is_lowered (fixture->calls));
   g_assert_cmpint (mh_call_queue_store_paused_until_us (fixture->calls), >, START_US);
   g_assert_false (mh_call_queue_may_write (fixture->calls, 1, &tokens));
-  mh_call_queue_store_failed (fixture->calls, 429);
+  mh_call_queue_handle_store_failure (fixture->calls, 429);
   g_assert_true (mh_call_queue_write_rate_is_lowered (fixture->calls));
   g_assert_cmpfloat (mh_call_queue_write_burst (fixture->calls), <, NEXT_WRITE_RPS);
   set_time (fixture, START_US + 10 * MH_SECOND_US);
@@ -296,19 +299,18 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/token-bucket/holds-its-burst", test_bucket_holds_its_burst);
-  g_test_add_func ("/token-bucket/lets-large-calls-pass-when-full",
-                   test_bucket_lets_large_calls_pass_when_full);
-  ADD ("/runtime/earliest-wake-up-counts", test_earliest_wake_up_counts);
-  ADD ("/runtime/standing-still-is-remembered", test_standing_still_is_remembered);
+  g_test_add_func ("/token-bucket/bounded-by-burst", test_bucket_is_bounded_by_burst);
+  g_test_add_func ("/token-bucket/full-bucket-allows-large-calls",
+                   test_full_bucket_allows_large_calls);
+  ADD ("/runtime/earliest-wake-up-wins", test_earliest_wake_up_wins);
+  ADD ("/runtime/process-pause-is-recorded", test_process_pause_is_recorded);
   ADD ("/runtime/answers-carry-the-lease", test_answers_carry_the_lease);
-  ADD ("/runtime/lines-on-a-subject-are-limited", test_lines_on_a_subject_are_limited);
-  ADD ("/call-queue/lease-calls-wait-for-no-token", test_lease_calls_wait_for_no_token);
-  ADD ("/call-queue/waiting-writes-do-not-hold-up-reads", test_waiting_writes_do_not_hold_up_reads);
+  ADD ("/runtime/log-lines-are-rate-limited", test_log_lines_are_rate_limited);
+  ADD ("/call-queue/lease-calls-need-no-tokens", test_lease_calls_need_no_tokens);
+  ADD ("/call-queue/waiting-writes-do-not-block-reads", test_waiting_writes_do_not_block_reads);
   ADD ("/call-queue/cloud-and-workers-need-a-lease", test_cloud_and_workers_need_a_lease);
   ADD ("/call-queue/calls-to-workers-are-bounded", test_calls_to_workers_are_bounded);
   ADD ("/call-queue/forgotten-calls-take-no-reply", test_forgotten_calls_take_no_reply);
-  ADD ("/call-queue/throttled-store-lowers-the-rate-once",
-       test_throttled_store_lowers_the_rate_once);
+  ADD ("/call-queue/throttling-lowers-write-rate", test_throttling_lowers_write_rate);
   return g_test_run ();
 }
