--- a/src/runtime/call-queue.h
+++ b/src/runtime/call-queue.h
@@ -15,7 +15,8 @@
 /**
  * MhCallClass:
  * @MH_CALL_LEASE: calls that keep or win the leadership; they wait for no token
- * @MH_CALL_SAFETY: calls that correctness depends on: loading of records, cancellations, releases
+ * @MH_CALL_SAFETY: calls that correctness depends on, such as the loading of records,
+ * cancellations, releases and probes
  * @MH_CALL_WORK: starts, results, scale-out
  * @MH_CALL_BACKGROUND: reads for users' requests about jobs that are not in memory
  *
