--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -224,7 +224,8 @@
 static void
 respond (MhCluster *cluster, guint64 request_id, guint status, MhValue *body)
 {
-  MhAction *action = mh_runtime_act (cluster->runtime, MH_ACTION_ANSWER_REPORT, request_id);
+  MhAction *action
+      = mh_runtime_add_action (cluster->runtime, MH_ACTION_ANSWER_HEARTBEAT, request_id);
   action->status = status;
   action->body = body;
   /* A response without commands could also be sent after the leader's lease, until the end of
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -80,14 +80,14 @@
     return;
   if (!known && failures->machines->len < FAILING_JOB_THRESHOLD)
     g_ptr_array_add (failures->machines, g_strdup (machine));
-  failures->tries++;
+  failures->count++;
   failures->failed_us = mh_runtime_now_us (cluster->runtime);
 }
 
 static bool
 is_failing_everywhere (const MhJob *job)
 {
-  return mh_job_backs_off (job) || job->failures.tries >= FAILING_JOB_THRESHOLD;
+  return mh_job_backs_off (job) || job->failures.count >= FAILING_JOB_THRESHOLD;
 }
 
 static void
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -105,7 +105,8 @@
   bool is_saving = grace_us > 0 && job->n_running;
   if (is_saving && job->gang.state != MH_GANG_STATE_ENDING)
     log_if_stop_is_delayed (attempts, job);
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOPPED, mh_runtime_now_us (attempts->runtime));
+  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOP_REQUESTED,
+                     mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
--- a/src/storage/transaction.c
+++ b/src/storage/transaction.c
@@ -255,7 +255,7 @@
     case MH_TRANSACTION_THROTTLED:
     case MH_TRANSACTION_UNAVAILABLE:
       transaction->may_be_applied |= outcome == MH_TRANSACTION_UNKNOWN;
-      mh_call_queue_store_failed (transaction->calls, reply->status);
+      mh_call_queue_handle_store_failure (transaction->calls, reply->status);
       send_request (transaction);
       break;
     }
