--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -4,16 +4,18 @@
 #include "placement/filter.h"
 #include "placement/gang-placement.h"
 
-/* Sums of decimal amounts are compared with this tolerance. */
-#define TOLERANCE 1e-9
+/* Absolute tolerance, in cpus and gpus, for rounding errors in products and sums of decimal
+ * amounts.
+ */
+#define QUOTA_TOLERANCE 1e-9
 
-/* An array needs room for one task at a time, anything else for all of them. */
+/* An array needs quota for one task at a time only, any other shape for all its tasks together. */
 static bool
 exceeds_quota (const MhTeam *team, const MhJobSpec *spec)
 {
   double tasks = spec->shape == MH_SHAPE_ARRAY ? 1 : spec->tasks;
-  return spec->cpus * tasks > team->cpus_max + TOLERANCE
-         || spec->gpus * tasks > team->gpus_max + TOLERANCE;
+  return spec->cpus * tasks > team->cpus_max + QUOTA_TOLERANCE
+         || spec->gpus * tasks > team->gpus_max + QUOTA_TOLERANCE;
 }
 
 static bool
@@ -29,8 +31,8 @@
 mh_admission_check (const MhSettings *settings, const GPtrArray *types, const MhJobSpec *spec)
 {
   g_return_val_if_fail (settings && spec, MH_ADMISSION_IMPOSSIBLE);
-  /* One that does not fit would be refused by the key-value store time and again, and end each
-     leadership. */
+  /* The key-value store would reject the record at each attempt to write it, and the user, answered
+     503, would retry for ever. */
   if (mh_job_tasks_per_record (spec, settings->value_bytes) == 0)
     return MH_ADMISSION_TOO_LARGE;
   const MhTeam *team = mh_settings_team (settings, spec->team);
--- a/src/controller/admission.h
+++ b/src/controller/admission.h
@@ -1,4 +1,4 @@
-/* Admission: whether a submission can be accepted at all. */
+/* Admission: whether a submission can be accepted. */
 #pragma once
 
 #include "protocol/cloud-messages.h"
@@ -7,12 +7,12 @@
 
 /**
  * MhAdmission:
- * @MH_ADMISSION_ACCEPT: it can run
- * @MH_ADMISSION_TOO_LARGE: it does not fit a value of the key-value store
- * @MH_ADMISSION_IMPOSSIBLE: it can never run here
- * @MH_ADMISSION_UNDECIDED: the machine types are not known yet
+ * @MH_ADMISSION_ACCEPT: the job can run
+ * @MH_ADMISSION_TOO_LARGE: the job's record does not fit a value of the key-value store
+ * @MH_ADMISSION_IMPOSSIBLE: the job can never run with these settings and machine types
+ * @MH_ADMISSION_UNDECIDED: cannot be decided, since the machine types are not known yet
  *
- * What is to be done with a submission.
+ * The decision about a submission.
  */
 typedef enum
 {
@@ -26,22 +26,23 @@
  * mh_admission_check:
  * @settings: the settings of this controller
  * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
- * @spec: what is submitted
+ * @spec: the submitted job
  *
  * Source: PROTOCOL, "POST /submissions".
  *
- * Returns: whether @spec can be accepted
+ * Returns: the decision about @spec
  */
 MhAdmission
 mh_admission_check (const MhSettings *settings, const GPtrArray *types, const MhJobSpec *spec);
 
 /**
  * mh_admission_keep_known_types:
- * @types: (nullable) (element-type MhMachineType): the machine types
- * @spec: what is submitted
+ * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet,
+ * @spec stays as it is
+ * @spec: the submitted job
  *
- * Drops machine types that do not exist from those that @spec allows. A user may allow thousands;
- * only those that exist can matter, and only they have to fit the job's record.
+ * Removes machine types that do not exist from the list that @spec allows. A user may list
+ * thousands of types; without the unknown ones the list fits the job's record.
  */
 void
 mh_admission_keep_known_types (const GPtrArray *types, MhJobSpec *spec);
--- a/src/controller/cluster-callbacks.c
+++ b/src/controller/cluster-callbacks.c
@@ -1,4 +1,4 @@
-/* What follows in the layers above the cluster from what happens in it. */
+/* The handlers through which src/cluster calls the layers above it. */
 #include "controller/core-private.h"
 
 static void
@@ -9,28 +9,28 @@
 }
 
 static void
-capacity_changed (gpointer owner, bool urgent)
+on_capacity_changed (gpointer owner, bool urgent)
 {
   MhCore *core = owner;
   mh_placement_request_pass (core->placement, urgent);
 }
 
 static void
-gang_loaded (gpointer owner, MhJob *job)
+on_gang_loaded (gpointer owner, MhJob *job)
 {
   MhCore *core = owner;
   mh_gang_attempts_restore (core->gang_attempts, job);
 }
 
 static void
-gang_task_over (gpointer owner, MhJob *job, bool done)
+on_gang_task_ended (gpointer owner, MhJob *job, bool done)
 {
   MhCore *core = owner;
   mh_gang_attempts_task_ended (core->gang_attempts, job, done);
 }
 
 static void
-gang_stop (gpointer owner, MhJob *job, gint64 grace_us)
+stop_gang (gpointer owner, MhJob *job, gint64 grace_us)
 {
   MhCore *core = owner;
   mh_gang_attempts_stop (core->gang_attempts, job, grace_us);
@@ -41,10 +41,10 @@
 {
   static const MhClusterCallbacks callbacks = {
     .release_machine = release_machine,
-    .capacity_changed = capacity_changed,
-    .gang_loaded = gang_loaded,
-    .gang_task_over = gang_task_over,
-    .gang_stop = gang_stop,
+    .capacity_changed = on_capacity_changed,
+    .gang_loaded = on_gang_loaded,
+    .gang_task_over = on_gang_task_ended,
+    .gang_stop = stop_gang,
   };
   return &callbacks;
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -1,4 +1,4 @@
-/* The objects that a controller is composed of, for the files of this folder and for tests. */
+/* The components of a controller, for the files of this folder and for tests. */
 #pragma once
 
 #include "controller/core.h"
@@ -17,7 +17,7 @@
 #include "storage/lookup.h"
 #include "storage/record-writer.h"
 
-/** MhCore: the objects that a controller is composed of. */
+/** MhCore: the components of a controller */
 struct MhCore
 {
   const MhSettings *settings;
@@ -25,7 +25,7 @@
   MhCallQueue *calls;
   MhElection *election;
 
-  GHashTable *jobs; /* id -> MhJob: all that are not over */
+  GHashTable *jobs; /* id -> MhJob: all jobs that have not ended */
   MhFinalAnswers *final_answers;
   MhRuntimeEstimator *runtime_estimator;
   MhJobQueue *job_queue;
@@ -41,15 +41,15 @@
   MhAutoscaler *autoscaler;
 
   GHashTable
-      *forwarded_requests; /* request id -> job id: passed on to the leader, not answered yet */
+      *forwarded_requests; /* request id -> job id: forwarded to the leader, answer pending */
 };
 
-/* ---- callbacks of the layers below ---- */
+/* ---- callbacks for the layers below ---- */
 
 /**
  * mh_core_election_callbacks:
  *
- * Returns: (transfer none): what the controller does as leadership comes and goes
+ * Returns: (transfer none): the handlers of changes of leadership
  */
 const MhElectionCallbacks *
 mh_core_election_callbacks (void);
@@ -57,17 +57,16 @@
 /**
  * mh_core_cluster_callbacks:
  *
- * Returns: (transfer none): what follows above the cluster from what happens in it
+ * Returns: (transfer none): the handlers through which src/cluster calls the layers above it
  */
 const MhClusterCallbacks *
 mh_core_cluster_callbacks (void);
 
 /**
  * mh_core_storage_init:
- * @core: a controller with runtime, calls, election and jobs
+ * @core: a controller whose runtime, calls, election and jobs exist already
  *
- * Makes the objects of src/storage, and registers what follows from records that were written or
- * read.
+ * Creates the components of src/storage and registers the handlers of their events.
  */
 void
 mh_core_storage_init (MhCore *core);
@@ -76,16 +75,17 @@
  * mh_core_storage_free:
  * @core: a controller
  *
- * Frees the objects of src/storage.
+ * Frees the components of src/storage.
  */
 void
 mh_core_storage_free (MhCore *core);
 
 /**
  * mh_core_update_recovery:
- * @core: a controller that leads
+ * @core: a controller that is the leader and has loaded the records
  *
- * Notes whether the machines have reported to a new leader, so that it may also preempt and scale.
+ * Completes the recovery of a new leader if all machines have sent a heartbeat or the time for that
+ * is over. Before that the leader does not preempt tasks, create machines or consolidate.
  */
 void
 mh_core_update_recovery (MhCore *core);
@@ -95,9 +95,9 @@
 /**
  * mh_core_handle_user_request:
  * @core: a controller
- * @request: what is asked; its spec is taken over
+ * @request: the request; its spec is consumed
  *
- * Answers the request, or sees to it that it will be.
+ * Answers the request now, or starts what leads to its answer: a write, a read or forwarding.
  */
 void
 mh_core_handle_user_request (MhCore *core, const MhUserRequest *request);
@@ -105,10 +105,10 @@
 /**
  * mh_core_handle_forward_reply:
  * @core: a controller
- * @id: of the request that was passed on
- * @answer: (nullable): the leader's answer
+ * @id: id of the request that was forwarded
+ * @answer: (nullable): the leader's answer; %NULL: none was received
  *
- * Answers the user by what the leader said, or with 503 when it said nothing.
+ * Passes the leader's answer to the user, or answers 503 if there is none.
  */
 void
 mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *answer);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -12,8 +12,8 @@
 
 /* ---- steps ---- */
 
-/* What follows from an input: each layer does what is due, and the calls leave that their buckets
- * allow. */
+/* Runs after each input: every layer does the work that has become due, then the queued calls that
+   the token buckets allow are sent. */
 static void
 step (MhCore *core)
 {
@@ -42,7 +42,7 @@
 }
 
 void
-mh_core_user (MhCore *core, const MhNow *now, const MhUserRequest *request)
+mh_core_receive_user_request (MhCore *core, const MhNow *now, const MhUserRequest *request)
 {
   g_return_if_fail (core && now && request && request->job_id);
   mh_runtime_begin_input (core->runtime, now);
@@ -59,19 +59,20 @@
 }
 
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report)
+mh_core_receive_heartbeat (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *heartbeat)
 {
-  g_return_if_fail (core && now && report);
+  g_return_if_fail (core && now && heartbeat);
   mh_runtime_begin_input (core->runtime, now);
   if (mh_election_is_elected (core->election))
-    mh_heartbeat_receive (core->cluster, id, report);
+    mh_heartbeat_receive (core->cluster, id, heartbeat);
   else
     redirect_worker (core, id);
   step (core);
 }
 
 void
-mh_core_reply (MhCore *core, const MhNow *now, guint64 id, guint status, const MhValue *body)
+mh_core_receive_reply (MhCore *core, const MhNow *now, guint64 id, guint status,
+                       const MhValue *body)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
@@ -80,7 +81,8 @@
 }
 
 void
-mh_core_forwarded (MhCore *core, const MhNow *now, guint64 id, const MhUserAnswer *answer)
+mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
+                               const MhUserAnswer *answer)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
@@ -91,7 +93,7 @@
 }
 
 void
-mh_core_leader_announced (MhCore *core, const MhNow *now, const char *node, guint64 epoch)
+mh_core_receive_announcement (MhCore *core, const MhNow *now, const char *node, guint64 epoch)
 {
   g_return_if_fail (core && now && node);
   mh_runtime_begin_input (core->runtime, now);
@@ -101,8 +103,9 @@
 
 /* ---- outputs ---- */
 
+/* Turns an answer into a 503; of a call only the kind and the id are still used. */
 static void
-refuse_action (MhAction *action)
+reject_action (MhAction *action)
 {
   action->lease_until_us = 0;
   action->status = STATUS_UNAVAILABLE;
@@ -110,16 +113,16 @@
   g_clear_pointer (&action->body, mh_value_unref);
 }
 
-/* The process may stand still between deciding and sending, while its clocks run on: what rests on
-   a lease is judged once more, by a fresh clock. */
+/* The process may be paused between the decision and this call while the clocks advance, so the
+   lease is checked again with the current time. */
 MhAction *
-mh_core_pop (MhCore *core, gint64 mono_us)
+mh_core_pop_action (MhCore *core, gint64 mono_us)
 {
   MhAction *action;
   while ((action = mh_runtime_pop_action (core->runtime)) && action->lease_until_us
          && mono_us >= action->lease_until_us)
     {
-      refuse_action (action);
+      reject_action (action);
       if (action->kind != MH_ACTION_CALL)
         break;
       mh_call_queue_complete (core->calls, action->id, &(MhReply){ .status = 0 });
@@ -129,24 +132,24 @@
 }
 
 gint64
-mh_core_next_wake (const MhCore *core)
+mh_core_next_wake_up_us (const MhCore *core)
 {
   return mh_runtime_next_wake_up_us (core->runtime);
 }
 
 bool
-mh_core_ready (const MhCore *core)
+mh_core_is_ready (const MhCore *core)
 {
   return mh_election_is_ready (core->election);
 }
 
 bool
-mh_core_leads (const MhCore *core)
+mh_core_is_leader (const MhCore *core)
 {
   return mh_election_is_leader (core->election);
 }
 
-/* ---- life ---- */
+/* ---- construction and destruction ---- */
 
 static MhCluster *
 cluster_new (MhCore *core)
@@ -201,10 +204,10 @@
       = mh_placement_new (core->cluster, core->runtime, core->record_writer, core->job_queue);
   core->autoscaler = autoscaler_new (core);
   if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
-    mh_runtime_log (
-        core->runtime, G_LOG_LEVEL_WARNING,
-        "cancel_s leaves no room beside the workers' lease_s: without the key-value store no "
-        "task is kept alive for longer than that lease");
+    mh_runtime_log (core->runtime, G_LOG_LEVEL_WARNING,
+                    "cancel_s is too short in relation to the workers' lease_s: during a key-value "
+                    "store outage "
+                    "no task is kept alive for longer than that lease");
   return core;
 }
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -1,23 +1,24 @@
-/* The scheduler's core: a pure state machine that composes the modules of all layers below.
+/* The scheduler's core: a deterministic state machine that composes the modules of all layers
+   below.
 
-   Each input is given the time and returns at once; what is to be sent, written, answered or logged
-   is then taken with mh_core_pop (). It does no I/O, reads no clock and starts no thread, so that
-   tests run it on a fake clock. */
+   Each input carries the current time and returns without blocking. The host then takes the
+   resulting actions (calls, answers, log lines) with mh_core_pop_action (). The core does no I/O,
+   reads no clock and starts no thread, so that tests can run it on a fake clock. */
 #pragma once
 
 #include "protocol/user-messages.h"
 #include "protocol/worker-messages.h"
 #include "runtime/runtime.h"
 
-/** MhCore: one controller. */
+/** MhCore: a controller. */
 typedef struct MhCore MhCore;
 
 /**
  * mh_core_new:
  * @settings: (not transferred): must outlive the core
- * @now: the present time
+ * @now: the current time
  *
- * Returns: (transfer full): a controller that follows, and knows no leader yet
+ * Returns: (transfer full): a controller in the follower state that does not know a leader yet
  */
 MhCore *
 mh_core_new (const MhSettings *settings, const MhNow *now);
@@ -26,7 +27,7 @@
  * mh_core_free:
  * @core: (transfer full) (nullable): a controller
  *
- * Frees it with all that it knows. Nothing is sent.
+ * Frees the controller and all its state. Sends nothing.
  */
 void
 mh_core_free (MhCore *core);
@@ -37,20 +38,20 @@
 /**
  * mh_core_tick:
  * @core: a controller
- * @now: the present time
+ * @now: the current time
  *
- * Time has passed: to be called at mh_core_next_wake () at the latest.
+ * Does the work that has become due. To be called at mh_core_next_wake_up_us () at the latest.
  */
 void
 mh_core_tick (MhCore *core, const MhNow *now);
 
 /**
  * MhUserRequest:
- * @id: of the request; its MH_ACTION_ANSWER_USER carries it
+ * @id: id of the request, which its MH_ACTION_ANSWER_USER carries
  * @verb: what the user asks for
- * @job_id: (not transferred): a valid id
- * @spec: (transfer full) (nullable): what is submitted; MH_USER_SUBMIT alone
- * @forwarded: another controller passes the request on; it is not passed on again
+ * @job_id: (not transferred): a valid job id
+ * @spec: (transfer full) (nullable): the submitted job; set for MH_USER_SUBMIT only
+ * @forwarded: another controller has forwarded the request here; it is not forwarded again
  *
  * A user's request.
  */
@@ -64,103 +65,111 @@
 } MhUserRequest;
 
 /**
- * mh_core_user:
+ * mh_core_receive_user_request:
  * @core: a controller
- * @now: the present time
- * @request: what is asked; its spec is taken over
+ * @now: the current time
+ * @request: the request; its spec is consumed
  *
- * A user's request. It is answered in this step or a later one, or passed on to the leader.
+ * Handles a user's request: it is answered in this step or a later one, or forwarded to the leader.
  */
 void
-mh_core_user (MhCore *core, const MhNow *now, const MhUserRequest *request);
+mh_core_receive_user_request (MhCore *core, const MhNow *now, const MhUserRequest *request);
 
 /**
- * mh_core_report:
+ * mh_core_receive_heartbeat:
  * @core: a controller
- * @now: the present time
- * @id: of the request; its MH_ACTION_ANSWER_REPORT carries it
- * @report: (not transferred): the worker's heartbeat
+ * @now: the current time
+ * @id: id of the request, which its MH_ACTION_ANSWER_REPORT carries
+ * @heartbeat: (not transferred): the heartbeat
  *
- * A worker's heartbeat.
+ * Handles a worker's heartbeat.
  */
 void
-mh_core_report (MhCore *core, const MhNow *now, guint64 id, const MhHeartbeat *report);
+mh_core_receive_heartbeat (MhCore *core, const MhNow *now, guint64 id,
+                           const MhHeartbeat *heartbeat);
 
 /**
- * mh_core_reply:
+ * mh_core_receive_reply:
  * @core: a controller
- * @now: the present time
- * @id: of the call that ends
- * @status: HTTP status; 0: no answer came, so that whether the request was carried out is unknown
- * @body: (not transferred) (nullable): of the answer
+ * @now: the current time
+ * @id: id of the call
+ * @status: HTTP status; 0: no reply was received, and it is unknown whether the request was carried
+ * out
+ * @body: (not transferred) (nullable): body of the reply
  *
- * The end of a call that mh_core_pop () gave out.
+ * Handles the reply to a call that mh_core_pop_action () returned, or its failure.
  */
 void
-mh_core_reply (MhCore *core, const MhNow *now, guint64 id, guint status, const MhValue *body);
+mh_core_receive_reply (MhCore *core, const MhNow *now, guint64 id, guint status,
+                       const MhValue *body);
 
 /**
- * mh_core_forwarded:
+ * mh_core_receive_forward_reply:
  * @core: a controller
- * @now: the present time
- * @id: of the user's request that was passed on
- * @answer: (not transferred) (nullable): the leader's answer; %NULL when none came in time
+ * @now: the current time
+ * @id: id of the user's request that was forwarded
+ * @answer: (not transferred) (nullable): the leader's answer; %NULL: none was received before the
+ * time-out
  *
- * The end of a request that was passed on to the leader.
+ * Handles the leader's answer to a forwarded request, or its failure.
  */
 void
-mh_core_forwarded (MhCore *core, const MhNow *now, guint64 id, const MhUserAnswer *answer);
+mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
+                               const MhUserAnswer *answer);
 
 /**
- * mh_core_leader_announced:
+ * mh_core_receive_announcement:
  * @core: a controller
- * @now: the present time
- * @node: the controller that says it leads
+ * @now: the current time
+ * @node: the controller that claims to be the leader
  * @epoch: its leadership epoch
  *
- * Another controller announces that it leads: a hint, never a proof.
+ * Handles another controller's announcement that it is the leader. An announcement is only a hint:
+ * it can make this controller a follower, but never the leader.
  */
 void
-mh_core_leader_announced (MhCore *core, const MhNow *now, const char *node, guint64 epoch);
+mh_core_receive_announcement (MhCore *core, const MhNow *now, const char *node, guint64 epoch);
 
 /* ---- outputs ---- */
 
 /**
- * mh_core_pop:
+ * mh_core_pop_action:
  * @core: a controller
- * @mono_us: the steady clock at this moment, which may be long after the input, in microseconds
+ * @mono_us: the current steady time, in microseconds; it may be much later than the last input
  *
- * What rests on a lease is judged once more by @mono_us: the process may have stood still between
- * deciding and sending. A call whose lease has ended is not given out, and an answer becomes a 503.
+ * Checks against @mono_us that the leader lease on which the action depends is still valid, because
+ * the process may have been paused between the decision and this call. If the lease has expired, a
+ * call is completed as unanswered and not returned, and an answer is replaced by a 503.
  *
- * Returns: (transfer full) (nullable): the next action; %NULL when there is none
+ * Returns: (transfer full) (nullable): the next action; %NULL if there is none
  */
 MhAction *
-mh_core_pop (MhCore *core, gint64 mono_us);
+mh_core_pop_action (MhCore *core, gint64 mono_us);
 
 /**
- * mh_core_next_wake:
+ * mh_core_next_wake_up_us:
  * @core: a controller
  *
- * Returns: the steady time of the next tick that is needed, in microseconds
+ * Returns: the steady time at which mh_core_tick () must be called at the latest, in microseconds
  */
 gint64
-mh_core_next_wake (const MhCore *core);
+mh_core_next_wake_up_us (const MhCore *core);
 
 /**
- * mh_core_ready:
+ * mh_core_is_ready:
  * @core: a controller
  *
- * Returns: %TRUE if GET /ready is to be answered with 200
+ * Returns: %TRUE if GET /ready is to be answered with 200: users can be served here, by this
+ * controller or by forwarding
  */
 bool
-mh_core_ready (const MhCore *core);
+mh_core_is_ready (const MhCore *core);
 
 /**
- * mh_core_leads:
+ * mh_core_is_leader:
  * @core: a controller
  *
- * Returns: %TRUE while it holds a valid lease and may act as leader
+ * Returns: %TRUE while this controller holds a valid leader lease and may act as leader
  */
 bool
-mh_core_leads (const MhCore *core);
+mh_core_is_leader (const MhCore *core);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -1,5 +1,5 @@
-/* What the controller does as leadership comes and goes: it loads the records, begins, refuses
-   users who wait, and forgets what the leadership knew. The election decides when. */
+/* The handlers of changes of leadership, which the election calls: they load the records, start the
+   work as leader, reject waiting users and clear the state of a leadership that has ended. */
 #include "controller/core-private.h"
 
 #include "cluster/failure-detection.h"
@@ -23,12 +23,12 @@
                      core->settings->report_interval_us);
   mh_placement_request_pass (core->placement, false);
   mh_cluster_records_loaded (core->cluster);
-  mh_log_info (core->runtime, "records loaded, waiting for the workers' reports unfinished_jobs=%u",
+  mh_log_info (core->runtime, "records loaded, waiting for heartbeats unfinished_jobs=%u",
                g_hash_table_size (core->jobs));
 }
 
 static void
-refuse_waiting_users (gpointer owner)
+reject_waiting_users (gpointer owner)
 {
   MhCore *core = owner;
   GHashTableIter it;
@@ -55,11 +55,12 @@
   mh_record_loader_clear (core->record_loader);
 }
 
-/* Workers' reports were refused for a while if the bound on keeping their tasks alive was over:
-   that nothing was heard meanwhile says nothing of the workers. After an outage of a minute a whole
-   fleet was once given back as silent. */
+/* A leader that cannot renew its lease rejects heartbeats once mh_heartbeat_keep_alive_us () has
+   passed since the last renewal. The time in which it rejected them must not count as silence of
+   the workers: without this, an outage of one minute led to the release of the whole fleet as
+   silent. */
 static void
-note_pause (gpointer owner, gint64 last_renewal_us)
+on_renewed_after_lapse (gpointer owner, gint64 last_renewal_us)
 {
   MhCore *core = owner;
   if (mh_runtime_now_us (core->runtime)
@@ -72,16 +73,17 @@
 {
   static const MhElectionCallbacks callbacks = { .elected = load_records,
                                                  .leading = start_leading,
-                                                 .refuse_waiting = refuse_waiting_users,
+                                                 .refuse_waiting = reject_waiting_users,
                                                  .clear = clear_leadership,
-                                                 .renewed_after_pause = note_pause };
+                                                 .renewed_after_pause = on_renewed_after_lapse };
   return &callbacks;
 }
 
-/* Every machine that a record or the cloud's list knows as running has reported. One that gives no
-   answer either will not report. */
+/* Whether every machine that is running according to a record or to the cloud's list has sent a
+   heartbeat to this leader. Unreachable machines are not waited for: they answer no probe, so no
+   heartbeat is to be expected either. */
 static bool
-all_machines_reported (const MhCore *core)
+have_all_machines_reported (const MhCore *core)
 {
   if (mh_cluster_types (core->cluster) == NULL || !mh_autoscaler_is_listed (core->autoscaler))
     return false;
@@ -104,7 +106,7 @@
 {
   gint64 now_us = mh_runtime_now_us (core->runtime);
   if (mh_recovery_is_complete (core->recovery)
-      || !mh_recovery_update (core->recovery, now_us, all_machines_reported (core)))
+      || !mh_recovery_update (core->recovery, now_us, have_all_machines_reported (core)))
     return;
   mh_placement_request_pass (core->placement, false);
   mh_log_info (core->runtime, "recovery complete seconds_since_election=%.1f",
--- a/src/controller/storage-callbacks.c
+++ b/src/controller/storage-callbacks.c
@@ -1,30 +1,30 @@
-/* Connects src/storage with the layers above it: what follows from a record that was written or
- * read. */
+/* The handlers through which src/storage calls the layers above it when records were written or
+   read. */
 #include "controller/core-private.h"
 
 #include "cluster/attempt.h"
 #include "cluster/machine-registry.h"
 #include "cluster/task-failure.h"
 
-/* ---- the writer ---- */
+/* ---- record writer ---- */
 
 static void
-job_accepted (gpointer owner, MhJob *job)
+on_job_accepted (gpointer owner, MhJob *job)
 {
   MhCore *core = owner;
   mh_placement_request_pass (core->placement, job->spec->shape == MH_SHAPE_SERVICE);
 }
 
 static void
-job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+on_job_ended (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
 {
   MhCore *core = owner;
   mh_final_answers_add (core->final_answers, job->spec->id, answer);
 }
 
-/* What was waiting for the record to be durable may be sent now. */
+/* Attempts of these tasks may have become durable: sends the starts that waited for that. */
 static void
-attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
+on_attempts_recorded (gpointer owner, MhJob *job, guint first_task, guint end_task)
 {
   MhCore *core = owner;
   for (guint i = first_task; i < end_task; i++)
@@ -33,7 +33,7 @@
 }
 
 static void
-job_rechunked (gpointer owner, MhJob *job)
+on_job_rechunked (gpointer owner, MhJob *job)
 {
   MhCore *core = owner;
   for (guint i = 0; i < job->spec->tasks; i++)
@@ -42,7 +42,7 @@
 }
 
 static void
-leadership_lost (gpointer owner, MhLossReason reason)
+on_leadership_lost (gpointer owner, MhLossReason reason)
 {
   MhCore *core = owner;
   mh_election_step_down (core->election, reason);
@@ -54,17 +54,17 @@
   return attempt->machine->name;
 }
 
-static const MhRecordWriterCallbacks writer_callbacks = { .job_accepted = job_accepted,
-                                                          .job_over = job_over,
-                                                          .attempts_recorded = attempts_recorded,
-                                                          .job_rechunked = job_rechunked,
-                                                          .leadership_lost = leadership_lost,
+static const MhRecordWriterCallbacks writer_callbacks = { .job_accepted = on_job_accepted,
+                                                          .job_over = on_job_ended,
+                                                          .attempts_recorded = on_attempts_recorded,
+                                                          .job_rechunked = on_job_rechunked,
+                                                          .leadership_lost = on_leadership_lost,
                                                           .machine_name = machine_name };
 
-/* ---- the loader ---- */
+/* ---- record loader ---- */
 
 static void
-attempt_found (gpointer owner, MhJob *job, guint index, guint32 attempt, const char *machine)
+on_attempt_found (gpointer owner, MhJob *job, guint index, guint32 attempt, const char *machine)
 {
   MhCore *core = owner;
   MhMachine *found = mh_cluster_find_machine (core->cluster, machine);
@@ -74,21 +74,21 @@
 }
 
 static void
-back_off_found (gpointer owner, MhJob *job, guint level)
+on_back_off_found (gpointer owner, MhJob *job, guint level)
 {
   MhCore *core = owner;
   mh_task_failure_load_back_off (core->cluster, job, level);
 }
 
 static void
-release_found (gpointer owner, const MhKvEntry *entry)
+on_release_found (gpointer owner, const MhKvEntry *entry)
 {
   MhCore *core = owner;
   mh_autoscaler_load_release (core->autoscaler, entry);
 }
 
 static void
-job_unreadable (gpointer owner, MhJob *job)
+on_job_unreadable (gpointer owner, MhJob *job)
 {
   MhCore *core = owner;
   for (guint i = 0; i < job->spec->tasks; i++)
@@ -97,22 +97,22 @@
 }
 
 static void
-loaded (gpointer owner)
+on_records_loaded (gpointer owner)
 {
   MhCore *core = owner;
   mh_election_records_loaded (core->election);
 }
 
-static const MhRecordLoaderCallbacks loader_callbacks = { .attempt_found = attempt_found,
-                                                          .back_off_found = back_off_found,
-                                                          .release_found = release_found,
-                                                          .job_unreadable = job_unreadable,
-                                                          .loaded = loaded };
+static const MhRecordLoaderCallbacks loader_callbacks = { .attempt_found = on_attempt_found,
+                                                          .back_off_found = on_back_off_found,
+                                                          .release_found = on_release_found,
+                                                          .job_unreadable = on_job_unreadable,
+                                                          .loaded = on_records_loaded };
 
-/* ---- questions ---- */
+/* ---- job lookup ---- */
 
 static void
-final_read (gpointer owner, const char *job, const MhUserAnswer *answer)
+on_final_answer_read (gpointer owner, const char *job, const MhUserAnswer *answer)
 {
   MhCore *core = owner;
   mh_final_answers_add (core->final_answers, job, answer);
@@ -125,7 +125,8 @@
       = mh_record_writer_new (core->runtime, core->calls, core->jobs, &writer_callbacks, core);
   core->record_loader = mh_record_loader_new (core->runtime, core->calls, core->jobs,
                                               core->record_writer, &loader_callbacks, core);
-  core->job_lookup = mh_job_lookup_new (core->runtime, core->calls, core->jobs, final_read, core);
+  core->job_lookup
+      = mh_job_lookup_new (core->runtime, core->calls, core->jobs, on_final_answer_read, core);
 }
 
 void
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -1,15 +1,16 @@
-/* Users' requests: submissions, questions and cancellations, answered here or passed on to the
+/* Users' requests: submissions, status queries and cancellations, answered here or forwarded to the
    leader.
 
-   Only durable state is told. A final state holds for ever, whoever leads; anything else is the
-   leader's to tell. */
+   Answers contain durable state only. A final state never changes, so every controller may answer
+   with it. Any other state is answered by the leader, or from the stored records while there is no
+   leader. */
 #include "controller/admission.h"
 #include "controller/core-private.h"
 
 #include "cluster/attempt.h"
 #include "cluster/machine-registry.h"
 
-/* A user waits two seconds for an answer. */
+/* A user gives up on an answer after 2 s, so a forwarded request must end earlier. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
 #define RETRY_AFTER_S 1u
 
@@ -17,17 +18,17 @@
 {
   STATUS_OK = 200,
   STATUS_CREATED = 201,
-  STATUS_MALFORMED = 400,
-  STATUS_IMPOSSIBLE = 422,
+  STATUS_BAD_REQUEST = 400,
+  STATUS_UNPROCESSABLE = 422,
   STATUS_UNAVAILABLE = 503
 };
 
 /* ---- answers ---- */
 
 static void
-answer (MhCore *core, guint64 id, const MhUserAnswer *given)
+answer_user (MhCore *core, guint64 id, const MhUserAnswer *answer)
 {
-  mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *given;
+  mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
 }
 
 static void
@@ -37,14 +38,14 @@
 }
 
 static void
-answer_state_of_job (MhCore *core, guint64 id, const MhJob *job)
+answer_job_state (MhCore *core, guint64 id, const MhJob *job)
 {
   MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id);
   mh_job_fill_answer (job, &action->answer);
   action->answer.status = STATUS_OK;
 }
 
-/* The request is answered when the job's first record is durable. */
+/* The request is answered once what it asks for is durable in the job's records. */
 static void
 answer_when_durable (MhJob *job, const MhUserRequest *request)
 {
@@ -75,12 +76,13 @@
       answer_when_durable (create_job (core, g_steal_pointer (&request->spec)), request);
       break;
     case MH_ADMISSION_IMPOSSIBLE:
-      /* An accepted job is never refused later, whatever the settings have become. */
+      /* An accepted job is never rejected later, even if changed settings make it impossible: the
+         lookup reads its final record before it rejects the submission. */
       mh_job_lookup_ask (core->job_lookup, request->id, request->spec->id, MH_USER_SUBMIT,
                          MH_LOOKUP_LEADER);
       break;
     case MH_ADMISSION_TOO_LARGE:
-      mh_runtime_answer_user (core->runtime, request->id, STATUS_MALFORMED, 0);
+      mh_runtime_answer_user (core->runtime, request->id, STATUS_BAD_REQUEST, 0);
       break;
     case MH_ADMISSION_UNDECIDED:
       answer_unavailable (core, request->id);
@@ -92,13 +94,13 @@
 submit (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->spec->id);
-  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->spec->id);
-  /* A repeated submission may wait in memory beside the final answer, which holds: it once was
-     answered as a job that waits. */
-  if (final)
-    answer (core, request->id, final);
+  const MhUserAnswer *final_answer = mh_final_answers_find (core->final_answers, request->spec->id);
+  /* The final answer comes first: a repeated submission of an ended job may be in memory as well,
+     with its write pending. In the opposite order the user was answered that the job is pending. */
+  if (final_answer)
+    answer_user (core, request->id, final_answer);
   else if (job && job->accepted)
-    answer_state_of_job (core, request->id, job);
+    answer_job_state (core, request->id, job);
   else if (job)
     answer_when_durable (job, request);
   else
@@ -112,7 +114,7 @@
 {
   if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
     {
-      answer_state_of_job (core, request->id, job);
+      answer_job_state (core, request->id, job);
       return;
     }
   if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
@@ -125,10 +127,10 @@
   answer_when_durable (job, request);
 }
 
-/* ---- without leadership ---- */
+/* ---- as follower ---- */
 
 static void
-forward (MhCore *core, const MhUserRequest *request)
+forward_to_leader (MhCore *core, const MhUserRequest *request)
 {
   MhAction *action = mh_runtime_act (core->runtime, MH_ACTION_FORWARD, request->id);
   action->node = g_strdup (mh_election_leader_name (core->election));
@@ -137,8 +139,9 @@
                        g_strdup (request->job_id));
 }
 
-/* Questions, and submissions that can never run unless they were accepted once: their records tell.
- */
+/* Whether a read of the stored records can answer the request while there is no leader. It can for
+   a status query, and for an impossible submission: that is rejected, unless its job was accepted
+   earlier. */
 static bool
 can_be_looked_up (const MhCore *core, const MhUserRequest *request)
 {
@@ -150,16 +153,16 @@
                     == MH_ADMISSION_IMPOSSIBLE);
 }
 
-/* A leader whose lease has lapsed may not know how its last writes ended, and tells nothing either.
- */
+/* Also handles the requests that reach a leader whose lease has lapsed: the outcome of its last
+   writes may be unknown to it, so that it answers with final states only. */
 static void
 handle_as_follower (MhCore *core, const MhUserRequest *request)
 {
-  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->job_id);
-  if (final)
-    answer (core, request->id, final);
+  const MhUserAnswer *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
+  if (final_answer)
+    answer_user (core, request->id, final_answer);
   else if (!request->forwarded && mh_election_other_leader (core->election))
-    forward (core, request);
+    forward_to_leader (core, request);
   else if (can_be_looked_up (core, request))
     mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
                        MH_LOOKUP_LEADERLESS);
@@ -173,20 +176,20 @@
 handle_as_leader (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->job_id);
-  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->job_id);
+  const MhUserAnswer *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
   if (mh_record_loader_is_unreadable (core->record_loader, request->job_id))
     answer_unavailable (core, request->id);
   else if (request->verb == MH_USER_SUBMIT)
     submit (core, request);
-  else if (job == NULL && final)
-    answer (core, request->id, final);
-  /* Perhaps one that was over long ago and is submitted again: its final record tells, however long
-     the write that would find out has to wait. */
+  else if (job == NULL && final_answer)
+    answer_user (core, request->id, final_answer);
+  /* A job that is not accepted yet may be the repeated submission of one that ended long ago. The
+     read of its final record answers that, however long the write of the submission is delayed. */
   else if (job == NULL || !job->accepted)
     mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
                        MH_LOOKUP_LEADER);
   else if (request->verb == MH_USER_STATUS)
-    answer_state_of_job (core, request->id, job);
+    answer_job_state (core, request->id, job);
   else
     cancel (core, request, job);
 }
@@ -202,32 +205,32 @@
   mh_job_spec_free (owned.spec);
 }
 
-/* ---- answers of the leader ---- */
+/* ---- replies to forwarded requests ---- */
 
-/* What the leader has called over stays so: the next question about it need not be passed on. */
+/* A final state never changes: later requests for the job are answered without forwarding them. */
 static void
-remember_final (MhCore *core, const char *job_id, const MhUserAnswer *given)
+cache_final_answer (MhCore *core, const char *job_id, const MhUserAnswer *answer)
 {
-  MhUserAnswer final = *given;
-  final.status = STATUS_OK;
-  if ((given->status == STATUS_OK || given->status == STATUS_CREATED)
-      && (given->state == MH_JOB_DONE || given->state == MH_JOB_CANCELLED))
-    mh_final_answers_add (core->final_answers, job_id, &final);
+  MhUserAnswer final_answer = *answer;
+  final_answer.status = STATUS_OK;
+  if ((answer->status == STATUS_OK || answer->status == STATUS_CREATED)
+      && (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED))
+    mh_final_answers_add (core->final_answers, job_id, &final_answer);
 }
 
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *given)
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *answer)
 {
   gpointer key, value;
   if (!g_hash_table_steal_extended (core->forwarded_requests, &id, &key, &value))
     return;
   g_free (key);
   g_autofree char *job_id = value;
-  if (given)
+  if (answer)
     {
       mh_election_note_forward_answered (core->election);
-      answer (core, id, given);
-      remember_final (core, job_id, given);
+      answer_user (core, id, answer);
+      cache_final_answer (core, job_id, answer);
       return;
     }
   const char *leader = mh_election_leader_name (core->election);
--- a/src/runtime/action.h
+++ b/src/runtime/action.h
@@ -1,5 +1,6 @@
 /* Actions: what the state machine asks its host to do. The host (src/server, or the fake clock of
-   the tests) takes them with mh_core_pop () after each input and carries them out in order. */
+   the tests) takes them with mh_core_pop_action () after each input and carries them out in order.
+ */
 #pragma once
 
 #include "protocol/request.h"
@@ -7,7 +8,7 @@
 
 /**
  * MhActionKind:
- * @MH_ACTION_CALL: make a request; its reply comes back through mh_core_reply ()
+ * @MH_ACTION_CALL: make a request; its reply comes back through mh_core_receive_reply ()
  * @MH_ACTION_ANNOUNCE_LEADER: tell another controller that this one leads, with epoch `id`
  * @MH_ACTION_FORWARD: hand a user's request to another controller
  * @MH_ACTION_ANSWER_USER: answer a user's request
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -35,7 +35,7 @@
   if (connection == NULL)
     {
       MhNow now = mh_process_clock_read (server->clock);
-      mh_core_forwarded (server->core, &now, action->id, NULL);
+      mh_core_receive_forward_reply (server->core, &now, action->id, NULL);
       return;
     }
   mh_request_forwarder_send (server->forwarder, request, connection, action->timeout_us);
@@ -98,7 +98,7 @@
 static MhAction *
 pop_action (Server *server)
 {
-  return mh_core_pop (server->core, g_get_monotonic_time ());
+  return mh_core_pop_action (server->core, g_get_monotonic_time ());
 }
 
 /* Carries out what the controller says after an input. An action may be an input in turn, and so
@@ -119,7 +119,7 @@
     }
   g_main_context_pop_thread_default (NULL);
   server->dispatching = false;
-  g_source_set_ready_time (server->timer, mh_core_next_wake (server->core));
+  g_source_set_ready_time (server->timer, mh_core_next_wake_up_us (server->core));
 }
 
 /* ---- inputs of the controller ---- */
@@ -128,7 +128,7 @@
 on_readiness_probe (gpointer data)
 {
   const Server *server = data;
-  return mh_core_ready (server->core);
+  return mh_core_is_ready (server->core);
 }
 
 static void
@@ -141,7 +141,7 @@
                                        .job_id = request->job,
                                        .spec = spec,
                                        .forwarded = false };
-  mh_core_user (server->core, &now, &user_request);
+  mh_core_receive_user_request (server->core, &now, &user_request);
   dispatch_actions (server);
 }
 
@@ -150,7 +150,7 @@
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_report (server->core, &now, request->id, report);
+  mh_core_receive_heartbeat (server->core, &now, request->id, report);
   dispatch_actions (server);
 }
 
@@ -159,7 +159,7 @@
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_reply (server->core, &now, id, status, body);
+  mh_core_receive_reply (server->core, &now, id, status, body);
   dispatch_actions (server);
 }
 
@@ -168,7 +168,7 @@
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_forwarded (server->core, &now, id, answer);
+  mh_core_receive_forward_reply (server->core, &now, id, answer);
   dispatch_actions (server);
 }
 
@@ -186,7 +186,7 @@
                                        .job_id = request->job,
                                        .spec = spec,
                                        .forwarded = true };
-  mh_core_user (server->core, &now, &user_request);
+  mh_core_receive_user_request (server->core, &now, &user_request);
   dispatch_actions (server);
 }
 
@@ -194,7 +194,7 @@
 on_announcement (Server *server, const MhControllerMessage *announcement)
 {
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_leader_announced (server->core, &now, announcement->node, announcement->epoch);
+  mh_core_receive_announcement (server->core, &now, announcement->node, announcement->epoch);
   dispatch_actions (server);
 }
 
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -210,7 +210,7 @@
 {
   if (self->core)
     {
-      mh_core_user (self->core, now, request);
+      mh_core_receive_user_request (self->core, now, request);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -228,7 +228,7 @@
     {
       g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value, NULL);
       g_assert_nonnull (report);
-      mh_core_report (self->core, now, id, report);
+      mh_core_receive_heartbeat (self->core, now, id, report);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -241,7 +241,7 @@
 {
   if (self->core)
     {
-      mh_core_reply (self->core, now, id, status, body);
+      mh_core_receive_reply (self->core, now, id, status, body);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -254,7 +254,7 @@
 {
   if (self->core)
     {
-      mh_core_forwarded (self->core, now, id, answer);
+      mh_core_receive_forward_reply (self->core, now, id, answer);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -273,7 +273,7 @@
 {
   ProductionNow production_now = to_production (now);
   if (self->core)
-    mh_core_leader_announced (self->core, now, node, epoch);
+    mh_core_receive_announcement (self->core, now, node, epoch);
   else
     production_core_leader_announced (self->production, &production_now, node, epoch);
 }
@@ -283,24 +283,25 @@
 {
   ProductionAction popped;
   if (self->core)
-    return mh_core_pop (self->core, mono_us);
+    return mh_core_pop_action (self->core, mono_us);
   return production_core_pop (self->production, mono_us, &popped) ? to_action (&popped) : NULL;
 }
 
 gint64
 controller_next_wake (const Controller *self)
 {
-  return self->core ? mh_core_next_wake (self->core) : production_core_next_wake (self->production);
+  return self->core ? mh_core_next_wake_up_us (self->core)
+                    : production_core_next_wake (self->production);
 }
 
 bool
 controller_leads (const Controller *self)
 {
-  return self->core ? mh_core_leads (self->core) : production_core_leads (self->production);
+  return self->core ? mh_core_is_leader (self->core) : production_core_leads (self->production);
 }
 
 bool
 controller_ready (const Controller *self)
 {
-  return self->core ? mh_core_ready (self->core) : production_core_ready (self->production);
+  return self->core ? mh_core_is_ready (self->core) : production_core_ready (self->production);
 }
