--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -4,9 +4,7 @@
 #include "placement/filter.h"
 #include "placement/gang-placement.h"
 
-/* Absolute tolerance, in cpus and gpus, for rounding errors in products and sums of decimal
- * amounts.
- */
+/* Tolerance, in cpus and gpus, for rounding errors in products and sums of decimal amounts. */
 #define QUOTA_TOLERANCE 1e-9
 
 /* An array needs quota for one task at a time only, any other shape for all its tasks together. */
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -206,8 +206,7 @@
   if (mh_heartbeat_keep_alive_us (core->cluster) <= 0)
     mh_runtime_log (core->runtime, G_LOG_LEVEL_WARNING,
                     "cancel_s is too short in relation to the workers' lease_s: during a key-value "
-                    "store outage "
-                    "no task is kept alive for longer than that lease");
+                    "store outage no task is kept alive for longer than that lease");
   return core;
 }
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -1,4 +1,4 @@
-/* The scheduler's core: a deterministic state machine that composes the modules of all layers
+/* The core of the scheduler: a deterministic state machine composed of the modules of all layers
    below.
 
    Each input carries the current time and returns without blocking. The host then takes the
--- a/tests/test-admission.c
+++ b/tests/test-admission.c
@@ -1,4 +1,4 @@
-/* Admission: which submissions are accepted, refused, or not decided yet. */
+/* Admission: which submissions are accepted or rejected, and which cannot be decided yet. */
 #include "controller/admission.h"
 
 #include "protocol/user-messages.h"
@@ -66,7 +66,7 @@
   return mh_admission_check (fixture->settings, fixture->types, fixture->spec);
 }
 
-/* A job array needs its team's quota for one task at a time; anything else for all of them. */
+/* An array needs quota for one task at a time only, any other shape for all its tasks together. */
 static void
 test_quota_by_shape (Fixture *fixture, gconstpointer unused)
 {
@@ -78,9 +78,9 @@
   g_assert_cmpint (check (fixture), ==, MH_ADMISSION_ACCEPT);
 }
 
-/* Accepted, they would wait for ever. */
+/* Jobs that can never run would wait for ever if they were accepted. */
 static void
-test_what_can_never_run (Fixture *fixture, gconstpointer unused)
+test_impossible_submissions (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   fixture->spec->cpus = 5;
@@ -91,19 +91,21 @@
   g_assert_cmpint (check (fixture), ==, MH_ADMISSION_IMPOSSIBLE);
 }
 
-/* Refused for good before the machine types are known, a user would not come again. */
+/* A rejection is permanent: the user does not retry. Before the machine types are known, only what
+   is impossible with any types may be rejected. */
 static void
 test_undecided_without_types (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   g_assert_cmpint (mh_admission_check (fixture->settings, NULL, fixture->spec), ==,
                    MH_ADMISSION_UNDECIDED);
-  fixture->spec->shape = MH_SHAPE_SERVICE; /* beyond the quota, whatever the types */
+  fixture->spec->shape = MH_SHAPE_SERVICE; /* exceeds the quota, whatever the machine types */
   g_assert_cmpint (mh_admission_check (fixture->settings, NULL, fixture->spec), ==,
                    MH_ADMISSION_IMPOSSIBLE);
 }
 
-/* A record that the store refuses would end each leadership that tries to write it. */
+/* The key-value store would reject the job's record at each attempt to write it, and the user would
+   retry for ever. */
 static void
 test_too_large_for_a_value (Fixture *fixture, gconstpointer unused)
 {
@@ -112,7 +114,7 @@
   g_assert_cmpint (check (fixture), ==, MH_ADMISSION_TOO_LARGE);
 }
 
-/* Thousands of names that no machine has would not fit the job's record. */
+/* A list of thousands of unknown machine types would not fit the job's record. */
 static void
 test_unknown_types_are_dropped (Fixture *fixture, gconstpointer unused)
 {
@@ -133,7 +135,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   ADD ("quota-by-shape", test_quota_by_shape);
-  ADD ("what-can-never-run", test_what_can_never_run);
+  ADD ("impossible-submissions", test_impossible_submissions);
   ADD ("undecided-without-types", test_undecided_without_types);
   ADD ("too-large-for-a-value", test_too_large_for_a_value);
   ADD ("unknown-types-are-dropped", test_unknown_types_are_dropped);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -1,11 +1,11 @@
-/* The life of jobs: accepted, placed, written, answered, cancelled; large ones and odd ones. On a
-   fake clock, with scripted peers. */
+/* The life cycle of jobs: submission, placement, records, answers and cancellation; also very large
+   and unusual jobs. Runs on a fake clock, with stand-ins for the peers. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A job that was forgotten, told otherwise by another controller, or left with records and idle
-   machines behind it, would cost its user or its owner. */
+/* A job must not be forgotten, controllers must not contradict each other about it, and it must not
+   leave records or idle machines behind, which cost the owner money. */
 static void
 test_array (Simulation *simulation)
 {
@@ -13,7 +13,7 @@
   MhUserAnswer answer;
   WAIT (simulation, 60, told_done, user);
   g_assert_cmpuint (user->job->done_count, ==, 10);
-  /* For ever after, from every controller, also for a repeated submission. */
+  /* Every controller gives the same answer later, also to a repeated submission. */
   simulation_run (simulation, 120);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -30,7 +30,7 @@
       g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-777777", NULL, &answer),
                         ==, 404);
     }
-  /* Nothing idle is kept, and nothing is left of the job but its final record. */
+  /* No idle machine is kept, and of the job only the final record remains. */
   guint live = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     live += !((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone;
@@ -39,15 +39,15 @@
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "f/j-000001"));
 }
 
-/* More tasks than one record holds. Chunks that were not written, reloaded or dropped with their
-   job would lose tasks, run them twice, or stay for ever. */
+/* A job with more tasks than one record holds. If chunks were not written, not reloaded or not
+   deleted with their job, tasks would be lost or run twice, or records would stay for ever. */
 static void
 test_chunks (Simulation *simulation)
 {
   simulation->cloud->capacity = 6;
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 200, 0.05);
   spec->mem_gb = 0.1;
-  spec->estimated_run_us = 600 * MH_SECOND_US; /* so that none may wait for another */
+  spec->estimated_run_us = 600 * MH_SECOND_US; /* too long for tasks to wait for others to end */
   User *user = simulation_submit (simulation, spec, 30);
   WAIT (simulation, 60, all_run, user);
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
@@ -58,9 +58,9 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 200);
 }
 
-/* What can never run would wait for ever, were it accepted. */
+/* Jobs that can never run would wait for ever if they were accepted. */
 static void
-test_refusals (Simulation *simulation)
+test_impossible_submissions (Simulation *simulation)
 {
   MhUserAnswer answer;
   simulation_run (simulation, 5);
@@ -69,7 +69,7 @@
   spec->team = g_strdup ("nobody");
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", spec, &answer), ==,
                     422);
-  spec = job_spec_new (2, MH_SHAPE_SERVICE, 17, 1); /* a service counts whole: 17 of 16 cpus */
+  spec = job_spec_new (2, MH_SHAPE_SERVICE, 17, 1); /* all tasks count: 17 of 16 cpus */
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
                     422);
   spec = job_spec_new (3, MH_SHAPE_ARRAY, 1, 1);
@@ -80,8 +80,9 @@
   spec->mem_gb = 65;
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
                     422);
-  /* Thousands of types: none that exists can never run, and one is enough. Stored as they came they
-     would not fit a value of the state service, which once ended each leadership in turn. */
+  /* Thousands of machine types: the job can never run if none of them exists, and can if one does.
+     The whole list does not fit a value of the key-value store; when it was stored nevertheless,
+     it ended each leadership in turn. */
   for (guint known = 0; known < 2; known++)
     {
       spec = job_spec_new (6 + known, MH_SHAPE_ARRAY, 1, 1);
@@ -95,17 +96,17 @@
       g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, id, spec, &answer), ==,
                         known ? 201 : 422);
     }
-  spec = job_spec_new (5, MH_SHAPE_ARRAY, 17, 1); /* an array counts by the task */
+  spec = job_spec_new (5, MH_SHAPE_ARRAY, 17, 1); /* only one task of an array counts */
   workload_add (simulation->environment->workload, job_spec_new (5, MH_SHAPE_ARRAY, 17, 1),
                 MH_SECOND_US);
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000005", spec, &answer), ==,
                     201);
 }
 
-/* While the machine types are unknown nothing can be decided: a refusal would be wrong, and work
-   held back would wait for no reason. */
+/* While the machine types are unknown, a submission can be neither accepted nor rejected: a
+   rejection could be wrong, and its user would wait for no reason if it were left unanswered. */
 static void
-test_types_unknown (Simulation *simulation)
+test_unknown_machine_types (Simulation *simulation)
 {
   MhUserAnswer answer;
   simulation->cloud->outage_until_us = G_MAXINT64;
@@ -118,10 +119,10 @@
   g_assert_cmpuint (answer.retry_after_s, >, 0);
 }
 
-/* A cancellation meets a start that is still in flight. Without a stop after it the task would run
-   on. */
+/* A job is cancelled while the start of its task is still in flight. Unless a stop follows that
+   start, the task keeps running. */
 static void
-test_cancel_in_flight (Simulation *simulation)
+test_cancel_with_start_in_flight (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   simulation->network->hold_commands = true;
@@ -135,10 +136,10 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
 }
 
-/* A start that is sent before it is on record would be unknown to the next leader, which would
-   start the task again. */
+/* A start that is sent before its attempt is durable would be unknown to the next leader, which
+   would start the task again. */
 static void
-test_start_waits_for_its_record (Simulation *simulation)
+test_start_waits_for_record (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 30, accepted, user);
@@ -150,10 +151,10 @@
   WAIT (simulation, 10, all_run, user);
 }
 
-/* A result that is cleared from its machine before it is on record would be lost with the leader,
-   and a cancellation that is told before would be taken back. */
+/* A result that is cleared from its machine before it is durable would be lost with the leader, and
+   a cancellation that is answered before it is durable would be undone by a failover. */
 static void
-test_result_waits_for_its_record (Simulation *simulation)
+test_result_waits_for_record (Simulation *simulation)
 {
   MhUserAnswer answer;
   User *service = running_service (simulation, 1, 1);
@@ -174,7 +175,8 @@
   WAIT (simulation, 20, told_cancelled, service);
 }
 
-/* A follower once woke every 10 ms, which costs much where it has a small share of a cpu. */
+/* Idle followers must not wake up often. They did so every 10 ms, which is expensive where a
+   controller has only a small share of a cpu. */
 static void
 test_idle_followers_sleep (Simulation *simulation)
 {
@@ -189,16 +191,16 @@
       }
 }
 
-/* Questions about jobs that only the key-value store remembers would get no answer while there is
-   always more to write than the rate of calls allows, if writes came first without end. */
+/* Status queries about jobs that are not in memory need reads. If writes always took precedence,
+   these queries would get no answer while more writes wait than the rate limit allows. */
 static void
-test_questions_beside_writes (Simulation *simulation)
+test_status_queries_during_writes (Simulation *simulation)
 {
   MhUserAnswer answer;
   for (guint i = 1; i <= 30; i++)
     simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 1, 0.2), 0.5);
   WAIT (simulation, 90, simulation_all_settled, NULL);
-  /* New controllers have no answers in memory. */
+  /* Restarted controllers have no final answers in memory. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation_stop_node (simulation, i);
@@ -210,7 +212,7 @@
     simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 4, 0.2), 1);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_leader (simulation)->writes_lost_until_us
-      = simulation->clock->now_us + 60 * MH_SECOND_US; /* tried again and again */
+      = simulation->clock->now_us + 60 * MH_SECOND_US; /* the writes are retried all the time */
   simulation_run (simulation, 5);
   for (guint i = 1; i <= 30; i++)
     {
@@ -224,10 +226,10 @@
     }
 }
 
-/* A large job of the lowest priority would never begin while smaller ones of a higher priority keep
-   coming and take all there is: it begins within four minutes. */
+/* A large job of the lowest priority must not starve while smaller jobs of a higher priority keep
+   arriving and use all free resources: its first task is done within four minutes. */
 static void
-test_large_job_begins (Simulation *simulation)
+test_large_job_does_not_starve (Simulation *simulation)
 {
   simulation->cloud->capacity = 1;
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 300, 10);
@@ -241,7 +243,7 @@
   guint next = 201;
   while (large->job->done_count == 0 && simulation->clock->now_us - from < 240 * MH_SECOND_US)
     {
-      /* One after the other, so that never enough for the large job's tasks is free at once. */
+      /* Staggered, so that a task of the large job never fits into what is free at any moment. */
       simulation_submit (simulation, job_spec_new (next, MH_SHAPE_ARRAY, 1, 2), 4 + next % 7 * 0.7);
       next++;
       simulation_run (simulation, 0.6);
@@ -249,8 +251,8 @@
   g_assert_cmpuint (large->job->done_count, >, 0);
 }
 
-/* The largest job there may be would not fit into a transaction or a load if it were handled at
-   once: it is accepted, runs, is reloaded and cancelled. */
+/* A job of MH_MAX_TASKS tasks is too large to be written in one transaction or loaded with one
+   read. It must still be accepted, run, be loaded by the next leader and be cancelled. */
 static void
 test_largest_job (Simulation *simulation)
 {
@@ -270,8 +272,8 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 0);
 }
 
-/* Two thousand machines, and all controllers crash. A new leader that took machines for silent, as
-   not all have reported yet, would give them back; only idle ones go. */
+/* All controllers of a cluster of 2000 machines crash. A new leader that treated machines as silent
+   because they have not sent it a heartbeat yet would release them. Only idle ones may go. */
 static void
 test_large_fleet (Simulation *simulation)
 {
@@ -300,13 +302,13 @@
   g_test_init (&argc, &argv, NULL);
   simulation_test_add ("/jobs/array", 1, test_array);
   simulation_test_add ("/jobs/chunks", 2, test_chunks);
-  simulation_test_add ("/jobs/refusals", 3, test_refusals);
-  simulation_test_add ("/jobs/types-unknown", 4, test_types_unknown);
-  simulation_test_add ("/jobs/cancel-in-flight", 9, test_cancel_in_flight);
-  simulation_test_add ("/jobs/start-waits-for-its-record", 26, test_start_waits_for_its_record);
-  simulation_test_add ("/jobs/result-waits-for-its-record", 27, test_result_waits_for_its_record);
-  simulation_test_add ("/jobs/questions-beside-writes", 34, test_questions_beside_writes);
-  simulation_test_add ("/jobs/large-job-begins", 35, test_large_job_begins);
+  simulation_test_add ("/jobs/impossible-submissions", 3, test_impossible_submissions);
+  simulation_test_add ("/jobs/unknown-machine-types", 4, test_unknown_machine_types);
+  simulation_test_add ("/jobs/cancel-with-start-in-flight", 9, test_cancel_with_start_in_flight);
+  simulation_test_add ("/jobs/start-waits-for-record", 26, test_start_waits_for_record);
+  simulation_test_add ("/jobs/result-waits-for-record", 27, test_result_waits_for_record);
+  simulation_test_add ("/jobs/status-queries-during-writes", 34, test_status_queries_during_writes);
+  simulation_test_add ("/jobs/large-job-does-not-starve", 35, test_large_job_does_not_starve);
   simulation_test_add ("/jobs/largest-job", 42, test_largest_job);
   simulation_test_add ("/jobs/idle-followers-sleep", 22, test_idle_followers_sleep);
   simulation_test_add ("/jobs/large-fleet", 38, test_large_fleet);
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -1,5 +1,5 @@
-/* The limits of the state service, which change while the service runs: announced (`state.next`) or
-   not. */
+/* Limits of the key-value store that change while it runs, with or without an announcement in the
+   settings (`state.next`). */
 #include "steps.h"
 
 #include <string.h>
@@ -26,41 +26,42 @@
 }
 
 static void
-submit_many (Simulation *simulation, guint first, guint count)
+submit_arrays (Simulation *simulation, guint first, guint count)
 {
   for (guint i = 0; i < count; i++)
     submit_array (simulation, first + i, 3);
 }
 
 static bool
-refused (Simulation *simulation, gpointer unused)
+write_was_throttled (Simulation *simulation, gpointer unused)
 {
   (void)unused;
   return simulation->store->throttled_writes > 0;
 }
 
-/* The announced rate holds, and the leader has met it. */
+/* The simulation in which the announced rate applies and has already throttled the leader. */
 static Simulation *
-simulation_after_rate_fell (guint32 seed)
+simulation_with_lowered_rate (guint32 seed)
 {
   Simulation *simulation = simulation_new (seed);
   announce_write_rps (simulation);
   WAIT (simulation, 20, has_leader, NULL);
   simulation->store->write_rps = NEXT_WRITE_RPS;
-  submit_many (simulation, 1, 20);
-  WAIT (simulation, 30, refused, NULL);
+  submit_arrays (simulation, 1, 20);
+  WAIT (simulation, 30, write_was_throttled, NULL);
   simulation_run (simulation, 20);
   return simulation;
 }
 
-/* The rate falls without notice: a leader that did not learn it from the first refusal, for good,
-   would be refused again and again, and so would each later one. */
+/* The rate falls to the announced one at a time that the controllers do not know. The leader learns
+   it from the first throttled write and records it; otherwise this leader and each later one would
+   be throttled again and again. */
 static void
-test_rate_for_good (void)
+test_lowered_rate_is_kept (void)
 {
-  Simulation *simulation = simulation_after_rate_fell (1);
-  guint first_leader = simulation->store->throttled_writes;
-  g_assert_cmpuint (first_leader, <=, 6); /* those that were under way together */
+  Simulation *simulation = simulation_with_lowered_rate (1);
+  guint throttled_at_first = simulation->store->throttled_writes;
+  g_assert_cmpuint (throttled_at_first, <=, 6); /* the writes that were in flight together */
   g_assert_true (simulation_logged (simulation, "takes fewer changes"));
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "limits"));
 
@@ -68,37 +69,37 @@
     {
       guint leader = simulation_leader (simulation)->index;
       simulation_stop_node (simulation, leader);
-      submit_many (simulation, 100 * (i + 1), 10);
+      submit_arrays (simulation, 100 * (i + 1), 10);
       WAIT (simulation, 20, has_leader, NULL);
       simulation_run (simulation, 5);
       simulation_start_node (simulation, leader);
       simulation_run (simulation, 10);
     }
-  g_assert_cmpuint (simulation->store->throttled_writes, ==, first_leader);
+  g_assert_cmpuint (simulation->store->throttled_writes, ==, throttled_at_first);
   WAIT (simulation, 400, simulation_all_settled, NULL);
   finish (simulation);
 }
 
-/* Without an announcement a refusal is no more than that: a rate that fell with every refusal would
-   slow all writes for nothing. */
+/* Without an announced rate, a throttled write does not lower the controller's own rate: lowering
+   it each time would slow down all writes for no reason. */
 static void
-test_rate_not_announced (Simulation *simulation)
+test_unannounced_rate (Simulation *simulation)
 {
   WAIT (simulation, 20, has_leader, NULL);
-  simulation->store->write_rps = 18; /* more than a transaction has */
-  submit_many (simulation, 1, 40);
-  WAIT (simulation, 30, refused, NULL);
+  simulation->store->write_rps = 18; /* more changes than one transaction has */
+  submit_arrays (simulation, 1, 40);
+  WAIT (simulation, 30, write_was_throttled, NULL);
   WAIT (simulation, 300, simulation_all_settled, NULL);
   g_assert_false (simulation_logged (simulation, "takes fewer changes"));
   g_assert_null (g_tree_lookup (simulation->store->keys, "limits"));
 }
 
-/* Settings of later: limits on record that were announced earlier would hold down a rate that has
-   been raised since. */
+/* Recorded limits that were announced by earlier settings must not apply under later settings: they
+   would hold down a rate that has been raised since. */
 static void
 test_rate_of_earlier_settings (void)
 {
-  Simulation *simulation = simulation_after_rate_fell (3);
+  Simulation *simulation = simulation_with_lowered_rate (3);
   simulation->store->write_rps = 0;
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -114,8 +115,9 @@
   finish (simulation);
 }
 
-/* Values and transactions become smaller, and nobody has said so. What does not fit would end every
-   leadership, or be sent again and again, and hold up all else. */
+/* The key-value store lowers its limits on values and transactions without an announcement. Writes
+   that no longer fit must neither end leaderships nor be sent again and again, which would delay
+   all other writes. */
 static void
 test_refused_as_malformed (Simulation *simulation)
 {
@@ -130,7 +132,7 @@
   simulation->settings->value_bytes = 1600;
   simulation->settings->txn_ops = 5;
 
-  submit_many (simulation, 10, 20);
+  submit_arrays (simulation, 10, 20);
   WAIT (simulation, 120, all_done, large);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_leader (simulation)->index, ==, leader);
@@ -138,13 +140,13 @@
   g_assert_true (simulation_logged (simulation, "refused by the key-value store"));
   g_assert_cmpuint (simulation->store->malformed_writes, <, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
-  /* Its end is a small record. */
+  /* The final record is small enough again. */
   WAIT (simulation, 60, told_done, large);
   WAIT (simulation, 60, simulation_all_settled, NULL);
 }
 
-/* A submission that no value can hold would be told as accepted and be lost, or leave records
-   behind. */
+/* A submission that is larger than any value may be must not be answered as accepted and then be
+   lost, nor leave records behind. */
 static void
 test_submission_too_large (Simulation *simulation)
 {
@@ -169,10 +171,10 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/key-value-store-limits/rate-for-good", test_rate_for_good);
+  g_test_add_func ("/key-value-store-limits/lowered-rate-is-kept", test_lowered_rate_is_kept);
   g_test_add_func ("/key-value-store-limits/rate-of-earlier-settings",
                    test_rate_of_earlier_settings);
-  simulation_test_add ("/key-value-store-limits/rate-not-announced", 2, test_rate_not_announced);
+  simulation_test_add ("/key-value-store-limits/unannounced-rate", 2, test_unannounced_rate);
   simulation_test_add ("/key-value-store-limits/refused-as-malformed", 4,
                        test_refused_as_malformed);
   simulation_test_add ("/key-value-store-limits/submission-too-large", 5,
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -1,15 +1,15 @@
-/* Users who ask many times as often: what a node knows costs no read, reads are shared, and
-   questions take nothing from submissions. */
+/* Status queries at a high rate: answers in memory need no read, queries about one job share their
+   reads, and queries leave submissions the calls to the key-value store that they need. */
 #include "steps.h"
 
 #include <string.h>
 
 #define UNKNOWN_JOB "j-999999"
 
-/* Sixty users ask about one job that nobody has submitted, at the same moment and a little later: a
-   read for each would take all calls to the key-value store. */
+/* Sixty status queries about one unknown job arrive at the same moment and 1 ms later. A read for
+   each of them would use up all calls to the key-value store. */
 static void
-test_questions_share_reads (Simulation *simulation)
+test_shared_reads (Simulation *simulation)
 {
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 3);
@@ -28,10 +28,10 @@
   g_assert_cmpuint (simulation->store->final_record_reads - before, <=, 2);
 }
 
-/* An answer that was read before a question came may be older than what its user has been told: the
-   question gets a read of its own. */
+/* A read that began before a query arrived may return an older state than its user has already
+   received, so that the query needs a new read. */
 static void
-test_shared_read_is_not_older (Simulation *simulation)
+test_shared_read_is_not_stale (Simulation *simulation)
 {
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 3);
@@ -46,10 +46,10 @@
   g_assert_cmpuint (simulation->store->final_record_reads - reads, ==, 2);
 }
 
-/* A follower that has passed on a final answer gives it without the leader and the key-value store;
-   else an outage of both would leave users without what was already told. */
+/* A follower caches the final answers that it forwards, and gives them without the leader and the
+   key-value store. Otherwise an outage of both would hide states that users have already seen. */
 static void
-test_follower_remembers_final (Simulation *simulation)
+test_follower_caches_final_answer (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 2);
   WAIT (simulation, 60, told_done, user);
@@ -63,17 +63,17 @@
   g_assert_cmpuint (
       simulation_ask (simulation, follower, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 200);
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-  /* What is not final is not remembered. */
+  /* Other answers are not cached. */
   g_assert_cmpuint (
       simulation_ask (simulation, follower, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answer), ==, 503);
   simulation_start_node (simulation, leader);
   simulation_run (simulation, 30);
 }
 
-/* More questions than the key-value store can answer would take all its calls from submissions: the
-   rest is told at once to come again. */
+/* More status queries than the key-value store can serve would take all its calls from submissions.
+   The excess ones are answered at once with 503 and Retry-After. */
 static void
-test_questions_beyond_their_share (Simulation *simulation)
+test_excess_queries_rejected (Simulation *simulation)
 {
   User *first = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, first);
@@ -85,10 +85,10 @@
       g_autofree char *job = g_strdup_printf ("j-%06u", 500000 + i);
       simulation_ask_later (simulation, leader, MH_USER_STATUS, job, NULL, &answers[i]);
     }
-  guint refused = 0;
+  guint rejected = 0;
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
-    refused += answers[i].status == 503 && answers[i].retry_after_s > 0;
-  g_assert_cmpuint (refused, >=, 600);
+    rejected += answers[i].status == 503 && answers[i].retry_after_s > 0;
+  g_assert_cmpuint (rejected, >=, 600);
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 0.5, accepted, user);
   simulation_run (simulation, 2);
@@ -101,9 +101,10 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/job-status/share-reads", 51, test_questions_share_reads);
-  simulation_test_add ("/job-status/shared-read-is-not-older", 52, test_shared_read_is_not_older);
-  simulation_test_add ("/job-status/follower-remembers-final", 53, test_follower_remembers_final);
-  simulation_test_add ("/job-status/beyond-their-share", 54, test_questions_beyond_their_share);
+  simulation_test_add ("/job-status/shared-reads", 51, test_shared_reads);
+  simulation_test_add ("/job-status/shared-read-is-not-stale", 52, test_shared_read_is_not_stale);
+  simulation_test_add ("/job-status/follower-caches-final-answer", 53,
+                       test_follower_caches_final_answer);
+  simulation_test_add ("/job-status/excess-queries-rejected", 54, test_excess_queries_rejected);
   return g_test_run ();
 }
