--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -183,7 +183,7 @@
   self->request_in_flight = true;
   mh_call_queue_add (
       self->context->calls,
-      mh_cloud_request_create_machines (&(MhMachineOrder){
+      mh_cloud_request_create_machines (&(MhMachineCreateSpec){
           request->name, request->type, request->zone, request->spot, request->count }),
       &options);
 }
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -111,4 +111,4 @@
  * Answers the user by what the leader said, or with 503 when it said nothing.
  */
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *answer);
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *answer);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -80,7 +80,7 @@
 }
 
 void
-mh_core_forwarded (MhCore *core, const MhNow *now, guint64 id, const MhUserAnswer *answer)
+mh_core_forwarded (MhCore *core, const MhNow *now, guint64 id, const MhUserResponse *answer)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
@@ -106,7 +106,7 @@
 {
   action->lease_until_us = 0;
   action->status = STATUS_UNAVAILABLE;
-  action->answer = (MhUserAnswer){ .status = STATUS_UNAVAILABLE, .retry_after_s = 1 };
+  action->answer = (MhUserResponse){ .status = STATUS_UNAVAILABLE, .retry_after_s = 1 };
   g_clear_pointer (&action->body, mh_value_unref);
 }
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -109,7 +109,7 @@
  * The end of a request that was passed on to the leader.
  */
 void
-mh_core_forwarded (MhCore *core, const MhNow *now, guint64 id, const MhUserAnswer *answer);
+mh_core_forwarded (MhCore *core, const MhNow *now, guint64 id, const MhUserResponse *answer);
 
 /**
  * mh_core_leader_announced:
--- a/src/controller/storage-callbacks.c
+++ b/src/controller/storage-callbacks.c
@@ -16,7 +16,7 @@
 }
 
 static void
-job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+job_over (gpointer owner, const MhJob *job, const MhUserResponse *answer)
 {
   MhCore *core = owner;
   mh_final_answers_add (core->final_answers, job->spec->id, answer);
@@ -112,7 +112,7 @@
 /* ---- questions ---- */
 
 static void
-final_read (gpointer owner, const char *job, const MhUserAnswer *answer)
+final_read (gpointer owner, const char *job, const MhUserResponse *answer)
 {
   MhCore *core = owner;
   mh_final_answers_add (core->final_answers, job, answer);
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -25,7 +25,7 @@
 /* ---- answers ---- */
 
 static void
-answer (MhCore *core, guint64 id, const MhUserAnswer *given)
+answer (MhCore *core, guint64 id, const MhUserResponse *given)
 {
   mh_runtime_act (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *given;
 }
@@ -92,7 +92,7 @@
 submit (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->spec->id);
-  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->spec->id);
+  const MhUserResponse *final = mh_final_answers_find (core->final_answers, request->spec->id);
   /* A repeated submission may wait in memory beside the final answer, which holds: it once was
      answered as a job that waits. */
   if (final)
@@ -155,7 +155,7 @@
 static void
 handle_as_follower (MhCore *core, const MhUserRequest *request)
 {
-  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->job_id);
+  const MhUserResponse *final = mh_final_answers_find (core->final_answers, request->job_id);
   if (final)
     answer (core, request->id, final);
   else if (!request->forwarded && mh_election_other_leader (core->election))
@@ -173,7 +173,7 @@
 handle_as_leader (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->job_id);
-  const MhUserAnswer *final = mh_final_answers_find (core->final_answers, request->job_id);
+  const MhUserResponse *final = mh_final_answers_find (core->final_answers, request->job_id);
   if (mh_record_loader_is_unreadable (core->record_loader, request->job_id))
     answer_unavailable (core, request->id);
   else if (request->verb == MH_USER_SUBMIT)
@@ -206,9 +206,9 @@
 
 /* What the leader has called over stays so: the next question about it need not be passed on. */
 static void
-remember_final (MhCore *core, const char *job_id, const MhUserAnswer *given)
+remember_final (MhCore *core, const char *job_id, const MhUserResponse *given)
 {
-  MhUserAnswer final = *given;
+  MhUserResponse final = *given;
   final.status = STATUS_OK;
   if ((given->status == STATUS_OK || given->status == STATUS_CREATED)
       && (given->state == MH_JOB_DONE || given->state == MH_JOB_CANCELLED))
@@ -216,7 +216,7 @@
 }
 
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *given)
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *given)
 {
   gpointer key, value;
   if (!g_hash_table_steal_extended (core->forwarded_requests, &id, &key, &value))
--- a/src/election/leader-record.c
+++ b/src/election/leader-record.c
@@ -9,7 +9,7 @@
 mh_leader_record_write (const char *node, guint64 epoch, guint64 lease_id)
 {
   g_return_val_if_fail (node, NULL);
-  MhValue *record = mh_value_map ();
+  MhValue *record = mh_value_new_map ();
   mh_value_set_uint (record, FIELD_LEASE, lease_id);
   mh_value_set_text (record, FIELD_NODE, node);
   mh_value_set_uint (record, FIELD_EPOCH, epoch);
@@ -31,7 +31,7 @@
 MhValue *
 mh_epoch_record_write (guint64 last_epoch)
 {
-  MhValue *record = mh_value_map ();
+  MhValue *record = mh_value_new_map ();
   mh_value_set_uint (record, FIELD_EPOCH, last_epoch);
   return record;
 }
--- a/src/jobs/final-answers.c
+++ b/src/jobs/final-answers.c
@@ -7,7 +7,7 @@
 
 struct MhFinalAnswers
 {
-  GHashTable *by_id; /* job's id -> MhUserAnswer */
+  GHashTable *by_id; /* job's id -> MhUserResponse */
   GQueue oldest;     /* ids, the oldest first */
   guint max_entries;
 };
@@ -30,14 +30,14 @@
   g_free (answers);
 }
 
-const MhUserAnswer *
+const MhUserResponse *
 mh_final_answers_find (const MhFinalAnswers *answers, const char *job_id)
 {
   return g_hash_table_lookup (answers->by_id, job_id);
 }
 
 void
-mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserAnswer *answer)
+mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserResponse *answer)
 {
   if (g_hash_table_contains (answers->by_id, job_id))
     return;
--- a/src/jobs/final-answers.h
+++ b/src/jobs/final-answers.h
@@ -32,7 +32,7 @@
  *
  * Returns: (nullable) (transfer none): the job's final state; %NULL if it is not in the cache
  */
-const MhUserAnswer *
+const MhUserResponse *
 mh_final_answers_find (const MhFinalAnswers *answers, const char *job_id);
 
 /**
@@ -44,4 +44,4 @@
  * Final states never change: one that is there stays.
  */
 void
-mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserAnswer *answer);
+mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserResponse *answer);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -128,7 +128,7 @@
 }
 
 void
-mh_job_fill_answer (const MhJob *job, MhUserAnswer *answer)
+mh_job_fill_answer (const MhJob *job, MhUserResponse *answer)
 {
   answer->done = job->n_done;
   answer->running = job->n_running;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -314,7 +314,7 @@
  * is never given.
  */
 void
-mh_job_fill_answer (const MhJob *job, MhUserAnswer *answer);
+mh_job_fill_answer (const MhJob *job, MhUserResponse *answer);
 
 /**
  * mh_job_tasks_per_record:
--- a/src/protocol/cbor-scan.c
+++ b/src/protocol/cbor-scan.c
@@ -1,16 +1,17 @@
 #include "protocol/cbor-scan.h"
 
-/* Deeper nesting than any message has is refused. */
-#define MAX_DEPTH 16
+/* Bounds recursion: data that is nested more deeply is rejected. No message nests so deeply. */
+#define MAX_NESTING_DEPTH 16
 
 /* The byte that ends an item of indefinite length. */
-#define BREAK 0xff
-/* The head byte of an item: three bits of its major type, five of its length or value. */
+#define BREAK_BYTE 0xff
+/* The initial byte of an item: 3 bits of major type, 5 bits of additional information. */
 #define INFO_BITS 5
 #define INFO_MASK 31
-/* From here on the argument follows in 1, 2, 4 or 8 bytes. */
-#define INFO_FIRST_LENGTH 24
-#define INFO_LAST_LENGTH 27
+/* Additional information below INFO_ARGUMENT_1_BYTE is the argument itself. From there up to
+   INFO_ARGUMENT_8_BYTES, the argument follows in 1, 2, 4 or 8 bytes. */
+#define INFO_ARGUMENT_1_BYTE 24
+#define INFO_ARGUMENT_8_BYTES 27
 #define INFO_INDEFINITE 31
 
 typedef enum
@@ -29,43 +30,43 @@
 {
   const guint8 *data;
   gsize size;
-  gsize at; /* of the next byte */
+  gsize offset; /* of the next byte */
 } Scan;
 
 typedef struct
 {
   Major major;
   guint64 argument;
-  bool indefinite; /* its length: it ends with a break */
+  bool indefinite; /* the length is not given: BREAK_BYTE ends the item */
 } Head;
 
 static bool
 scan_head (Scan *scan, Head *head)
 {
-  if (scan->at >= scan->size)
+  if (scan->offset >= scan->size)
     return false;
-  guint8 first = scan->data[scan->at++];
+  guint8 first = scan->data[scan->offset++];
   guint info = first & INFO_MASK;
   *head = (Head){ .major = (Major)(first >> INFO_BITS),
                   .argument = info,
                   .indefinite = info == INFO_INDEFINITE };
-  if (info < INFO_FIRST_LENGTH || info == INFO_INDEFINITE)
+  if (info < INFO_ARGUMENT_1_BYTE || info == INFO_INDEFINITE)
     return true;
-  if (info > INFO_LAST_LENGTH)
+  if (info > INFO_ARGUMENT_8_BYTES)
     return false;
-  guint length = 1u << (info - INFO_FIRST_LENGTH);
-  if (scan->size - scan->at < length)
+  guint length = 1u << (info - INFO_ARGUMENT_1_BYTE);
+  if (scan->size - scan->offset < length)
     return false;
   head->argument = 0;
   for (guint i = 0; i < length; i++)
-    head->argument = head->argument << 8 | scan->data[scan->at++];
+    head->argument = head->argument << 8 | scan->data[scan->offset++];
   return true;
 }
 
 static bool
-at_break (const Scan *scan)
+is_at_break (const Scan *scan)
 {
-  return scan->at < scan->size && scan->data[scan->at] == BREAK;
+  return scan->offset < scan->size && scan->data[scan->offset] == BREAK_BYTE;
 }
 
 static bool
@@ -74,24 +75,24 @@
 static bool
 scan_chunks (Scan *scan, Major major, guint depth)
 {
-  while (scan->at < scan->size && !at_break (scan))
+  while (scan->offset < scan->size && !is_at_break (scan))
     {
-      guint8 next = scan->data[scan->at];
+      guint8 next = scan->data[scan->offset];
       if (next >> INFO_BITS != major || (next & INFO_MASK) == INFO_INDEFINITE
           || !scan_item (scan, depth + 1))
         return false;
     }
-  return scan->at++ < scan->size;
+  return scan->offset++ < scan->size;
 }
 
 static bool
 scan_indefinite_items (Scan *scan, Major major, guint depth)
 {
   guint items = 0;
-  for (; scan->at < scan->size && !at_break (scan); items++)
+  for (; scan->offset < scan->size && !is_at_break (scan); items++)
     if (!scan_item (scan, depth + 1))
       return false;
-  return scan->at++ < scan->size && (major == MAJOR_ARRAY || items % 2 == 0);
+  return scan->offset++ < scan->size && (major == MAJOR_ARRAY || items % 2 == 0);
 }
 
 static bool
@@ -107,7 +108,7 @@
 scan_item (Scan *scan, guint depth)
 {
   Head head;
-  if (depth > MAX_DEPTH || !scan_head (scan, &head))
+  if (depth > MAX_NESTING_DEPTH || !scan_head (scan, &head))
     return false;
   switch (head.major)
     {
@@ -115,9 +116,9 @@
     case MAJOR_TEXT:
       if (head.indefinite)
         return scan_chunks (scan, head.major, depth);
-      if (scan->size - scan->at < head.argument)
+      if (scan->size - scan->offset < head.argument)
         return false;
-      scan->at += head.argument;
+      scan->offset += head.argument;
       return true;
     case MAJOR_ARRAY:
     case MAJOR_MAP:
@@ -136,5 +137,5 @@
 mh_cbor_is_well_formed (const void *data, gsize size)
 {
   Scan scan = { .data = data, .size = size };
-  return data != NULL && scan_item (&scan, 0) && scan.at == size;
+  return data != NULL && scan_item (&scan, 0) && scan.offset == size;
 }
--- a/src/protocol/cbor-scan.h
+++ b/src/protocol/cbor-scan.h
@@ -1,4 +1,4 @@
-/* A check of CBOR before libcbor builds it. */
+/* Checks that CBOR is well-formed and bounded before libcbor decodes it. */
 #pragma once
 
 #include <glib.h>
@@ -6,13 +6,14 @@
 
 /**
  * mh_cbor_is_well_formed:
- * @data: (nullable): bytes from a network
- * @size: their number
+ * @data: (nullable): bytes received from the network
+ * @size: number of bytes
  *
- * Reads the heads of the items only, so that a hostile body can make libcbor neither recurse
- * without bound nor reserve memory for a length that it does not carry.
+ * Checks the structure without decoding values. It prevents a malicious body from making libcbor
+ * recurse without limit, or allocate memory for a length that exceeds the data.
  *
- * Returns: %TRUE if @data is exactly one item, not nested deeper than any message is
+ * Returns: %TRUE if @data is exactly one CBOR item that is nested no deeper than any message of the
+ *   protocol
  */
 bool
 mh_cbor_is_well_formed (const void *data, gsize size);
--- a/src/protocol/cloud-messages.c
+++ b/src/protocol/cloud-messages.c
@@ -1,29 +1,29 @@
 #include "protocol/cloud-messages.h"
 #include "protocol/field.h"
 
-/* No machine has more of anything, or costs more. */
-#define MAX_UNITS 1e6
+/* Upper bounds of the values of a machine type: no machine has more or costs more. */
+#define MAX_CPUS_OR_GPUS 1e6
 #define MAX_GB 1e9
 #define MAX_PRICE 1e9
-/* The largest page that the cloud gives. */
-#define PAGE_MACHINES 500
+/* Limit of the cloud for one page. */
+#define MAX_MACHINES_PER_PAGE 500
 
-static const MhWord listed_state_words[] = { { "starting", MH_LISTED_STARTING },
-                                             { "running", MH_LISTED_RUNNING },
-                                             { "failed", MH_LISTED_FAILED },
-                                             {} };
+static const MhEnumName listed_state_names[] = { { "starting", MH_LISTED_STARTING },
+                                                 { "running", MH_LISTED_RUNNING },
+                                                 { "failed", MH_LISTED_FAILED },
+                                                 {} };
 
 #define MEMBER(name) .offset = offsetof (MhMachineType, name)
 
 /* PROTOCOL, "GET /machine_types". */
 static const MhField machine_type_fields[] = {
   { "sku", MH_FIELD_NAME, MEMBER (name) },
-  { "cpus", MH_FIELD_AMOUNT, MEMBER (cpus), .max = MAX_UNITS },
+  { "cpus", MH_FIELD_AMOUNT, MEMBER (cpus), .max = MAX_CPUS_OR_GPUS },
   { "mem_gb", MH_FIELD_AMOUNT, MEMBER (mem_gb), .max = MAX_GB },
   { "hourly", MH_FIELD_AMOUNT, MEMBER (price), .max = MAX_PRICE },
   { "boot_s", MH_FIELD_DURATION, MEMBER (boot_us) },
-  { "halls", MH_FIELD_NAMES, MH_FIELD_OPTIONAL, MEMBER (zones) },
-  { "gpus", MH_FIELD_AMOUNT, MH_FIELD_LENIENT, MEMBER (gpus), .max = MAX_UNITS },
+  { "halls", MH_FIELD_STRV, MH_FIELD_OPTIONAL, MEMBER (zones) },
+  { "gpus", MH_FIELD_AMOUNT, MH_FIELD_LENIENT, MEMBER (gpus), .max = MAX_CPUS_OR_GPUS },
   { "cache_gb", MH_FIELD_AMOUNT, MH_FIELD_LENIENT, MEMBER (cache_gb), .max = MAX_GB },
   { "pull_gb_per_s", MH_FIELD_AMOUNT, MH_FIELD_LENIENT, MEMBER (fetch_gb_per_s), .max = MAX_GB },
   { "spot_price", MH_FIELD_AMOUNT, MH_FIELD_LENIENT, MEMBER (spot_price), .max = MAX_PRICE },
@@ -38,16 +38,16 @@
   { "endpoint", MH_FIELD_NAME, MH_FIELD_LENIENT, MEMBER (endpoint) },
   { "rack", MH_FIELD_NAME, MEMBER (type) },
   { "hall", MH_FIELD_NAME, MEMBER (zone) },
-  { "status", MH_FIELD_WORD, MEMBER (state), .words = listed_state_words },
+  { "status", MH_FIELD_ENUM, MEMBER (state), .enum_names = listed_state_names },
   { "standby", MH_FIELD_FLAG, MH_FIELD_OPTIONAL, MEMBER (spot) },
   { "held_s", MH_FIELD_DURATION, MH_FIELD_LENIENT, MEMBER (age_us) },
 };
 
 #undef MEMBER
-#define MEMBER(name) .offset = offsetof (MhMachineOrder, name)
+#define MEMBER(name) .offset = offsetof (MhMachineCreateSpec, name)
 
 /* PROTOCOL, "POST /machines". */
-static const MhField machine_order_fields[] = {
+static const MhField machine_create_fields[] = {
   { "rental", MH_FIELD_NAME, MEMBER (name) },   { "rack", MH_FIELD_NAME, MEMBER (type) },
   { "hall", MH_FIELD_NAME, MEMBER (zone) },     { "standby", MH_FIELD_FLAG, MEMBER (spot) },
   { "number", MH_FIELD_COUNT, MEMBER (count) },
@@ -95,7 +95,7 @@
     return NULL;
   g_autoptr (GPtrArray) types
       = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_machine_type_free);
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     {
       MhMachineType *type = machine_type_decode (mh_value_at (list, i), error);
       if (type == NULL)
@@ -119,18 +119,18 @@
 }
 
 GPtrArray *
-mh_machine_list_decode (const MhValue *body, bool *more, GError **error)
+mh_machine_list_decode (const MhValue *body, bool *has_more, GError **error)
 {
-  g_return_val_if_fail (more != NULL, NULL);
+  g_return_val_if_fail (has_more != NULL, NULL);
 
-  *more = false;
+  *has_more = false;
   const MhValue *list = mh_field_get_list (body, "boxes", error);
   if (list == NULL)
     return NULL;
-  mh_value_get_bool (body, "has_next", more);
+  mh_value_get_bool (body, "has_next", has_more);
   g_autoptr (GPtrArray) machines
       = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_listed_machine_free);
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     {
       MhListedMachine *machine = listed_machine_decode (mh_value_at (list, i), error);
       if (machine == NULL)
@@ -146,7 +146,7 @@
 char **
 mh_created_machines_decode (const MhValue *body, GError **error)
 {
-  return mh_field_get_names (body, "boxes", error);
+  return mh_field_get_strv (body, "boxes", error);
 }
 
 MhRequest *
@@ -158,25 +158,25 @@
 MhRequest *
 mh_cloud_request_machine_list (const char *after)
 {
-  char *path = after ? g_strdup_printf ("/machines?since=%s&limit=%d", after, PAGE_MACHINES)
-                     : g_strdup_printf ("/machines?limit=%d", PAGE_MACHINES);
+  char *path = after ? g_strdup_printf ("/machines?since=%s&limit=%d", after, MAX_MACHINES_PER_PAGE)
+                     : g_strdup_printf ("/machines?limit=%d", MAX_MACHINES_PER_PAGE);
   return mh_request_new (MH_TARGET_CLOUD, "GET", path, NULL);
 }
 
 MhRequest *
-mh_cloud_request_create_machines (const MhMachineOrder *order)
+mh_cloud_request_create_machines (const MhMachineCreateSpec *spec)
 {
-  g_return_val_if_fail (order != NULL, NULL);
+  g_return_val_if_fail (spec != NULL, NULL);
 
   MhValue *body
-      = mh_fields_encode (machine_order_fields, G_N_ELEMENTS (machine_order_fields), order);
+      = mh_fields_encode (machine_create_fields, G_N_ELEMENTS (machine_create_fields), spec);
   return mh_request_new (MH_TARGET_CLOUD, "POST", g_strdup ("/machines"), body);
 }
 
 MhRequest *
 mh_cloud_request_delete_machines (char **machines)
 {
-  MhValue *body = mh_value_map ();
-  mh_value_set_names (body, "boxes", machines);
+  MhValue *body = mh_value_new_map ();
+  mh_value_set_strv (body, "boxes", machines);
   return mh_request_new (MH_TARGET_CLOUD, "POST", g_strdup ("/machines/release"), body);
 }
--- a/src/protocol/cloud-messages.h
+++ b/src/protocol/cloud-messages.h
@@ -1,23 +1,23 @@
-/* Messages of the cloud: machine types, the list of machines, scale-out and scale-in (PROTOCOL,
-   "Controller nodes -> cloud"). */
+/* Messages exchanged with the cloud: machine types, the list of machines, scale-out and scale-in
+   (PROTOCOL, "Controller nodes -> cloud"). */
 #pragma once
 
 #include "protocol/request.h"
 
 /**
  * MhMachineType:
- * @name: its name
- * @cpus: processors
- * @gpus: accelerators
+ * @name: name
+ * @cpus: number of processors
+ * @gpus: number of accelerators
  * @mem_gb: memory
- * @cache_gb: room for images
- * @fetch_gb_per_s: rate at which it fetches images
- * @price: nominal price of an hour
- * @spot_price: current price of an hour of a spot machine
- * @boot_us: usual time from request to first heartbeat
- * @zones: (nullable): the zones that have it, ending in %NULL
+ * @cache_gb: capacity of the image cache
+ * @fetch_gb_per_s: rate at which a machine fetches images
+ * @price: nominal price per hour
+ * @spot_price: current price per hour of a spot machine; @price when the cloud gives none
+ * @boot_us: usual time from the request that creates a machine to its first heartbeat
+ * @zones: (nullable): %NULL-terminated array of the zones that offer the type
  *
- * A type of machines that the cloud offers. It owns its strings.
+ * A machine type that the cloud offers. It owns its strings.
  */
 typedef struct
 {
@@ -37,11 +37,12 @@
 
 /**
  * MhListedState:
- * @MH_LISTED_STARTING: its worker does not report yet
- * @MH_LISTED_RUNNING: it is up, or died no more than half a minute ago
- * @MH_LISTED_FAILED: it stopped by itself, and is listed until it is deleted
+ * @MH_LISTED_STARTING: the worker sends no heartbeats yet
+ * @MH_LISTED_RUNNING: the machine is up, or failed at most half a minute ago
+ * @MH_LISTED_FAILED: the machine stopped without a request to delete it; it stays in the list until
+ *   it is deleted
  *
- * What the cloud says of a machine.
+ * The state of a machine in the cloud's list.
  */
 typedef enum
 {
@@ -52,15 +53,15 @@
 
 /**
  * MhListedMachine:
- * @name: its name
- * @endpoint: (nullable): address and port of its worker
+ * @name: name
+ * @endpoint: (nullable): address and port of the worker
  * @type: machine type
  * @zone: zone
  * @spot: whether it is a spot machine
- * @state: what the cloud says of it
- * @age_us: time from the request that created it to the moment that the list describes
+ * @state: state according to the cloud
+ * @age_us: time from the request that created the machine to the time at which the list was current
  *
- * A machine in the cloud's list, which lags. It owns its strings.
+ * A machine in the cloud's list. The list lags behind the actual state. It owns its strings.
  */
 typedef struct
 {
@@ -80,33 +81,34 @@
 
 /**
  * mh_machine_types_decode:
- * @body: (nullable): answer to mh_cloud_request_machine_types()
+ * @body: (nullable): response to mh_cloud_request_machine_types()
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): #MhMachineType, or %NULL when @body is malformed
+ * Returns: (transfer full) (nullable) (element-type MhMachineType): the machine types, or
+ *   %NULL when @body is malformed
  */
 GPtrArray *
 mh_machine_types_decode (const MhValue *body, GError **error);
 
 /**
  * mh_machine_list_decode:
- * @body: (nullable): answer to mh_cloud_request_machine_list()
- * @more: (out): whether another page follows
+ * @body: (nullable): response to mh_cloud_request_machine_list()
+ * @has_more: (out): whether another page follows
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): #MhListedMachine in the order of their names, or %NULL when
- * @body is malformed
+ * Returns: (transfer full) (nullable) (element-type MhListedMachine): the machines sorted by name,
+ * or %NULL when @body is malformed
  */
 GPtrArray *
-mh_machine_list_decode (const MhValue *body, bool *more, GError **error);
+mh_machine_list_decode (const MhValue *body, bool *has_more, GError **error);
 
 /**
  * mh_created_machines_decode:
- * @body: (nullable): answer to mh_cloud_request_create_machines()
+ * @body: (nullable): response to mh_cloud_request_create_machines()
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): names of the machines, perhaps fewer than were asked for, or
- * %NULL when @body is malformed
+ * Returns: (transfer full) (nullable): %NULL-terminated array of the names of the created machines,
+ *   which may be fewer than requested, or %NULL when @body is malformed
  */
 char **
 mh_created_machines_decode (const MhValue *body, GError **error);
@@ -114,29 +116,30 @@
 /**
  * mh_cloud_request_machine_types:
  *
- * Returns: (transfer full): a request
+ * Returns: (transfer full): a request for the machine types
  */
 MhRequest *
 mh_cloud_request_machine_types (void);
 
 /**
  * mh_cloud_request_machine_list:
- * @after: (nullable): the last name of the page before; %NULL: the first page
+ * @after: (nullable): the last name on the previous page; %NULL: the first page
  *
- * Returns: (transfer full): a request for a page of the list
+ * Returns: (transfer full): a request for one page of the list of machines
  */
 MhRequest *
 mh_cloud_request_machine_list (const char *after);
 
 /**
- * MhMachineOrder:
- * @name: name of the request, never used before: a repeated one creates nothing more
+ * MhMachineCreateSpec:
+ * @name: idempotency key ("rental" in the protocol), which no earlier request has used: a request
+ *   that repeats a key creates no further machines
  * @type: machine type
  * @zone: zone
- * @spot: whether spot machines are wanted
- * @count: how many; at most 50 (PROTOCOL, "POST /machines")
+ * @spot: whether to create spot machines
+ * @count: number of machines, at most 50 (PROTOCOL, "POST /machines")
  *
- * Which machines to create. It borrows its strings.
+ * The machines that a request creates. Its strings are borrowed.
  */
 typedef struct
 {
@@ -145,22 +148,24 @@
   const char *zone;
   bool spot;
   guint count;
-} MhMachineOrder;
+} MhMachineCreateSpec;
 
 /**
  * mh_cloud_request_create_machines:
- * @order: which machines
+ * @spec: the machines
  *
- * Returns: (transfer full): a request, for scale-out
+ * Returns: (transfer full): a request that creates machines, for scale-out
  */
 MhRequest *
-mh_cloud_request_create_machines (const MhMachineOrder *order);
+mh_cloud_request_create_machines (const MhMachineCreateSpec *spec);
 
 /**
  * mh_cloud_request_delete_machines:
- * @machines: names, ending in %NULL; at most 100 (PROTOCOL, "POST /machines/release")
+ * @machines: %NULL-terminated array of names; at most 100 (PROTOCOL, "POST /machines/release")
  *
- * Returns: (transfer full): a request, for scale-in. When it is answered, the machines are gone.
+ * When the cloud has confirmed the request, the machines no longer exist.
+ *
+ * Returns: (transfer full): a request that deletes machines, for scale-in
  */
 MhRequest *
 mh_cloud_request_delete_machines (char **machines);
--- a/src/protocol/controller-messages.c
+++ b/src/protocol/controller-messages.c
@@ -3,9 +3,9 @@
 
 #include <string.h>
 
-/* The largest body, names and the numbers around them. */
+/* The largest body, a name, and 256 bytes for the other fields and the padding. */
 #define MAX_RECORD_SIZE (WIRE_BODY_MAX + WIRE_NAME_MAX + 256)
-/* The length before a record, in network byte order. */
+/* The length prefix of a record, in network byte order. */
 #define LENGTH_SIZE ((guint32)sizeof (guint32))
 #define MIN_HTTP_STATUS 200
 #define MAX_HTTP_STATUS 599
@@ -56,17 +56,17 @@
 }
 
 GByteArray *
-mh_controller_response_encode (guint64 id, const MhUserAnswer *answer)
+mh_controller_response_encode (guint64 id, const MhUserResponse *response)
 {
-  g_return_val_if_fail (answer != NULL, NULL);
+  g_return_val_if_fail (response != NULL, NULL);
 
   wire_message message = { .kind = WIRE_RESPONSE };
   message.wire_message_u.response = (wire_response){ .id = id,
-                                                     .status = answer->status,
-                                                     .retry_after_s = answer->retry_after_s,
-                                                     .state = answer->state,
-                                                     .done = answer->done,
-                                                     .running = answer->running };
+                                                     .status = response->status,
+                                                     .retry_after_s = response->retry_after_s,
+                                                     .state = response->state,
+                                                     .done = response->done,
+                                                     .running = response->running };
   return encode_record (&message);
 }
 
@@ -88,12 +88,13 @@
 }
 
 static bool
-take_request (const wire_request *request, MhControllerMessage *message, GError **error)
+convert_request (const wire_request *request, MhControllerMessage *message, GError **error)
 {
   if (request->verb < WIRE_SUBMIT || request->verb > WIRE_CANCEL)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "verb: out of range");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "verb: unknown operation");
   if (!mh_job_id_is_valid (request->job))
-    return fail (error, MH_PROTOCOL_ERROR_INVALID_ID, "job: not the id of a job");
+    return fail (error, MH_PROTOCOL_ERROR_INVALID_ID,
+                 "job: invalid job id, expected j- and 6 to 18 digits");
   message->kind = MH_CONTROLLER_REQUEST;
   message->id = request->id;
   message->verb = (MhUserVerb)request->verb;
@@ -103,28 +104,29 @@
 }
 
 static bool
-take_response (const wire_response *response, MhControllerMessage *message, GError **error)
+convert_response (const wire_response *response, MhControllerMessage *message, GError **error)
 {
   if (response->state > MH_JOB_CANCELLED)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "state: out of range");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "state: unknown job state");
   if (response->status < MIN_HTTP_STATUS || response->status > MAX_HTTP_STATUS)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "status: out of range");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE,
+                 "status: number out of range, expected 200 to 599");
   message->kind = MH_CONTROLLER_RESPONSE;
   message->id = response->id;
-  message->answer = (MhUserAnswer){ .status = response->status,
-                                    .retry_after_s = response->retry_after_s,
-                                    .state = (MhJobState)response->state,
-                                    .done = response->done,
-                                    .running = response->running };
+  message->response = (MhUserResponse){ .status = response->status,
+                                        .retry_after_s = response->retry_after_s,
+                                        .state = (MhJobState)response->state,
+                                        .done = response->done,
+                                        .running = response->running };
   return true;
 }
 
 static bool
-take_announcement (const wire_announcement *announcement, MhControllerMessage *message,
-                   GError **error)
+convert_announcement (const wire_announcement *announcement, MhControllerMessage *message,
+                      GError **error)
 {
   if (*announcement->node == '\0')
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "node: empty");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "node: empty, expected a name");
   message->kind = MH_CONTROLLER_ANNOUNCEMENT;
   message->node = g_strdup (announcement->node);
   message->epoch = announcement->epoch;
@@ -132,19 +134,19 @@
 }
 
 static bool
-take_message (const wire_message *decoded, MhControllerMessage *message, GError **error)
+convert_message (const wire_message *decoded, MhControllerMessage *message, GError **error)
 {
   memset (message, 0, sizeof *message);
   switch (decoded->kind)
     {
     case WIRE_REQUEST:
-      return take_request (&decoded->wire_message_u.request, message, error);
+      return convert_request (&decoded->wire_message_u.request, message, error);
     case WIRE_RESPONSE:
-      return take_response (&decoded->wire_message_u.response, message, error);
+      return convert_response (&decoded->wire_message_u.response, message, error);
     case WIRE_ANNOUNCEMENT:
-      return take_announcement (&decoded->wire_message_u.announcement, message, error);
+      return convert_announcement (&decoded->wire_message_u.announcement, message, error);
     }
-  return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "kind: out of range");
+  return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "kind: unknown kind of message");
 }
 
 static bool
@@ -156,9 +158,9 @@
   xdrmem_create (&xdr, (char *)data, size, XDR_DECODE);
   bool valid = xdr_wire_message (&xdr, &decoded) && xdr_getpos (&xdr) == size;
   if (valid)
-    valid = take_message (&decoded, message, error);
+    valid = convert_message (&decoded, message, error);
   else
-    fail (error, MH_PROTOCOL_ERROR_MALFORMED_XDR, "not one XDR message");
+    fail (error, MH_PROTOCOL_ERROR_MALFORMED_XDR, "expected exactly one well-formed XDR message");
   xdr_free ((xdrproc_t)xdr_wire_message, (char *)&decoded);
   xdr_destroy (&xdr);
   return valid;
@@ -176,7 +178,7 @@
   size = GUINT32_FROM_BE (size);
   if (size > MAX_RECORD_SIZE)
     {
-      fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "length of the record: out of range");
+      fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "length prefix: larger than the largest record");
       return MH_CONTROLLER_READ_MALFORMED;
     }
   if (buffer->len < LENGTH_SIZE + size)
--- a/src/protocol/controller-messages.h
+++ b/src/protocol/controller-messages.h
@@ -1,5 +1,5 @@
-/* Messages between controllers, in XDR (controller_messages.x): users' requests on their way to the
-   leader, the responses, and announcements of the leader. */
+/* Messages between controllers, in XDR (controller_messages.x): users' requests that are forwarded
+   to the leader, the responses, and leader announcements. */
 #pragma once
 
 #include "protocol/protocol-error.h"
@@ -7,11 +7,12 @@
 
 /**
  * MhControllerMessageKind:
- * @MH_CONTROLLER_REQUEST: a user's request, handed to the leader
- * @MH_CONTROLLER_RESPONSE: what the leader answers the user
- * @MH_CONTROLLER_ANNOUNCEMENT: the sender leads: a hint, never a proof
+ * @MH_CONTROLLER_REQUEST: a user's request, forwarded to the leader
+ * @MH_CONTROLLER_RESPONSE: the leader's response to the user
+ * @MH_CONTROLLER_ANNOUNCEMENT: the sender announces that it is the leader; only a hint, which must
+ *   not be relied on
  *
- * What a message between controllers is.
+ * The kind of a message between controllers.
  */
 typedef enum
 {
@@ -22,16 +23,16 @@
 
 /**
  * MhControllerMessage:
- * @kind: what it is
- * @id: number of the request, chosen by its sender; requests and responses
- * @verb: what the user asks for; requests
- * @job: (nullable): id of the job; requests
- * @body: (nullable): body of the submission, perhaps empty; requests
- * @answer: the answer; responses
- * @node: (nullable): the node that leads; announcements
- * @epoch: its leadership epoch; announcements
+ * @kind: kind of the message
+ * @id: request id, chosen by the sender of the request; requests and responses only
+ * @verb: operation that the user requests; requests only
+ * @job: (nullable): job id; requests only
+ * @body: (nullable): body of the submission, may be empty; requests only
+ * @response: the response to the user; responses only
+ * @node: (nullable): name of the leader's node; announcements only
+ * @epoch: leadership epoch; announcements only
  *
- * A message between controllers, to be cleared with mh_controller_message_clear().
+ * A message between controllers. Free its contents with mh_controller_message_clear().
  */
 typedef struct
 {
@@ -40,7 +41,7 @@
   MhUserVerb verb;
   char *job;
   GBytes *body;
-  MhUserAnswer answer;
+  MhUserResponse response;
   char *node;
   guint64 epoch;
 } MhControllerMessage;
@@ -49,7 +50,7 @@
  * mh_controller_message_clear:
  * @message: a message
  *
- * Frees what it owns.
+ * Frees the contents of @message.
  */
 void
 mh_controller_message_clear (MhControllerMessage *message);
@@ -57,45 +58,45 @@
 
 /**
  * mh_controller_request_encode:
- * @id: number of the request, which the response carries too
- * @verb: what the user asks for
- * @job: id of the job
+ * @id: request id, which the response repeats
+ * @verb: operation that the user requests
+ * @job: job id
  * @body: (nullable): body of the submission
  *
- * Returns: (transfer full) (nullable): a whole record, its length first, or %NULL when it is larger
- * than a record may be
+ * Returns: (transfer full) (nullable): a record with its length prefix, or %NULL when @job or @body
+ *   exceeds its limit
  */
 GByteArray *
 mh_controller_request_encode (guint64 id, MhUserVerb verb, const char *job, GBytes *body);
 
 /**
  * mh_controller_response_encode:
- * @id: number of the request
- * @answer: the answer
+ * @id: request id
+ * @response: the response to the user
  *
- * Returns: (transfer full): a whole record, its length first
+ * Returns: (transfer full): a record with its length prefix
  */
 GByteArray *
-mh_controller_response_encode (guint64 id, const MhUserAnswer *answer);
+mh_controller_response_encode (guint64 id, const MhUserResponse *response);
 
 /**
  * mh_controller_announcement_encode:
- * @node: the node that leads
- * @epoch: its leadership epoch
+ * @node: name of the leader's node
+ * @epoch: leadership epoch
  *
- * Returns: (transfer full) (nullable): a whole record, its length first, or %NULL when the name is
- * longer than it may be
+ * Returns: (transfer full) (nullable): a record with its length prefix, or %NULL when @node is too
+ *   long
  */
 GByteArray *
 mh_controller_announcement_encode (const char *node, guint64 epoch);
 
 /**
  * MhControllerReadResult:
- * @MH_CONTROLLER_READ_INCOMPLETE: the record has not arrived completely
+ * @MH_CONTROLLER_READ_INCOMPLETE: the buffer does not hold a complete record yet
  * @MH_CONTROLLER_READ_MESSAGE: a message was read
- * @MH_CONTROLLER_READ_MALFORMED: no message can follow on this connection
+ * @MH_CONTROLLER_READ_MALFORMED: the record is invalid; the connection must be closed
  *
- * What the beginning of a buffer was.
+ * The result of reading a message from a buffer.
  */
 typedef enum
 {
@@ -106,15 +107,15 @@
 
 /**
  * mh_controller_message_read:
- * @buffer: what has arrived and was not read yet
- * @message: (out): the message, for %MH_CONTROLLER_READ_MESSAGE only
+ * @buffer: bytes that were received and not read yet
+ * @message: (out): the message; valid for %MH_CONTROLLER_READ_MESSAGE only
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR, for
  *   %MH_CONTROLLER_READ_MALFORMED only
  *
- * Takes a record off the beginning of @buffer, once it is there completely. A length that no record
- * has is refused at once, not waited for.
+ * Removes the first record from @buffer and decodes it, if it is complete. A length prefix above
+ * the maximum size of a record is rejected immediately, before further bytes are received.
  *
- * Returns: whether there was one
+ * Returns: whether a message was read
  */
 MhControllerReadResult
 mh_controller_message_read (GByteArray *buffer, MhControllerMessage *message, GError **error);
--- a/src/protocol/controller_messages.x
+++ b/src/protocol/controller_messages.x
@@ -1,6 +1,7 @@
-/* What passes between controllers: a user's request handed to the leader, its response, and
-   announcements of the leader. Each message travels as one record: four bytes of length, then the
-   XDR. Versions beside one another in an upgrade speak this: numbers, order and bounds stay. */
+/* Messages between controllers: a user's request that is forwarded to the leader, its response, and
+   the leader's announcement. Each message is sent as one record: a length of four bytes in network
+   byte order, then the XDR. During an upgrade, controllers of different versions exchange these
+   messages: numbers, order and bounds must not change. */
 
 const WIRE_BODY_MAX = 65536;
 const WIRE_NAME_MAX = 200;
@@ -27,7 +28,7 @@
   unsigned int running;
 };
 
-/* Who leads, as the leader itself says: a hint, never a proof. */
+/* The leader announces itself. Only a hint, which must not be relied on. */
 struct wire_announcement {
   string node<WIRE_NAME_MAX>;
   unsigned hyper epoch;
--- a/src/protocol/field.c
+++ b/src/protocol/field.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* The longest duration in a message, in seconds. */
+/* The longest duration in a message. */
 #define MAX_DURATION_S 1e9
 
 static bool
@@ -14,13 +14,15 @@
   return false;
 }
 
-/* For a field that is not of the type that was looked for. */
+/* Sets the error for a field that is absent, null or not of the expected type. */
 static bool
-fail_missing_or_type (const MhValue *map, const char *field, const char *wanted, GError **error)
+fail_missing_or_wrong_type (const MhValue *map, const char *field, const char *expected,
+                            GError **error)
 {
   if (mh_value_get (map, field) == NULL)
-    return fail (error, MH_PROTOCOL_ERROR_MISSING_FIELD, field, "missing");
-  g_set_error (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_WRONG_TYPE, "%s: not %s", field, wanted);
+    return fail (error, MH_PROTOCOL_ERROR_MISSING_FIELD, field, "missing or null");
+  g_set_error (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_WRONG_TYPE,
+               "%s: wrong type, expected %s", field, expected);
   return false;
 }
 
@@ -29,7 +31,7 @@
 {
   char *text = mh_value_get_text (map, field);
   if (text == NULL)
-    fail_missing_or_type (map, field, "a text", error);
+    fail_missing_or_wrong_type (map, field, "a text", error);
   return text;
 }
 
@@ -41,7 +43,8 @@
     return NULL;
   if (*text == '\0' || strlen (text) > MH_MAX_NAME_LENGTH)
     {
-      fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, field, "not a name of 1 to 200 bytes");
+      fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, field,
+            "length out of range, expected 1 to 200 bytes");
       return NULL;
     }
   return g_steal_pointer (&text);
@@ -55,7 +58,8 @@
     return NULL;
   if (!mh_job_id_is_valid (text))
     {
-      fail (error, MH_PROTOCOL_ERROR_INVALID_ID, field, "not the id of a job");
+      fail (error, MH_PROTOCOL_ERROR_INVALID_ID, field,
+            "invalid job id, expected j- and 6 to 18 digits");
       return NULL;
     }
   return g_steal_pointer (&text);
@@ -65,7 +69,7 @@
 mh_field_get_uint (const MhValue *map, const char *field, guint64 *out, GError **error)
 {
   return mh_value_get_uint (map, field, out)
-         || fail_missing_or_type (map, field, "a whole number from 0", error);
+         || fail_missing_or_wrong_type (map, field, "a whole number of at least 0", error);
 }
 
 static bool
@@ -75,7 +79,7 @@
   if (!mh_field_get_uint (map, field->name, &count, error))
     return false;
   if (count < 1 || (double)count > field->max)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, field->name, "out of range");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, field->name, "count out of range");
   *out = (guint)count;
   return true;
 }
@@ -85,9 +89,9 @@
 {
   double amount;
   if (!mh_value_get_number (map, field, &amount))
-    return fail_missing_or_type (map, field, "a finite number", error);
+    return fail_missing_or_wrong_type (map, field, "a finite number", error);
   if (amount < 0 || amount > max)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, field, "out of range");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, field, "number out of range");
   *out = amount;
   return true;
 }
@@ -103,28 +107,28 @@
 }
 
 bool
-mh_field_get_word (const MhValue *map, const char *field, const MhWord *words, int *out,
+mh_field_get_enum (const MhValue *map, const char *field, const MhEnumName *names, int *out,
                    GError **error)
 {
   g_autofree char *text = mh_field_get_text (map, field, error);
   if (text == NULL)
     return false;
-  for (; words->word; words++)
-    if (strcmp (words->word, text) == 0)
+  for (; names->name; names++)
+    if (strcmp (names->name, text) == 0)
       {
-        *out = words->value;
+        *out = names->value;
         return true;
       }
-  return fail (error, MH_PROTOCOL_ERROR_UNKNOWN_WORD, field, "not a word of the protocol");
+  return fail (error, MH_PROTOCOL_ERROR_UNKNOWN_VALUE, field, "unknown value");
 }
 
 char **
-mh_field_get_names (const MhValue *map, const char *field, GError **error)
+mh_field_get_strv (const MhValue *map, const char *field, GError **error)
 {
-  char **names = NULL;
-  if (!mh_value_get_names (map, field, &names) || names == NULL)
-    fail_missing_or_type (map, field, "a list of texts", error);
-  return names;
+  char **texts = NULL;
+  if (!mh_value_get_strv (map, field, &texts) || texts == NULL)
+    fail_missing_or_wrong_type (map, field, "a list of texts", error);
+  return texts;
 }
 
 const MhValue *
@@ -133,16 +137,16 @@
   const MhValue *list = mh_value_get (map, field);
   if (list && cbor_isa_array (list))
     return list;
-  fail_missing_or_type (map, field, "a list", error);
+  fail_missing_or_wrong_type (map, field, "a list", error);
   return NULL;
 }
 
 const char *
-mh_word_for_value (const MhWord *words, int value)
+mh_enum_name_for_value (const MhEnumName *names, int value)
 {
-  while (words->value != value)
-    words++;
-  return words->word;
+  while (names->value != value)
+    names++;
+  return names->name;
 }
 
 static bool
@@ -155,10 +159,10 @@
       return (*(char **)member = mh_field_get_name (map, field->name, error)) != NULL;
     case MH_FIELD_JOB_ID:
       return (*(char **)member = get_job_id (map, field->name, error)) != NULL;
-    case MH_FIELD_NAMES:
-      return (*(char ***)member = mh_field_get_names (map, field->name, error)) != NULL;
-    case MH_FIELD_WORD:
-      return mh_field_get_word (map, field->name, field->words, member, error);
+    case MH_FIELD_STRV:
+      return (*(char ***)member = mh_field_get_strv (map, field->name, error)) != NULL;
+    case MH_FIELD_ENUM:
+      return mh_field_get_enum (map, field->name, field->enum_names, member, error);
     case MH_FIELD_COUNT:
       return get_count (map, field, member, error);
     case MH_FIELD_UINT:
@@ -169,7 +173,7 @@
       return mh_field_get_duration (map, field->name, member, error);
     case MH_FIELD_FLAG:
       return mh_value_get_bool (map, field->name, member)
-             || fail_missing_or_type (map, field->name, "true or false", error);
+             || fail_missing_or_wrong_type (map, field->name, "true or false", error);
     }
   g_assert_not_reached ();
 }
@@ -182,7 +186,8 @@
 
   if (map == NULL || !cbor_isa_map (map))
     {
-      g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_NOT_A_MAP, "not a map");
+      g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_NOT_A_MAP,
+                           "wrong type, expected a map");
       return false;
     }
   for (gsize i = 0; i < n_fields; i++)
@@ -208,12 +213,13 @@
     case MH_FIELD_JOB_ID:
       mh_value_set_text (map, field->name, *(char *const *)member);
       break;
-    case MH_FIELD_NAMES:
+    case MH_FIELD_STRV:
       if (*(char **const *)member)
-        mh_value_set_names (map, field->name, *(char **const *)member);
+        mh_value_set_strv (map, field->name, *(char **const *)member);
       break;
-    case MH_FIELD_WORD:
-      mh_value_set_text (map, field->name, mh_word_for_value (field->words, *(const int *)member));
+    case MH_FIELD_ENUM:
+      mh_value_set_text (map, field->name,
+                         mh_enum_name_for_value (field->enum_names, *(const int *)member));
       break;
     case MH_FIELD_COUNT:
       mh_value_set_uint (map, field->name, *(const guint *)member);
@@ -237,7 +243,7 @@
 MhValue *
 mh_fields_encode (const MhField *fields, gsize n_fields, gconstpointer source)
 {
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   for (gsize i = 0; i < n_fields; i++)
     encode_field (map, &fields[i], source);
   return map;
--- a/src/protocol/job-spec.h
+++ b/src/protocol/job-spec.h
@@ -1,23 +1,23 @@
-/* A job as its user described it. */
+/* The description of a job, as its user submitted it. */
 #pragma once
 
 #include <glib.h>
 #include <stdbool.h>
 
 /**
- * MH_MAX_TASKS:
+ * MH_MAX_TASKS_PER_JOB:
  *
- * The most tasks that a job has (PROTOCOL, "POST /submissions").
+ * The largest number of tasks in a job (PROTOCOL, "POST /submissions").
  */
-#define MH_MAX_TASKS 100000u
+#define MH_MAX_TASKS_PER_JOB 100000u
 
 /**
  * MhShape:
- * @MH_SHAPE_ARRAY: a job array: independent tasks, each of which runs to completion
- * @MH_SHAPE_SERVICE: replicas, which run until the job is cancelled
- * @MH_SHAPE_GANG: gang scheduling: all tasks run at the same time, or none does
+ * @MH_SHAPE_ARRAY: array ("sweep"): independent tasks, each of which runs to completion
+ * @MH_SHAPE_SERVICE: service: replicas that run until the job is cancelled
+ * @MH_SHAPE_GANG: gang ("group"): either all tasks run at the same time, or none does
  *
- * How the tasks of a job belong together.
+ * How the tasks of a job run.
  */
 typedef enum
 {
@@ -28,12 +28,12 @@
 
 /**
  * MhPriority:
- * @MH_PRIORITY_LOW: best effort
- * @MH_PRIORITY_NORMAL: the usual one
- * @MH_PRIORITY_HIGH: urgent
- * @MH_PRIORITY_CRITICAL: before all others
+ * @MH_PRIORITY_LOW: "best_effort"
+ * @MH_PRIORITY_NORMAL: "normal"
+ * @MH_PRIORITY_HIGH: "urgent"
+ * @MH_PRIORITY_CRITICAL: "critical"
  *
- * What may preempt what (PROTOCOL, "Preemption"); a larger value may preempt a smaller one.
+ * The priority of a job. A job may preempt jobs with a smaller value (PROTOCOL, "Preemption").
  */
 typedef enum
 {
@@ -45,28 +45,28 @@
 
 /**
  * MhJobSpec:
- * @id: see mh_job_id_is_valid()
+ * @id: job id, see mh_job_id_is_valid()
  * @class_name: the class of jobs whose service-level objectives apply
- * @team: the team whose quota it uses
- * @image: the image that a machine needs before a task can start there
- * @zone: (nullable): the only zone that is allowed; %NULL: any
- * @types: (nullable): the machine types that are allowed, ending in %NULL; %NULL: any
- * @shape: how its tasks belong together
- * @priority: what it may preempt
- * @tasks: number of tasks, from 1 to %MH_MAX_TASKS
- * @cpus: processors that each task takes
- * @gpus: accelerators that each task takes
- * @mem_gb: memory that each task takes
+ * @team: the team whose quota the job uses
+ * @image: the image that a machine has to fetch before a task can start on it
+ * @zone: (nullable): the only allowed zone; %NULL: any
+ * @types: (nullable): %NULL-terminated array of the allowed machine types; %NULL: any
+ * @shape: how the tasks run
+ * @priority: priority
+ * @tasks: number of tasks, from 1 to %MH_MAX_TASKS_PER_JOB
+ * @cpus: processors that each task requires
+ * @gpus: accelerators that each task requires
+ * @mem_gb: memory that each task requires
  * @image_gb: size of the image
- * @single_zone: all tasks must be in the same zone
- * @spread_over_zones: at most half of the tasks, rounded up, may be in one zone
- * @spot: spot machines may be used
- * @estimated_run_us: the owner's estimate of a task's run time, often wrong; 0 for services
- * @checkpoint_interval_us: progress after which a task saves a checkpoint; 0: it never does
- * @checkpoint_save_us: time that a task needs for a checkpoint when it is stopped
- * @deadline_us: time from submission to the wanted end; -1: none
+ * @single_zone: whether all tasks have to be in the same zone
+ * @spread_over_zones: whether at most half of the tasks, rounded up, may be in one zone
+ * @spot: whether tasks may run on spot machines
+ * @estimated_run_us: the user's estimate of a task's run time, often wrong; 0 for services
+ * @checkpoint_interval_us: interval of run time at which a task saves checkpoints; 0: never
+ * @checkpoint_save_us: time that a task needs to save a checkpoint when it is stopped
+ * @deadline_us: deadline, relative to the submission; -1: none
  *
- * A job as its user described it. It owns its strings.
+ * The description of a job. It owns its strings.
  */
 typedef struct
 {
@@ -87,7 +87,7 @@
 
 /**
  * mh_job_spec_free:
- * @spec: (nullable) (transfer full): a description of a job
+ * @spec: (nullable) (transfer full): the description of a job
  */
 void
 mh_job_spec_free (MhJobSpec *spec);
@@ -97,8 +97,8 @@
  * mh_job_id_is_valid:
  * @id: any text
  *
- * Returns: %TRUE if @id has the form of all job ids, "j-" and 6 to 18 digits. Such an id can stand
- * in a key of the key-value store and in a path.
+ * Returns: %TRUE if @id has the form of a job id: "j-" and 6 to 18 digits. Such an id can be part
+ * of a key in the key-value store and of a URL path.
  */
 bool
 mh_job_id_is_valid (const char *id);
--- a/src/protocol/key-value-messages.c
+++ b/src/protocol/key-value-messages.c
@@ -3,8 +3,8 @@
 
 #define MILLISECOND_US 1000
 
-/* Names of the protocol that stand in several messages: "stamp" is a key's version, "ledger" the
-   store's revision and "claim" a lease. */
+/* Field names that several messages use. The protocol calls the version of a key "stamp", the
+   store's revision "ledger" and the id of a lease "claim". */
 #define FIELD_VERSION "stamp"
 #define FIELD_REVISION "ledger"
 #define FIELD_LEASE "claim"
@@ -21,7 +21,7 @@
 }
 
 static GPtrArray *
-entries_new (void)
+new_entries (void)
 {
   return g_ptr_array_new_with_free_func ((GDestroyNotify)mh_kv_entry_free);
 }
@@ -33,7 +33,8 @@
   MhValue *value = mh_value_get (body, FIELD_VALUE);
   if (value == NULL)
     {
-      g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_MISSING_FIELD, "v: missing");
+      g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_MISSING_FIELD,
+                           "v: missing or null");
       return NULL;
     }
   entry->key = mh_field_get_text (body, "key", error);
@@ -43,9 +44,9 @@
   return g_steal_pointer (&entry);
 }
 
-/* "put" with a value, or "drop"; each names the key. */
+/* A change has the key in the field "put", with a value, or in "drop", for a deletion. */
 static MhKvEntry *
-event_decode (const MhValue *map, GError **error)
+decode_event (const MhValue *map, GError **error)
 {
   g_autoptr (MhKvEntry) entry = g_new0 (MhKvEntry, 1);
   MhValue *value = mh_value_get (map, FIELD_VALUE);
@@ -67,8 +68,8 @@
   const MhValue *list = mh_field_get_list (body, field, error);
   if (list == NULL)
     return NULL;
-  g_autoptr (GPtrArray) entries = entries_new ();
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  g_autoptr (GPtrArray) entries = new_entries ();
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     {
       MhKvEntry *entry = decode (mh_value_at (list, i), error);
       if (entry == NULL)
@@ -82,13 +83,13 @@
 }
 
 GPtrArray *
-mh_kv_list_decode (const MhValue *body, bool *more, guint64 *revision, GError **error)
+mh_kv_list_decode (const MhValue *body, bool *has_more, guint64 *revision, GError **error)
 {
-  g_return_val_if_fail (more != NULL && revision != NULL, NULL);
+  g_return_val_if_fail (has_more != NULL && revision != NULL, NULL);
 
-  *more = false;
+  *has_more = false;
   *revision = 0;
-  mh_value_get_bool (body, "has_next", more);
+  mh_value_get_bool (body, "has_next", has_more);
   mh_value_get_uint (body, FIELD_REVISION, revision);
   return decode_each (body, "entries", mh_kv_entry_decode, error);
 }
@@ -100,7 +101,7 @@
 
   if (!mh_kv_revision_decode (body, revision, error))
     return NULL;
-  return decode_each (body, "news", event_decode, error);
+  return decode_each (body, "news", decode_event, error);
 }
 
 bool
@@ -112,7 +113,7 @@
 char **
 mh_kv_failed_conditions_decode (const MhValue *body, GError **error)
 {
-  return mh_field_get_names (body, "failed", error);
+  return mh_field_get_strv (body, "failed", error);
 }
 
 bool
@@ -124,7 +125,7 @@
 static MhValue *
 encode_condition (const MhKvCondition *condition)
 {
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   mh_value_set_text (map, "key", condition->key);
   mh_value_set_uint (map, FIELD_VERSION, condition->version);
   return map;
@@ -133,7 +134,7 @@
 static MhValue *
 encode_change (const MhKvChange *change)
 {
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   if (change->value == NULL)
     {
       mh_value_set_text (map, "drop", change->key);
@@ -170,23 +171,23 @@
 mh_kv_request_transaction (const MhKvCondition *conditions, guint n_conditions,
                            const MhKvChange *changes, guint n_changes)
 {
-  MhValue *compare = mh_value_list ();
+  MhValue *compare = mh_value_new_list ();
   for (guint i = 0; i < n_conditions; i++)
     mh_value_push (compare, encode_condition (&conditions[i]));
-  MhValue *apply = mh_value_list ();
+  MhValue *apply = mh_value_new_list ();
   for (guint i = 0; i < n_changes; i++)
     mh_value_push (apply, encode_change (&changes[i]));
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set (body, "if", compare);
   mh_value_set (body, "apply", apply);
   return request_new ("POST", g_strdup ("/multi"), body);
 }
 
 MhRequest *
-mh_kv_request_grant_lease (gint64 life_us)
+mh_kv_request_grant_lease (gint64 ttl_us)
 {
-  MhValue *body = mh_value_map ();
-  mh_value_set_uint (body, "life_ms", (guint64)(life_us / MILLISECOND_US));
+  MhValue *body = mh_value_new_map ();
+  mh_value_set_uint (body, "life_ms", (guint64)(ttl_us / MILLISECOND_US));
   return request_new ("POST", g_strdup ("/grants"), body);
 }
 
@@ -205,10 +206,10 @@
 }
 
 MhRequest *
-mh_kv_request_watch (const char *prefix, guint64 since, gint64 hold_us)
+mh_kv_request_watch (const char *prefix, guint64 since, gint64 timeout_us)
 {
   char *path
       = g_strdup_printf ("/watch?starts=%s&since=%" G_GUINT64_FORMAT "&hold_ms=%" G_GINT64_FORMAT,
-                         prefix, since, hold_us / MILLISECOND_US);
+                         prefix, since, timeout_us / MILLISECOND_US);
   return request_new ("GET", path, NULL);
 }
--- a/src/protocol/key-value-messages.h
+++ b/src/protocol/key-value-messages.h
@@ -1,5 +1,5 @@
-/* Messages of the consensus-backed key-value store (PROTOCOL, "Controller nodes -> state
-   service"). */
+/* Messages exchanged with the consensus-backed key-value store (PROTOCOL, "Controller nodes ->
+   state service"). */
 #pragma once
 
 #include "protocol/request.h"
@@ -7,10 +7,10 @@
 /**
  * MhKvEntry:
  * @key: key; owned
- * @value: (nullable): value, a reference; %NULL: the key is gone
- * @version: revision of the key's last change
+ * @value: (nullable): value, a reference; %NULL: the key was deleted
+ * @version: version of the key: the store's revision at the key's last change
  *
- * A key and what it holds, or what became of it.
+ * A key with its value, or a change of a key.
  */
 typedef struct
 {
@@ -30,9 +30,9 @@
 /**
  * MhKvCondition:
  * @key: key; borrowed
- * @version: the version that it must have; 0: it must not exist
+ * @version: the version that the key must have; 0: the key must not exist
  *
- * A comparison in a transaction.
+ * A condition of a transaction.
  */
 typedef struct
 {
@@ -43,10 +43,10 @@
 /**
  * MhKvChange:
  * @key: key; borrowed
- * @value: (nullable): its new value, borrowed; %NULL: the key is deleted
- * @lease_id: the lease that the key is attached to; 0: none
+ * @value: (nullable): the new value, borrowed; %NULL: delete the key
+ * @lease_id: the lease to attach the key to; 0: none
  *
- * A change in a transaction.
+ * A change of a transaction.
  */
 typedef struct
 {
@@ -57,7 +57,7 @@
 
 /**
  * mh_kv_entry_decode:
- * @body: (nullable): answer to mh_kv_request_get(), or an item of a list
+ * @body: (nullable): response to mh_kv_request_get(), or an item of a list
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
  * Returns: (transfer full) (nullable): the entry, or %NULL when @body is malformed
@@ -67,31 +67,33 @@
 
 /**
  * mh_kv_list_decode:
- * @body: (nullable): answer to mh_kv_request_list()
- * @more: (out): whether another page follows
- * @revision: (out): revision that the page shows; 0: not said
+ * @body: (nullable): response to mh_kv_request_list()
+ * @has_more: (out): whether another page follows
+ * @revision: (out): the store's revision that the page shows; 0: not in the response
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): #MhKvEntry sorted by key, or %NULL when @body is malformed
+ * Returns: (transfer full) (nullable) (element-type MhKvEntry): the entries sorted by key, or %NULL
+ *   when @body is malformed
  */
 GPtrArray *
-mh_kv_list_decode (const MhValue *body, bool *more, guint64 *revision, GError **error);
+mh_kv_list_decode (const MhValue *body, bool *has_more, guint64 *revision, GError **error);
 
 /**
  * mh_kv_events_decode:
- * @body: (nullable): answer to mh_kv_request_watch()
- * @revision: (out): revision from which to watch on
+ * @body: (nullable): response to mh_kv_request_watch()
+ * @revision: (out): revision from which to continue the watch
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): #MhKvEntry, or %NULL when @body is malformed
+ * Returns: (transfer full) (nullable) (element-type MhKvEntry): the changes, or %NULL when @body is
+ *   malformed
  */
 GPtrArray *
 mh_kv_events_decode (const MhValue *body, guint64 *revision, GError **error);
 
 /**
  * mh_kv_revision_decode:
- * @body: (nullable): answer to a transaction that was applied
- * @revision: (out): revision of its changes; set when %TRUE is returned
+ * @body: (nullable): response to a transaction that was applied
+ * @revision: (out): the revision that the transaction created; set when %TRUE is returned
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
  * Returns: %FALSE when @body is malformed
@@ -101,19 +103,19 @@
 
 /**
  * mh_kv_failed_conditions_decode:
- * @body: (nullable): answer to a transaction that was refused for its conditions
+ * @body: (nullable): response to a transaction that was rejected because a condition failed
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): the keys with other versions, or %NULL when @body is
- * malformed
+ * Returns: (transfer full) (nullable): %NULL-terminated array of the keys whose conditions failed,
+ * or %NULL when @body is malformed
  */
 char **
 mh_kv_failed_conditions_decode (const MhValue *body, GError **error);
 
 /**
  * mh_kv_lease_decode:
- * @body: (nullable): answer to mh_kv_request_grant_lease()
- * @lease_id: (out): the new lease; set when %TRUE is returned
+ * @body: (nullable): response to mh_kv_request_grant_lease()
+ * @lease_id: (out): id of the new lease; set when %TRUE is returned
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
  * Returns: %FALSE when @body is malformed
@@ -125,33 +127,33 @@
  * mh_kv_request_get:
  * @key: a key
  *
- * Returns: (transfer full): a request for one key
+ * Returns: (transfer full): a request for the value of one key
  */
 MhRequest *
 mh_kv_request_get (const char *key);
 
 /**
  * mh_kv_request_list:
- * @prefix: beginning of the keys
- * @after: (nullable): the last key of the page before; %NULL: the first page
- * @limit: entries in a page; at most 1,000
+ * @prefix: prefix of the keys
+ * @after: (nullable): the last key on the previous page; %NULL: the first page
+ * @limit: number of entries per page; at most 1,000
  *
- * Returns: (transfer full): a request for a page of keys
+ * Returns: (transfer full): a request for one page of entries
  */
 MhRequest *
 mh_kv_request_list (const char *prefix, const char *after, guint limit);
 
 /**
  * mh_kv_request_transaction:
- * @conditions: what must hold
- * @n_conditions: their number
- * @changes: what is then done, all or nothing
- * @n_changes: their number
+ * @conditions: conditions, all of which must hold
+ * @n_conditions: number of @conditions
+ * @changes: changes, which are applied atomically
+ * @n_changes: number of @changes
  *
- * A compare-and-swap over several keys (PROTOCOL, "POST /multi"). Without an answer it may have
- * been applied, or be applied later.
+ * A conditional write of several keys (PROTOCOL, "POST /multi"). If no response arrives, the
+ * transaction may have been applied, or may still be applied later.
  *
- * Returns: (transfer full): a request; it holds references to the values
+ * Returns: (transfer full): a request, which holds references to the values
  */
 MhRequest *
 mh_kv_request_transaction (const MhKvCondition *conditions, guint n_conditions,
@@ -159,38 +161,39 @@
 
 /**
  * mh_kv_request_grant_lease:
- * @life_us: time to live, in microseconds; the store counts whole milliseconds
+ * @ttl_us: time to live, rounded down to whole milliseconds
  *
  * Returns: (transfer full): a request for a new lease
  */
 MhRequest *
-mh_kv_request_grant_lease (gint64 life_us);
+mh_kv_request_grant_lease (gint64 ttl_us);
 
 /**
  * mh_kv_request_renew_lease:
- * @lease_id: a lease
+ * @lease_id: id of a lease
  *
- * Returns: (transfer full): a request that gives the lease its full time again
+ * Returns: (transfer full): a request that renews the lease for its full time to live
  */
 MhRequest *
 mh_kv_request_renew_lease (guint64 lease_id);
 
 /**
  * mh_kv_request_revoke_lease:
- * @lease_id: a lease
+ * @lease_id: id of a lease
  *
- * Returns: (transfer full): a request that ends the lease, and deletes the keys attached to it
+ * Returns: (transfer full): a request that revokes the lease and deletes the keys attached to it
  */
 MhRequest *
 mh_kv_request_revoke_lease (guint64 lease_id);
 
 /**
  * mh_kv_request_watch:
- * @prefix: beginning of the keys
- * @since: revision that is known already
- * @hold_us: how long the store waits for a change, in microseconds; at most a minute
+ * @prefix: prefix of the keys
+ * @since: watch for changes after this revision
+ * @timeout_us: how long the store waits for a change; at most a minute
  *
- * Returns: (transfer full): a request that is answered when a key changes or the time is over
+ * Returns: (transfer full): a request to which the store responds when a key changes or the
+ * time-out expires
  */
 MhRequest *
-mh_kv_request_watch (const char *prefix, guint64 since, gint64 hold_us);
+mh_kv_request_watch (const char *prefix, guint64 since, gint64 timeout_us);
--- a/src/protocol/request.h
+++ b/src/protocol/request.h
@@ -1,4 +1,4 @@
-/* Requests of a controller: who is asked, and for what. */
+/* Requests that a controller sends to the key-value store, the cloud and workers. */
 #pragma once
 
 #include "protocol/value.h"
@@ -9,7 +9,7 @@
  * @MH_TARGET_CLOUD: the cloud
  * @MH_TARGET_WORKER: the worker of a machine
  *
- * Who is asked.
+ * The receiver of a request.
  */
 typedef enum
 {
@@ -20,11 +20,11 @@
 
 /**
  * MhRequest:
- * @target: who is asked
- * @method: HTTP method; a literal
- * @endpoint: (nullable): address and port of the worker; workers only
- * @path: path and query
- * @body: (nullable): what is sent along
+ * @target: receiver
+ * @method: HTTP method; a static string
+ * @endpoint: (nullable): address and port; workers only
+ * @path: URL path and query
+ * @body: (nullable): body
  *
  * An HTTP request. It owns @endpoint and @path, and a reference to @body.
  */
@@ -39,10 +39,10 @@
 
 /**
  * mh_request_new:
- * @target: who is asked
- * @method: HTTP method; a literal
- * @path: (transfer full): path and query
- * @body: (nullable) (transfer full): what is sent along
+ * @target: receiver
+ * @method: HTTP method; a static string
+ * @path: (transfer full): URL path and query
+ * @body: (nullable) (transfer full): body
  *
  * Returns: (transfer full): a request without an endpoint
  */
@@ -53,7 +53,7 @@
  * mh_request_copy:
  * @request: a request
  *
- * Returns: (transfer full): a copy, which shares the body
+ * Returns: (transfer full): a copy with a reference to the same body
  */
 MhRequest *
 mh_request_copy (const MhRequest *request);
--- a/src/protocol/route.c
+++ b/src/protocol/route.c
@@ -3,18 +3,19 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* More parts than any path has; the first is empty, since paths begin with a slash. */
-#define MAX_PARTS 5
+/* One more than the longest route has, so that a longer path matches none. Includes the empty
+   segment before the leading slash. */
+#define MAX_SEGMENTS 5
 
 typedef struct
 {
   MhRoute route;
   const char *method;
-  const char *first, *last; /* parts of the path; NULL: any */
-  guint n_parts;
+  const char *first, *last; /* segments of the path; NULL: any segment */
+  guint n_segments;
 } RouteRule;
 
-static const RouteRule rules[] = {
+static const RouteRule route_rules[] = {
   { MH_ROUTE_READY, "GET", "ready", NULL, 1 },
   { MH_ROUTE_HEARTBEAT, "POST", "hello", NULL, 1 },
   { MH_ROUTE_SUBMIT, "POST", "submissions", NULL, 1 },
@@ -22,12 +23,12 @@
   { MH_ROUTE_CANCEL, "POST", "submissions", "withdraw", 3 },
 };
 
-/* `parts`: without the empty one before the first slash. */
+/* `segments` excludes the empty segment before the leading slash. */
 static bool
-rule_matches (const RouteRule *rule, char **parts, guint n_parts)
+rule_matches (const RouteRule *rule, char **segments, guint n_segments)
 {
-  return n_parts == rule->n_parts && strcmp (parts[0], rule->first) == 0
-         && (rule->last == NULL || strcmp (parts[n_parts - 1], rule->last) == 0);
+  return n_segments == rule->n_segments && strcmp (segments[0], rule->first) == 0
+         && (rule->last == NULL || strcmp (segments[n_segments - 1], rule->last) == 0);
 }
 
 MhRoute
@@ -35,17 +36,17 @@
 {
   g_return_val_if_fail (path != NULL && method != NULL && job != NULL, MH_ROUTE_NONE);
 
-  g_auto (GStrv) split = g_strsplit (path, "/", MAX_PARTS);
+  g_auto (GStrv) split = g_strsplit (path, "/", MAX_SEGMENTS);
   guint n_split = g_strv_length (split);
-  for (gsize i = 0; i < G_N_ELEMENTS (rules) && n_split > 1; i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (route_rules) && n_split > 1; i++)
     {
-      const RouteRule *rule = &rules[i];
-      char **parts = split + 1;
-      if (!rule_matches (rule, parts, n_split - 1))
+      const RouteRule *rule = &route_rules[i];
+      char **segments = split + 1;
+      if (!rule_matches (rule, segments, n_split - 1))
         continue;
       *method = rule->method;
-      if (rule->n_parts > 1)
-        *job = g_strdup (parts[1]);
+      if (rule->n_segments > 1)
+        *job = g_strdup (segments[1]);
       return rule->route;
     }
   return MH_ROUTE_NONE;
--- a/src/protocol/route.h
+++ b/src/protocol/route.h
@@ -1,25 +1,25 @@
-/* What a request of a user, a worker or the load balancer asks this node for, by its path. */
+/* Routes the requests of users, workers and the load balancer by their URL paths. */
 #pragma once
 
 #include <glib.h>
 
 /**
- * MH_MAX_BODY:
+ * MH_MAX_BODY_SIZE:
  *
- * The largest body of a request, in bytes (PROTOCOL, the head of the page).
+ * The largest body of a request, in bytes (PROTOCOL, introduction).
  */
-#define MH_MAX_BODY ((gsize)65536)
+#define MH_MAX_BODY_SIZE ((gsize)65536)
 
 /**
  * MhRoute:
- * @MH_ROUTE_NONE: there is no such path
- * @MH_ROUTE_READY: the load balancer's health check
- * @MH_ROUTE_HEARTBEAT: a worker's heartbeat
- * @MH_ROUTE_SUBMIT: a user's submission
- * @MH_ROUTE_STATUS: a user asks for the state of a job
- * @MH_ROUTE_CANCEL: a user cancels a job
+ * @MH_ROUTE_NONE: no route has the path
+ * @MH_ROUTE_READY: health check of the load balancer
+ * @MH_ROUTE_HEARTBEAT: heartbeat of a worker
+ * @MH_ROUTE_SUBMIT: submission of a job
+ * @MH_ROUTE_STATUS: request for the state of a job
+ * @MH_ROUTE_CANCEL: cancellation of a job
  *
- * What a request asks for.
+ * The operation that a request is routed to.
  */
 typedef enum
 {
@@ -33,12 +33,12 @@
 
 /**
  * mh_route_find:
- * @path: path of a request, without a query
- * @method: (out): the only HTTP method that is allowed, a literal; not set for %MH_ROUTE_NONE
- * @job: (out) (transfer full): what stands for the job id, any text; set for %MH_ROUTE_STATUS and
- *   %MH_ROUTE_CANCEL only
+ * @path: URL path of a request, without the query
+ * @method: (out): the only allowed HTTP method, a static string; not set for %MH_ROUTE_NONE
+ * @job: (out) (transfer full): the path segment in the position of the job id, not validated; set
+ *   for %MH_ROUTE_STATUS and %MH_ROUTE_CANCEL only
  *
- * Returns: what is asked for
+ * Returns: the route
  */
 MhRoute
 mh_route_find (const char *path, const char **method, char **job);
--- a/src/protocol/user-messages.c
+++ b/src/protocol/user-messages.c
@@ -1,25 +1,25 @@
 #include "protocol/user-messages.h"
 #include "protocol/field.h"
 
-/* No machine has more of anything. */
-#define MAX_UNITS 1e6
+/* Upper bounds of the resources of a task: no machine has more. */
+#define MAX_CPUS_OR_GPUS 1e6
 #define MAX_GB 1e9
 
-static const MhWord shape_words[] = {
+static const MhEnumName shape_names[] = {
   { "sweep", MH_SHAPE_ARRAY }, { "service", MH_SHAPE_SERVICE }, { "group", MH_SHAPE_GANG }, {}
 };
 
-static const MhWord priority_words[] = { { "best_effort", MH_PRIORITY_LOW },
-                                         { "normal", MH_PRIORITY_NORMAL },
-                                         { "urgent", MH_PRIORITY_HIGH },
-                                         { "critical", MH_PRIORITY_CRITICAL },
-                                         {} };
+static const MhEnumName priority_names[] = { { "best_effort", MH_PRIORITY_LOW },
+                                             { "normal", MH_PRIORITY_NORMAL },
+                                             { "urgent", MH_PRIORITY_HIGH },
+                                             { "critical", MH_PRIORITY_CRITICAL },
+                                             {} };
 
-static const MhWord job_state_words[] = { { "pending", MH_JOB_PENDING },
-                                          { "running", MH_JOB_RUNNING },
-                                          { "done", MH_JOB_DONE },
-                                          { "aborted", MH_JOB_CANCELLED },
-                                          {} };
+static const MhEnumName job_state_names[] = { { "pending", MH_JOB_PENDING },
+                                              { "running", MH_JOB_RUNNING },
+                                              { "done", MH_JOB_DONE },
+                                              { "aborted", MH_JOB_CANCELLED },
+                                              {} };
 
 #define MEMBER(name) .offset = offsetof (MhJobSpec, name)
 
@@ -28,15 +28,15 @@
   { "id", MH_FIELD_JOB_ID, MEMBER (id) },
   { "workload", MH_FIELD_NAME, MEMBER (class_name) },
   { "desk", MH_FIELD_NAME, MEMBER (team) },
-  { "shape", MH_FIELD_WORD, MEMBER (shape), .words = shape_words },
-  { "rank", MH_FIELD_WORD, MEMBER (priority), .words = priority_words },
-  { "legs", MH_FIELD_COUNT, MEMBER (tasks), .max = MH_MAX_TASKS },
-  { "cpus", MH_FIELD_AMOUNT, MEMBER (cpus), .max = MAX_UNITS },
-  { "gpus", MH_FIELD_AMOUNT, MEMBER (gpus), .max = MAX_UNITS },
+  { "shape", MH_FIELD_ENUM, MEMBER (shape), .enum_names = shape_names },
+  { "rank", MH_FIELD_ENUM, MEMBER (priority), .enum_names = priority_names },
+  { "legs", MH_FIELD_COUNT, MEMBER (tasks), .max = MH_MAX_TASKS_PER_JOB },
+  { "cpus", MH_FIELD_AMOUNT, MEMBER (cpus), .max = MAX_CPUS_OR_GPUS },
+  { "gpus", MH_FIELD_AMOUNT, MEMBER (gpus), .max = MAX_CPUS_OR_GPUS },
   { "mem_gb", MH_FIELD_AMOUNT, MEMBER (mem_gb), .max = MAX_GB },
   { "build", MH_FIELD_NAME, MEMBER (image) },
   { "size_gb", MH_FIELD_AMOUNT, MEMBER (image_gb), .max = MAX_GB },
-  { "racks", MH_FIELD_NAMES, MH_FIELD_OPTIONAL, MEMBER (types) },
+  { "racks", MH_FIELD_STRV, MH_FIELD_OPTIONAL, MEMBER (types) },
   { "hall", MH_FIELD_NAME, MH_FIELD_OPTIONAL, MEMBER (zone) },
   { "same_place", MH_FIELD_FLAG, MH_FIELD_OPTIONAL, MEMBER (single_zone) },
   { "scatter", MH_FIELD_FLAG, MH_FIELD_OPTIONAL, MEMBER (spread_over_zones) },
@@ -66,17 +66,18 @@
 }
 
 MhValue *
-mh_job_status_encode (const char *id, const MhUserAnswer *answer, bool with_counts)
+mh_job_status_encode (const char *id, const MhUserResponse *response, bool include_task_counts)
 {
-  g_return_val_if_fail (id != NULL && answer != NULL, NULL);
+  g_return_val_if_fail (id != NULL && response != NULL, NULL);
 
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_text (body, "id", id);
-  mh_value_set_text (body, "status", mh_word_for_value (job_state_words, (int)answer->state));
-  if (with_counts)
+  mh_value_set_text (body, "status",
+                     mh_enum_name_for_value (job_state_names, (int)response->state));
+  if (include_task_counts)
     {
-      mh_value_set_uint (body, "done", answer->done);
-      mh_value_set_uint (body, "running", answer->running);
+      mh_value_set_uint (body, "done", response->done);
+      mh_value_set_uint (body, "running", response->running);
     }
   return body;
 }
--- a/src/protocol/user-messages.h
+++ b/src/protocol/user-messages.h
@@ -1,4 +1,5 @@
-/* Messages of users: submissions, and the state of jobs (PROTOCOL, "Users -> controller nodes"). */
+/* Messages exchanged with users: submissions and the state of jobs (PROTOCOL, "Users -> controller
+   nodes"). */
 #pragma once
 
 #include "protocol/job-spec.h"
@@ -6,12 +7,12 @@
 
 /**
  * MhJobState:
- * @MH_JOB_PENDING: no task runs
- * @MH_JOB_RUNNING: a task runs
- * @MH_JOB_DONE: all tasks are done; it remains so
- * @MH_JOB_CANCELLED: cancelled by its user; it remains so
+ * @MH_JOB_PENDING: no task is running
+ * @MH_JOB_RUNNING: at least one task is running
+ * @MH_JOB_DONE: all tasks have completed; final
+ * @MH_JOB_CANCELLED: cancelled by the user; final
  *
- * What users are told of a job. The values stand in messages between controllers.
+ * The state of a job, as reported to users. Messages between controllers contain the values.
  */
 typedef enum
 {
@@ -23,11 +24,11 @@
 
 /**
  * MhUserVerb:
- * @MH_USER_SUBMIT: accept a job
- * @MH_USER_STATUS: tell its state
- * @MH_USER_CANCEL: cancel it
+ * @MH_USER_SUBMIT: submit a job
+ * @MH_USER_STATUS: get the state of a job
+ * @MH_USER_CANCEL: cancel a job
  *
- * What a user asks for. The values stand in messages between controllers.
+ * The operation that a user requests. Messages between controllers contain the values.
  */
 typedef enum
 {
@@ -37,14 +38,14 @@
 } MhUserVerb;
 
 /**
- * MhUserAnswer:
+ * MhUserResponse:
  * @status: HTTP status
- * @retry_after_s: value of the header Retry-After, in seconds; 0: no such header
+ * @retry_after_s: value of the Retry-After header; 0: no header
  * @state: state of the job; @status 200 and 201 only
- * @done: number of tasks that are done; @status 200 only
- * @running: number of tasks that run; @status 200 only
+ * @done: number of completed tasks; @status 200 only
+ * @running: number of running tasks; @status 200 only
  *
- * The answer to a user.
+ * The response to a user's request.
  */
 typedef struct
 {
@@ -52,34 +53,34 @@
   guint retry_after_s;
   MhJobState state;
   guint done, running;
-} MhUserAnswer;
+} MhUserResponse;
 
 /**
  * mh_submission_decode:
- * @body: (nullable): a submission; job records hold them too
+ * @body: (nullable): a submission, from a user or from the record of a job
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): the job, or %NULL when @body is malformed
+ * Returns: (transfer full) (nullable): the description of the job, or %NULL when @body is malformed
  */
 MhJobSpec *
 mh_submission_decode (const MhValue *body, GError **error);
 
 /**
  * mh_submission_encode:
- * @spec: a job
+ * @spec: the description of a job
  *
- * Returns: (transfer full): the submission, which mh_submission_decode() reads
+ * Returns: (transfer full): the submission, which mh_submission_decode() can decode
  */
 MhValue *
 mh_submission_encode (const MhJobSpec *spec);
 
 /**
  * mh_job_status_encode:
- * @id: id of a job
- * @answer: the answer to its user
- * @with_counts: whether the numbers of tasks are told too
+ * @id: job id
+ * @response: the response to the user
+ * @include_task_counts: whether to include the numbers of completed and running tasks
  *
- * Returns: (transfer full): the body of an answer with status 200 or 201
+ * Returns: (transfer full): the body of a response with status 200 or 201
  */
 MhValue *
-mh_job_status_encode (const char *id, const MhUserAnswer *answer, bool with_counts);
+mh_job_status_encode (const char *id, const MhUserResponse *response, bool include_task_counts);
--- a/src/protocol/value.c
+++ b/src/protocol/value.c
@@ -5,10 +5,10 @@
 #include <math.h>
 #include <string.h>
 
-/* Up to here a double holds each whole number. */
+/* 2^53: a double represents every whole number up to this one exactly. */
 #define MAX_EXACT_DOUBLE 9007199254740992.0
-/* No number, and neither true, false nor null, is longer in JSON. */
-#define MAX_JSON_NUMBER_SIZE 24
+/* Upper bound of a number, true, false or null in JSON, in bytes. */
+#define MAX_JSON_SCALAR_SIZE 24
 
 void
 mh_value_unref (MhValue *value)
@@ -18,7 +18,7 @@
 }
 
 MhValue *
-mh_value_load (const void *data, gsize size, GError **error)
+mh_value_parse (const void *data, gsize size, GError **error)
 {
   struct cbor_load_result result;
   g_autoptr (MhValue) item
@@ -26,12 +26,12 @@
   if (item && result.error.code == CBOR_ERR_NONE && result.read == size)
     return g_steal_pointer (&item);
   g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_MALFORMED_CBOR,
-                       "not exactly one CBOR item");
+                       "expected exactly one well-formed CBOR item");
   return NULL;
 }
 
 GBytes *
-mh_value_save (const MhValue *value)
+mh_value_serialize (const MhValue *value)
 {
   unsigned char *data = NULL;
   size_t capacity = 0;
@@ -40,7 +40,7 @@
   return g_bytes_new_with_free_func (data, size, free, data);
 }
 
-/* Anything but plain ASCII may need an escape. */
+/* Characters other than printable ASCII, and quotes and backslashes, may need an escape. */
 static gsize
 json_size_of_text (const MhValue *text)
 {
@@ -48,8 +48,8 @@
   const guint8 *bytes = cbor_string_handle (text);
   for (gsize i = 0; i < cbor_string_length (text); i++)
     {
-      bool plain = bytes[i] >= ' ' && bytes[i] <= '~' && bytes[i] != '"' && bytes[i] != '\\';
-      size += plain ? 1 : strlen ("\\u0000");
+      bool unescaped = bytes[i] >= ' ' && bytes[i] <= '~' && bytes[i] != '"' && bytes[i] != '\\';
+      size += unescaped ? 1 : strlen ("\\u0000");
     }
   return size;
 }
@@ -98,18 +98,18 @@
     case CBOR_TYPE_UINT:
       return json_size_of_uint (cbor_get_int (value));
     default:
-      return MAX_JSON_NUMBER_SIZE;
+      return MAX_JSON_SCALAR_SIZE;
     }
 }
 
 MhValue *
-mh_value_map (void)
+mh_value_new_map (void)
 {
   return cbor_new_indefinite_map ();
 }
 
 MhValue *
-mh_value_list (void)
+mh_value_new_list (void)
 {
   return cbor_new_indefinite_array ();
 }
@@ -123,7 +123,7 @@
 }
 
 MhValue *
-mh_value_uint (guint64 number)
+mh_value_new_uint (guint64 number)
 {
   return number <= G_MAXUINT8    ? cbor_build_uint8 ((guint8)number)
          : number <= G_MAXUINT16 ? cbor_build_uint16 ((guint16)number)
@@ -132,7 +132,7 @@
 }
 
 MhValue *
-mh_value_text (const char *text)
+mh_value_new_text (const char *text)
 {
   return cbor_build_string (text);
 }
@@ -141,13 +141,13 @@
 mh_value_set_text (MhValue *map, const char *key, const char *text)
 {
   if (text)
-    mh_value_set (map, key, mh_value_text (text));
+    mh_value_set (map, key, mh_value_new_text (text));
 }
 
 void
 mh_value_set_uint (MhValue *map, const char *key, guint64 number)
 {
-  mh_value_set (map, key, mh_value_uint (number));
+  mh_value_set (map, key, mh_value_new_uint (number));
 }
 
 void
@@ -170,7 +170,7 @@
 }
 
 static bool
-text_is (const MhValue *item, const char *text)
+text_equals (const MhValue *item, const char *text)
 {
   return cbor_isa_string (item) && cbor_string_is_definite (item)
          && cbor_string_length (item) == strlen (text)
@@ -184,7 +184,7 @@
     return NULL;
   struct cbor_pair *pairs = cbor_map_handle (map);
   for (gsize i = 0; i < cbor_map_size (map); i++)
-    if (text_is (pairs[i].key, key))
+    if (text_equals (pairs[i].key, key))
       {
         MhValue *value = pairs[i].value;
         if (cbor_isa_float_ctrl (value) && cbor_float_ctrl_is_ctrl (value)
@@ -196,9 +196,9 @@
   return NULL;
 }
 
-/* Encoders may write a whole number as a float; both are numbers. */
+/* Accepts integers and floats, since encoders may write a whole number as a float. */
 static bool
-as_number (const MhValue *item, double *out)
+read_number (const MhValue *item, double *out)
 {
   double number;
   if (item == NULL)
@@ -226,7 +226,7 @@
       *out = cbor_get_int (item);
       return true;
     }
-  if (!as_number (item, &number) || number < 0 || number > MAX_EXACT_DOUBLE
+  if (!read_number (item, &number) || number < 0 || number > MAX_EXACT_DOUBLE
       || number != floor (number))
     return false;
   *out = (guint64)number;
@@ -251,7 +251,7 @@
   else
     for (gsize i = 0; i < cbor_string_chunk_count (item); i++)
       append_text (string, cbor_string_chunks_handle (item)[i]);
-  /* Text with a NUL inside would be cut short by C strings and mean something else. */
+  /* A C string would truncate text at an embedded NUL, which would change its meaning. */
   if (strlen (string->str) != string->len
       || !g_utf8_validate (string->str, (gssize)string->len, NULL))
     {
@@ -270,7 +270,7 @@
 bool
 mh_value_get_number (const MhValue *map, const char *key, double *out)
 {
-  return as_number (mh_value_get (map, key), out);
+  return read_number (mh_value_get (map, key), out);
 }
 
 bool
@@ -292,7 +292,7 @@
 }
 
 gsize
-mh_value_size (const MhValue *list)
+mh_value_list_length (const MhValue *list)
 {
   return list && cbor_isa_array (list) ? cbor_array_size (list) : 0;
 }
@@ -304,7 +304,7 @@
 }
 
 bool
-mh_value_get_names (const MhValue *map, const char *key, char ***out)
+mh_value_get_strv (const MhValue *map, const char *key, char ***out)
 {
   MhValue *list = mh_value_get (map, key);
   *out = NULL;
@@ -312,24 +312,24 @@
     return true;
   if (!cbor_isa_array (list))
     return false;
-  g_autoptr (GPtrArray) names = g_ptr_array_new_with_free_func (g_free);
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  g_autoptr (GPtrArray) texts = g_ptr_array_new_with_free_func (g_free);
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     {
-      char *name = mh_value_as_text (mh_value_at (list, i));
-      if (name == NULL)
+      char *text = mh_value_as_text (mh_value_at (list, i));
+      if (text == NULL)
         return false;
-      g_ptr_array_add (names, name);
+      g_ptr_array_add (texts, text);
     }
-  g_ptr_array_add (names, NULL);
-  *out = (char **)g_ptr_array_free (g_steal_pointer (&names), FALSE);
+  g_ptr_array_add (texts, NULL);
+  *out = (char **)g_ptr_array_free (g_steal_pointer (&texts), FALSE);
   return true;
 }
 
 void
-mh_value_set_names (MhValue *map, const char *key, char **names)
+mh_value_set_strv (MhValue *map, const char *key, char **texts)
 {
-  MhValue *list = mh_value_list ();
-  for (; names && *names; names++)
-    mh_value_push (list, mh_value_text (*names));
+  MhValue *list = mh_value_new_list ();
+  for (; texts && *texts; texts++)
+    mh_value_push (list, mh_value_new_text (*texts));
   mh_value_set (map, key, list);
 }
--- a/src/protocol/value.h
+++ b/src/protocol/value.h
@@ -1,4 +1,4 @@
-/* Values: CBOR items, of which messages and records are made. */
+/* CBOR values: the items that messages and stored records consist of. */
 #pragma once
 
 #include <cbor.h>
@@ -8,7 +8,7 @@
 /**
  * MhValue:
  *
- * A CBOR item with a reference count, which starts at 1. What a message is made of: maps with text
+ * A reference-counted CBOR item; a new one has one reference. Messages consist of maps with text
  * keys, lists, texts, numbers, booleans and null.
  */
 typedef cbor_item_t MhValue;
@@ -22,70 +22,70 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhValue, mh_value_unref)
 
 /**
- * mh_value_load:
+ * mh_value_parse:
  * @data: (nullable): bytes
- * @size: their number
+ * @size: number of bytes
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): the whole of @data as one CBOR item, or %NULL when it is
- * malformed, nested more deeply than any message or followed by anything
+ * Returns: (transfer full) (nullable): the item, or %NULL when @data is malformed, is nested more
+ *   deeply than any message or has further bytes after the item
  */
 MhValue *
-mh_value_load (const void *data, gsize size, GError **error);
+mh_value_parse (const void *data, gsize size, GError **error);
 
 /**
- * mh_value_save:
+ * mh_value_serialize:
  * @value: a value
  *
- * Returns: (transfer full): its CBOR
+ * Returns: (transfer full): the value encoded in CBOR
  */
 GBytes *
-mh_value_save (const MhValue *value);
+mh_value_serialize (const MhValue *value);
 
 /**
  * mh_value_json_size:
  * @value: a value
  *
- * The size limits of the protocol are counted in JSON (PROTOCOL, the head of the page).
+ * The protocol defines its size limits in terms of JSON (PROTOCOL, introduction).
  *
- * Returns: an upper bound of its size in JSON, in bytes
+ * Returns: an upper bound of the value's size in JSON, in bytes
  */
 gsize
 mh_value_json_size (const MhValue *value);
 
 /**
- * mh_value_map:
+ * mh_value_new_map:
  *
  * Returns: (transfer full): an empty map
  */
 MhValue *
-mh_value_map (void);
+mh_value_new_map (void);
 
 /**
- * mh_value_list:
+ * mh_value_new_list:
  *
  * Returns: (transfer full): an empty list
  */
 MhValue *
-mh_value_list (void);
+mh_value_new_list (void);
 
 /**
- * mh_value_uint:
+ * mh_value_new_uint:
  * @number: a whole number
  *
- * Returns: (transfer full): the number
+ * Returns: (transfer full): a value with the number
  */
 MhValue *
-mh_value_uint (guint64 number);
+mh_value_new_uint (guint64 number);
 
 /**
- * mh_value_text:
+ * mh_value_new_text:
  * @text: UTF-8
  *
- * Returns: (transfer full): the text
+ * Returns: (transfer full): a value with the text
  */
 MhValue *
-mh_value_text (const char *text);
+mh_value_new_text (const char *text);
 
 /**
  * mh_value_set:
@@ -100,7 +100,7 @@
  * mh_value_set_text:
  * @map: a map without @key
  * @key: key
- * @text: (nullable): value; %NULL: left out
+ * @text: (nullable): value; %NULL: the key is not added
  */
 void
 mh_value_set_text (MhValue *map, const char *key, const char *text);
@@ -133,18 +133,18 @@
 mh_value_set_bool (MhValue *map, const char *key, bool flag);
 
 /**
- * mh_value_set_names:
+ * mh_value_set_strv:
  * @map: a map without @key
  * @key: key
- * @names: (nullable): texts, ending in %NULL; %NULL: an empty list
+ * @texts: (nullable): %NULL-terminated array; %NULL: an empty list
  */
 void
-mh_value_set_names (MhValue *map, const char *key, char **names);
+mh_value_set_strv (MhValue *map, const char *key, char **texts);
 
 /**
  * mh_value_push:
  * @list: a list
- * @value: (transfer full): its new last item
+ * @value: (transfer full): the item to append
  */
 void
 mh_value_push (MhValue *list, MhValue *value);
@@ -154,8 +154,8 @@
  * @map: (nullable): any value
  * @key: key
  *
- * Returns: (transfer none) (nullable): the value of the first such key; %NULL when there is none,
- * when it is null or when @map is no map
+ * Returns: (transfer none) (nullable): the value of the first entry with @key; %NULL when there is
+ *   no such entry, when its value is null or undefined, or when @map is not a map
  */
 MhValue *
 mh_value_get (const MhValue *map, const char *key);
@@ -166,7 +166,8 @@
  * @key: key
  * @out: (out): set when %TRUE is returned
  *
- * Returns: %TRUE if it is a whole number from 0; a float may hold one
+ * Returns: %TRUE if the value is a whole number of at least 0, encoded as an integer or as a
+ *   float
  */
 bool
 mh_value_get_uint (const MhValue *map, const char *key, guint64 *out);
@@ -177,7 +178,7 @@
  * @key: key
  * @out: (out): set when %TRUE is returned
  *
- * Returns: %TRUE if it is a finite number
+ * Returns: %TRUE if the value is a finite number
  */
 bool
 mh_value_get_number (const MhValue *map, const char *key, double *out);
@@ -188,7 +189,7 @@
  * @key: key
  * @out: (out): set when %TRUE is returned
  *
- * Returns: %TRUE if it is true or false
+ * Returns: %TRUE if the value is true or false
  */
 bool
 mh_value_get_bool (const MhValue *map, const char *key, bool *out);
@@ -198,28 +199,30 @@
  * @map: (nullable): any value
  * @key: key
  *
- * Returns: (transfer full) (nullable): the text; see mh_value_as_text()
+ * Returns: (transfer full) (nullable): the text, or %NULL; see mh_value_as_text()
  */
 char *
 mh_value_get_text (const MhValue *map, const char *key);
 
 /**
- * mh_value_get_names:
+ * mh_value_get_strv:
  * @map: (nullable): any value
  * @key: key
- * @out: (out) (transfer full) (nullable): texts, ending in %NULL; %NULL when there is no such key
+ * @out: (out) (transfer full) (nullable): %NULL-terminated array of the texts; %NULL when @key is
+ *   absent or null, or when %FALSE is returned
  *
- * Returns: %FALSE if it is anything but a list of texts
+ * Returns: %FALSE if the value is present and is not a list of texts
  */
 bool
-mh_value_get_names (const MhValue *map, const char *key, char ***out);
+mh_value_get_strv (const MhValue *map, const char *key, char ***out);
 
 /**
  * mh_value_as_uint:
  * @item: (nullable): any value
  * @out: (out): set when %TRUE is returned
  *
- * Returns: %TRUE if it is a whole number from 0; a float may hold one
+ * Returns: %TRUE if the value is a whole number of at least 0, encoded as an integer or as a
+ *   float
  */
 bool
 mh_value_as_uint (const MhValue *item, guint64 *out);
@@ -228,25 +231,25 @@
  * mh_value_as_text:
  * @item: (nullable): any value
  *
- * Returns: (transfer full) (nullable): the text, or %NULL when it is none, not UTF-8 or has a zero
- * byte in it
+ * Returns: (transfer full) (nullable): the text, or %NULL when @item is not a text, is not valid
+ *   UTF-8 or contains a NUL byte
  */
 char *
 mh_value_as_text (const MhValue *item);
 
 /**
- * mh_value_size:
+ * mh_value_list_length:
  * @list: (nullable): any value
  *
- * Returns: number of items; 0 when it is no list
+ * Returns: number of items; 0 when @list is not a list
  */
 gsize
-mh_value_size (const MhValue *list);
+mh_value_list_length (const MhValue *list);
 
 /**
  * mh_value_at:
  * @list: a list
- * @index: below mh_value_size()
+ * @index: less than mh_value_list_length()
  *
  * Returns: (transfer none): the item
  */
--- a/src/protocol/worker-messages.c
+++ b/src/protocol/worker-messages.c
@@ -5,30 +5,30 @@
 
 #include <string.h>
 
-static const MhWord phase_words[] = { { "pulling", MH_TASK_PHASE_FETCHING_IMAGE },
-                                      { "gathering", MH_TASK_PHASE_WAITING_FOR_GANG },
-                                      { "running", MH_TASK_PHASE_RUNNING },
-                                      { "saving", MH_TASK_PHASE_CHECKPOINTING },
-                                      { "ended", MH_TASK_PHASE_ENDED },
-                                      {} };
-
-static const MhWord end_reason_words[] = { { "done", MH_TASK_END_COMPLETED },
-                                           { "stopped", MH_TASK_END_STOPPED },
-                                           { "error", MH_TASK_END_FAILED },
-                                           { "full", MH_TASK_END_INSUFFICIENT_RESOURCES },
-                                           { "in_use", MH_TASK_END_OTHER_ATTEMPT },
-                                           { "no_such", MH_TASK_END_UNKNOWN_TASK },
-                                           { "peers", MH_TASK_END_GANG_MEMBER_LOST },
-                                           { "incomplete", MH_TASK_END_GANG_INCOMPLETE },
-                                           {} };
-
-static const MhWord command_words[] = {
+static const MhEnumName phase_names[] = { { "pulling", MH_TASK_PHASE_FETCHING_IMAGE },
+                                          { "gathering", MH_TASK_PHASE_WAITING_FOR_GANG },
+                                          { "running", MH_TASK_PHASE_RUNNING },
+                                          { "saving", MH_TASK_PHASE_CHECKPOINTING },
+                                          { "ended", MH_TASK_PHASE_ENDED },
+                                          {} };
+
+static const MhEnumName end_reason_names[] = { { "done", MH_TASK_END_COMPLETED },
+                                               { "stopped", MH_TASK_END_STOPPED },
+                                               { "error", MH_TASK_END_FAILED },
+                                               { "full", MH_TASK_END_INSUFFICIENT_RESOURCES },
+                                               { "in_use", MH_TASK_END_OTHER_ATTEMPT },
+                                               { "no_such", MH_TASK_END_UNKNOWN_TASK },
+                                               { "peers", MH_TASK_END_GANG_MEMBER_LOST },
+                                               { "incomplete", MH_TASK_END_GANG_INCOMPLETE },
+                                               {} };
+
+static const MhEnumName command_names[] = {
   { "run", MH_COMMAND_START }, { "kill", MH_COMMAND_STOP }, { "clear", MH_COMMAND_CLEAR }, {}
 };
 
 #define MEMBER(name) .offset = offsetof (MhHeartbeat, name)
 
-/* PROTOCOL, "POST /hello"; further warning_s and legs. */
+/* PROTOCOL, "POST /hello". decode_notice() reads "warning_s", and decode_tasks() reads "legs". */
 static const MhField heartbeat_fields[] = {
   { "box", MH_FIELD_NAME, MEMBER (machine) },
   { "endpoint", MH_FIELD_NAME, MEMBER (endpoint) },
@@ -43,14 +43,15 @@
 #undef MEMBER
 #define MEMBER(name) .offset = offsetof (MhTaskStatus, name)
 
-/* One of legs; further leg, which holds job and index, and cause of one that has ended. */
+/* An item of "legs". decode_task_id() reads "leg", which contains the job id and the index, and
+   ended_task_fields describes "cause", which only ended attempts have. */
 static const MhField task_fields[] = {
   { "try", MH_FIELD_UINT, MEMBER (attempt) },
-  { "status", MH_FIELD_WORD, MEMBER (phase), .words = phase_words },
+  { "status", MH_FIELD_ENUM, MEMBER (phase), .enum_names = phase_names },
 };
 
 static const MhField ended_task_fields[] = {
-  { "cause", MH_FIELD_WORD, MEMBER (end_reason), .words = end_reason_words },
+  { "cause", MH_FIELD_ENUM, MEMBER (end_reason), .enum_names = end_reason_names },
 };
 
 static void
@@ -83,7 +84,7 @@
   g_free (heartbeat);
 }
 
-/* "j-000412/3" */
+/* The format is JOB/INDEX, for example "j-000412/3". */
 static bool
 decode_task_id (const MhValue *map, MhTaskStatus *task, GError **error)
 {
@@ -93,7 +94,8 @@
   char *slash = strrchr (text, '/');
   guint64 index = 0;
   bool valid
-      = slash && g_ascii_string_to_unsigned (slash + 1, 10, 0, MH_MAX_TASKS - 1, &index, NULL);
+      = slash
+        && g_ascii_string_to_unsigned (slash + 1, 10, 0, MH_MAX_TASKS_PER_JOB - 1, &index, NULL);
   if (valid)
     {
       *slash = '\0';
@@ -102,7 +104,7 @@
   if (!valid)
     {
       g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_INVALID_ID,
-                           "leg: not the id of a task");
+                           "leg: invalid task id, expected a job id, a slash and an index");
       return false;
     }
   task->job = g_steal_pointer (&text);
@@ -110,7 +112,7 @@
   return true;
 }
 
-/* Last the id, so that nothing is owned when another field is malformed. */
+/* Decodes the id last: the caller need not free `task` when another field is malformed. */
 static bool
 decode_task (const MhValue *map, MhTaskStatus *task, GError **error)
 {
@@ -130,7 +132,7 @@
   const MhValue *list = mh_field_get_list (body, "legs", error);
   if (list == NULL)
     return false;
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     {
       MhTaskStatus task = { .end_reason = MH_TASK_END_NONE };
       if (!decode_task (mh_value_at (list, i), &task, error))
@@ -143,19 +145,19 @@
   return true;
 }
 
-/* Any number that is no duration, such as a negative one, says that the moment has passed. */
+/* A number that is not a valid duration, such as a negative one, means that the time has passed. */
 static bool
 decode_notice (const MhValue *body, gint64 *notice_us, GError **error)
 {
-  double past;
+  double invalid_duration;
   if (mh_value_get (body, "warning_s") == NULL
       || mh_field_get_duration (body, "warning_s", notice_us, NULL))
     return true;
   *notice_us = 0;
-  if (mh_value_get_number (body, "warning_s", &past))
+  if (mh_value_get_number (body, "warning_s", &invalid_duration))
     return true;
   g_set_error_literal (error, MH_PROTOCOL_ERROR, MH_PROTOCOL_ERROR_WRONG_TYPE,
-                       "warning_s: not a finite number");
+                       "warning_s: wrong type, expected a finite number");
   return false;
 }
 
@@ -189,8 +191,8 @@
 encode_command (const MhCommand *command)
 {
   g_autofree char *task = g_strdup_printf ("%s/%u", command->job, command->index);
-  MhValue *map = mh_value_map ();
-  mh_value_set_text (map, "verb", mh_word_for_value (command_words, (int)command->kind));
+  MhValue *map = mh_value_new_map ();
+  mh_value_set_text (map, "verb", mh_enum_name_for_value (command_names, (int)command->kind));
   mh_value_set_text (map, "leg", task);
   mh_value_set_uint (map, "try", command->attempt);
   if (command->kind == MH_COMMAND_STOP)
@@ -201,10 +203,10 @@
 MhValue *
 mh_commands_encode (guint64 fencing_token, const guint64 *incarnation, GArray *commands)
 {
-  MhValue *list = mh_value_list ();
+  MhValue *list = mh_value_new_list ();
   for (guint i = 0; commands && i < commands->len; i++)
     mh_value_push (list, encode_command (&g_array_index (commands, MhCommand, i)));
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_uint (body, "epoch", fencing_token);
   if (incarnation)
     mh_value_set_uint (body, "tenure", *incarnation);
@@ -215,7 +217,7 @@
 MhValue *
 mh_redirect_encode (const char *node)
 {
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_text (body, "dispatcher", node);
   return body;
 }
--- a/src/protocol/worker-messages.h
+++ b/src/protocol/worker-messages.h
@@ -1,4 +1,4 @@
-/* Messages of workers: heartbeats, and commands to them (PROTOCOL, "Workers -> controller nodes"
+/* Messages exchanged with workers: heartbeats and commands (PROTOCOL, "Workers -> controller nodes"
    and "Controller nodes -> workers"). */
 #pragma once
 
@@ -6,13 +6,13 @@
 
 /**
  * MhTaskPhase:
- * @MH_TASK_PHASE_FETCHING_IMAGE: waits for its image
- * @MH_TASK_PHASE_WAITING_FOR_GANG: has its image, and waits for the other tasks of its gang
- * @MH_TASK_PHASE_RUNNING: runs
- * @MH_TASK_PHASE_CHECKPOINTING: was told to stop, and saves a checkpoint
+ * @MH_TASK_PHASE_FETCHING_IMAGE: waiting for the image
+ * @MH_TASK_PHASE_WAITING_FOR_GANG: the image is available; waiting for the other tasks of the gang
+ * @MH_TASK_PHASE_RUNNING: running
+ * @MH_TASK_PHASE_CHECKPOINTING: saving a checkpoint after a stop command
  * @MH_TASK_PHASE_ENDED: ended, see #MhTaskEndReason
  *
- * What a task does on its machine, in the order in which the phases follow one another.
+ * The phase of an attempt on its machine, in chronological order.
  */
 typedef enum
 {
@@ -25,17 +25,17 @@
 
 /**
  * MhTaskEndReason:
- * @MH_TASK_END_NONE: it has not ended
- * @MH_TASK_END_COMPLETED: it ran to completion; its result is kept
- * @MH_TASK_END_STOPPED: stopped by command
- * @MH_TASK_END_FAILED: it failed, mostly because the machine is faulty
- * @MH_TASK_END_INSUFFICIENT_RESOURCES: start refused: not enough of the machine is free
- * @MH_TASK_END_OTHER_ATTEMPT: start refused: another attempt of the task is on the machine
- * @MH_TASK_END_UNKNOWN_TASK: start refused: the worker finds no description of the job
- * @MH_TASK_END_GANG_MEMBER_LOST: another task of its gang is gone
- * @MH_TASK_END_GANG_INCOMPLETE: the other tasks of its gang did not come in time
+ * @MH_TASK_END_NONE: the attempt has not ended
+ * @MH_TASK_END_COMPLETED: the task ran to completion, and its result is kept
+ * @MH_TASK_END_STOPPED: stopped by a command
+ * @MH_TASK_END_FAILED: the task failed, usually because of a faulty machine
+ * @MH_TASK_END_INSUFFICIENT_RESOURCES: start rejected: not enough free resources on the machine
+ * @MH_TASK_END_OTHER_ATTEMPT: start rejected: the machine has another attempt of the task
+ * @MH_TASK_END_UNKNOWN_TASK: start rejected: the worker finds no description of the job
+ * @MH_TASK_END_GANG_MEMBER_LOST: another task of the gang is gone
+ * @MH_TASK_END_GANG_INCOMPLETE: the other tasks of the gang did not arrive in time
  *
- * Why a task ended.
+ * Why an attempt ended.
  */
 typedef enum
 {
@@ -52,13 +52,13 @@
 
 /**
  * MhTaskStatus:
- * @job: id of its job; owned
- * @index: its number in the job, from 0
- * @attempt: which attempt at the task it is
- * @phase: what it does
- * @end_reason: why it ended
+ * @job: job id; owned
+ * @index: index of the task in the job, from 0
+ * @attempt: number of the attempt
+ * @phase: phase
+ * @end_reason: why the attempt ended; %MH_TASK_END_NONE if it has not
  *
- * One task in a heartbeat.
+ * The status of one attempt in a heartbeat.
  */
 typedef struct
 {
@@ -76,14 +76,17 @@
  * @type: machine type
  * @zone: zone
  * @spot: whether it is a spot machine
- * @incarnation: from 1; one more each time that the worker's lease expired and its tasks with it
- * @sequence: grows with each message of the worker; of two messages the one with the larger
- *   (@incarnation, @sequence) is the newer one
- * @fencing_token: the highest one that the worker has seen
- * @notice_us: time until the cloud takes the machine away; 0: it has come; -1: no notice
- * @tasks: all tasks on the machine, as #MhTaskStatus; ended ones until they are cleared
+ * @incarnation: incarnation of the worker, from 1. It increases by one each time the worker's lease
+ *   expires, which ends all its tasks
+ * @sequence: sequence number, which increases with each message of the worker. Of two messages, the
+ *   one with the larger (@incarnation, @sequence) is newer
+ * @fencing_token: the highest fencing token that the worker has seen
+ * @notice_us: preemption notice: time until the cloud removes the machine; 0: the time has passed;
+ *   -1: no notice
+ * @tasks: (element-type MhTaskStatus): all attempts on the machine, including ended ones that are
+ * not cleared yet
  *
- * A worker's heartbeat with its status; also its answer to commands and to a status request.
+ * A heartbeat with the status of a worker. Also the response to direct commands and to a probe.
  */
 typedef struct
 {
@@ -97,7 +100,7 @@
 /**
  * mh_heartbeat_new:
  *
- * Returns: (transfer full): a heartbeat without notice and tasks
+ * Returns: (transfer full): a heartbeat without a preemption notice and without tasks
  */
 MhHeartbeat *
 mh_heartbeat_new (void);
@@ -123,10 +126,10 @@
 /**
  * MhCommandKind:
  * @MH_COMMAND_START: start an attempt
- * @MH_COMMAND_STOP: stop it
- * @MH_COMMAND_CLEAR: forget one that has ended
+ * @MH_COMMAND_STOP: stop an attempt
+ * @MH_COMMAND_CLEAR: forget an attempt that has ended
  *
- * What a worker is told to do.
+ * The kind of a command to a worker.
  */
 typedef enum
 {
@@ -137,11 +140,11 @@
 
 /**
  * MhCommand:
- * @kind: what to do
- * @job: id of the job; owned
- * @index: number of the task in the job
- * @attempt: which attempt at the task
- * @grace_us: time that a task may take for a checkpoint; %MH_COMMAND_STOP only
+ * @kind: kind of the command
+ * @job: job id; owned
+ * @index: index of the task in the job
+ * @attempt: number of the attempt
+ * @grace_us: grace period in which the task may save a checkpoint; %MH_COMMAND_STOP only
  *
  * A command to a worker.
  */
@@ -157,28 +160,31 @@
 /**
  * mh_commands_new:
  *
- * Returns: (transfer full): an empty array of #MhCommand, which frees what they own
+ * Returns: (transfer full) (element-type MhCommand): an empty array, which frees the contents of
+ *   its commands
  */
 GArray *
 mh_commands_new (void);
 
 /**
  * mh_commands_encode:
- * @fencing_token: token of the leader; the worker drops what has a lower one than it has seen
- * @incarnation: (nullable): the only one in which the worker may carry them out; direct commands
- *   only
- * @commands: (nullable): array of #MhCommand, in the order in which they are carried out
+ * @fencing_token: fencing token of the leader; the worker ignores commands with a lower token than
+ *   the highest that it has seen
+ * @incarnation: (nullable): the incarnation in which the worker may execute the commands; direct
+ *   commands only
+ * @commands: (nullable) (element-type MhCommand): commands, in the order in which the worker
+ *   executes them
  *
- * Returns: (transfer full): the answer to a heartbeat, or the body of direct commands
+ * Returns: (transfer full): the body of the response to a heartbeat, or of direct commands
  */
 MhValue *
 mh_commands_encode (guint64 fencing_token, const guint64 *incarnation, GArray *commands);
 
 /**
  * mh_redirect_encode:
- * @node: (nullable): the node to report to; %NULL: not known
+ * @node: (nullable): the node that the worker has to send heartbeats to; %NULL: unknown
  *
- * Returns: (transfer full): the body of the answer 421 to a heartbeat
+ * Returns: (transfer full): the body of a response with status 421 to a heartbeat
  */
 MhValue *
 mh_redirect_encode (const char *node);
@@ -190,10 +196,11 @@
  * @incarnation: see mh_commands_encode()
  * @commands: see mh_commands_encode()
  *
- * Such commands may be carried out late, but only while token and incarnation still match
- * (PROTOCOL, "Delayed messages"). They do not renew the worker's lease.
+ * Sends commands directly, instead of in the response to a heartbeat. The worker may execute them
+ * late, but only as long as the token and the incarnation still match (PROTOCOL, "Delayed
+ * messages"). They do not renew the worker's lease.
  *
- * Returns: (transfer full): a request whose answer is a heartbeat
+ * Returns: (transfer full): a request, whose response is a heartbeat
  */
 MhRequest *
 mh_worker_request_commands (const char *endpoint, guint64 fencing_token, guint64 incarnation,
@@ -203,7 +210,9 @@
  * mh_worker_request_status:
  * @endpoint: address and port of the worker
  *
- * Returns: (transfer full): a request whose answer is a heartbeat
+ * Probes the worker.
+ *
+ * Returns: (transfer full): a status request, whose response is a heartbeat
  */
 MhRequest *
 mh_worker_request_status (const char *endpoint);
--- a/src/runtime/action.h
+++ b/src/runtime/action.h
@@ -47,7 +47,7 @@
   guint64 id;
   gint64 timeout_us;
   MhRequest *request;
-  MhUserAnswer answer;
+  MhUserResponse answer;
   guint status;
   MhValue *body;
   char *node;
--- a/src/server/http-client.c
+++ b/src/server/http-client.c
@@ -122,7 +122,7 @@
   const void *data = g_bytes_get_data (bytes, &size);
   if (size == 0)
     return soup_message_get_status (message);
-  *body = mh_value_load (data, size, NULL);
+  *body = mh_value_parse (data, size, NULL);
   if (*body == NULL)
     {
       g_info ("malformed reply method=%s", soup_message_get_method (message));
@@ -158,7 +158,7 @@
     }
   if (request->body)
     {
-      g_autoptr (GBytes) bytes = mh_value_save (request->body);
+      g_autoptr (GBytes) bytes = mh_value_serialize (request->body);
       soup_message_set_request_body_from_bytes (message, CBOR_MEDIA_TYPE, bytes);
     }
   /* The next command to the same worker is seconds away, and until then the main loop would look at
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -28,7 +28,7 @@
   if (body == NULL)
     return;
   gsize size;
-  g_autoptr (GBytes) bytes = mh_value_save (body);
+  g_autoptr (GBytes) bytes = mh_value_serialize (body);
   const char *data = g_bytes_get_data (bytes, &size);
   soup_server_message_set_response (message, CBOR_MEDIA_TYPE, SOUP_MEMORY_COPY, data, size);
 }
@@ -50,7 +50,7 @@
 
 void
 mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserAnswer *answer)
+                            const MhUserResponse *answer)
 {
   g_autoptr (MhValue) body = NULL;
   g_return_if_fail (self != NULL);
@@ -85,7 +85,7 @@
 {
   BodySize *body = data;
   body->size += g_bytes_get_size (chunk);
-  if (body->size > MH_MAX_BODY)
+  if (body->size > MH_MAX_BODY_SIZE)
     soup_message_body_set_accumulate (soup_server_message_get_request_body (message), FALSE);
 }
 
@@ -101,7 +101,7 @@
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
   goffset length = soup_message_headers_get_content_length (headers);
   BodySize *body = g_new0 (BodySize, 1);
-  if (length > (goffset)MH_MAX_BODY)
+  if (length > (goffset)MH_MAX_BODY_SIZE)
     body->size = (gsize)length;
   g_object_set_data_full (G_OBJECT (message), BODY_SIZE_KEY, body, g_free);
   g_signal_connect (message, "got-chunk", G_CALLBACK (on_chunk), body);
@@ -111,7 +111,7 @@
 is_too_large (SoupServerMessage *message)
 {
   const BodySize *body = g_object_get_data (G_OBJECT (message), BODY_SIZE_KEY);
-  return body && body->size > MH_MAX_BODY;
+  return body && body->size > MH_MAX_BODY_SIZE;
 }
 
 /* ---- requests ---- */
@@ -134,7 +134,7 @@
 {
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return mh_value_load (data, size, error);
+  return mh_value_parse (data, size, error);
 }
 
 static void
--- a/src/server/http-server.h
+++ b/src/server/http-server.h
@@ -72,7 +72,7 @@
  */
 void
 mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserAnswer *answer);
+                            const MhUserResponse *answer);
 
 /**
  * mh_http_server_answer_report:
--- a/src/server/request-forwarder.c
+++ b/src/server/request-forwarder.c
@@ -85,7 +85,7 @@
   if (request == NULL || request->forwarded_to != connection)
     return;
   request->forwarded_to = NULL;
-  self->outcome (request->id, &message->answer, self->user_data);
+  self->outcome (request->id, &message->response, self->user_data);
 }
 
 void
@@ -102,7 +102,7 @@
 {
   gsize size;
   const void *data = g_bytes_get_data (call->body, &size);
-  g_autoptr (MhValue) body = mh_value_load (data, size, NULL);
+  g_autoptr (MhValue) body = mh_value_parse (data, size, NULL);
   g_autoptr (MhJobSpec) spec = mh_submission_decode (body, NULL);
   if (spec == NULL || strcmp (spec->id, call->job) != 0)
     return NULL;
@@ -119,7 +119,7 @@
       *spec = read_submission (call);
       if (*spec == NULL)
         {
-          const MhUserAnswer refused = { .status = SOUP_STATUS_BAD_REQUEST };
+          const MhUserResponse refused = { .status = SOUP_STATUS_BAD_REQUEST };
           mh_peer_connection_send (connection, mh_controller_response_encode (call->id, &refused));
           return NULL;
         }
--- a/src/server/request-forwarder.h
+++ b/src/server/request-forwarder.h
@@ -22,7 +22,7 @@
  *
  * Called once for each request that was passed on, unless its user went away before.
  */
-typedef void (*MhForwardOutcomeFunc) (guint64 id, const MhUserAnswer *answer, gpointer user_data);
+typedef void (*MhForwardOutcomeFunc) (guint64 id, const MhUserResponse *answer, gpointer user_data);
 
 /**
  * mh_request_forwarder_new:
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -164,7 +164,7 @@
 }
 
 static void
-on_forward_outcome (guint64 id, const MhUserAnswer *answer, gpointer data)
+on_forward_outcome (guint64 id, const MhUserResponse *answer, gpointer data)
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -40,14 +40,14 @@
   MhUserVerb verb;
   MhLookupScope scope;
   Stage stage;
-  MhUserAnswer found;  /* to be given if there is no leader */
-  GArray *request_ids; /* guint64: requests that the reads under way will answer */
+  MhUserResponse found; /* to be given if there is no leader */
+  GArray *request_ids;  /* guint64: requests that the reads under way will answer */
   /* guint64: requests that came since those began. An answer that was read before a question came
      may be older than what its user has been told meanwhile. */
   GArray *next_request_ids;
 } JobRead;
 
-static const MhUserAnswer come_again = { .status = 503, .retry_after_s = RETRY_AFTER_S };
+static const MhUserResponse come_again = { .status = 503, .retry_after_s = RETRY_AFTER_S };
 
 MhJobLookup *
 mh_job_lookup_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
@@ -89,7 +89,7 @@
 }
 
 static void
-answer_all (const JobRead *read, GArray *request_ids, const MhUserAnswer *answer)
+answer_all (const JobRead *read, GArray *request_ids, const MhUserResponse *answer)
 {
   MhRuntime *runtime = read->lookup->runtime;
   for (guint i = 0; i < request_ids->len; i++)
@@ -175,7 +175,7 @@
 
 /* The reads are over; who came meanwhile gets new ones, together. */
 static void
-finish_reading (JobRead *read, const MhUserAnswer *answer)
+finish_reading (JobRead *read, const MhUserResponse *answer)
 {
   answer_all (read, read->request_ids, answer);
   if (read->next_request_ids->len == 0)
@@ -194,8 +194,8 @@
   g_auto (MhStoredJob) stored = {};
   if (!mh_record_read_job (entry->value, read->job, &stored, NULL))
     return false;
-  read->found = (MhUserAnswer){ .status = 200,
-                                .state = stored.cancelled ? MH_JOB_CANCELLED : MH_JOB_PENDING };
+  read->found = (MhUserResponse){ .status = 200,
+                                  .state = stored.cancelled ? MH_JOB_CANCELLED : MH_JOB_PENDING };
   return true;
 }
 
@@ -206,7 +206,7 @@
   if (reply->status == 404)
     {
       /* A submission that can never run, of a job that was never accepted. */
-      read->found = (MhUserAnswer){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
+      read->found = (MhUserResponse){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
       return true;
     }
   MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -20,7 +20,8 @@
  *
  * Takes a final state that was read, to be remembered.
  */
-typedef void (*MhJobLookupFinalFunc) (gpointer owner, const char *job, const MhUserAnswer *answer);
+typedef void (*MhJobLookupFinalFunc) (gpointer owner, const char *job,
+                                      const MhUserResponse *answer);
 
 /**
  * mh_job_lookup_new:
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -28,7 +28,7 @@
 typedef struct
 {
   void (*job_accepted) (gpointer owner, MhJob *job);
-  void (*job_over) (gpointer owner, const MhJob *job, const MhUserAnswer *answer);
+  void (*job_over) (gpointer owner, const MhJob *job, const MhUserResponse *answer);
   void (*attempts_recorded) (gpointer owner, MhJob *job, guint first_task, guint end_task);
   void (*job_rechunked) (gpointer owner, MhJob *job);
   void (*leadership_lost) (gpointer owner, MhLossReason reason);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -46,13 +46,13 @@
 static MhValue *
 write_task (const MhTask *task, guint index, MhMachineNameFunc machine_name)
 {
-  MhValue *item = mh_value_list ();
-  mh_value_push (item, mh_value_uint (index));
-  mh_value_push (item, mh_value_uint (task->attempt));
+  MhValue *item = mh_value_new_list ();
+  mh_value_push (item, mh_value_new_uint (index));
+  mh_value_push (item, mh_value_new_uint (task->attempt));
   if (task->state == MH_TASK_LIVE)
-    mh_value_push (item, mh_value_text (machine_name (task->live)));
+    mh_value_push (item, mh_value_new_text (machine_name (task->live)));
   else if (task->state == MH_TASK_PENDING)
-    mh_value_push (item, mh_value_text (MH_RECORD_NO_MACHINE));
+    mh_value_push (item, mh_value_new_text (MH_RECORD_NO_MACHINE));
   return item;
 }
 
@@ -72,11 +72,11 @@
 mh_record_write (const MhRecord *record, const char *tag, MhMachineNameFunc machine_name)
 {
   const MhJob *job = record->job;
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   mh_value_set_text (map, "w", tag);
   if (record->chunk == 0)
     write_job (map, job);
-  MhValue *list = mh_value_list ();
+  MhValue *list = mh_value_new_list ();
   guint first = record->chunk * job->chunk;
   guint end = MIN (first + job->chunk, job->spec->tasks);
   for (guint i = first; i < end; i++)
@@ -103,7 +103,7 @@
 {
   guint64 tasks = CHUNK_OF_FIRST_VERSION;
   mh_value_get_uint (value, "c", &tasks);
-  if (tasks < 1 || tasks > MH_MAX_TASKS)
+  if (tasks < 1 || tasks > MH_MAX_TASKS_PER_JOB)
     return fail_invalid (error, "c", "is out of range");
   *chunk = (guint)tasks;
   return true;
@@ -160,15 +160,15 @@
 read_task (const MhValue *item, MhRecordTaskFunc func, gpointer data, GError **error)
 {
   guint64 index, attempt;
-  if (mh_value_size (item) < 2 || !mh_value_as_uint (mh_value_at (item, 0), &index)
+  if (mh_value_list_length (item) < 2 || !mh_value_as_uint (mh_value_at (item, 0), &index)
       || !mh_value_as_uint (mh_value_at (item, 1), &attempt))
     return fail_invalid (error, "t", "has an item that is not index and attempt");
-  if (index >= MH_MAX_TASKS)
+  if (index >= MH_MAX_TASKS_PER_JOB)
     return fail_invalid (error, "t", "has an index that is out of range");
   if (attempt > G_MAXUINT32)
     return fail_invalid (error, "t", "has an attempt that is out of range");
   g_autofree char *machine = NULL;
-  if (mh_value_size (item) > 2)
+  if (mh_value_list_length (item) > 2)
     {
       machine = mh_value_as_text (mh_value_at (item, 2));
       if (machine == NULL)
@@ -184,7 +184,7 @@
   const MhValue *list = mh_value_get (value, "t");
   if (list == NULL)
     return fail_missing (error, "t", "list");
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     if (!read_task (mh_value_at (list, i), func, data, error))
       return false;
   return true;
@@ -195,7 +195,7 @@
 MhValue *
 mh_record_write_final (const MhJob *job, const char *tag)
 {
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   mh_value_set_text (map, "w", tag);
   mh_value_set_uint (map, "state", mh_job_is_cancelled (job) ? MH_JOB_CANCELLED : MH_JOB_DONE);
   mh_value_set_uint (map, "done", job->n_done);
@@ -203,7 +203,7 @@
 }
 
 bool
-mh_record_read_final (const MhValue *value, MhUserAnswer *answer, GError **error)
+mh_record_read_final (const MhValue *value, MhUserResponse *answer, GError **error)
 {
   guint64 state, done;
   if (!mh_value_get_uint (value, "state", &state))
@@ -212,7 +212,7 @@
     return fail_missing (error, "done", "number");
   if (state != MH_JOB_DONE && state != MH_JOB_CANCELLED)
     return fail_invalid (error, "state", "is not a final state");
-  *answer = (MhUserAnswer){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
+  *answer = (MhUserResponse){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
   return true;
 }
 
@@ -221,8 +221,8 @@
 MhValue *
 mh_record_write_release (char **machines)
 {
-  MhValue *map = mh_value_map ();
-  mh_value_set_names (map, "m", machines);
+  MhValue *map = mh_value_new_map ();
+  mh_value_set_strv (map, "m", machines);
   return map;
 }
 
@@ -230,7 +230,7 @@
 mh_record_read_release (const MhValue *value, GError **error)
 {
   char **names = NULL;
-  if (mh_value_get_names (value, "m", &names) && names)
+  if (mh_value_get_strv (value, "m", &names) && names)
     return names;
   fail_missing (error, "m", "list of names");
   return NULL;
@@ -239,7 +239,7 @@
 MhValue *
 mh_record_write_limits (double write_rps)
 {
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   mh_value_set_number (map, "write_rps", write_rps);
   return map;
 }
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -104,7 +104,7 @@
  * Returns: %FALSE if @value is not understood
  */
 bool
-mh_record_read_final (const MhValue *value, MhUserAnswer *answer, GError **error);
+mh_record_read_final (const MhValue *value, MhUserResponse *answer, GError **error);
 
 /**
  * mh_record_read_tag:
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -73,7 +73,7 @@
 }
 
 static void
-answer_all_waiters (MhRecordWriter *writer, const MhJob *job, const MhUserAnswer *answer)
+answer_all_waiters (MhRecordWriter *writer, const MhJob *job, const MhUserResponse *answer)
 {
   for (guint i = 0; i < job->waiters->len; i++)
     {
@@ -117,7 +117,7 @@
 static void
 finish_job (MhRecordWriter *writer, MhJob *job, bool cancelled)
 {
-  MhUserAnswer answer = { .status = 200 };
+  MhUserResponse answer = { .status = 200 };
   job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
   guint deleted = mh_batch_deleted_with_final (job, mh_runtime_settings (writer->runtime));
@@ -225,7 +225,7 @@
       read_final (writer, id);
       return;
     }
-  MhUserAnswer answer = { .status = 503, .retry_after_s = 1 };
+  MhUserResponse answer = { .status = 503, .retry_after_s = 1 };
   MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   bool is_final = entry && mh_record_read_final (entry->value, &answer, NULL);
   mh_kv_entry_free (entry);
@@ -336,7 +336,7 @@
       "record refused by the key-value store job=%s record=%u reason=malformed_or_too_large"
       " outcome=%s",
       job->spec->id, record->chunk, accepted ? "retried_later" : "job_not_accepted");
-  const MhUserAnswer later
+  const MhUserResponse later
       = { .status = 503, .retry_after_s = (guint)(RETRY_REFUSED_US / MH_SECOND_US) };
   answer_all_waiters (writer, job, &later);
   if (!accepted)
--- a/tests/stand-in/cloud.c
+++ b/tests/stand-in/cloud.c
@@ -57,11 +57,11 @@
 static MhValue *
 write_zones (const Cloud *cloud)
 {
-  MhValue *zones = mh_value_list ();
+  MhValue *zones = mh_value_new_list ();
   for (guint i = 0; i < cloud->zones; i++)
     {
       const char name[] = { (char)('a' + i), '\0' };
-      mh_value_push (zones, mh_value_text (name));
+      mh_value_push (zones, mh_value_new_text (name));
     }
   return zones;
 }
@@ -71,10 +71,10 @@
 {
   guint count;
   const MachineType *types = machine_types (&count);
-  MhValue *list = mh_value_list ();
+  MhValue *list = mh_value_new_list ();
   for (guint i = 0; i < count; i++)
     {
-      MhValue *item = mh_value_map ();
+      MhValue *item = mh_value_new_map ();
       mh_value_set_text (item, "sku", types[i].name);
       mh_value_set_number (item, "cpus", types[i].cpus);
       mh_value_set_number (item, "mem_gb", types[i].mem_gb);
@@ -86,7 +86,7 @@
       mh_value_set (item, "halls", write_zones (cloud));
       mh_value_push (list, item);
     }
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set (body, "racks", list);
   return body;
 }
@@ -123,9 +123,9 @@
 write_names (const char *names)
 {
   g_auto (GStrv) each = g_strsplit (names, ",", -1);
-  MhValue *list = mh_value_list (), *body = mh_value_map ();
+  MhValue *list = mh_value_new_list (), *body = mh_value_new_map ();
   for (guint i = 0; each[i]; i++)
-    mh_value_push (list, mh_value_text (each[i]));
+    mh_value_push (list, mh_value_new_text (each[i]));
   mh_value_set (body, "boxes", list);
   return body;
 }
@@ -140,7 +140,7 @@
   if (*names == '\0')
     {
       reply->status = 503;
-      reply->body = mh_value_map ();
+      reply->body = mh_value_new_map ();
       mh_value_set_text (reply->body, "error", "no capacity");
       return;
     }
@@ -153,7 +153,7 @@
 release (Cloud *cloud, const MhValue *body)
 {
   const MhValue *list = mh_value_get (body, "boxes");
-  for (gsize i = 0; i < mh_value_size (list); i++)
+  for (gsize i = 0; i < mh_value_list_length (list); i++)
     {
       g_autofree char *name = mh_value_as_text (mh_value_at (list, i));
       Machine *machine = find_machine (cloud, name);
@@ -168,7 +168,7 @@
 write_machine (const Machine *machine, gint64 as_of_us)
 {
   const char *status = machine->up_us > as_of_us ? "starting" : "running";
-  MhValue *item = mh_value_map ();
+  MhValue *item = mh_value_new_map ();
   mh_value_set_text (item, "id", machine->name);
   mh_value_set_text (item, "endpoint", machine->endpoint);
   mh_value_set_text (item, "rack", machine->type);
@@ -204,14 +204,14 @@
   g_autofree char *limit_text = parameter (path, "limit="), *after = parameter (path, "since=");
   guint64 limit = limit_text ? g_ascii_strtoull (limit_text, NULL, 10) : DEFAULT_PAGE;
   gint64 as_of_us = cloud->now_us - cloud->list_lag_us;
-  MhValue *list = mh_value_list (), *body = mh_value_map ();
+  MhValue *list = mh_value_new_list (), *body = mh_value_new_map ();
   bool more = false;
   for (guint i = 0; i < cloud->machines->len && !more; i++)
     {
       const Machine *machine = g_ptr_array_index (cloud->machines, i);
       if (!is_listed (machine, as_of_us, after))
         continue;
-      more = mh_value_size (list) >= limit;
+      more = mh_value_list_length (list) >= limit;
       if (!more)
         mh_value_push (list, write_machine (machine, as_of_us));
     }
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -99,7 +99,7 @@
 static GBytes *
 to_bytes (const MhValue *value)
 {
-  return value ? mh_value_save (value) : NULL;
+  return value ? mh_value_serialize (value) : NULL;
 }
 
 static MhValue *
@@ -109,7 +109,7 @@
   if (bytes == NULL)
     return NULL;
   const void *data = g_bytes_get_data (bytes, &size);
-  MhValue *value = mh_value_load (data, size, NULL);
+  MhValue *value = mh_value_parse (data, size, NULL);
   g_assert_nonnull (value);
   return value;
 }
@@ -151,11 +151,11 @@
   action->status = popped->status;
   char **text = action->kind == MH_ACTION_LOG ? &action->line : &action->node;
   *text = g_steal_pointer (&popped->text);
-  action->answer = (MhUserAnswer){ .status = popped->answer.status,
-                                   .retry_after_s = popped->answer.retry_after_s,
-                                   .state = (MhJobState)popped->answer.state,
-                                   .done = popped->answer.done,
-                                   .running = popped->answer.running };
+  action->answer = (MhUserResponse){ .status = popped->answer.status,
+                                     .retry_after_s = popped->answer.retry_after_s,
+                                     .state = (MhJobState)popped->answer.state,
+                                     .done = popped->answer.done,
+                                     .running = popped->answer.running };
   if (action->kind == MH_ACTION_CALL)
     action->request = to_request (popped, body);
   else
@@ -250,7 +250,7 @@
 }
 
 void
-controller_forwarded (Controller *self, const MhNow *now, guint64 id, const MhUserAnswer *answer)
+controller_forwarded (Controller *self, const MhNow *now, guint64 id, const MhUserResponse *answer)
 {
   if (self->core)
     {
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -36,7 +36,7 @@
 /** controller_forwarded: @answer: (nullable): to what it forwarded; %NULL: there was none */
 void
 controller_forwarded (Controller *controller, const MhNow *now, guint64 id,
-                      const MhUserAnswer *answer);
+                      const MhUserResponse *answer);
 /** controller_leader_announced: Another controller says who leads. */
 void
 controller_leader_announced (Controller *controller, const MhNow *now, const char *node,
--- a/tests/stand-in/decision-log.c
+++ b/tests/stand-in/decision-log.c
@@ -13,7 +13,7 @@
 static void
 add_value (GChecksum *digest, const MhValue *value)
 {
-  g_autoptr (GBytes) bytes = value ? mh_value_save (value) : g_bytes_new (NULL, 0);
+  g_autoptr (GBytes) bytes = value ? mh_value_serialize (value) : g_bytes_new (NULL, 0);
   gsize size;
   const guchar *data = g_bytes_get_data (bytes, &size);
   add_text (digest, value ? "value" : "none");
@@ -38,7 +38,7 @@
   GChecksum *digest = node->simulation->digest;
   if (digest == NULL || action->kind == MH_ACTION_LOG)
     return;
-  const MhUserAnswer *answer = &action->answer;
+  const MhUserResponse *answer = &action->answer;
   g_autofree char *line
       = g_strdup_printf ("%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT
                          " %u %" G_GINT64_FORMAT " %u %u %d %u %u %s",
--- a/tests/stand-in/key-value-requests.c
+++ b/tests/stand-in/key-value-requests.c
@@ -15,7 +15,7 @@
 static MhValue *
 write_key (const char *name, const StoredKey *key)
 {
-  MhValue *item = mh_value_map ();
+  MhValue *item = mh_value_new_map ();
   mh_value_set_text (item, "key", name);
   mh_value_set (item, "v", cbor_incref (key->value));
   mh_value_set_uint (item, "stamp", key->version);
@@ -25,7 +25,7 @@
 static MhValue *
 write_revision (const KeyValueStore *store)
 {
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_uint (body, "ledger", store->revision);
   return body;
 }
@@ -66,7 +66,7 @@
   KeyPage *page = data;
   if (!g_str_has_prefix (name, page->prefix) || (page->after && strcmp (name, page->after) <= 0))
     return FALSE;
-  if (mh_value_size (page->entries) >= page->limit)
+  if (mh_value_list_length (page->entries) >= page->limit)
     {
       page->more = true;
       return TRUE;
@@ -84,7 +84,7 @@
   KeyPage page = { .prefix = prefix ? prefix : "",
                    .after = after,
                    .limit = limit ? (guint)g_ascii_strtoull (limit, NULL, 10) : DEFAULT_PAGE,
-                   .entries = mh_value_list () };
+                   .entries = mh_value_new_list () };
   g_tree_foreach (store->keys, collect_page, &page);
   MhValue *body = write_revision (store);
   mh_value_set (body, "entries", page.entries);
@@ -117,9 +117,9 @@
 static MhValue *
 failed_conditions (const KeyValueStore *store, const MhValue *conditions, bool *fenced)
 {
-  MhValue *failed = mh_value_list ();
+  MhValue *failed = mh_value_new_list ();
   *fenced = false;
-  for (gsize i = 0; i < mh_value_size (conditions); i++)
+  for (gsize i = 0; i < mh_value_list_length (conditions); i++)
     {
       const MhValue *condition = mh_value_at (conditions, i);
       g_autofree char *name = mh_value_get_text (condition, "key");
@@ -128,7 +128,7 @@
       *fenced |= strcmp (name, LEADER_KEY) == 0;
       const StoredKey *key = g_tree_lookup (store->keys, name);
       if ((key ? key->version : 0) != version)
-        mh_value_push (failed, mh_value_text (name));
+        mh_value_push (failed, mh_value_new_text (name));
     }
   return failed;
 }
@@ -137,8 +137,8 @@
 within_sizes (const KeyValueStore *store, const MhValue *body)
 {
   guint most = store->settings->txn_ops;
-  return mh_value_size (mh_value_get (body, "apply")) <= most
-         && mh_value_size (mh_value_get (body, "if")) <= (gsize)CONDITIONS_PER_CHANGE * most
+  return mh_value_list_length (mh_value_get (body, "apply")) <= most
+         && mh_value_list_length (mh_value_get (body, "if")) <= (gsize)CONDITIONS_PER_CHANGE * most
          && mh_value_json_size (body) <= TRANSACTION_BYTES;
 }
 
@@ -146,7 +146,7 @@
 static bool
 changes_are_possible (const KeyValueStore *store, const MhValue *changes)
 {
-  for (gsize i = 0; i < mh_value_size (changes); i++)
+  for (gsize i = 0; i < mh_value_list_length (changes); i++)
     {
       const MhValue *change = mh_value_at (changes, i), *value = mh_value_get (change, "v");
       guint64 lease;
@@ -162,7 +162,7 @@
 apply_changes (KeyValueStore *store, const MhValue *changes)
 {
   store->revision++;
-  for (gsize i = 0; i < mh_value_size (changes); i++)
+  for (gsize i = 0; i < mh_value_list_length (changes); i++)
     {
       const MhValue *change = mh_value_at (changes, i);
       g_autofree char *put = mh_value_get_text (change, "put");
@@ -191,7 +191,7 @@
       refuse_as_malformed (store, reply);
       return;
     }
-  if (!within_write_rate (store, mh_value_size (changes)))
+  if (!within_write_rate (store, mh_value_list_length (changes)))
     {
       reply->status = 429;
       return;
@@ -204,7 +204,7 @@
       refuse_as_malformed (store, reply);
       return;
     }
-  if (mh_value_size (failed) == 0)
+  if (mh_value_list_length (failed) == 0)
     apply_changes (store, changes);
   else
     reply->status = 409;
@@ -221,7 +221,7 @@
   guint64 life_ms = 0;
   mh_value_get_uint (body, "life_ms", &life_ms);
   guint64 lease = key_value_store_grant_lease (store, (gint64)life_ms * 1000);
-  reply->body = mh_value_map ();
+  reply->body = mh_value_new_map ();
   mh_value_set_uint (reply->body, "claim", lease);
 }
 
@@ -252,7 +252,7 @@
 static MhValue *
 write_change (const KeyChange *change)
 {
-  MhValue *item = mh_value_map ();
+  MhValue *item = mh_value_new_map ();
   mh_value_set_text (item, change->value ? "put" : "drop", change->name);
   if (change->value)
     mh_value_set (item, "v", cbor_incref (change->value));
@@ -270,13 +270,13 @@
       if (change->version <= watch->since || !g_str_has_prefix (change->name, watch->prefix))
         continue;
       if (news == NULL)
-        news = mh_value_list ();
+        news = mh_value_new_list ();
       mh_value_push (news, write_change (change));
     }
   if (news == NULL && store->now_us < watch->until_us)
     return NULL;
   MhValue *body = write_revision (store);
-  mh_value_set (body, "news", news ? news : mh_value_list ());
+  mh_value_set (body, "news", news ? news : mh_value_new_list ());
   return body;
 }
 
--- a/tests/stand-in/key-value-store.c
+++ b/tests/stand-in/key-value-store.c
@@ -87,7 +87,7 @@
 void
 key_value_store_corrupt (KeyValueStore *store, const char *name)
 {
-  g_autoptr (MhValue) value = mh_value_map ();
+  g_autoptr (MhValue) value = mh_value_new_map ();
   mh_value_set_text (value, "s", "?");
   store->revision++;
   key_value_store_change (store, name, value, 0);
@@ -230,7 +230,7 @@
 {
   if (value == NULL)
     return;
-  g_autoptr (GBytes) bytes = mh_value_save (value);
+  g_autoptr (GBytes) bytes = mh_value_serialize (value);
   g_autofree char *sum = g_compute_checksum_for_bytes (G_CHECKSUM_SHA256, bytes);
   g_string_append (out, sum);
 }
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -13,7 +13,7 @@
   char *text;        /* the job's id; of an announcement: the leader's node */
   MhUserVerb verb;
   MhJobSpec *spec;
-  MhUserAnswer answer;
+  MhUserResponse answer;
   bool answered;
 } PeerMessage;
 
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -43,14 +43,14 @@
 /* ---- answers ---- */
 
 static void
-report_violation (const User *user, const char *rule, const MhUserAnswer *answer)
+report_violation (const User *user, const char *rule, const MhUserResponse *answer)
 {
   rule_checks_report (user->simulation->rules, "%s: %s got %u, state %u", rule, user->job->spec->id,
                       answer->status, answer->state);
 }
 
 static void
-log_answer (const User *user, const PendingRequest *request, const MhUserAnswer *answer)
+log_answer (const User *user, const PendingRequest *request, const MhUserResponse *answer)
 {
   if (simulation_prints_log ())
     g_print ("%9.3f user %s: verb %d answered %u, state %d, %u done\n",
@@ -60,7 +60,7 @@
 
 /* What was told once stays true, and only what happened is told. */
 static void
-check_state (User *user, const MhUserAnswer *answer)
+check_state (User *user, const MhUserResponse *answer)
 {
   WorkloadJob *job = user->job;
   if (answer->state == MH_JOB_DONE)
@@ -84,7 +84,7 @@
 }
 
 static bool
-denies_job (const MhUserAnswer *answer)
+denies_job (const MhUserResponse *answer)
 {
   return answer->status == 404 || answer->status == 400 || answer->status == 422;
 }
@@ -93,7 +93,7 @@
 user_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   User *user = request->data;
-  const MhUserAnswer *answer = &action->answer;
+  const MhUserResponse *answer = &action->answer;
   gint64 now_us = node->simulation->clock->now_us;
   log_answer (user, request, answer);
   user->last_status = answer->status;
@@ -215,14 +215,14 @@
 static void
 test_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
-  MhUserAnswer *answer = request->data;
+  MhUserResponse *answer = request->data;
   (void)node;
   *answer = action->answer;
 }
 
 void
 simulation_ask_later (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                      MhJobSpec *spec, MhUserAnswer *answer)
+                      MhJobSpec *spec, MhUserResponse *answer)
 {
   PendingRequest *request = new_request (verb, job_id, spec);
   request->answered = test_answered;
@@ -232,9 +232,9 @@
 
 guint
 simulation_ask (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                MhJobSpec *spec, MhUserAnswer *answer)
+                MhJobSpec *spec, MhUserResponse *answer)
 {
-  *answer = (MhUserAnswer){};
+  *answer = (MhUserResponse){};
   simulation_ask_later (simulation, node, verb, job_id, spec, answer);
   for (guint i = 0; i < ANSWER_TURNS && answer->status == 0; i++)
     simulation_run (simulation, ANSWER_TURN_S);
--- a/tests/stand-in/user.h
+++ b/tests/stand-in/user.h
@@ -62,11 +62,11 @@
  */
 void
 simulation_ask_later (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                      MhJobSpec *spec, MhUserAnswer *answer);
+                      MhJobSpec *spec, MhUserResponse *answer);
 /** simulation_ask: The same, and waits for the answer. Returns: its HTTP status */
 guint
 simulation_ask (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                MhJobSpec *spec, MhUserAnswer *answer);
+                MhJobSpec *spec, MhUserResponse *answer);
 /** users_cancel_finished: Some cancel just when their last task ends, before anybody was told. */
 void
 users_cancel_finished (Simulation *simulation);
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -14,7 +14,7 @@
 static MhValue *
 write_task (const MachineTask *task)
 {
-  MhValue *item = mh_value_map ();
+  MhValue *item = mh_value_new_map ();
   mh_value_set_text (item, "leg", task->task_id);
   mh_value_set_uint (item, "try", task->attempt);
   mh_value_set_text (item, "status", phase_words[task->phase]);
@@ -26,7 +26,7 @@
 MhValue *
 worker_protocol_report (Machine *machine)
 {
-  MhValue *report = mh_value_map (), *tasks = mh_value_list ();
+  MhValue *report = mh_value_new_map (), *tasks = mh_value_new_list ();
   machine->sequence++;
   mh_value_set_text (report, "box", machine->name);
   mh_value_set_text (report, "endpoint", machine->endpoint);
@@ -82,7 +82,7 @@
 static void
 carry_out_all (Machine *machine, const MhValue *commands)
 {
-  for (gsize i = 0; i < mh_value_size (commands); i++)
+  for (gsize i = 0; i < mh_value_list_length (commands); i++)
     carry_out (machine, mh_value_at (commands, i));
 }
 
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -84,7 +84,7 @@
     {
       const CloudReply *reply = &cloud_replies[i];
       g_autoptr (GError) error = NULL;
-      g_autoptr (MhValue) body = reply->reason ? mh_value_map () : NULL;
+      g_autoptr (MhValue) body = reply->reason ? mh_value_new_map () : NULL;
       if (body)
         mh_value_set_text (body, "error", reply->reason);
       g_assert_false (mh_cloud_check_reply (reply->status, body, &error));
@@ -97,8 +97,8 @@
 static MhValue *
 created_machines (const char *const *names)
 {
-  MhValue *body = mh_value_map ();
-  mh_value_set_names (body, "boxes", (char **)names);
+  MhValue *body = mh_value_new_map ();
+  mh_value_set_strv (body, "boxes", (char **)names);
   return body;
 }
 
@@ -108,7 +108,7 @@
 {
   const char *names[] = { "vm-1", NULL };
   g_autoptr (GError) error = NULL;
-  g_autoptr (MhValue) empty = mh_value_map (), body = created_machines (names);
+  g_autoptr (MhValue) empty = mh_value_new_map (), body = created_machines (names);
   g_assert_null (mh_cloud_read_created_machines (200, empty, &error));
   g_assert_error (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_REPLY);
   g_assert_false (mh_cloud_error_is_final (error));
@@ -404,7 +404,7 @@
 test_no_capacity (Fixture *fixture, gconstpointer data)
 {
   (void)data;
-  g_autoptr (MhValue) body = mh_value_map ();
+  g_autoptr (MhValue) body = mh_value_new_map ();
   mh_value_set_text (body, "error", "no capacity");
   request_machines (fixture, 2);
   g_assert_true (mh_scale_out_is_busy (fixture->scale_out));
@@ -537,8 +537,8 @@
 {
   (void)data;
   const char *failed[] = { "leader", NULL };
-  g_autoptr (MhValue) body = mh_value_map ();
-  mh_value_set_names (body, "failed", (char **)failed);
+  g_autoptr (MhValue) body = mh_value_new_map ();
+  mh_value_set_strv (body, "failed", (char **)failed);
   mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"),
                                MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -147,7 +147,7 @@
 static MhValue *
 number_body (const char *name, guint64 number)
 {
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_uint (body, name, number);
   return body;
 }
@@ -325,7 +325,7 @@
   g_autoptr (MhAction) action = pop_call (fixture);
   const MhValue *conditions = mh_value_get (action->request->body, "if");
   const guint64 versions[] = { 5, 3 };
-  g_assert_cmpuint (mh_value_size (conditions), ==, G_N_ELEMENTS (versions));
+  g_assert_cmpuint (mh_value_list_length (conditions), ==, G_N_ELEMENTS (versions));
   for (guint i = 0; i < G_N_ELEMENTS (versions); i++)
     {
       guint64 version = 0;
@@ -346,7 +346,7 @@
   g_assert_null (mh_election_leader_name (fixture->election));
   MhValue *event = number_body ("stamp", 6);
   mh_value_set_text (event, "drop", "leader");
-  MhValue *events = mh_value_list ();
+  MhValue *events = mh_value_new_list ();
   mh_value_push (events, event);
   MhValue *body = number_body ("ledger", 6);
   mh_value_set (body, "news", events);
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -25,7 +25,7 @@
 static void
 test_refusals (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   simulation_run (simulation, 5);
   g_assert_cmpuint (
       simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer), ==,
@@ -140,7 +140,7 @@
 static void
 test_refusals_without_a_leader (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   simulation_run (simulation, 5);
   guint last = (simulation_leader (simulation)->index + 1) % SIMULATION_NODES;
   simulation->nodes[last].writes_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -153,7 +153,7 @@
 {
   (void)unused;
   MhJob *job = &fixture->job;
-  MhUserAnswer answer = { 0 };
+  MhUserResponse answer = { 0 };
   job->n_running = 1;
   job->cancellation = MH_CANCELLATION_REQUESTED;
   job->completion = MH_COMPLETION_UNWRITTEN;
@@ -175,7 +175,7 @@
 test_final_answers (void)
 {
   g_autoptr (MhFinalAnswers) answers = mh_final_answers_new (0);
-  const MhUserAnswer done = { .state = MH_JOB_DONE }, cancelled = { .state = MH_JOB_CANCELLED };
+  const MhUserResponse done = { .state = MH_JOB_DONE }, cancelled = { .state = MH_JOB_CANCELLED };
   mh_final_answers_add (answers, "first", &done);
   mh_final_answers_add (answers, "first", &cancelled); /* the first one stays */
   g_assert_cmpint (mh_final_answers_find (answers, "first")->state, ==, MH_JOB_DONE);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -10,7 +10,7 @@
 test_array (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), 3);
-  MhUserAnswer answer;
+  MhUserResponse answer;
   WAIT (simulation, 60, told_done, user);
   g_assert_cmpuint (user->job->done_count, ==, 10);
   /* For ever after, from every controller, also for a repeated submission. */
@@ -62,7 +62,7 @@
 static void
 test_refusals (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   simulation_run (simulation, 5);
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 1, 1);
   g_free (spec->team);
@@ -107,7 +107,7 @@
 static void
 test_types_unknown (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   simulation->cloud->outage_until_us = G_MAXINT64;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
@@ -155,7 +155,7 @@
 static void
 test_result_waits_for_its_record (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *service = running_service (simulation, 1, 1);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
   WAIT (simulation, 30, all_run, user);
@@ -194,7 +194,7 @@
 static void
 test_questions_beside_writes (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   for (guint i = 1; i <= 30; i++)
     simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 1, 0.2), 0.5);
   WAIT (simulation, 90, simulation_all_settled, NULL);
@@ -254,7 +254,7 @@
 static void
 test_largest_job (Simulation *simulation)
 {
-  MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
+  MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS_PER_JOB, 1);
   spec->estimated_run_us = 600 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 5);
   WAIT (simulation, 10, accepted, user);
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -41,7 +41,7 @@
 static void
 test_late_write_meets_a_final_record (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, user);
   simulation_run (simulation, 5);
@@ -77,7 +77,7 @@
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 4 * MH_SECOND_US;
   const MhUserVerb verbs[] = { MH_USER_SUBMIT, MH_USER_STATUS, MH_USER_SUBMIT };
-  MhUserAnswer answers[G_N_ELEMENTS (verbs)] = {};
+  MhUserResponse answers[G_N_ELEMENTS (verbs)] = {};
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
     {
       simulation_ask_later (
@@ -157,7 +157,7 @@
 static void
 test_odd_requests (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = running_service (simulation, 1, 1), *done;
   done = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, done);
@@ -199,7 +199,7 @@
 static void
 test_record_not_understood (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   running_service (simulation, 1, 1);
   simulation_run (simulation, 10);
   guint leader = simulation_leader (simulation)->index;
--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -47,7 +47,7 @@
 static void
 test_stands_still_deciding (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
   WAIT (simulation, 60, all_run, user);
   ControllerNode *old = simulation_leader (simulation);
@@ -164,7 +164,7 @@
 static void
 test_state_outage (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = running_service (simulation, 1, 3);
   ControllerNode *leader = simulation_leader (simulation);
   simulation->store->outage_until_us = simulation->clock->now_us + 18 * MH_SECOND_US;
@@ -205,7 +205,7 @@
 static void
 test_no_answer_past_the_leader (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 3);
   WAIT (simulation, 30, all_run, user);
   ControllerNode *leader = simulation_leader (simulation);
@@ -259,7 +259,7 @@
 static void
 test_unreached_leader (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
   ControllerNode *other
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -148,7 +148,7 @@
 static void
 test_submission_too_large (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   WAIT (simulation, 20, has_leader, NULL);
   simulation_run (simulation, 5);
   simulation->settings->value_bytes = 300;
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -59,7 +59,7 @@
   soup_server_message_set_status (message, status, NULL);
   if (body)
     {
-      g_autoptr (GBytes) bytes = mh_value_save (body);
+      g_autoptr (GBytes) bytes = mh_value_serialize (body);
       gsize size;
       const char *data = g_bytes_get_data (bytes, &size);
       soup_server_message_set_response (message, "application/cbor", SOUP_MEMORY_COPY, data, size);
@@ -74,7 +74,7 @@
       = soup_message_body_flatten (soup_server_message_get_request_body (message));
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return size ? mh_value_load (data, size, NULL) : NULL;
+  return size ? mh_value_parse (data, size, NULL) : NULL;
 }
 
 static void
@@ -153,7 +153,7 @@
   guint status = bytes ? soup_message_get_status (message) : 0;
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
-  g_autoptr (MhValue) body = size ? mh_value_load (raw, size, NULL) : NULL;
+  g_autoptr (MhValue) body = size ? mh_value_parse (raw, size, NULL) : NULL;
   g_autofree char *node = body ? mh_value_get_text (body, "dispatcher") : NULL;
   worker->report_pending = false;
   advance ();
@@ -179,7 +179,7 @@
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", cluster.front[worker->node]);
   g_autoptr (SoupMessage) message = soup_message_new ("POST", url);
   g_autoptr (MhValue) report = worker_protocol_report (worker->machine);
-  g_autoptr (GBytes) bytes = mh_value_save (report);
+  g_autoptr (GBytes) bytes = mh_value_serialize (report);
   soup_message_set_request_body_from_bytes (message, "application/cbor", bytes);
   soup_session_send_and_read_async (cluster.session, message, G_PRIORITY_DEFAULT, NULL,
                                     on_report_answered, worker);
@@ -229,7 +229,7 @@
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
   reply->status = bytes ? soup_message_get_status (reply->message) : 0;
-  reply->body = size ? mh_value_load (raw, size, NULL) : NULL;
+  reply->body = size ? mh_value_parse (raw, size, NULL) : NULL;
   reply->done = true;
 }
 
@@ -302,7 +302,7 @@
   spec->deadline_us = -1;
   g_autoptr (MhValue) body = mh_submission_encode (spec);
   workload_add (cluster.environment->workload, spec, run_us);
-  return mh_value_save (body);
+  return mh_value_serialize (body);
 }
 
 /* ---- set-up ---- */
@@ -429,8 +429,8 @@
   g_autoptr (GBytes) text = g_bytes_new_static ("hello", 5);
   g_autoptr (GBytes) list = g_bytes_new_static ("\x80", 1);
   g_autoptr (GBytes) stranger = submission ("j-000900", "nobody", MH_SHAPE_ARRAY, 1, 1);
-  g_autofree char *large = g_malloc0 (MH_MAX_BODY + 1);
-  g_autoptr (GBytes) too_large = g_bytes_new_static (large, MH_MAX_BODY + 1);
+  g_autofree char *large = g_malloc0 (MH_MAX_BODY_SIZE + 1);
+  g_autoptr (GBytes) too_large = g_bytes_new_static (large, MH_MAX_BODY_SIZE + 1);
   for (guint i = 0; i < NODES; i++)
     {
       g_assert_cmpuint (ask (i, "POST", "/submissions", text, NULL), ==, 400);
@@ -464,7 +464,7 @@
 static GBytes *
 first_report (void)
 {
-  g_autoptr (MhValue) report = mh_value_map ();
+  g_autoptr (MhValue) report = mh_value_new_map ();
   mh_value_set_text (report, "box", "vm-999999");
   mh_value_set_text (report, "endpoint", "127.0.0.1:9");
   mh_value_set_text (report, "rack", "small");
@@ -473,8 +473,8 @@
   mh_value_set_uint (report, "tenure", 1);
   mh_value_set_uint (report, "tick", 1);
   mh_value_set_uint (report, "epoch", 0);
-  mh_value_set (report, "legs", mh_value_list ());
-  return mh_value_save (report);
+  mh_value_set (report, "legs", mh_value_new_list ());
+  return mh_value_serialize (report);
 }
 
 /* The headers of the answer to a report, on a connection of its own. libsoup's client does not do
--- a/tests/test-protocol-errors.c
+++ b/tests/test-protocol-errors.c
@@ -1,5 +1,5 @@
-/* Without these, what is wrong with a message would have to be guessed: each error names its field
-   and has the code by which a caller can tell it from others. */
+/* Each decoding error names the invalid field and has a code that identifies its kind. Otherwise
+   the cause of a rejected message would be unknown. */
 #include "protocol/cloud-messages.h"
 #include "protocol/controller-messages.h"
 #include "protocol/key-value-messages.h"
@@ -10,17 +10,17 @@
 #include <math.h>
 #include <string.h>
 
-/* Values are written as JSON without nesting: a number, "text", true, [] or null. */
+/* `json` is a number, "text", true, [], null or infinity. */
 static MhValue *
-value_from (const char *json)
+value_from_json (const char *json)
 {
   if (*json == '"')
     {
       g_autofree char *text = g_strndup (json + 1, strlen (json) - 2);
-      return mh_value_text (text);
+      return mh_value_new_text (text);
     }
   if (*json == '[')
-    return mh_value_list ();
+    return mh_value_new_list ();
   if (strcmp (json, "true") == 0)
     return cbor_build_bool (true);
   if (strcmp (json, "null") == 0)
@@ -35,25 +35,25 @@
   const char *name, *json;
 } Field;
 
-/* A map of the fields, with one of them replaced or, by NULL, left out. */
+/* Returns a map of the fields. The field `replaced` gets the value `json`; NULL omits it. */
 static MhValue *
-map_from (const Field *fields, gsize n_fields, const char *replaced, const char *json)
+map_from_fields (const Field *fields, gsize n_fields, const char *replaced, const char *json)
 {
-  MhValue *map = mh_value_map ();
+  MhValue *map = mh_value_new_map ();
   for (gsize i = 0; i < n_fields; i++)
     {
-      const char *with = g_strcmp0 (fields[i].name, replaced) == 0 ? json : fields[i].json;
-      if (with)
-        mh_value_set (map, fields[i].name, value_from (with));
+      const char *value = g_strcmp0 (fields[i].name, replaced) == 0 ? json : fields[i].json;
+      if (value)
+        mh_value_set (map, fields[i].name, value_from_json (value));
     }
   return map;
 }
 
 static void
-assert_error (GError *error, MhProtocolError code, const char *begin)
+assert_error (GError *error, MhProtocolError code, const char *prefix)
 {
   g_assert_error (error, MH_PROTOCOL_ERROR, (int)code);
-  g_assert_true (g_str_has_prefix (error->message, begin));
+  g_assert_true (g_str_has_prefix (error->message, prefix));
 }
 
 static const Field submission[] = {
@@ -68,7 +68,7 @@
   { "flush_s", "4" },       { "due_s", "900" },
 };
 
-/* An error of another field, or of another kind, would send its reader the wrong way. */
+/* An error that names another field, or another kind of problem, would mislead its reader. */
 static void
 test_submission (void)
 {
@@ -82,7 +82,7 @@
     { "id", "12", MH_PROTOCOL_ERROR_WRONG_TYPE },
     { "workload", "null", MH_PROTOCOL_ERROR_MISSING_FIELD },
     { "desk", "\"\"", MH_PROTOCOL_ERROR_OUT_OF_RANGE },
-    { "shape", "\"circle\"", MH_PROTOCOL_ERROR_UNKNOWN_WORD },
+    { "shape", "\"circle\"", MH_PROTOCOL_ERROR_UNKNOWN_VALUE },
     { "rank", "true", MH_PROTOCOL_ERROR_WRONG_TYPE },
     { "legs", "0", MH_PROTOCOL_ERROR_OUT_OF_RANGE },
     { "legs", "100001", MH_PROTOCOL_ERROR_OUT_OF_RANGE },
@@ -95,34 +95,35 @@
     { "flush_s", "\"4\"", MH_PROTOCOL_ERROR_WRONG_TYPE },
     { "due_s", "1e10", MH_PROTOCOL_ERROR_OUT_OF_RANGE },
   };
-  g_autoptr (MhValue) whole = map_from (submission, G_N_ELEMENTS (submission), NULL, NULL);
-  g_autoptr (MhJobSpec) read = mh_submission_decode (whole, NULL);
-  g_assert_nonnull (read);
+  g_autoptr (MhValue) valid_body
+      = map_from_fields (submission, G_N_ELEMENTS (submission), NULL, NULL);
+  g_autoptr (MhJobSpec) spec = mh_submission_decode (valid_body, NULL);
+  g_assert_nonnull (spec);
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autofree char *begin = g_strconcat (cases[i].field, ": ", NULL);
+      g_autofree char *prefix = g_strconcat (cases[i].field, ": ", NULL);
       g_autoptr (MhValue) body
-          = map_from (submission, G_N_ELEMENTS (submission), cases[i].field, cases[i].json);
+          = map_from_fields (submission, G_N_ELEMENTS (submission), cases[i].field, cases[i].json);
       g_assert_null (mh_submission_decode (body, &error));
-      assert_error (error, cases[i].code, begin);
+      assert_error (error, cases[i].code, prefix);
     }
 }
 
-/* A list in place of a map, or no CBOR at all, would be reported as a missing field. */
+/* Guards against reporting a list in place of a map, or an invalid body, as a missing field. */
 static void
 test_not_a_map (void)
 {
-  g_autoptr (MhValue) list = mh_value_list ();
-  g_autoptr (GError) no_map = NULL;
-  g_assert_null (mh_submission_decode (list, &no_map));
-  assert_error (no_map, MH_PROTOCOL_ERROR_NOT_A_MAP, "not a map");
-  g_autoptr (GError) nothing = NULL;
-  g_assert_null (mh_heartbeat_decode (NULL, &nothing));
-  assert_error (nothing, MH_PROTOCOL_ERROR_NOT_A_MAP, "not a map");
-  g_autoptr (GError) no_cbor = NULL;
-  g_assert_null (mh_value_load ("{}", 2, &no_cbor));
-  assert_error (no_cbor, MH_PROTOCOL_ERROR_MALFORMED_CBOR, "");
+  g_autoptr (MhValue) list = mh_value_new_list ();
+  g_autoptr (GError) not_a_map = NULL;
+  g_assert_null (mh_submission_decode (list, &not_a_map));
+  assert_error (not_a_map, MH_PROTOCOL_ERROR_NOT_A_MAP, "wrong type, expected a map");
+  g_autoptr (GError) null_body = NULL;
+  g_assert_null (mh_heartbeat_decode (NULL, &null_body));
+  assert_error (null_body, MH_PROTOCOL_ERROR_NOT_A_MAP, "wrong type, expected a map");
+  g_autoptr (GError) not_cbor = NULL;
+  g_assert_null (mh_value_parse ("{}", 2, &not_cbor));
+  assert_error (not_cbor, MH_PROTOCOL_ERROR_MALFORMED_CBOR, "");
 }
 
 static const Field heartbeat[] = {
@@ -140,7 +141,8 @@
   { "cause", "\"done\"" },
 };
 
-/* Of hundreds of tasks in a heartbeat, the one that is malformed could not be found. */
+/* The error gives the index of the malformed task, which could not be found otherwise among
+   hundreds of tasks in a heartbeat. */
 static void
 test_task_in_heartbeat (void)
 {
@@ -153,26 +155,27 @@
     { "leg", "\"j-000412/100000\"", MH_PROTOCOL_ERROR_INVALID_ID },
     { "leg", "\"k-000412/3\"", MH_PROTOCOL_ERROR_INVALID_ID },
     { "try", NULL, MH_PROTOCOL_ERROR_MISSING_FIELD },
-    { "status", "\"waiting\"", MH_PROTOCOL_ERROR_UNKNOWN_WORD },
+    { "status", "\"waiting\"", MH_PROTOCOL_ERROR_UNKNOWN_VALUE },
     { "cause", NULL, MH_PROTOCOL_ERROR_MISSING_FIELD },
-    { "cause", "\"gathering\"", MH_PROTOCOL_ERROR_UNKNOWN_WORD },
+    { "cause", "\"gathering\"", MH_PROTOCOL_ERROR_UNKNOWN_VALUE },
   };
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autofree char *begin = g_strconcat ("legs[1].", cases[i].field, ": ", NULL);
-      MhValue *tasks = mh_value_list ();
-      mh_value_push (tasks, map_from (task, G_N_ELEMENTS (task), NULL, NULL));
-      mh_value_push (tasks, map_from (task, G_N_ELEMENTS (task), cases[i].field, cases[i].json));
-      g_autoptr (MhValue) body = map_from (heartbeat, G_N_ELEMENTS (heartbeat), NULL, NULL);
+      g_autofree char *prefix = g_strconcat ("legs[1].", cases[i].field, ": ", NULL);
+      MhValue *tasks = mh_value_new_list ();
+      mh_value_push (tasks, map_from_fields (task, G_N_ELEMENTS (task), NULL, NULL));
+      mh_value_push (tasks,
+                     map_from_fields (task, G_N_ELEMENTS (task), cases[i].field, cases[i].json));
+      g_autoptr (MhValue) body = map_from_fields (heartbeat, G_N_ELEMENTS (heartbeat), NULL, NULL);
       mh_value_set (body, "legs", tasks);
       g_assert_null (mh_heartbeat_decode (body, &error));
-      assert_error (error, cases[i].code, begin);
+      assert_error (error, cases[i].code, prefix);
     }
 }
 
-/* A notice whose moment has passed comes as a negative number; refused, the machine would look
-   silent just when its tasks have to move. */
+/* The preemption notice is a negative number after its time has passed. If such heartbeats were
+   rejected, the machine would appear unresponsive just when its tasks have to be moved. */
 static void
 test_notice (void)
 {
@@ -180,18 +183,19 @@
   {
     const char *json;
     gint64 notice_us;
-  } good[] = { { "null", -1 }, { "7.5", 7500000 }, { "-3", 0 }, { "1e10", 0 } };
-  for (gsize i = 0; i < G_N_ELEMENTS (good); i++)
+  } valid[] = { { "null", -1 }, { "7.5", 7500000 }, { "-3", 0 }, { "1e10", 0 } };
+  for (gsize i = 0; i < G_N_ELEMENTS (valid); i++)
     {
       g_autoptr (MhValue) body
-          = map_from (heartbeat, G_N_ELEMENTS (heartbeat), "warning_s", good[i].json);
-      g_autoptr (MhHeartbeat) read = mh_heartbeat_decode (body, NULL);
-      g_assert_nonnull (read);
-      g_assert_cmpint (read->notice_us, ==, good[i].notice_us);
+          = map_from_fields (heartbeat, G_N_ELEMENTS (heartbeat), "warning_s", valid[i].json);
+      g_autoptr (MhHeartbeat) decoded = mh_heartbeat_decode (body, NULL);
+      g_assert_nonnull (decoded);
+      g_assert_cmpint (decoded->notice_us, ==, valid[i].notice_us);
     }
   g_autoptr (GError) error = NULL;
-  g_autoptr (MhValue) bad = map_from (heartbeat, G_N_ELEMENTS (heartbeat), "warning_s", "\"7\"");
-  g_assert_null (mh_heartbeat_decode (bad, &error));
+  g_autoptr (MhValue) invalid
+      = map_from_fields (heartbeat, G_N_ELEMENTS (heartbeat), "warning_s", "\"7\"");
+  g_assert_null (mh_heartbeat_decode (invalid, &error));
   assert_error (error, MH_PROTOCOL_ERROR_WRONG_TYPE, "warning_s: ");
 }
 
@@ -200,14 +204,14 @@
   { "boot_s", "45" },  { "gpus", "true" }, { "spot_price", "\"4.5\"" },
 };
 
-/* An odd value of a field that can be done without would hide all machine types, and nothing could
-   be placed. */
+/* An invalid value of a field that is not needed is ignored. If it were an error, all machine types
+   would be missing, and nothing could be placed. */
 static void
 test_lenient_fields (void)
 {
-  MhValue *list = mh_value_list ();
-  mh_value_push (list, map_from (machine_type, G_N_ELEMENTS (machine_type), NULL, NULL));
-  g_autoptr (MhValue) body = mh_value_map ();
+  MhValue *list = mh_value_new_list ();
+  mh_value_push (list, map_from_fields (machine_type, G_N_ELEMENTS (machine_type), NULL, NULL));
+  g_autoptr (MhValue) body = mh_value_new_map ();
   mh_value_set (body, "racks", list);
   g_autoptr (GPtrArray) types = mh_machine_types_decode (body, NULL);
   g_assert_nonnull (types);
@@ -215,22 +219,23 @@
   g_assert_cmpfloat (type->gpus, ==, 0);
   g_assert_cmpfloat (type->spot_price, ==, 12);
   g_autoptr (GError) error = NULL;
-  mh_value_push (list, map_from (machine_type, G_N_ELEMENTS (machine_type), "boot_s", NULL));
+  mh_value_push (list, map_from_fields (machine_type, G_N_ELEMENTS (machine_type), "boot_s", NULL));
   g_assert_null (mh_machine_types_decode (body, &error));
   assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "racks[1].boot_s: ");
 }
 
-/* A put taken for a deletion would end a leadership that goes on. */
+/* If a change of the leader key were decoded as its deletion, the controllers would assume that the
+   leadership has ended. */
 static void
 test_events (void)
 {
   static const Field put[] = { { "put", "\"leader\"" }, { "v", "1" }, { "stamp", "7" } };
   static const Field drop[] = { { "drop", "\"leader\"" }, { "stamp", "8" } };
   guint64 revision = 0;
-  MhValue *list = mh_value_list ();
-  mh_value_push (list, map_from (put, G_N_ELEMENTS (put), NULL, NULL));
-  mh_value_push (list, map_from (drop, G_N_ELEMENTS (drop), NULL, NULL));
-  g_autoptr (MhValue) body = mh_value_map ();
+  MhValue *list = mh_value_new_list ();
+  mh_value_push (list, map_from_fields (put, G_N_ELEMENTS (put), NULL, NULL));
+  mh_value_push (list, map_from_fields (drop, G_N_ELEMENTS (drop), NULL, NULL));
+  g_autoptr (MhValue) body = mh_value_new_map ();
   mh_value_set_uint (body, "ledger", 9);
   mh_value_set (body, "news", list);
   g_autoptr (GPtrArray) events = mh_kv_events_decode (body, &revision, NULL);
@@ -242,12 +247,12 @@
   g_assert_cmpstr (second->key, ==, "leader");
   g_assert_cmpuint (second->version, ==, 8);
   g_autoptr (GError) error = NULL;
-  mh_value_push (list, map_from (drop, G_N_ELEMENTS (drop), "drop", NULL));
+  mh_value_push (list, map_from_fields (drop, G_N_ELEMENTS (drop), "drop", NULL));
   g_assert_null (mh_kv_events_decode (body, &revision, &error));
   assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "news[2].drop: ");
 }
 
-/* A record of another program, or a damaged one, would be taken for a message. */
+/* Guards against accepting a damaged record, or data of another program, as a message. */
 static void
 test_controller_records (void)
 {
@@ -256,7 +261,7 @@
     const char *bytes;
     gsize size;
     MhProtocolError code;
-    const char *begin;
+    const char *prefix;
   } cases[] = {
     { "\xff\xff\xff\xff", 4, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "length" },
     { "\0\0\0\4\0\0\0\7", 8, MH_PROTOCOL_ERROR_MALFORMED_XDR, "" },
@@ -270,17 +275,18 @@
       g_byte_array_append (buffer, (const guint8 *)cases[i].bytes, (guint)cases[i].size);
       g_assert_cmpint (mh_controller_message_read (buffer, &message, &error), ==,
                        MH_CONTROLLER_READ_MALFORMED);
-      assert_error (error, cases[i].code, cases[i].begin);
+      assert_error (error, cases[i].code, cases[i].prefix);
     }
   MhControllerMessage message;
   g_autoptr (GError) error = NULL;
-  g_autoptr (GByteArray) bad_job = mh_controller_request_encode (1, MH_USER_STATUS, "k-1", NULL);
-  g_assert_cmpint (mh_controller_message_read (bad_job, &message, &error), ==,
+  g_autoptr (GByteArray) invalid_job
+      = mh_controller_request_encode (1, MH_USER_STATUS, "k-1", NULL);
+  g_assert_cmpint (mh_controller_message_read (invalid_job, &message, &error), ==,
                    MH_CONTROLLER_READ_MALFORMED);
   assert_error (error, MH_PROTOCOL_ERROR_INVALID_ID, "job: ");
 }
 
-/* A path that looks like another would be answered by the wrong handler. */
+/* Guards against routing a path that resembles another one to the wrong handler. */
 static void
 test_routes (void)
 {
@@ -318,7 +324,7 @@
   g_test_add_func ("/protocol-errors/task-in-heartbeat", test_task_in_heartbeat);
   g_test_add_func ("/protocol-errors/notice", test_notice);
   g_test_add_func ("/protocol-errors/lenient-fields", test_lenient_fields);
-  g_test_add_func ("/protocol-errors/events-of-a-watch", test_events);
+  g_test_add_func ("/protocol-errors/watch-events", test_events);
   g_test_add_func ("/protocol-errors/controller-records", test_controller_records);
   g_test_add_func ("/protocol-errors/routes", test_routes);
   return g_test_run ();
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -15,7 +15,7 @@
   simulation_run (simulation, 3);
   guint leader = simulation_leader (simulation)->index,
         before = simulation->store->final_record_reads;
-  MhUserAnswer answers[60] = {};
+  MhUserResponse answers[60] = {};
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
       simulation_ask_later (simulation, leader, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answers[i]);
@@ -36,7 +36,7 @@
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 3);
   ControllerNode *leader = simulation_leader (simulation);
-  MhUserAnswer before = {}, after = {};
+  MhUserResponse before = {}, after = {};
   guint reads = simulation->store->final_record_reads;
   simulation_ask_later (simulation, leader->index, MH_USER_STATUS, UNKNOWN_JOB, NULL, &before);
   simulation_ask_later (simulation, leader->index, MH_USER_STATUS, UNKNOWN_JOB, NULL, &after);
@@ -54,7 +54,7 @@
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 2);
   WAIT (simulation, 60, told_done, user);
   guint leader = simulation_leader (simulation)->index, follower = (leader + 1) % SIMULATION_NODES;
-  MhUserAnswer answer;
+  MhUserResponse answer;
   g_assert_cmpuint (
       simulation_ask (simulation, follower, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 200);
   simulation_stop_node (simulation, leader);
@@ -78,7 +78,7 @@
   User *first = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, first);
   guint leader = simulation_leader (simulation)->index;
-  static MhUserAnswer answers[900];
+  static MhUserResponse answers[900];
   memset (answers, 0, sizeof answers);
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
     {
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -26,7 +26,7 @@
   GHashTable *jobs;
   MhRecordWriter *writer;
   GQueue requests; /* MhAction that are calls, not replied to */
-  MhUserAnswer answer;
+  MhUserResponse answer;
   guint n_answers, n_accepted, n_over, n_recorded, n_rechunked;
   MhLossReason lost_reason;
   char *critical_line; /* the last one */
@@ -40,7 +40,7 @@
 }
 
 static void
-on_job_over (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+on_job_over (gpointer owner, const MhJob *job, const MhUserResponse *answer)
 {
   (void)job;
   g_assert_cmpuint (answer->status, ==, 200);
@@ -166,7 +166,7 @@
 static MhValue *
 revision (guint64 version)
 {
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_uint (body, "ledger", version);
   return body;
 }
@@ -175,15 +175,15 @@
 failed (const char *key)
 {
   const char *keys[] = { key, NULL };
-  MhValue *body = mh_value_map ();
-  mh_value_set_names (body, "failed", (char **)keys);
+  MhValue *body = mh_value_new_map ();
+  mh_value_set_strv (body, "failed", (char **)keys);
   return body;
 }
 
 static MhValue *
 entry (const char *key, MhValue *value, guint64 version)
 {
-  MhValue *body = mh_value_map ();
+  MhValue *body = mh_value_new_map ();
   mh_value_set_text (body, "key", key);
   mh_value_set (body, "v", value);
   mh_value_set_uint (body, "stamp", version);
@@ -193,7 +193,7 @@
 static MhValue *
 final_value (void)
 {
-  MhValue *value = mh_value_map ();
+  MhValue *value = mh_value_new_map ();
   mh_value_set_uint (value, "state", MH_JOB_DONE);
   mh_value_set_uint (value, "done", 3);
   return value;
@@ -272,7 +272,7 @@
 static gsize
 count_changes (const Fixture *fixture)
 {
-  return mh_value_size (mh_value_get (next_request (fixture)->body, "apply"));
+  return mh_value_list_length (mh_value_get (next_request (fixture)->body, "apply"));
 }
 
 static char *
@@ -387,7 +387,7 @@
                    { 409, MH_TRANSACTION_CONFLICT }, { 429, MH_TRANSACTION_THROTTLED },
                    { 500, MH_TRANSACTION_UNKNOWN },  { 503, MH_TRANSACTION_UNAVAILABLE },
                    { 200, MH_TRANSACTION_UNKNOWN } };
-  g_autoptr (MhValue) empty = mh_value_map (), applied = revision (7);
+  g_autoptr (MhValue) empty = mh_value_new_map (), applied = revision (7);
   guint64 version = 0;
   for (guint i = 0; i < G_N_ELEMENTS (expected); i++)
     {
@@ -756,7 +756,7 @@
     {
       g_autoptr (GError) error = NULL;
       g_auto (MhStoredJob) stored = {};
-      g_autoptr (MhValue) value = mh_value_map ();
+      g_autoptr (MhValue) value = mh_value_new_map ();
       mh_value_set (value, "s", mh_submission_encode (job->spec));
       cases[i].set (value);
       g_assert_false (mh_record_read_job (value, cases[i].id, &stored, &error));
@@ -766,7 +766,7 @@
     }
   g_autoptr (GError) error = NULL;
   g_auto (MhStoredJob) stored = {};
-  g_autoptr (MhValue) empty = mh_value_map ();
+  g_autoptr (MhValue) empty = mh_value_new_map ();
   g_assert_false (mh_record_read_job (empty, JOB, &stored, &error));
   g_assert_error (error, MH_STORAGE_ERROR, MH_STORAGE_ERROR_MISSING_FIELD);
   g_clear_error (&error);
@@ -786,7 +786,8 @@
   g_autoptr (MhRecordLoader) loader = mh_record_loader_new (
       fixture->runtime, fixture->calls, fixture->jobs, fixture->writer, &loader_callbacks, fixture);
   MhJob *job = add_job (fixture, OTHER_JOB, 1);
-  MhValue *value = mh_value_map (), *entries = mh_value_list (), *page = mh_value_map ();
+  MhValue *value = mh_value_new_map (), *entries = mh_value_new_list (),
+          *page = mh_value_new_map ();
   mh_value_set (value, "s", mh_submission_encode (job->spec));
   mh_value_push (entries, entry ("j/" OTHER_JOB, value, 7));
   mh_value_set (page, "entries", entries);
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -314,7 +314,7 @@
 } ForwardFixture;
 
 static void
-on_outcome (guint64 id, const MhUserAnswer *answer, gpointer data)
+on_outcome (guint64 id, const MhUserResponse *answer, gpointer data)
 {
   ForwardFixture *fixture = data;
   g_assert_cmpuint (id, ==, fixture->request->id);
@@ -348,8 +348,9 @@
 {
   (void)data;
   MhPeerConnection *connection = fixture->peer.connected;
-  MhControllerMessage answer
-      = { .kind = MH_CONTROLLER_RESPONSE, .id = fixture->request->id, .answer = { .status = 200 } };
+  MhControllerMessage answer = { .kind = MH_CONTROLLER_RESPONSE,
+                                 .id = fixture->request->id,
+                                 .response = { .status = 200 } };
   mh_request_forwarder_send (fixture->forwarder, fixture->request, connection, 60 * MH_SECOND_US);
   accept_peer (&fixture->peer);
   mh_request_forwarder_handle_answer (fixture->forwarder, fixture->peer.accepted, &answer);
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -122,7 +122,7 @@
 static void
 test_cancel_beside_a_cut_leader (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -16,7 +16,7 @@
 static MhValue *
 load (const guint8 *data, gsize size)
 {
-  MhValue *value = mh_value_load (data, size, NULL);
+  MhValue *value = mh_value_parse (data, size, NULL);
   g_assert_nonnull (value);
   return value;
 }
@@ -26,7 +26,7 @@
 assert_written (MhValue *written, const guint8 *data, gsize size)
 {
   g_autoptr (MhValue) value = written;
-  g_autoptr (GBytes) bytes = mh_value_save (value);
+  g_autoptr (GBytes) bytes = mh_value_serialize (value);
   g_assert_cmpmem (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes), data, size);
 }
 #define ASSERT_WRITTEN(value, fixture) assert_written ((value), (fixture), sizeof (fixture))
@@ -81,7 +81,7 @@
   g_assert_cmpuint (counts[1], ==, 1);
   g_assert_cmpuint (counts[2], ==, 3);
 
-  MhUserAnswer answer;
+  MhUserResponse answer;
   guint64 epoch, lease_id;
   g_autofree char *node = NULL;
   g_autoptr (MhValue) final = LOAD (production_final), leader = LOAD (production_leader);
@@ -145,7 +145,7 @@
 test_messages_are_the_same (void)
 {
   MhControllerMessage message = {};
-  const MhUserAnswer answer
+  const MhUserResponse answer
       = { .status = 200, .retry_after_s = 3, .state = MH_JOB_CANCELLED, .done = 3, .running = 13 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
   assert_message (mh_controller_request_encode (41, MH_USER_SUBMIT, "j-000412", body),
@@ -154,7 +154,7 @@
   mh_controller_message_clear (&message);
   assert_message (mh_controller_response_encode (42, &answer), production_answer,
                   sizeof production_answer, &message);
-  g_assert_cmpint (message.answer.state, ==, MH_JOB_CANCELLED);
+  g_assert_cmpint (message.response.state, ==, MH_JOB_CANCELLED);
   mh_controller_message_clear (&message);
   assert_message (mh_controller_announcement_encode ("worker-1", 1000001), production_news,
                   sizeof production_news, &message);
@@ -251,7 +251,7 @@
 {
   (void)unused;
   bool cancelled;
-  MhUserAnswer answer;
+  MhUserResponse answer;
   g_autoptr (MhValue) stored = LOAD (production_gang), done = LOAD (production_gang_done);
   g_autoptr (MhValue) final = LOAD (production_gang_final);
   MhJob *job = fixture_job (fixture, stored, "j-000500", &cancelled);
@@ -324,7 +324,7 @@
 test_gang_messages (void)
 {
   MhControllerMessage message = {};
-  const MhUserAnswer answer = { .status = 201, .state = MH_JOB_RUNNING, .running = 4 };
+  const MhUserResponse answer = { .status = 201, .state = MH_JOB_RUNNING, .running = 4 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
   assert_message (mh_controller_request_encode (43, MH_USER_SUBMIT, "j-000500", body),
                   production_gang_submit, sizeof production_gang_submit, &message);
@@ -340,7 +340,7 @@
   mh_controller_message_clear (&message);
   assert_message (mh_controller_response_encode (43, &answer), production_gang_answer,
                   sizeof production_gang_answer, &message);
-  g_assert_cmpuint (message.answer.running, ==, 4);
+  g_assert_cmpuint (message.response.running, ==, 4);
   mh_controller_message_clear (&message);
   assert_message (mh_controller_announcement_encode ("worker-2", 1000001),
                   production_gang_announcement, sizeof production_gang_announcement, &message);
