--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -111,4 +111,4 @@
  * Passes the leader's answer to the user, or answers 503 if there is none.
  */
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *answer);
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *answer);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -82,7 +82,7 @@
 
 void
 mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserAnswer *answer)
+                               const MhUserResponse *answer)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
@@ -109,7 +109,7 @@
 {
   action->lease_until_us = 0;
   action->status = STATUS_UNAVAILABLE;
-  action->answer = (MhUserAnswer){ .status = STATUS_UNAVAILABLE, .retry_after_s = 1 };
+  action->answer = (MhUserResponse){ .status = STATUS_UNAVAILABLE, .retry_after_s = 1 };
   g_clear_pointer (&action->body, mh_value_unref);
 }
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -115,7 +115,7 @@
  */
 void
 mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserAnswer *answer);
+                               const MhUserResponse *answer);
 
 /**
  * mh_core_receive_announcement:
--- a/src/controller/storage-callbacks.c
+++ b/src/controller/storage-callbacks.c
@@ -16,7 +16,7 @@
 }
 
 static void
-on_job_ended (gpointer owner, const MhJob *job, const MhUserAnswer *answer)
+on_job_ended (gpointer owner, const MhJob *job, const MhUserResponse *answer)
 {
   MhCore *core = owner;
   mh_final_answers_add (core->final_answers, job->spec->id, answer);
@@ -112,7 +112,7 @@
 /* ---- job lookup ---- */
 
 static void
-on_final_answer_read (gpointer owner, const char *job, const MhUserAnswer *answer)
+on_final_answer_read (gpointer owner, const char *job, const MhUserResponse *answer)
 {
   MhCore *core = owner;
   mh_final_answers_add (core->final_answers, job, answer);
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -26,7 +26,7 @@
 /* ---- answers ---- */
 
 static void
-answer_user (MhCore *core, guint64 id, const MhUserAnswer *answer)
+answer_user (MhCore *core, guint64 id, const MhUserResponse *answer)
 {
   mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
 }
@@ -94,7 +94,8 @@
 submit (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->spec->id);
-  const MhUserAnswer *final_answer = mh_final_answers_find (core->final_answers, request->spec->id);
+  const MhUserResponse *final_answer
+      = mh_final_answers_find (core->final_answers, request->spec->id);
   /* The final answer comes first: a repeated submission of an ended job may be in memory as well,
      with its write pending. In the opposite order the user was answered that the job is pending. */
   if (final_answer)
@@ -159,7 +160,7 @@
 static void
 handle_as_follower (MhCore *core, const MhUserRequest *request)
 {
-  const MhUserAnswer *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
+  const MhUserResponse *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
   if (final_answer)
     answer_user (core, request->id, final_answer);
   else if (!request->forwarded && mh_election_other_leader (core->election))
@@ -177,7 +178,7 @@
 handle_as_leader (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->job_id);
-  const MhUserAnswer *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
+  const MhUserResponse *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
   if (mh_record_loader_is_unreadable (core->record_loader, request->job_id))
     answer_unavailable (core, request->id);
   else if (request->verb == MH_USER_SUBMIT)
@@ -210,9 +211,9 @@
 
 /* A final state never changes: later requests for the job are answered without forwarding them. */
 static void
-cache_final_answer (MhCore *core, const char *job_id, const MhUserAnswer *answer)
+cache_final_answer (MhCore *core, const char *job_id, const MhUserResponse *answer)
 {
-  MhUserAnswer final_answer = *answer;
+  MhUserResponse final_answer = *answer;
   final_answer.status = STATUS_OK;
   if ((answer->status == STATUS_OK || answer->status == STATUS_CREATED)
       && (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED))
@@ -220,7 +221,7 @@
 }
 
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserAnswer *answer)
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *answer)
 {
   gpointer key, value;
   if (!g_hash_table_steal_extended (core->forwarded_requests, &id, &key, &value))
--- a/src/jobs/final-answers.c
+++ b/src/jobs/final-answers.c
@@ -32,14 +32,14 @@
   g_free (answers);
 }
 
-const MhUserAnswer *
+const MhUserResponse *
 mh_final_answers_find (const MhFinalAnswers *answers, const char *job_id)
 {
   return g_hash_table_lookup (answers->by_id, job_id);
 }
 
 void
-mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserAnswer *answer)
+mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserResponse *answer)
 {
   if (g_hash_table_contains (answers->by_id, job_id))
     return;
--- a/src/jobs/final-answers.h
+++ b/src/jobs/final-answers.h
@@ -34,7 +34,7 @@
  *
  * Returns: (nullable) (transfer none): the job's final state; %NULL if it is not in the cache
  */
-const MhUserAnswer *
+const MhUserResponse *
 mh_final_answers_find (const MhFinalAnswers *answers, const char *job_id);
 
 /**
@@ -46,4 +46,4 @@
  * Adds an entry. Final states never change: an entry that exists is kept as it is.
  */
 void
-mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserAnswer *answer);
+mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserResponse *answer);
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -323,7 +323,7 @@
  * the counts of tasks are those in memory.
  */
 void
-mh_job_fill_answer (const MhJob *job, MhUserAnswer *answer);
+mh_job_fill_answer (const MhJob *job, MhUserResponse *answer);
 
 /**
  * mh_job_tasks_per_record:
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -41,15 +41,15 @@
   MhUserVerb verb;
   MhLookupScope scope;
   Stage stage;
-  MhUserAnswer found;  /* the answer, if the reads that follow confirm it */
-  GArray *request_ids; /* guint64: answered by the current reads */
+  MhUserResponse found; /* the answer, if the reads that follow confirm it */
+  GArray *request_ids;  /* guint64: answered by the current reads */
   /* guint64: requests that came after the current reads began, to be answered by the next reads.
      The current reads may return an older state than an answer that the user got before the
      request. */
   GArray *next_request_ids;
 } JobRead;
 
-static const MhUserAnswer unavailable_answer = { .status = 503, .retry_after_s = RETRY_AFTER_S };
+static const MhUserResponse unavailable_answer = { .status = 503, .retry_after_s = RETRY_AFTER_S };
 
 MhJobLookup *
 mh_job_lookup_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
@@ -91,7 +91,7 @@
 }
 
 static void
-answer_all (const JobRead *read, GArray *request_ids, const MhUserAnswer *answer)
+answer_all (const JobRead *read, GArray *request_ids, const MhUserResponse *answer)
 {
   MhRuntime *runtime = read->lookup->runtime;
   for (guint i = 0; i < request_ids->len; i++)
@@ -178,7 +178,7 @@
 
 /* Answers the requests, and starts new reads for all requests that came after these reads began. */
 static void
-finish_reads (JobRead *read, const MhUserAnswer *answer)
+finish_reads (JobRead *read, const MhUserResponse *answer)
 {
   answer_all (read, read->request_ids, answer);
   if (read->next_request_ids->len == 0)
@@ -197,8 +197,8 @@
   g_auto (MhStoredJob) stored = {};
   if (!mh_record_read_job (entry->value, read->job, &stored, NULL))
     return false;
-  read->found = (MhUserAnswer){ .status = 200,
-                                .state = stored.cancelled ? MH_JOB_CANCELLED : MH_JOB_PENDING };
+  read->found = (MhUserResponse){ .status = 200,
+                                  .state = stored.cancelled ? MH_JOB_CANCELLED : MH_JOB_PENDING };
   return true;
 }
 
@@ -211,7 +211,7 @@
     {
       /* A submission is looked up only if its job can never run. Its job was never accepted, so
          that it is refused. */
-      read->found = (MhUserAnswer){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
+      read->found = (MhUserResponse){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
       return true;
     }
   MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -20,7 +20,8 @@
  *
  * Called with a final state that was read, so that it can be cached.
  */
-typedef void (*MhJobLookupFinalFunc) (gpointer owner, const char *job, const MhUserAnswer *answer);
+typedef void (*MhJobLookupFinalFunc) (gpointer owner, const char *job,
+                                      const MhUserResponse *answer);
 
 /**
  * mh_job_lookup_new:
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -106,7 +106,7 @@
  * Returns: %FALSE if @value is not a valid final record
  */
 bool
-mh_record_read_final (const MhValue *value, MhUserAnswer *answer, GError **error);
+mh_record_read_final (const MhValue *value, MhUserResponse *answer, GError **error);
 
 /**
  * mh_record_read_tag:
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -74,7 +74,7 @@
 }
 
 static void
-answer_all_waiters (MhRecordWriter *writer, const MhJob *job, const MhUserAnswer *answer)
+answer_all_waiters (MhRecordWriter *writer, const MhJob *job, const MhUserResponse *answer)
 {
   for (guint i = 0; i < job->waiters->len; i++)
     {
@@ -118,7 +118,7 @@
 static void
 finish_job (MhRecordWriter *writer, MhJob *job, bool cancelled)
 {
-  MhUserAnswer answer = { .status = 200 };
+  MhUserResponse answer = { .status = 200 };
   job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
   guint deleted = mh_batch_count_deleted_with_final (job, mh_runtime_settings (writer->runtime));
@@ -227,7 +227,7 @@
       read_final_record (writer, id);
       return;
     }
-  MhUserAnswer answer = { .status = 503, .retry_after_s = 1 };
+  MhUserResponse answer = { .status = 503, .retry_after_s = 1 };
   MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
   bool is_final = entry && mh_record_read_final (entry->value, &answer, NULL);
   mh_kv_entry_free (entry);
@@ -341,7 +341,7 @@
       "record refused by the key-value store job=%s record=%u reason=malformed_or_too_large"
       " outcome=%s",
       job->spec->id, record->chunk, accepted ? "retried_later" : "job_not_accepted");
-  const MhUserAnswer retry_answer
+  const MhUserResponse retry_answer
       = { .status = 503, .retry_after_s = (guint)(REFUSED_RECORD_RETRY_US / MH_SECOND_US) };
   answer_all_waiters (writer, job, &retry_answer);
   if (!accepted)
--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -48,7 +48,7 @@
 static void
 test_frozen_before_sending (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
   WAIT (simulation, 60, all_run, user);
   ControllerNode *old = simulation_leader (simulation);
@@ -166,7 +166,7 @@
 static void
 test_store_outage (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = running_service (simulation, 1, 3);
   ControllerNode *leader = simulation_leader (simulation);
   simulation->store->outage_until_us = simulation->clock->now_us + 18 * MH_SECOND_US;
@@ -207,7 +207,7 @@
 static void
 test_status_bypassing_leader (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 3);
   WAIT (simulation, 30, all_run, user);
   ControllerNode *leader = simulation_leader (simulation);
@@ -262,7 +262,7 @@
 static void
 test_unreachable_leader (Simulation *simulation)
 {
-  MhUserAnswer answer;
+  MhUserResponse answer;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
   ControllerNode *other
