--- a/src/autoscaler/consolidation.c
+++ b/src/autoscaler/consolidation.c
@@ -62,7 +62,7 @@
 find_remaining_machines (Pass *pass)
 {
   MhCluster *cluster = pass->context->cluster;
-  gint64 silent_us = pass->context->settings->report_interval_us * 2;
+  gint64 silent_us = pass->context->settings->heartbeat_interval_us * 2;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, mh_cluster_machines (cluster));
--- a/src/base/time-units.h
+++ b/src/base/time-units.h
@@ -1,4 +1,4 @@
-/* Units of time. All times are whole microseconds, in a gint64 whose name ends in _us. */
+/* Units of time. A time is a whole number of microseconds in a gint64 whose name ends in _us. */
 #pragma once
 
 #include <glib.h>
@@ -6,6 +6,6 @@
 /**
  * MH_SECOND_US:
  *
- * A second, in microseconds.
+ * One second, in microseconds.
  */
 #define MH_SECOND_US ((gint64)1000000)
--- a/src/base/token-bucket.c
+++ b/src/base/token-bucket.c
@@ -20,7 +20,7 @@
   double added = bucket->rate * (double)(now_us - bucket->updated_us) / MH_SECOND_US;
   bucket->tokens = MIN (bucket->burst, bucket->tokens + added);
   bucket->updated_us = now_us;
-  /* A single call that needs more than a full bucket passes when the bucket is full. */
+  /* A call that needs more tokens than the bucket can hold passes when the bucket is full. */
   return bucket->tokens >= MIN (tokens, bucket->burst);
 }
 
--- a/src/base/token-bucket.h
+++ b/src/base/token-bucket.h
@@ -1,4 +1,4 @@
-/* A token bucket: how often something may be done, with bursts. */
+/* A token bucket: limits the rate of an operation and allows bursts. */
 #pragma once
 
 #include <glib.h>
@@ -7,11 +7,11 @@
 /**
  * MhTokenBucket:
  * @rate: tokens that are added each second
- * @burst: tokens that it holds at most
- * @tokens: tokens that it held at @updated_us; below 0 after more were taken than it held
+ * @burst: largest number of tokens that it holds
+ * @tokens: tokens that it held at @updated_us; negative after more were taken than it held
  * @updated_us: monotonic time of the last mh_token_bucket_has(), in microseconds
  *
- * A token bucket. Its functions alone change the fields; others may read them.
+ * A token bucket. Callers may read the fields, but only the functions below change them.
  */
 typedef struct
 {
@@ -21,12 +21,12 @@
 
 /**
  * mh_token_bucket_init:
- * @bucket: the bucket to be filled in
+ * @bucket: (out): the bucket to initialize
  * @rate: tokens that are added each second
- * @burst: tokens that it holds at most
+ * @burst: largest number of tokens that it holds
  * @now_us: monotonic time, in microseconds
  *
- * Begins with a full bucket.
+ * Initializes a full bucket.
  */
 void
 mh_token_bucket_init (MhTokenBucket *bucket, double rate, double burst, gint64 now_us);
@@ -34,12 +34,12 @@
 /**
  * mh_token_bucket_has:
  * @bucket: a bucket
- * @tokens: how many are wanted
+ * @tokens: number of tokens that are needed
  * @now_us: monotonic time, in microseconds
  *
- * Adds the tokens of the time since the last call.
+ * Adds the tokens for the time since the last call.
  *
- * Returns: %TRUE if the bucket holds so many tokens, or is full
+ * Returns: %TRUE if the bucket holds @tokens tokens or is full
  */
 bool
 mh_token_bucket_has (MhTokenBucket *bucket, double tokens, gint64 now_us);
@@ -47,7 +47,10 @@
 /**
  * mh_token_bucket_take:
  * @bucket: a bucket
- * @tokens: how many are taken, whether or not they are there
+ * @tokens: number of tokens to take
+ *
+ * Takes the tokens even if the bucket does not hold them; it is then negative until they are
+ * refilled.
  */
 void
 mh_token_bucket_take (MhTokenBucket *bucket, double tokens);
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -19,7 +19,7 @@
   MhTeamUse *use = g_hash_table_lookup (cluster->team_use, team_name);
   if (use == NULL)
     {
-      const MhTeam *team = mh_settings_team (cluster->settings, team_name);
+      const MhTeam *team = mh_settings_find_team (cluster->settings, team_name);
       use = g_new0 (MhTeamUse, 1);
       /* A team that the settings no longer name still has its name in its jobs' specs, but those
          go away; the settings' copy stays. */
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -97,7 +97,7 @@
     note_late (cluster, machine, age_us);
   gint64 leading_us = now_us - mh_election_elected_us (cluster->election);
   bool all_reported
-      = leading_us > cluster->settings->report_interval_us * 2 + FIRST_REPORT_SPARE_US;
+      = leading_us > cluster->settings->heartbeat_interval_us * 2 + FIRST_REPORT_SPARE_US;
   if (machine->boot.late_age_us && age_us > GIVEN_UP * machine->boot.late_age_us && all_reported)
     cluster->callbacks->release_machine (cluster->owner, machine, MH_RELEASE_REASON_NEVER_JOINED);
 }
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -114,7 +114,7 @@
 bool
 mh_direct_command_can_send (const MhCluster *cluster, const MhMachine *machine)
 {
-  gint64 report_us = cluster->settings->report_interval_us;
+  gint64 report_us = cluster->settings->heartbeat_interval_us;
   return cluster->settings->direct_commands && !machine->direct_commands_in_flight
          && machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->endpoint
          && !machine->heartbeat.ignored_answers
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -52,7 +52,7 @@
 mh_failure_is_report_overdue (const MhCluster *cluster, const MhMachine *machine)
 {
   return mh_cluster_silence_us (cluster, machine->heartbeat.last_report_us)
-         > cluster->settings->report_interval_us * 5 / 2;
+         > cluster->settings->heartbeat_interval_us * 5 / 2;
 }
 
 bool
@@ -312,7 +312,7 @@
   Census census = take_census (cluster);
   mh_zone_check_all (cluster);
   MhSilenceThresholds silence = { .silent_us = settings->silence_limit_us };
-  silence.report_us = settings->report_interval_us * 5 / 4 + REPORT_SPARE_US;
+  silence.report_us = settings->heartbeat_interval_us * 5 / 4 + REPORT_SPARE_US;
   silence.suspect_us = silence.report_us + SUSPECT_SPARE_US;
   silence.replica_us = replica_suspect_us (cluster, &census, &silence);
   silence.unheard_us = settings->silence_limit_us + FIND_LEADER_US;
@@ -341,9 +341,9 @@
   const MhSettings *settings = cluster->settings;
   gint64 limit_us;
   if (any_report)
-    limit_us
-        = CLAMP (settings->report_interval_us * UNHEARD_REPORTS / MAX (machines, 1),
-                 UNHEARD_LEADER_US, MAX (UNHEARD_LEADER_US, settings->report_interval_us * 3 / 2));
+    limit_us = CLAMP (settings->heartbeat_interval_us * UNHEARD_REPORTS / MAX (machines, 1),
+                      UNHEARD_LEADER_US,
+                      MAX (UNHEARD_LEADER_US, settings->heartbeat_interval_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_TRIES_NEXT_US + UNHEARD_LEADER_US;
   return limit_us << MIN (cluster->fruitless_transfers, MAX_DOUBLINGS);
--- a/src/cluster/zone-silence.c
+++ b/src/cluster/zone-silence.c
@@ -80,7 +80,7 @@
 static bool
 is_silent (const MhCluster *cluster, const MhZone *zone)
 {
-  gint64 report_us = cluster->settings->report_interval_us;
+  gint64 report_us = cluster->settings->heartbeat_interval_us;
   gint64 expected_us
       = MAX (report_us * 4 / 5, MISSED_REPORTS * report_us / MAX (zone->machines, 1));
   return zone->machines >= MH_LEAST_MACHINES_OF_ZONE
--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -33,7 +33,7 @@
      leadership. */
   if (mh_job_tasks_per_record (spec, settings->value_bytes) == 0)
     return MH_ADMISSION_TOO_LARGE;
-  const MhTeam *team = mh_settings_team (settings, spec->team);
+  const MhTeam *team = mh_settings_find_team (settings, spec->team);
   if (team == NULL || exceeds_quota (team, spec))
     return MH_ADMISSION_IMPOSSIBLE;
   if (types == NULL)
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -20,7 +20,7 @@
 {
   MhCore *core = owner;
   mh_recovery_begin (core->recovery, mh_runtime_now_us (core->runtime),
-                     core->settings->report_interval_us);
+                     core->settings->heartbeat_interval_us);
   mh_placement_request_pass (core->placement, false);
   mh_cluster_records_loaded (core->cluster);
   mh_log_info (core->runtime, "records loaded, waiting for the workers' reports unfinished_jobs=%u",
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -107,7 +107,7 @@
   for (guint i = 0; i < jobs->len; i++)
     {
       MhJob *job = g_ptr_array_index (jobs, i);
-      const MhTeam *team = mh_settings_team (settings, job->spec->team);
+      const MhTeam *team = mh_settings_find_team (settings, job->spec->team);
       MhTeamUse *sum = team_sum (sums, job->spec->team);
       double unfinished = job->spec->tasks - job->n_done;
       sum->cpus += unfinished * job->spec->cpus;
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* The program: arguments, settings, start. */
+/* The program: parses its arguments, loads the settings and runs the server. */
 #include "server/log-output.h"
 #include "server/server.h"
 #include "settings/settings-loader.h"
@@ -9,12 +9,13 @@
 
 #define EXIT_CANNOT_LISTEN 1
 #define EXIT_BAD_SETTINGS 2
-/* Descriptors for all but connections: listening sockets, epoll, log, calls. */
-#define OTHER_DESCRIPTORS 64
+/* Descriptors other than those of accepted connections: listening sockets, epoll, log, and calls to
+   other services. */
+#define NON_CONNECTION_DESCRIPTORS 64
 
 typedef struct
 {
-  char *platform_file; /* the platform's settings */
+  char *platform_file; /* NULL: not given */
   char *operator_file; /* NULL: none */
   gboolean check_only;
   gboolean show_version;
@@ -28,8 +29,8 @@
 }
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Arguments, arguments_clear)
 
-/* GIO looks for modules, D-Bus, netlink and proxies when it starts. None of it exists on a
-   controller, and looking costs time. */
+/* GIO searches for modules, D-Bus, netlink and proxies when it starts. A controller has none of
+   them, and the search takes time. */
 static void
 restrict_gio (void)
 {
@@ -40,18 +41,19 @@
   g_setenv ("GSETTINGS_BACKEND", "memory", TRUE);
 }
 
-/* A connection takes a descriptor, and some take a second one for what waits beside them. Where
-   fewer are allowed, connections beyond them are refused. */
+/* Each connection takes a descriptor, and some need a second one, such as the wake-up descriptor of
+   their main context. If the system allows fewer, further connections are refused. */
 static void
 raise_descriptor_limit (guint max_connections)
 {
   struct rlimit limit;
-  rlim_t wanted = (rlim_t)max_connections * 3 / 2 + OTHER_DESCRIPTORS;
+  rlim_t wanted = (rlim_t)max_connections * 3 / 2 + NON_CONNECTION_DESCRIPTORS;
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= wanted)
     return;
   limit.rlim_cur = MIN (wanted, limit.rlim_max);
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
-    g_info ("open files cannot be raised connections=%u wanted=%" G_GUINT64_FORMAT " error=%s",
+    g_info ("cannot raise the limit of open files connections=%u wanted=%" G_GUINT64_FORMAT
+            " error=%s",
             max_connections, (guint64)wanted, g_strerror (errno));
 }
 
@@ -90,7 +92,7 @@
     return fail (EXIT_BAD_SETTINGS, error->message);
   if (arguments->check_only)
     {
-      g_print ("%s: settings are good\n", arguments->platform_file);
+      g_print ("%s: settings are valid\n", arguments->platform_file);
       return 0;
     }
   raise_descriptor_limit (settings->max_connections);
@@ -119,6 +121,6 @@
       return fail (EXIT_BAD_SETTINGS, problem);
     }
   if (arguments.platform_file == NULL)
-    return fail (EXIT_BAD_SETTINGS, "--config FILE is missing");
+    return fail (EXIT_BAD_SETTINGS, "missing option --config FILE");
   return run (&arguments);
 }
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -78,7 +78,8 @@
       /* A machine that may be cut off is no live one: a partitioned zone leaves the count. */
       if (!is_live (machine)
           || mh_cluster_is_silent (pass->cluster, machine,
-                                   pass->settings->report_interval_us * SILENT_REPORT_HALVES / 2))
+                                   pass->settings->heartbeat_interval_us * SILENT_REPORT_HALVES
+                                       / 2))
         continue;
       machine->zone_index = zone_index (pass, machine->zone);
       if (is_usable (pass, machine))
--- a/src/placement/quota.c
+++ b/src/placement/quota.c
@@ -6,7 +6,7 @@
 mh_quota_fits (const MhSettings *settings, const MhTeamUse *use, const MhJob *job, double more_cpus,
                double more_gpus)
 {
-  const MhTeam *team = mh_settings_team (settings, job->spec->team);
+  const MhTeam *team = mh_settings_find_team (settings, job->spec->team);
   if (team == NULL)
     return false;
   return (use ? use->cpus : 0) + more_cpus <= team->cpus_max + MH_RESOURCE_EPSILON
@@ -26,7 +26,7 @@
 mh_quota_allowed_tasks (const MhSettings *settings, const MhTeamUse *use, const MhJob *job,
                         const MhTeamUse *planned, guint tasks)
 {
-  const MhTeam *team = mh_settings_team (settings, job->spec->team);
+  const MhTeam *team = mh_settings_find_team (settings, job->spec->team);
   if (team == NULL)
     return 0;
   double cpus = team->cpus_max - planned->cpus - (use ? use->cpus : 0) + MH_RESOURCE_EPSILON;
--- a/src/server/epoll-watcher.c
+++ b/src/server/epoll-watcher.c
@@ -4,7 +4,8 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-/* Ready descriptors taken in one look; others are still ready at the next one. */
+/* Events taken from one epoll_wait(). The epoll set is level-triggered: descriptors beyond these
+   are reported by the next call. */
 #define MAX_EVENTS 64
 
 struct MhEpollWatcher
@@ -52,12 +53,12 @@
 }
 
 static bool
-control (MhEpollWatcher *watcher, int operation, const GPollFD *poll_fd, gpointer owner)
+control_descriptor (MhEpollWatcher *watcher, int operation, const GPollFD *poll_fd, gpointer owner)
 {
   struct epoll_event event = { .events = to_epoll_events (poll_fd->events), .data.ptr = owner };
   if (epoll_ctl (watcher->epoll_fd, operation, poll_fd->fd, &event) != 0)
     {
-      g_debug ("connection cannot be watched fd=%d error=%s", poll_fd->fd, g_strerror (errno));
+      g_debug ("epoll cannot watch descriptor fd=%d error=%s", poll_fd->fd, g_strerror (errno));
       return false;
     }
   g_hash_table_insert (watcher->owners, GINT_TO_POINTER (poll_fd->fd), owner);
@@ -67,13 +68,13 @@
 bool
 mh_epoll_watcher_add (MhEpollWatcher *watcher, const GPollFD *poll_fd, gpointer owner)
 {
-  return control (watcher, EPOLL_CTL_ADD, poll_fd, owner);
+  return control_descriptor (watcher, EPOLL_CTL_ADD, poll_fd, owner);
 }
 
 bool
 mh_epoll_watcher_modify (MhEpollWatcher *watcher, const GPollFD *poll_fd, gpointer owner)
 {
-  return control (watcher, EPOLL_CTL_MOD, poll_fd, owner);
+  return control_descriptor (watcher, EPOLL_CTL_MOD, poll_fd, owner);
 }
 
 void
--- a/src/server/epoll-watcher.h
+++ b/src/server/epoll-watcher.h
@@ -1,4 +1,4 @@
-/* A set of file descriptors watched by one epoll instance, each on behalf of an owner. */
+/* A set of file descriptors that one epoll instance watches. Each descriptor has an owner. */
 #pragma once
 
 #include <glib.h>
@@ -7,13 +7,13 @@
 /**
  * MhEpollWatcher:
  *
- * An epoll instance, level-triggered, that knows the owner of each descriptor.
+ * A level-triggered epoll instance and the owner of each descriptor in its set.
  */
 typedef struct MhEpollWatcher MhEpollWatcher;
 
 /**
  * MhEpollReadyFunc:
- * @owner: owner of a descriptor that is ready
+ * @owner: the owner of a descriptor that is ready
  *
  * Called once for each ready descriptor.
  */
@@ -39,8 +39,8 @@
  * mh_epoll_watcher_get_fd:
  * @watcher: a watcher
  *
- * Returns: the epoll instance's own descriptor, readable while one of the set is ready; owned by
- *   @watcher
+ * Returns: (transfer none): the descriptor of the epoll instance, which is readable while a
+ *   descriptor of the set is ready
  */
 int
 mh_epoll_watcher_get_fd (const MhEpollWatcher *watcher);
@@ -48,10 +48,10 @@
 /**
  * mh_epoll_watcher_add:
  * @watcher: a watcher
- * @poll_fd: a descriptor and the events that are waited for
- * @owner: whom to call when it is ready
+ * @poll_fd: a descriptor and the events to wait for
+ * @owner: passed to the #MhEpollReadyFunc when the descriptor is ready
  *
- * Returns: %FALSE when epoll refuses the descriptor; it then has to be polled by the caller
+ * Returns: %FALSE when epoll refuses the descriptor; the caller then has to poll it
  */
 bool
 mh_epoll_watcher_add (MhEpollWatcher *watcher, const GPollFD *poll_fd, gpointer owner);
@@ -59,7 +59,7 @@
 /**
  * mh_epoll_watcher_modify:
  * @watcher: a watcher
- * @poll_fd: a descriptor that was added, with other events
+ * @poll_fd: a descriptor that was added, with the new events to wait for
  * @owner: its owner
  *
  * Returns: %FALSE when epoll refuses the change
@@ -73,8 +73,8 @@
  * @poll_fd: a descriptor that was added
  * @owner: its owner when it was added
  *
- * Does nothing when @poll_fd has another owner by now: a closed descriptor leaves the set by
- * itself, and its number may have been given to another connection since.
+ * Does nothing when the number of @poll_fd has another owner now: the kernel removes a closed
+ * descriptor from the set and may reuse its number for another connection.
  */
 void
 mh_epoll_watcher_remove (MhEpollWatcher *watcher, const GPollFD *poll_fd, gpointer owner);
@@ -84,7 +84,7 @@
  * @watcher: a watcher
  * @ready: called for the owner of each descriptor that is ready
  *
- * Looks once, without waiting.
+ * Queries the epoll instance once, without waiting.
  */
 void
 mh_epoll_watcher_dispatch (MhEpollWatcher *watcher, MhEpollReadyFunc ready);
--- a/src/server/http-client.c
+++ b/src/server/http-client.c
@@ -4,13 +4,15 @@
 
 #define CBOR_MEDIA_TYPE "application/cbor"
 #define MILLISECOND_US 1000
-/* To the key-value store and to the cloud, each. */
+/* Open connections to the key-value store, and to the cloud: each has this limit. */
 #define CONNECTIONS_PER_HOST 16u
 #define IDLE_TIMEOUT_S 30u
-/* A session keeps a timer for five minutes for each host that it has called, and each iteration of
-   the main loop looks at all of them: with a thousand workers that once took half of the leader's
-   time. After so many calls a session is replaced, and its timers go with it. */
+/* Calls to workers after which their session is replaced. A session keeps a timer for five minutes
+   for each host that it has called, and each iteration of the main loop checks all timers: with a
+   thousand workers this took half of the leader's processor time. The timers are freed with their
+   session. */
 #define CALLS_PER_WORKER_SESSION 32u
+/* Connections to workers are closed after each reply; this closes any that remain open. */
 #define WORKER_IDLE_TIMEOUT_S 1u
 
 struct MhHttpClient
@@ -19,18 +21,18 @@
   MhHttpReplyFunc reply;
   gpointer user_data;
   SoupSession *session;        /* to the key-value store and the cloud */
-  SoupSession *worker_session; /* NULL before the first call */
-  guint worker_session_calls;  /* calls that the present worker session was given */
+  SoupSession *worker_session; /* NULL before the first call to a worker */
+  guint worker_session_calls;  /* calls that worker_session has started */
 };
 
-/* A call that waits for its reply. */
+/* A call without a reply yet. */
 typedef struct
 {
   MhHttpClient *client;
   guint64 id;
   SoupMessage *message;
   GCancellable *cancellable;
-  guint timeout_source; /* 0: none any more */
+  guint timeout_source; /* 0: it has fired */
 } HttpCall;
 
 static void
@@ -79,7 +81,7 @@
 {
   if (client->worker_session_calls == CALLS_PER_WORKER_SESSION)
     {
-      g_clear_object (&client->worker_session); /* pending calls hold it */
+      g_clear_object (&client->worker_session); /* pending calls hold references to it */
       client->worker_session_calls = 0;
     }
   if (client->worker_session == NULL)
@@ -112,7 +114,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* The status of an answered call, with its body if it has one; 0: no answer that can be used. */
+/* Returns the HTTP status of a reply and sets `body` if it has one. Returns 0 without a reply and
+   for a body that cannot be decoded. */
 static guint
 read_reply (SoupMessage *message, GBytes *bytes, MhValue **body)
 {
@@ -125,7 +128,7 @@
   *body = mh_value_load (data, size, NULL);
   if (*body == NULL)
     {
-      g_info ("malformed reply method=%s", soup_message_get_method (message));
+      g_info ("malformed reply body method=%s", soup_message_get_method (message));
       return 0;
     }
   return soup_message_get_status (message);
@@ -145,7 +148,7 @@
   client->reply (id, status, body, client->user_data);
 }
 
-/* NULL when the request's endpoint is no address. */
+/* Returns NULL when the request's endpoint is not a valid address. */
 static SoupMessage *
 message_new (const MhHttpClient *client, const MhRequest *request)
 {
@@ -153,7 +156,7 @@
   SoupMessage *message = soup_message_new (request->method, url);
   if (message == NULL)
     {
-      g_info ("not an address url=%s", url);
+      g_info ("request has an invalid address url=%s", url);
       return NULL;
     }
   if (request->body)
@@ -161,8 +164,8 @@
       g_autoptr (GBytes) bytes = mh_value_save (request->body);
       soup_message_set_request_body_from_bytes (message, CBOR_MEDIA_TYPE, bytes);
     }
-  /* The next command to the same worker is seconds away, and until then the main loop would look at
-     an idle connection in each iteration. */
+  /* Seconds pass before the next command to the same worker, and each iteration of the main loop
+     would check the idle connection until then. */
   if (request->target == MH_TARGET_WORKER)
     soup_message_headers_append (soup_message_get_request_headers (message), "Connection", "close");
   return message;
--- a/src/server/http-client.h
+++ b/src/server/http-client.h
@@ -1,4 +1,4 @@
-/* Requests of this controller to the key-value store, the cloud and the workers. */
+/* HTTP requests from this controller to the key-value store, the cloud and the workers. */
 #pragma once
 
 #include "protocol/request.h"
@@ -6,17 +6,17 @@
 /**
  * MhHttpClient:
  *
- * Sends requests over kept connections and hands each reply, or its absence, to one callback.
+ * Sends requests and passes each reply, or its absence, to one callback. Connections to the
+ * key-value store and the cloud are reused; a connection to a worker is closed after the reply.
  */
 typedef struct MhHttpClient MhHttpClient;
 
 /**
  * MhHttpReplyFunc:
- * @id: the call, as it was given to mh_http_client_send()
- * @status: HTTP status; 0 when there is no usable answer, so that whether the request was carried
- * out is unknown
- * @body: (nullable): the answer's body
- * @user_data: as given to mh_http_client_new()
+ * @id: the id that was passed to mh_http_client_send()
+ * @status: HTTP status; 0 without a usable reply: the request may or may not have been carried out
+ * @body: (nullable): body of the reply
+ * @user_data: the pointer that was passed to mh_http_client_new()
  *
  * Called exactly once for each call.
  */
@@ -35,9 +35,9 @@
 
 /**
  * mh_http_client_new:
- * @endpoints: (transfer none): whom to call; the strings have to outlive the client
+ * @endpoints: (transfer none): the services to call; the strings have to outlive the client
  * @reply: called with each reply
- * @user_data: for @reply
+ * @user_data: passed to @reply
  *
  * Returns: (transfer full): a client without connections
  */
@@ -46,7 +46,7 @@
 
 /**
  * mh_http_client_free:
- * @client: (nullable) (transfer full): a client none of whose calls is pending
+ * @client: (nullable) (transfer full): a client without pending calls
  */
 void
 mh_http_client_free (MhHttpClient *client);
@@ -56,10 +56,10 @@
  * mh_http_client_send:
  * @client: a client
  * @id: identifies the call in the reply
- * @request: (transfer none): what to send
- * @timeout_us: after this time, in microseconds, the call is cancelled and its reply has status 0
+ * @request: (transfer none): the request to send
+ * @timeout_us: time after which the call is cancelled and its reply has status 0, in microseconds
  *
- * When the worker's endpoint is no address, the reply comes before this returns.
+ * When the worker's endpoint is not a valid address, the callback runs before this returns.
  */
 void
 mh_http_client_send (MhHttpClient *client, guint64 id, const MhRequest *request, gint64 timeout_us);
--- a/src/server/http-listener.c
+++ b/src/server/http-listener.c
@@ -6,40 +6,41 @@
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 
-/* Connections that share a context. */
-#define GROUP_SIZE 4u
-/* Share of the allowed connections that workers may keep open; the rest is for users and for new
-   connections. */
-#define SHARE_KEPT_FOR_WORKERS 0.6
+/* Connections that share a main context. */
+#define CONNECTIONS_PER_GROUP 4u
+/* Share of the allowed connections up to which connections of workers are kept open after an
+   answer. The rest is reserved for users and for new connections. */
+#define WORKER_KEEP_ALIVE_SHARE 0.6
 
 struct MhConnectionGroup
 {
   MhHttpListener *listener;
   MhPolledContext *context;
   guint connections; /* open ones */
-  gint64 due_us; /* to be iterated then; MH_POLLED_CONTEXT_NOT_DUE: only when something is ready */
-  bool is_ready; /* is in the listener's list of ready groups */
+  gint64 due_us;     /* time of the next iteration; MH_POLLED_CONTEXT_NOT_DUE: when a descriptor is
+                        ready */
+  bool is_ready;     /* it is in the listener's list `ready` */
 };
 
-/* One source of the default main context for all groups. */
+/* One source of the default main context iterates all groups. */
 struct MhHttpListener
 {
   GSource source;
   SoupServer *server;
   GSocketService *service;
   MhEpollWatcher *watcher;
-  GPtrArray *groups; /* MhConnectionGroup, owned; as many as there ever were connections for */
-  GPtrArray *vacant; /* MhConnectionGroup with room for more connections */
-  GPtrArray *ready;  /* MhConnectionGroup to be iterated */
-  MhConnectionGroup *current;
-  guint connections; /* open ones */
+  GPtrArray *groups; /* MhConnectionGroup, owned; a group without connections is kept for reuse */
+  GPtrArray *groups_with_room; /* MhConnectionGroup, below CONNECTIONS_PER_GROUP connections */
+  GPtrArray *ready;            /* MhConnectionGroup, to be iterated */
+  MhConnectionGroup *current;  /* the group that is being iterated; NULL: none */
+  guint connections;           /* open ones */
   guint max_connections;
 };
 
 bool
-mh_http_listener_is_crowded (const MhHttpListener *self)
+mh_http_listener_is_near_connection_limit (const MhHttpListener *self)
 {
-  return self->connections > SHARE_KEPT_FOR_WORKERS * self->max_connections;
+  return self->connections > WORKER_KEEP_ALIVE_SHARE * self->max_connections;
 }
 
 MhConnectionGroup *
@@ -83,7 +84,8 @@
   listener->current = group;
   gint64 due_us = mh_polled_context_iterate (group->context);
   listener->current = NULL;
-  /* The group may have been woken meanwhile; that stands when the context asks for nothing. */
+  /* The group may have been woken during the iteration. When the context is not due, that wake-up
+     is kept. */
   if (due_us == MH_POLLED_CONTEXT_DUE_NOW)
     mh_connection_group_wake (group);
   else if (due_us != MH_POLLED_CONTEXT_NOT_DUE)
@@ -116,11 +118,12 @@
   (void)callback;
   (void)user_data;
   mh_epoll_watcher_dispatch (listener->watcher, mark_ready);
-  if (due_us == MH_POLLED_CONTEXT_DUE_NOW) /* all groups that were woken are marked already */
+  if (due_us == MH_POLLED_CONTEXT_DUE_NOW) /* woken groups are in the list already */
     g_source_set_ready_time (source, MH_POLLED_CONTEXT_NOT_DUE);
   if (due_us >= 0)
     mark_due_groups (listener);
-  /* Groups that are woken meanwhile are iterated next time. */
+  /* Groups that are woken during these iterations are added to the new list and iterated in the
+     next dispatch. */
   g_autoptr (GPtrArray) ready = g_steal_pointer (&listener->ready);
   listener->ready = g_ptr_array_new ();
   for (guint i = 0; i < ready->len; i++)
@@ -141,7 +144,7 @@
 {
   MhHttpListener *listener = (MhHttpListener *)source;
   g_object_unref (listener->service);
-  g_ptr_array_unref (listener->vacant);
+  g_ptr_array_unref (listener->groups_with_room);
   g_ptr_array_unref (listener->ready);
   g_ptr_array_unref (listener->groups);
   mh_epoll_watcher_free (listener->watcher);
@@ -157,32 +160,33 @@
   group->context = mh_polled_context_new (listener->watcher, group);
   group->due_us = MH_POLLED_CONTEXT_NOT_DUE;
   g_ptr_array_add (listener->groups, group);
-  g_ptr_array_add (listener->vacant, group);
+  g_ptr_array_add (listener->groups_with_room, group);
   return group;
 }
 
-/* A group with room for the new connection, which is counted. */
+/* Returns a group with room for one more connection, and counts the connection. */
 static MhConnectionGroup *
-assign_group (MhHttpListener *listener)
+assign_connection_to_group (MhHttpListener *listener)
 {
-  GPtrArray *vacant = listener->vacant;
-  MhConnectionGroup *group
-      = vacant->len ? g_ptr_array_index (vacant, vacant->len - 1) : group_new (listener);
+  GPtrArray *groups_with_room = listener->groups_with_room;
+  MhConnectionGroup *group = groups_with_room->len
+                                 ? g_ptr_array_index (groups_with_room, groups_with_room->len - 1)
+                                 : group_new (listener);
   group->connections++;
-  if (group->connections == GROUP_SIZE)
-    g_ptr_array_set_size (vacant, (gint)vacant->len - 1);
+  if (group->connections == CONNECTIONS_PER_GROUP)
+    g_ptr_array_set_size (groups_with_room, (gint)groups_with_room->len - 1);
   listener->connections++;
   return group;
 }
 
-/* The last reference to the connection is gone. */
+/* Runs when the last reference to the connection is dropped. */
 static void
 on_connection_closed (gpointer data, GObject *connection)
 {
   MhConnectionGroup *group = data;
   (void)connection;
-  if (group->connections == GROUP_SIZE)
-    g_ptr_array_add (group->listener->vacant, group);
+  if (group->connections == CONNECTIONS_PER_GROUP)
+    g_ptr_array_add (group->listener->groups_with_room, group);
   group->connections--;
   group->listener->connections--;
 }
@@ -196,23 +200,23 @@
   g_autoptr (GError) error = NULL;
   (void)service;
   (void)source;
-  /* A connection that was reset before it was accepted has no addresses; libsoup logs a critical
-     message when it is given one. */
+  /* A connection that was reset before it was accepted has no addresses, and libsoup logs a
+     critical message for a connection without them. */
   if (local == NULL || remote == NULL)
     return TRUE;
   g_socket_set_option (g_socket_connection_get_socket (connection), IPPROTO_TCP, TCP_NODELAY, 1,
                        NULL);
-  MhConnectionGroup *group = assign_group (listener);
+  MhConnectionGroup *group = assign_connection_to_group (listener);
   g_object_weak_ref (G_OBJECT (connection), on_connection_closed, group);
-  /* A request that has arrived already may be handled at once. */
+  /* A request that has already arrived may be handled during the call. */
   listener->current = group;
   mh_polled_context_push (group->context);
   if (!soup_server_accept_iostream (listener->server, G_IO_STREAM (connection), local, remote,
                                     &error))
-    g_info ("connection not accepted error=%s", error->message);
+    g_info ("cannot accept connection error=%s", error->message);
   mh_polled_context_pop (group->context);
   listener->current = NULL;
-  mh_polled_context_descriptors_changed (group->context);
+  mh_polled_context_invalidate_registrations (group->context);
   mh_connection_group_wake (group);
   return TRUE;
 }
@@ -233,7 +237,7 @@
   self->service = g_steal_pointer (&service);
   self->watcher = mh_epoll_watcher_new ();
   self->groups = g_ptr_array_new_with_free_func (group_free);
-  self->vacant = g_ptr_array_new ();
+  self->groups_with_room = g_ptr_array_new ();
   self->ready = g_ptr_array_new ();
   g_signal_connect (self->service, "incoming", G_CALLBACK (on_incoming), self);
   g_source_add_unix_fd (&self->source, mh_epoll_watcher_get_fd (self->watcher), G_IO_IN);
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -12,10 +12,11 @@
   const MhHttpServerHandlers *handlers;
   gpointer user_data;
   SoupServer *server;
-  MhHttpListener *listener; /* NULL before it listens */
+  MhHttpListener *listener; /* NULL before mh_http_server_listen() */
 };
 
-/* Of a message's body: as announced by its header, or else as received so far. */
+/* The size of a request's body: the Content-Length if that is over the limit, plus what has been
+   received. */
 typedef struct
 {
   gsize size;
@@ -67,13 +68,13 @@
 }
 
 void
-mh_http_server_answer_report (MhHttpServer *self, const MhPendingRequest *request, guint status,
-                              const MhValue *body)
+mh_http_server_answer_heartbeat (MhHttpServer *self, const MhPendingRequest *request, guint status,
+                                 const MhValue *body)
 {
   g_return_if_fail (self != NULL);
   g_return_if_fail (request->message != NULL);
   respond (request->message, status, body);
-  if (mh_http_listener_is_crowded (self->listener))
+  if (mh_http_listener_is_near_connection_limit (self->listener))
     set_response_header (request->message, "Connection", "close");
   resume (request);
 }
@@ -89,7 +90,8 @@
     soup_message_body_set_accumulate (soup_server_message_get_request_body (message), FALSE);
 }
 
-/* Runs when the headers are there: a body over the limit is never gathered in memory. */
+/* Runs when the headers have been received. From here on_chunk() stops libsoup from accumulating a
+   body over the limit in memory. */
 static void
 on_headers (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
             gpointer data)
@@ -158,19 +160,19 @@
 }
 
 static void
-handle_report (MhHttpServer *self, SoupServerMessage *message)
+handle_heartbeat (MhHttpServer *self, SoupServerMessage *message)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) bytes = get_body (message);
   g_autoptr (MhValue) body = decode_body (bytes, &error);
-  g_autoptr (MhHeartbeat) report = body ? mh_heartbeat_decode (body, &error) : NULL;
-  if (report == NULL)
+  g_autoptr (MhHeartbeat) heartbeat = body ? mh_heartbeat_decode (body, &error) : NULL;
+  if (heartbeat == NULL)
     {
-      g_info ("malformed report reason=%s", error->message);
+      g_info ("malformed heartbeat reason=%s", error->message);
       respond (message, SOUP_STATUS_BAD_REQUEST, NULL);
       return;
     }
-  self->handlers->report (pause_message (self, message), report, self->user_data);
+  self->handlers->heartbeat (pause_message (self, message), heartbeat, self->user_data);
 }
 
 static void
@@ -207,7 +209,7 @@
       handle_readiness (self, message);
       break;
     case MH_ROUTE_HEARTBEAT:
-      handle_report (self, message);
+      handle_heartbeat (self, message);
       break;
     case MH_ROUTE_SUBMIT:
       handle_submission (self, message);
@@ -221,7 +223,7 @@
     }
 }
 
-/* Runs when the whole request is there. */
+/* Runs when the whole request has been received. */
 static void
 on_request (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
             gpointer data)
--- a/src/server/http-server.h
+++ b/src/server/http-server.h
@@ -1,4 +1,4 @@
-/* HTTP requests of users and workers: their routes, limits and answers. */
+/* The HTTP server for users and workers: routes, size limits and answers. */
 #pragma once
 
 #include "protocol/user-messages.h"
@@ -8,30 +8,32 @@
 /**
  * MhHttpServer:
  *
- * Listens, reads requests, and hands the valid ones on; the others it answers by itself.
+ * Reads requests and passes the valid ones to its handlers. It answers all others, and the
+ * readiness probe, directly.
  */
 typedef struct MhHttpServer MhHttpServer;
 
 /**
  * MhHttpServerHandlers:
- * @is_ready: answers the readiness probe
+ * @is_ready: called for the readiness probe; returns whether the controller is ready
  * @user_request: called with a user's request and, for a submission, the job (transfer full)
- * @report: called with a worker's request and its report, borrowed for the call
+ * @heartbeat: called with a worker's request and its heartbeat, which is valid during the call only
  *
- * Where requests go. They wait in the table of pending requests until they are answered.
+ * Handlers of requests. A request stays in the table of pending requests until it is answered.
  */
 typedef struct
 {
   bool (*is_ready) (gpointer user_data);
   void (*user_request) (const MhPendingRequest *request, MhJobSpec *spec, gpointer user_data);
-  void (*report) (const MhPendingRequest *request, const MhHeartbeat *report, gpointer user_data);
+  void (*heartbeat) (const MhPendingRequest *request, const MhHeartbeat *heartbeat,
+                     gpointer user_data);
 } MhHttpServerHandlers;
 
 /**
  * mh_http_server_new:
- * @requests: where requests wait for their answers; has to outlive the server
+ * @requests: the table of pending requests; has to outlive the server
  * @handlers: (transfer none): has to outlive the server
- * @user_data: for @handlers
+ * @user_data: passed to @handlers
  *
  * Returns: (transfer full): a server that does not listen yet
  */
@@ -53,7 +55,7 @@
  * mh_http_server_listen:
  * @self: a server that does not listen yet
  * @address: (transfer none): where to listen
- * @max_connections: connections that the platform allows
+ * @max_connections: number of connections that the platform allows
  * @error: return location for a #GError of GIO
  *
  * Returns: %FALSE with @error when it cannot listen
@@ -65,24 +67,25 @@
 /**
  * mh_http_server_answer_user:
  * @self: a server
- * @request: a user's request that came over HTTP
+ * @request: a user's request that was received over HTTP
  * @answer: the answer
  *
- * The request stays in its table.
+ * Does not remove @request from its table.
  */
 void
 mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
                             const MhUserAnswer *answer);
 
 /**
- * mh_http_server_answer_report:
+ * mh_http_server_answer_heartbeat:
  * @self: a server
  * @request: a worker's request
  * @status: HTTP status
  * @body: (nullable): commands for the worker
  *
- * Closes the connection when too many are open. The request stays in its table.
+ * Closes the connection after the answer when too many are open (see
+ * mh_http_listener_is_near_connection_limit()). Does not remove @request from its table.
  */
 void
-mh_http_server_answer_report (MhHttpServer *self, const MhPendingRequest *request, guint status,
-                              const MhValue *body);
+mh_http_server_answer_heartbeat (MhHttpServer *self, const MhPendingRequest *request, guint status,
+                                 const MhValue *body);
--- a/src/server/log-output.c
+++ b/src/server/log-output.c
@@ -19,7 +19,7 @@
 }
 
 static const char *
-level_name (GLogLevelFlags level)
+get_level_name (GLogLevelFlags level)
 {
   if (level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_MESSAGE))
     return "info";
@@ -27,7 +27,7 @@
 }
 
 static bool
-is_of_other_domain (const GLogField *field)
+is_from_other_domain (const GLogField *field)
 {
   return strcmp (field->key, "GLIB_DOMAIN") == 0 && strcmp (field->value, G_LOG_DOMAIN) != 0;
 }
@@ -38,14 +38,14 @@
   (void)user_data;
   if ((level & enabled_levels) == 0)
     return G_LOG_WRITER_HANDLED;
-  /* GIO logs several debug messages for each connection that it makes. */
+  /* Debug messages of other domains are dropped: GIO logs several for each connection. */
   if (level & G_LOG_LEVEL_DEBUG)
     for (gsize i = 0; i < n_fields; i++)
-      if (is_of_other_domain (&fields[i]))
+      if (is_from_other_domain (&fields[i]))
         return G_LOG_WRITER_HANDLED;
   for (gsize i = 0; i < n_fields; i++)
     if (strcmp (fields[i].key, "MESSAGE") == 0)
-      (void)fprintf (stderr, "%s: %s\n", level_name (level), (const char *)fields[i].value);
+      (void)fprintf (stderr, "%s: %s\n", get_level_name (level), (const char *)fields[i].value);
   return G_LOG_WRITER_HANDLED;
 }
 
--- a/src/server/log-output.h
+++ b/src/server/log-output.h
@@ -1,4 +1,5 @@
-/* Where log lines go: standard error, one line each, filtered by the environment's LOG_LEVEL. */
+/* Writes log messages to standard error, one line each, filtered by the environment variable
+   LOG_LEVEL. */
 #pragma once
 
 #include <glib.h>
@@ -6,18 +7,17 @@
 /**
  * MH_LOG_FIELD_NODE:
  *
- * Field of GLib's structured logging that names the controller which logs (the settings'
- * node_name).
+ * Field of GLib's structured logging that holds the node_name of the controller that logs.
  */
 #define MH_LOG_FIELD_NODE "MINTHILL_NODE"
 
 /**
  * mh_log_output_install:
  *
- * Reads LOG_LEVEL (error, info or debug; each includes those before it; error when it is not set)
- * and makes standard error the destination of all messages of the process: "LEVEL: MESSAGE".
- * Messages of other domains than "minthill" are left out at debug level. To be called once, before
- * other threads exist.
+ * Reads LOG_LEVEL (error, info or debug; each includes those before it; any other value, or none,
+ * means error) and makes standard error the destination of all messages of the process, in the form
+ * "LEVEL: MESSAGE". Debug messages of other domains than "minthill" are dropped. To be called once,
+ * before other threads exist.
  */
 void
 mh_log_output_install (void);
@@ -26,10 +26,10 @@
  * mh_log_output_write:
  * @level: level of the message
  * @node: name of the controller
- * @message: the line, without an end of line
+ * @message: the text, without a newline at the end
  *
- * Hands a line of the controller to GLib's structured logging, with @message as MESSAGE and @node
- * as #MH_LOG_FIELD_NODE.
+ * Passes a message of the controller to GLib's structured logging, with @message as the field
+ * MESSAGE and @node as #MH_LOG_FIELD_NODE.
  */
 void
 mh_log_output_write (GLogLevelFlags level, const char *node, const char *message);
--- a/src/server/peer-connection.c
+++ b/src/server/peer-connection.c
@@ -5,16 +5,16 @@
 
 #define READ_SIZE 8192u
 
-/* Counted references: one until it is closed, and one for each pending operation. */
+/* Reference-counted: one reference until it is closed, and one for each pending operation. */
 struct MhPeerConnection
 {
   const MhPeerHandlers *handlers;
   gpointer user_data;
-  char *node;                /* NULL: the other side connected */
+  char *node;                /* NULL: the other controller connected */
   GSocketConnection *socket; /* NULL while connecting */
-  GCancellable *cancellable; /* of all operations */
-  GByteArray *input;         /* received, not yet a whole record */
-  GByteArray *output;        /* queued behind `writing` */
+  GCancellable *cancellable; /* for all operations */
+  GByteArray *input;         /* received and not yet decoded */
+  GByteArray *output;        /* to be sent after `writing` */
   GByteArray *writing;       /* NULL: no write is pending */
   guint8 read_buffer[READ_SIZE];
   bool closed;
@@ -118,7 +118,7 @@
   flush (self);
 }
 
-/* Hands over all whole records that were received; a handler may close the connection. */
+/* Passes each complete record in `input` to the message handler, which may close the connection. */
 static void
 handle_input (MhPeerConnection *self)
 {
@@ -202,7 +202,7 @@
       start (self, socket);
       return;
     }
-  g_debug ("peer not reached node=%s error=%s", self->node, error->message);
+  g_debug ("cannot connect to peer node=%s error=%s", self->node, error->message);
   mh_peer_connection_close (self);
 }
 
--- a/src/server/peer-connection.h
+++ b/src/server/peer-connection.h
@@ -1,4 +1,5 @@
-/* A connection to or from another controller, which carries XDR records (protocol/peer_xdr.x). */
+/* A connection to or from another controller, over which XDR records are sent
+   (protocol/controller_messages.x). */
 #pragma once
 
 #include "protocol/controller-messages.h"
@@ -9,17 +10,17 @@
 /**
  * MhPeerConnection:
  *
- * Keeps itself alive until it is closed; after the closed handler nobody may use it any more.
+ * Owns itself until it is closed. It must not be used after the closed handler has returned.
  */
 typedef struct MhPeerConnection MhPeerConnection;
 
 /**
  * MhPeerHandlers:
- * @message: called with each message; borrowed for the call
- * @closed: called once, when the connection failed, was closed by the other side or by
+ * @message: called with each message, which is valid during the call only; may close the connection
+ * @closed: called once, when the connection fails, when the other side closes it, or by
  *   mh_peer_connection_close()
  *
- * What a connection tells its owner. @message may close the connection.
+ * Handlers of a connection's events.
  */
 typedef struct
 {
@@ -30,11 +31,11 @@
 
 /**
  * mh_peer_connection_accept:
- * @socket: (transfer none): a connection that another controller has made
+ * @socket: (transfer none): an accepted connection from another controller
  * @handlers: (transfer none): has to outlive the connection
- * @user_data: for @handlers
+ * @user_data: passed to @handlers
  *
- * Returns: (transfer none): a connection that has begun to read
+ * Returns: (transfer none): a connection that reads messages
  */
 MhPeerConnection *
 mh_peer_connection_accept (GSocketConnection *socket, const MhPeerHandlers *handlers,
@@ -43,11 +44,12 @@
 /**
  * mh_peer_connection_connect:
  * @node: name of the other controller
- * @address: (transfer none): where it listens
+ * @address: (transfer none): the address on which it listens
  * @handlers: (transfer none): has to outlive the connection
- * @user_data: for @handlers
+ * @user_data: passed to @handlers
  *
- * Returns: (transfer none): a connection that is being made; what is sent meanwhile is queued
+ * Returns: (transfer none): a connection that is being established; records sent until then are
+ *   queued
  */
 MhPeerConnection *
 mh_peer_connection_connect (const char *node, GSocketAddress *address,
@@ -57,7 +59,8 @@
  * mh_peer_connection_get_node:
  * @self: a connection
  *
- * Returns: (nullable): the controller it was made to; %NULL when the other side made it
+ * Returns: (transfer none) (nullable): name of the controller that it was made to; %NULL when the
+ * other controller connected
  */
 const char *
 mh_peer_connection_get_node (const MhPeerConnection *self);
@@ -66,7 +69,7 @@
  * mh_peer_connection_has_queued_output:
  * @self: a connection
  *
- * Returns: whether records wait behind those that are being written
+ * Returns: whether records are queued behind those that are being written
  */
 bool
 mh_peer_connection_has_queued_output (const MhPeerConnection *self);
@@ -74,8 +77,8 @@
 /**
  * mh_peer_connection_send:
  * @self: a connection
- * @record: (transfer full) (nullable): a whole record, as of mh_controller_request_encode(); %NULL
- * does nothing
+ * @record: (transfer full) (nullable): a complete record, as mh_controller_request_encode() returns
+ * it; %NULL does nothing
  */
 void
 mh_peer_connection_send (MhPeerConnection *self, GByteArray *record);
@@ -84,7 +87,7 @@
  * mh_peer_connection_close:
  * @self: a connection
  *
- * Does nothing when it is closed already.
+ * Calls the closed handler. Does nothing when @self is already closed.
  */
 void
 mh_peer_connection_close (MhPeerConnection *self);
--- a/src/server/peer-network.c
+++ b/src/server/peer-network.c
@@ -9,9 +9,9 @@
 {
   const GPtrArray *members; /* MhMember */
   GSocketService *service;
-  const MhPeerHandlers *handlers; /* of the network's user */
+  const MhPeerHandlers *handlers; /* from mh_peer_network_new() */
   gpointer user_data;
-  GHashTable *outgoing; /* node -> MhPeerConnection, which owns the key */
+  GHashTable *outgoing; /* node -> MhPeerConnection, which owns the key string */
 };
 
 static void
--- a/src/server/peer-network.h
+++ b/src/server/peer-network.h
@@ -1,4 +1,4 @@
-/* The connections between this controller and the others. */
+/* Connections between this controller and the other controllers. */
 #pragma once
 
 #include "server/peer-connection.h"
@@ -7,20 +7,21 @@
 /**
  * MhPeerNetwork:
  *
- * Listens for the other controllers, and keeps at most one outgoing connection to each of them.
+ * Accepts connections of the other controllers, and keeps at most one outgoing connection to each.
  */
 typedef struct MhPeerNetwork MhPeerNetwork;
 
 /**
  * mh_peer_network_new:
  * @members: (transfer none): #MhMember, the other controllers; has to outlive the network
- * @address: (transfer none): where to listen
- * @handlers: (transfer none): for all connections, incoming and outgoing; has to outlive the
- * network
- * @user_data: for @handlers
+ * @address: (transfer none): the address to listen on
+ * @handlers: (transfer none): handlers of all connections, incoming and outgoing; has to outlive
+ * the network
+ * @user_data: passed to @handlers
  * @error: return location for a #GError of GIO
  *
  * Returns: (transfer full) (nullable): a network that listens, or %NULL with @error when it cannot
+ *   listen
  */
 MhPeerNetwork *
 mh_peer_network_new (const GPtrArray *members, GSocketAddress *address,
@@ -39,9 +40,10 @@
  * @self: a network
  * @node: name of another controller
  *
- * Returns: (transfer none) (nullable): the connection to @node, made anew when there is none; %NULL
- * when
- *   @node is no member or its endpoint is no IP address
+ * Starts to connect to @node when there is no connection to it.
+ *
+ * Returns: (transfer none) (nullable): the outgoing connection to @node; %NULL when @node is not a
+ *   member or its endpoint is not an IP address
  */
 MhPeerConnection *
 mh_peer_network_get_connection (MhPeerNetwork *self, const char *node);
--- a/src/server/pending-request.c
+++ b/src/server/pending-request.c
@@ -2,7 +2,7 @@
 
 struct MhPendingRequests
 {
-  GHashTable *requests; /* id -> MhPendingRequest, which owns the key */
+  GHashTable *requests; /* id -> MhPendingRequest, which contains the key */
   guint64 last_id;
 };
 
@@ -91,7 +91,7 @@
 }
 
 GArray *
-mh_pending_requests_drop_connection (MhPendingRequests *table, MhPeerConnection *connection)
+mh_pending_requests_detach_connection (MhPendingRequests *table, MhPeerConnection *connection)
 {
   GArray *forwarded = g_array_new (FALSE, FALSE, sizeof (guint64));
   GHashTableIter it;
--- a/src/server/pending-request.h
+++ b/src/server/pending-request.h
@@ -1,4 +1,4 @@
-/* Requests that wait for the controller's answer. */
+/* Requests that have not been answered yet. */
 #pragma once
 
 #include "protocol/user-messages.h"
@@ -10,27 +10,27 @@
 /**
  * MhPendingRequests:
  *
- * The table of all requests that wait, by their number. A request leaves it when it is answered, or
- * when its HTTP connection ends.
+ * A table of all pending requests, by their id. A request is removed when it is answered or when
+ * its HTTP connection ends.
  */
 typedef struct MhPendingRequests MhPendingRequests;
 
 /**
  * MhPendingRequest:
- * @id: number of the request, unique in this process
- * @verb: what a user asks for; 0: a worker's report
- * @job: (nullable): the job a user asks about
- * @body: (nullable): a submission as it was received
- * @message: (nullable): the HTTP message, paused; %NULL when another controller passed the request
- * on
- * @group: (nullable): whose HTTP message it is
- * @peer: (nullable): the connection on which another controller passed the request on; %NULL also
- * when that is closed, so that nobody waits for the answer any more
- * @peer_request_id: the other controller's number of the request
- * @forwarded_to: (nullable): the connection on which this controller passed the request on
- * @forward_timeout: source that ends the waiting for @forwarded_to; 0: none
+ * @id: id of the request, unique in this process
+ * @verb: what the user requests; 0: a worker's heartbeat
+ * @job: (nullable): id of the job that the user's request is about
+ * @body: (nullable): body of a submission, as it was received
+ * @message: (nullable): the HTTP message, which is paused; %NULL when another controller forwarded
+ *   the request
+ * @group: (nullable): the group of the connection that @message belongs to
+ * @peer: (nullable): the connection on which another controller forwarded the request; %NULL after
+ *   that connection is closed, when no answer can be sent
+ * @peer_request_id: the other controller's id of the request
+ * @forwarded_to: (nullable): the connection on which this controller forwarded the request
+ * @forward_timeout: source of the time-out for the answer from @forwarded_to; 0: none
  *
- * A request of a user or a worker, owned by its table.
+ * A request from a user or a worker; owned by its table.
  */
 typedef struct
 {
@@ -68,9 +68,9 @@
 /**
  * mh_pending_requests_add_message:
  * @table: a table
- * @message: (transfer none): an HTTP message; it is paused, and its request leaves the table when
- * it is finished
- * @group: (transfer none): the group of its connection
+ * @message: (transfer none): an HTTP message; it is paused, and its request is removed from the
+ * table when the message is finished
+ * @group: (transfer none): the group of the message's connection
  *
  * Returns: (transfer none): a new request
  */
@@ -81,8 +81,8 @@
 /**
  * mh_pending_requests_add_forwarded:
  * @table: a table
- * @peer: (transfer none): the connection on which another controller passed the request on
- * @peer_request_id: its number there
+ * @peer: (transfer none): the connection on which another controller forwarded the request
+ * @peer_request_id: the other controller's id of the request
  *
  * Returns: (transfer none): a new request
  */
@@ -93,9 +93,10 @@
 /**
  * mh_pending_requests_lookup:
  * @table: a table
- * @id: number of a request
+ * @id: id of a request
  *
- * Returns: (transfer none) (nullable): the request; %NULL when who asked is gone
+ * Returns: (transfer none) (nullable): the request; %NULL when it was removed because its
+ * connection has ended
  */
 MhPendingRequest *
 mh_pending_requests_lookup (MhPendingRequests *table, guint64 id);
@@ -103,21 +104,21 @@
 /**
  * mh_pending_requests_remove:
  * @table: a table
- * @id: number of a request; one that is not there is ignored
+ * @id: id of a request; an id that is not in the table is ignored
  */
 void
 mh_pending_requests_remove (MhPendingRequests *table, guint64 id);
 
 /**
- * mh_pending_requests_drop_connection:
+ * mh_pending_requests_detach_connection:
  * @table: a table
  * @connection: a connection that was closed
  *
- * Requests that came over @connection stay, but need no answer any more.
+ * Sets the peer of requests that were received over @connection to %NULL: they stay in the table,
+ * but no answer can be sent.
  *
- * Returns: (transfer full) (element-type guint64): the numbers of the requests that were passed on
- * over
- *   @connection, which still refer to it
+ * Returns: (transfer full) (element-type guint64): ids of the requests that were forwarded over
+ *   @connection; their forwarded_to still points to it
  */
 GArray *
-mh_pending_requests_drop_connection (MhPendingRequests *table, MhPeerConnection *connection);
+mh_pending_requests_detach_connection (MhPendingRequests *table, MhPeerConnection *connection);
--- a/src/server/polled-context.c
+++ b/src/server/polled-context.c
@@ -1,11 +1,11 @@
 #include "server/polled-context.h"
 
-/* Iterations in a row, before other contexts have theirs. */
-#define MAX_ITERATIONS 8u
-/* Descriptors for which a query needs no allocation. */
+/* Iterations of one context in a row, before the other contexts have their turn. */
+#define MAX_ITERATIONS_PER_TURN 8u
+/* Descriptors that a query holds without an allocation. */
 #define INLINE_DESCRIPTORS 16
-/* How often a context is iterated while epoll refuses one of its descriptors. */
-#define UNWATCHED_INTERVAL_US (G_USEC_PER_SEC / 2)
+/* Interval at which a context is iterated while epoll refuses one of its descriptors. */
+#define UNWATCHED_POLL_INTERVAL_US (G_USEC_PER_SEC / 2)
 #define MILLISECOND_US 1000
 
 struct MhPolledContext
@@ -15,10 +15,11 @@
   gpointer owner;
   GArray *watched;         /* GPollFD, as registered with the watcher, by ascending number */
   bool has_unwatched;      /* the watcher refused one of them */
-  bool needs_registration; /* a number may stand for another descriptor than the registered one */
+  bool needs_registration; /* a number in `watched` may belong to a new descriptor: register all
+                              again */
 };
 
-/* What a context waits for. */
+/* The descriptors and the timeout that a context waits for. */
 typedef struct
 {
   GPollFD inline_fds[INLINE_DESCRIPTORS];
@@ -70,7 +71,7 @@
 }
 
 void
-mh_polled_context_descriptors_changed (MhPolledContext *self)
+mh_polled_context_invalidate_registrations (MhPolledContext *self)
 {
   self->needs_registration = true;
 }
@@ -82,8 +83,8 @@
     self->has_unwatched = true;
 }
 
-/* `registered`, `wanted`: the same descriptor as it is registered and as it is wanted; NULL: not.
- */
+/* Updates the registration of one descriptor. `registered` is its present registration, `wanted`
+   what the context waits for; NULL: none. */
 static void
 update_descriptor (MhPolledContext *self, const GPollFD *registered, const GPollFD *wanted)
 {
@@ -101,7 +102,8 @@
     self->has_unwatched = true;
 }
 
-/* Merges two lists that are both ordered by the descriptors' numbers. */
+/* Updates the registrations to `fds`. Both lists are ordered by the numbers of the descriptors and
+   are merged. */
 static void
 update_watched (MhPolledContext *self, const GPollFD *fds, guint n_fds)
 {
@@ -139,12 +141,12 @@
     }
 }
 
-/* Dispatches until nothing is ready, and leaves in `query` what is waited for then. Whether more is
-   ready. */
+/* Dispatches until nothing is ready, at most MAX_ITERATIONS_PER_TURN times, and sets `query` to
+   what the context waits for then. Returns whether more may be ready. */
 static bool
 dispatch_ready (GMainContext *context, ContextQuery *query)
 {
-  for (guint i = 0; i < MAX_ITERATIONS; i++)
+  for (guint i = 0; i < MAX_ITERATIONS_PER_TURN; i++)
     {
       query_context (context, query);
       g_poll (query->fds, (guint)query->n_fds, 0);
@@ -171,7 +173,7 @@
   if (more_ready || query.timeout_ms == 0)
     return MH_POLLED_CONTEXT_DUE_NOW;
   if (self->has_unwatched)
-    return g_get_monotonic_time () + UNWATCHED_INTERVAL_US;
+    return g_get_monotonic_time () + UNWATCHED_POLL_INTERVAL_US;
   if (query.timeout_ms > 0)
     return g_get_monotonic_time () + (gint64)query.timeout_ms * MILLISECOND_US;
   return MH_POLLED_CONTEXT_NOT_DUE;
--- a/src/server/polled-context.h
+++ b/src/server/polled-context.h
@@ -1,4 +1,4 @@
-/* A main context that is iterated only when one of its descriptors is ready or a timeout is due. */
+/* A main context to be iterated only when one of its descriptors is ready or a timeout is due. */
 #pragma once
 
 #include "server/epoll-watcher.h"
@@ -8,29 +8,29 @@
 /**
  * MhPolledContext:
  *
- * A #GMainContext of its own whose descriptors are watched by a #MhEpollWatcher, so that it costs
- * nothing while none of them is ready.
+ * A #GMainContext whose descriptors are watched by a #MhEpollWatcher. It takes no processor time
+ * while none of them is ready.
  */
 typedef struct MhPolledContext MhPolledContext;
 
 /**
  * MH_POLLED_CONTEXT_NOT_DUE:
  *
- * Result of mh_polled_context_iterate(): nothing to do before a descriptor is ready.
+ * Result of mh_polled_context_iterate(): iterate again when a descriptor is ready.
  */
 #define MH_POLLED_CONTEXT_NOT_DUE ((gint64)-1)
 
 /**
  * MH_POLLED_CONTEXT_DUE_NOW:
  *
- * Result of mh_polled_context_iterate(): more is ready already.
+ * Result of mh_polled_context_iterate(): iterate again now, since a source is ready already.
  */
 #define MH_POLLED_CONTEXT_DUE_NOW ((gint64)0)
 
 /**
  * mh_polled_context_new:
  * @watcher: watches the context's descriptors; has to outlive the context
- * @owner: owner of the descriptors as @watcher reports it
+ * @owner: the owner under which the descriptors are added to @watcher
  *
  * Returns: (transfer full): a context without sources
  */
@@ -39,7 +39,7 @@
 
 /**
  * mh_polled_context_free:
- * @self: (nullable) (transfer full): a context whose sources are gone
+ * @self: (nullable) (transfer full): a context without sources
  */
 void
 mh_polled_context_free (MhPolledContext *self);
@@ -49,7 +49,8 @@
  * mh_polled_context_push:
  * @self: a context
  *
- * Makes it the thread's default: sources that are made until mh_polled_context_pop() belong to it.
+ * Makes @self the thread-default context: sources that are created until mh_polled_context_pop()
+ * belong to it.
  */
 void
 mh_polled_context_push (MhPolledContext *self);
@@ -62,24 +63,26 @@
 mh_polled_context_pop (MhPolledContext *self);
 
 /**
- * mh_polled_context_descriptors_changed:
+ * mh_polled_context_invalidate_registrations:
  * @self: a context
  *
- * To be called when a connection was added: its descriptor may have the number of a closed one,
- * which left the epoll set by itself. All are registered anew after the next iteration.
+ * Makes the next iteration register all descriptors again. To be called when a connection is added:
+ * its descriptor may have the number of a closed one, which the kernel has removed from the epoll
+ * set.
  */
 void
-mh_polled_context_descriptors_changed (MhPolledContext *self);
+mh_polled_context_invalidate_registrations (MhPolledContext *self);
 
 /**
  * mh_polled_context_iterate:
  * @self: a context
  *
- * Dispatches what is ready, a few times at most so that other contexts have their turn, and then
- * registers the descriptors that the context waits for. It is the thread's default meanwhile.
+ * Dispatches what is ready, with @self as the thread-default context, and then registers the
+ * descriptors that the context waits for. The number of iterations is limited so that other
+ * contexts have their turn.
  *
- * Returns: monotonic time in microseconds at which to iterate again even when no descriptor is
- * ready, #MH_POLLED_CONTEXT_DUE_NOW, or #MH_POLLED_CONTEXT_NOT_DUE
+ * Returns: monotonic time in microseconds at which to iterate again even if no descriptor is ready;
+ *   or #MH_POLLED_CONTEXT_DUE_NOW or #MH_POLLED_CONTEXT_NOT_DUE
  */
 gint64
 mh_polled_context_iterate (MhPolledContext *self);
--- a/src/server/process-clock.h
+++ b/src/server/process-clock.h
@@ -1,4 +1,4 @@
-/* The clocks and the source of chance of this process, as the controller's inputs carry them. */
+/* Reads the clocks and draws the random numbers that the inputs of the controller carry. */
 #pragma once
 
 #include "controller/core.h"
@@ -6,15 +6,15 @@
 /**
  * MhProcessClock:
  *
- * Reads the clocks of the operating system. The controller itself reads none, so that tests can
- * give it any time.
+ * The clocks of the operating system and a random number generator. The controller itself reads no
+ * clock, so that tests can set its time.
  */
 typedef struct MhProcessClock MhProcessClock;
 
 /**
  * mh_process_clock_new:
  *
- * Returns: (transfer full): a clock, its random numbers seeded by the operating system
+ * Returns: (transfer full): a clock whose random number generator is seeded by the operating system
  */
 MhProcessClock *
 mh_process_clock_new (void);
@@ -31,9 +31,7 @@
  * mh_process_clock_read:
  * @clock: a clock
  *
- * Draws a new random number with each call.
- *
- * Returns: monotonic and wall-clock time in microseconds, and a random number in [0, 1)
+ * Returns: monotonic and wall-clock time in microseconds, and a new random number in [0, 1)
  */
 MhNow
 mh_process_clock_read (MhProcessClock *clock);
--- a/src/server/request-forwarder.c
+++ b/src/server/request-forwarder.c
@@ -15,7 +15,7 @@
   gpointer user_data;
 };
 
-/* What a timeout is about. */
+/* Data of a time-out source. */
 typedef struct
 {
   MhRequestForwarder *forwarder;
@@ -57,7 +57,7 @@
   MhPeerConnection *connection = request->forwarded_to;
   request->forward_timeout = 0;
   report_failure (self, request->id);
-  /* A controller that does not answer in time may hang: the next request tries a new connection. */
+  /* A controller that does not answer in time may hang: the next request opens a new connection. */
   if (connection)
     mh_peer_connection_close (connection);
   return G_SOURCE_REMOVE;
@@ -91,42 +91,43 @@
 void
 mh_request_forwarder_handle_closed (MhRequestForwarder *self, MhPeerConnection *connection)
 {
-  g_autoptr (GArray) forwarded = mh_pending_requests_drop_connection (self->requests, connection);
+  g_autoptr (GArray) forwarded = mh_pending_requests_detach_connection (self->requests, connection);
   for (guint i = 0; i < forwarded->len; i++)
     report_failure (self, g_array_index (forwarded, guint64, i));
 }
 
-/* NULL when the call holds no submission of the job that it names. */
+/* Returns NULL when the message's body is not a submission of the job that the message names. */
 static MhJobSpec *
-read_submission (const MhControllerMessage *call)
+read_submission (const MhControllerMessage *message)
 {
   gsize size;
-  const void *data = g_bytes_get_data (call->body, &size);
+  const void *data = g_bytes_get_data (message->body, &size);
   g_autoptr (MhValue) body = mh_value_load (data, size, NULL);
   g_autoptr (MhJobSpec) spec = mh_submission_decode (body, NULL);
-  if (spec == NULL || strcmp (spec->id, call->job) != 0)
+  if (spec == NULL || strcmp (spec->id, message->job) != 0)
     return NULL;
   return g_steal_pointer (&spec);
 }
 
 MhPendingRequest *
 mh_request_forwarder_receive (MhRequestForwarder *self, MhPeerConnection *connection,
-                              const MhControllerMessage *call, MhJobSpec **spec)
+                              const MhControllerMessage *message, MhJobSpec **spec)
 {
   *spec = NULL;
-  if (call->verb == MH_USER_SUBMIT)
+  if (message->verb == MH_USER_SUBMIT)
     {
-      *spec = read_submission (call);
+      *spec = read_submission (message);
       if (*spec == NULL)
         {
           const MhUserAnswer refused = { .status = SOUP_STATUS_BAD_REQUEST };
-          mh_peer_connection_send (connection, mh_controller_response_encode (call->id, &refused));
+          mh_peer_connection_send (connection,
+                                   mh_controller_response_encode (message->id, &refused));
           return NULL;
         }
     }
   MhPendingRequest *request
-      = mh_pending_requests_add_forwarded (self->requests, connection, call->id);
-  request->verb = call->verb;
-  request->job = g_strdup (call->job);
+      = mh_pending_requests_add_forwarded (self->requests, connection, message->id);
+  request->verb = message->verb;
+  request->job = g_strdup (message->job);
   return request;
 }
--- a/src/server/request-forwarder.h
+++ b/src/server/request-forwarder.h
@@ -1,5 +1,5 @@
-/* Users' requests on their way between controllers: those that this one passes on to the leader,
-   and those that others pass on to it. */
+/* Forwarding of users' requests between controllers: those that this controller forwards to the
+   leader, and those that other controllers forward to it. */
 #pragma once
 
 #include "protocol/user-messages.h"
@@ -10,25 +10,26 @@
 /**
  * MhRequestForwarder:
  *
- * Passes requests on, and waits for their answers.
+ * Forwards requests and waits for their answers.
  */
 typedef struct MhRequestForwarder MhRequestForwarder;
 
 /**
  * MhForwardOutcomeFunc:
- * @id: number of a request that was passed on
- * @answer: (nullable): the other controller's answer; %NULL when none came in time
- * @user_data: as given to mh_request_forwarder_new()
+ * @id: id of a forwarded request
+ * @answer: (nullable): the other controller's answer; %NULL when the request timed out or the
+ *   connection to that controller was closed
+ * @user_data: the pointer that was passed to mh_request_forwarder_new()
  *
- * Called once for each request that was passed on, unless its user went away before.
+ * Called once for each forwarded request, unless its user's connection ends before.
  */
 typedef void (*MhForwardOutcomeFunc) (guint64 id, const MhUserAnswer *answer, gpointer user_data);
 
 /**
  * mh_request_forwarder_new:
- * @requests: the requests that wait for an answer; has to outlive the forwarder
+ * @requests: the table of pending requests; has to outlive the forwarder
  * @outcome: called with each outcome
- * @user_data: for @outcome
+ * @user_data: passed to @outcome
  *
  * Returns: (transfer full): a forwarder
  */
@@ -48,8 +49,9 @@
  * mh_request_forwarder_send:
  * @self: a forwarder
  * @request: (transfer none): a user's request
- * @connection: (transfer none): a connection to the controller that shall answer it
- * @timeout_us: after this time, in microseconds, there is no answer, and @connection is closed
+ * @connection: (transfer none): a connection to the controller that is to answer it
+ * @timeout_us: time after which the request has no answer and @connection is closed, in
+ * microseconds
  */
 void
 mh_request_forwarder_send (MhRequestForwarder *self, MhPendingRequest *request,
@@ -58,8 +60,9 @@
 /**
  * mh_request_forwarder_handle_answer:
  * @self: a forwarder
- * @connection: the connection on which the answer came
- * @message: an answer; one that nobody waits for on @connection any more is ignored
+ * @connection: the connection on which the answer was received
+ * @message: an answer; it is ignored unless its request is pending and was forwarded over
+ * @connection
  */
 void
 mh_request_forwarder_handle_answer (MhRequestForwarder *self, MhPeerConnection *connection,
@@ -70,7 +73,8 @@
  * @self: a forwarder
  * @connection: a connection that was closed
  *
- * What was passed on over @connection has no answer; what came over it needs none any more.
+ * Requests that were forwarded over @connection end without an answer. Requests that were received
+ * over it stay pending, but their answers are not sent.
  */
 void
 mh_request_forwarder_handle_closed (MhRequestForwarder *self, MhPeerConnection *connection);
@@ -78,16 +82,15 @@
 /**
  * mh_request_forwarder_receive:
  * @self: a forwarder
- * @connection: the connection on which the call came
- * @call: a request that another controller passes on
- * @spec: (out) (transfer full) (nullable): the job that is submitted; %NULL for other requests
+ * @connection: the connection on which @message was received
+ * @message: a request that another controller forwards
+ * @spec: (out) (transfer full) (nullable): the submitted job; %NULL for other requests
  *
- * A submission that is malformed, or not of the job that the call names, is answered with status
- * 400.
+ * Answers status 400 to a submission that is malformed or whose job is not the one that @message
+ * names.
  *
- * Returns: (transfer none) (nullable): the request, which waits for an answer; %NULL when it has
- * been answered
+ * Returns: (transfer none) (nullable): the pending request; %NULL when it has been answered
  */
 MhPendingRequest *
 mh_request_forwarder_receive (MhRequestForwarder *self, MhPeerConnection *connection,
-                              const MhControllerMessage *call, MhJobSpec **spec);
+                              const MhControllerMessage *message, MhJobSpec **spec);
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -20,8 +20,8 @@
   MhHttpClient *http_client;
   MhPeerNetwork *peers;
   MhRequestForwarder *forwarder;
-  GSource *timer; /* of the controller's next wake-up */
-  bool dispatching;
+  GSource *timer;   /* ready at the controller's next wake-up */
+  bool dispatching; /* dispatch_actions() runs */
 } Server;
 
 /* ---- actions of the controller ---- */
@@ -45,8 +45,8 @@
 announce_leader (Server *server, const MhAction *action)
 {
   MhPeerConnection *connection = mh_peer_network_get_connection (server->peers, action->node);
-  /* A slow or absent controller that has not taken the last announcement yet needs no second one.
-   */
+  /* While an earlier announcement is still queued for a slow or unreachable controller, another one
+     is of no use. */
   if (connection && !mh_peer_connection_has_queued_output (connection))
     mh_peer_connection_send (
         connection, mh_controller_announcement_encode (server->settings->node_name, action->id));
@@ -57,7 +57,7 @@
 {
   const MhPendingRequest *request = mh_pending_requests_lookup (server->requests, action->id);
   if (request == NULL)
-    return; /* who asked is gone */
+    return; /* the connection of the user or worker has ended */
   if (request->message == NULL)
     {
       if (request->peer)
@@ -67,7 +67,7 @@
   else if (action->kind == MH_ACTION_ANSWER_USER)
     mh_http_server_answer_user (server->http_server, request, &action->answer);
   else
-    mh_http_server_answer_report (server->http_server, request, action->status, action->body);
+    mh_http_server_answer_heartbeat (server->http_server, request, action->status, action->body);
   mh_pending_requests_remove (server->requests, action->id);
 }
 
@@ -101,16 +101,17 @@
   return mh_core_pop (server->core, g_get_monotonic_time ());
 }
 
-/* Carries out what the controller says after an input. An action may be an input in turn, and so
-   come back here; the outer call goes on with what follows from it. */
+/* Carries out the controller's actions after an input. An action may cause another input and so
+   call this function again: the nested call returns at once, and the outer call carries out its
+   actions too. */
 static void
 dispatch_actions (Server *server)
 {
   if (server->dispatching)
     return;
   server->dispatching = true;
-  /* Sources that are made here belong to the main context, also while a connection's own is
-   * iterated. */
+  /* Sources that are created here belong to the default main context, even while the context of a
+     connection group is iterated. */
   g_main_context_push_thread_default (NULL);
   for (MhAction *action = pop_action (server); action; action = pop_action (server))
     {
@@ -146,11 +147,11 @@
 }
 
 static void
-on_report (const MhPendingRequest *request, const MhHeartbeat *report, gpointer data)
+on_heartbeat (const MhPendingRequest *request, const MhHeartbeat *heartbeat, gpointer data)
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_report (server->core, &now, request->id, report);
+  mh_core_report (server->core, &now, request->id, heartbeat);
   dispatch_actions (server);
 }
 
@@ -173,12 +174,13 @@
 }
 
 static void
-on_forwarded_request (Server *server, MhPeerConnection *connection, const MhControllerMessage *call)
+on_forwarded_request (Server *server, MhPeerConnection *connection,
+                      const MhControllerMessage *message)
 {
   MhJobSpec *spec;
   MhNow now = mh_process_clock_read (server->clock);
   const MhPendingRequest *request
-      = mh_request_forwarder_receive (server->forwarder, connection, call, &spec);
+      = mh_request_forwarder_receive (server->forwarder, connection, message, &spec);
   if (request == NULL)
     return;
   const MhUserRequest user_request = { .id = request->id,
@@ -244,8 +246,9 @@
 
 static GSourceFuncs timer_funcs = { .dispatch = dispatch_timer };
 
-static const MhHttpServerHandlers http_handlers
-    = { .is_ready = on_readiness_probe, .user_request = on_user_request, .report = on_report };
+static const MhHttpServerHandlers http_handlers = { .is_ready = on_readiness_probe,
+                                                    .user_request = on_user_request,
+                                                    .heartbeat = on_heartbeat };
 
 static const MhPeerHandlers peer_handlers
     = { .message = on_peer_message, .closed = on_peer_closed };
@@ -274,8 +277,9 @@
   g_autoptr (GSocketAddress) peer_bind = mh_socket_address_parse (settings->peer_bind);
   if (front == NULL || peer_bind == NULL)
     {
-      g_set_error_literal (error, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_INVALID,
-                           "front or peer_bind is not an IP address");
+      g_set_error_literal (
+          error, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_INVALID,
+          "front or peer_bind is not an IP address; expected ADDRESS:PORT without a host name");
       return false;
     }
   if (!mh_http_server_listen (server->http_server, front, settings->max_connections, error))
@@ -311,7 +315,7 @@
     return false;
   start_controller (&server);
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
-  g_info ("%s: users and workers on %s, controllers on %s", settings->node_name, settings->front,
+  g_info ("listening node=%s front=%s peer_bind=%s", settings->node_name, settings->front,
           settings->peer_bind);
   g_main_loop_run (loop);
   return true;
--- a/src/server/socket-address.h
+++ b/src/server/socket-address.h
@@ -1,4 +1,4 @@
-/* Addresses as the settings name them. */
+/* Parses the socket addresses of the settings. */
 #pragma once
 
 #include <gio/gio.h>
@@ -7,8 +7,10 @@
  * mh_socket_address_parse:
  * @text: an IP address and a port, "ADDRESS:PORT"
  *
- * Returns: (transfer full) (nullable): the address, or %NULL when @text is no IP address with a
- * port between 1 and 65535; host names are not looked up
+ * Host names are not resolved.
+ *
+ * Returns: (transfer full) (nullable): the address, or %NULL when @text is not an IP address with a
+ *   port from 1 to 65535
  */
 GSocketAddress *
 mh_socket_address_parse (const char *text);
--- a/src/settings/operator-file.c
+++ b/src/settings/operator-file.c
@@ -12,8 +12,8 @@
 }
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (ConfigFile, config_file_free)
 
-/* The first problem that libConfuse found. It reports problems to a callback without a context, and
-   the caller prints one line. */
+/* The first problem that libConfuse reports, since an error message is one line. It is static
+   because libConfuse passes no user data to its error function. */
 static char *first_problem;
 
 static void
@@ -26,7 +26,7 @@
 }
 
 static bool
-invalid (GError **error, const char *message)
+fail_invalid (GError **error, const char *message)
 {
   g_set_error_literal (error, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_INVALID, message);
   return false;
@@ -38,7 +38,7 @@
   return cfg_size (section, name) > 0;
 }
 
-/* Each of these leaves the value unchanged where the file does not name it. */
+/* The following functions leave a value unchanged if the file does not set it. */
 static void
 read_time (cfg_t *section, const char *name, gint64 *time_us)
 {
@@ -70,20 +70,21 @@
     return true;
   *soft = strcmp (text, "ScheduleAnyway") == 0;
   if (!*soft && strcmp (text, "DoNotSchedule") != 0)
-    return invalid (error, "when_unsatisfiable must be DoNotSchedule or ScheduleAnyway");
+    return fail_invalid (error,
+                         "when_unsatisfiable must be \"DoNotSchedule\" or \"ScheduleAnyway\"");
   return true;
 }
 
-/* What a rule does not name is as for all classes. */
+/* What a rule does not set is taken from the settings for all classes. */
 static bool
 read_spread_rule (cfg_t *section, MhSettings *settings, GError **error)
 {
-  long max_skew = cfg_getint (section, "max_skew"); /* 0: not named */
+  long max_skew = cfg_getint (section, "max_skew"); /* 0: not set */
   bool soft = settings->soft_spread;
   if (!read_when_unsatisfiable (section, &soft, error))
     return false;
   if (max_skew < 0)
-    return invalid (error, "max_skew must be at least 1");
+    return fail_invalid (error, "max_skew in a spread section must be at least 1");
   MhSpreadRule *rule = g_new0 (MhSpreadRule, 1);
   rule->class_name = g_strdup (cfg_title (section));
   rule->max_skew = max_skew ? (guint)max_skew : settings->max_skew;
@@ -104,7 +105,7 @@
       || !read_count (file, "max_skew", 1, &settings->max_skew, error))
     return false;
   if (settings->idle_limit_us < 0 || settings->silence_limit_us < 0)
-    return invalid (error, "idle_s and silence_s must not be negative");
+    return fail_invalid (error, "idle_s and silence_s must not be negative");
   if (!read_when_unsatisfiable (file, &settings->soft_spread, error))
     return false;
   for (guint i = 0; i < cfg_size (file, "spread"); i++)
@@ -118,7 +119,7 @@
 {
   if (parse_result == CFG_FILE_ERROR)
     return "cannot be read";
-  return first_problem ? first_problem : "not understood";
+  return first_problem ? first_problem : "cannot be parsed";
 }
 
 bool
--- a/src/settings/operator-file.h
+++ b/src/settings/operator-file.h
@@ -1,4 +1,4 @@
-/* The operator's own settings: an HCL-like file, read by libConfuse (docs/operations.md,
+/* Reads the operator's settings, an HCL-like file, with libConfuse (docs/operations.md,
  * "Settings"). */
 #pragma once
 
@@ -7,13 +7,13 @@
 /**
  * mh_operator_file_read:
  * @path: name of the file
- * @settings: settings; what the file names replaces what they hold
+ * @settings: settings; a value that the file sets replaces the present one
  * @error: return location for a #GError of #MH_SETTINGS_ERROR, FILE or INVALID
  *
- * Unknown names are refused. Not to be called by several threads at a time: libConfuse reports
- * problems without a context.
+ * Unknown settings are refused. Not thread-safe, since libConfuse passes no user data to its error
+ * function.
  *
- * Returns: %FALSE with @error when the file cannot be read or is refused
+ * Returns: %FALSE with @error when the file cannot be read or a setting is refused
  */
 bool
 mh_operator_file_read (const char *path, MhSettings *settings, GError **error);
--- a/src/settings/platform-file.cpp
+++ b/src/settings/platform-file.cpp
@@ -1,5 +1,5 @@
-// The platform's settings file. toml++ is the nearest maintained TOML library that Debian has; this
-// file alone is C++, so that the rest can stay C.
+// Reads the platform's settings file with toml++, a C++ library: Debian has no maintained TOML
+// library that is closer to C. This is the only C++ file, so that the rest can stay C.
 #define TOML_EXCEPTIONS 0
 #define TOML_HEADER_ONLY 1
 #define TOML_ENABLE_FORMATTERS 0
@@ -17,7 +17,8 @@
 {
 using Node = toml::node_view<toml::node>;
 
-// Beyond these a value is cut off; no platform comes near.
+// Limits that no platform comes near. A time at or above its limit is read as 0, other
+// values are lowered to their limit.
 constexpr double max_seconds = 1e9;
 constexpr double max_value_kb = 65536.0;
 constexpr double max_txn_ops = 1000.0;
@@ -40,8 +41,8 @@
   return number && std::isfinite (*number) ? *number : 0.0;
 }
 
-// A limit of 0, or none given, is no limit. Read as "nothing at all", every job of a guest team was
-// refused for ever (422).
+// A limit that is 0 or missing means no limit. When it was read as a limit of 0, every job of a
+// guest team was refused permanently (status 422).
 double
 read_limit (Node node)
 {
@@ -143,7 +144,7 @@
 void
 read_workers (Node workers, MhSettings *settings)
 {
-  settings->report_interval_us = read_time (workers["report_s"]);
+  settings->heartbeat_interval_us = read_time (workers["report_s"]);
   settings->worker_lease_us = read_time (workers["lease_s"]);
   settings->cancel_limit_us = read_time (workers["cancel_s"]);
   settings->gang_wait_us = read_time (workers["gang_wait_s"]);
--- a/src/settings/platform-file.h
+++ b/src/settings/platform-file.h
@@ -1,4 +1,4 @@
-/* The platform's settings: a TOML file. */
+/* Reads the platform's settings, a TOML file. */
 #pragma once
 
 #include "settings/settings.h"
@@ -6,14 +6,14 @@
 /**
  * mh_platform_file_read:
  * @path: name of the file
- * @settings: new settings, which are filled in
+ * @settings: new settings, whose values are set
  * @error: return location for a #GError of #MH_SETTINGS_ERROR, code FILE
  *
- * Unknown fields are ignored, since the platform may hand over more than this version knows. A
- * field that is missing or of another type stays at its default, 0 or %NULL; mh_settings_check()
- * refuses what cannot work.
+ * Unknown fields are ignored, since the platform may provide fields that this version does not
+ * know. A field that is missing or of another type keeps its default, 0 or %NULL;
+ * mh_settings_check() refuses settings that cannot work.
  *
- * Returns: %FALSE with @error when the file cannot be read or is not TOML
+ * Returns: %FALSE with @error when the file cannot be read or is not valid TOML
  */
 bool
 mh_platform_file_read (const char *path, MhSettings *settings, GError **error);
--- a/src/settings/settings-loader.h
+++ b/src/settings/settings-loader.h
@@ -1,12 +1,12 @@
-/* From the two settings files to checked settings. */
+/* Reads the two settings files and checks the settings. */
 #pragma once
 
 #include "settings/settings.h"
 
 /**
  * mh_settings_load:
- * @platform_path: the platform's file (TOML)
- * @operator_path: (nullable): the operator's own file
+ * @platform_path: name of the platform's file (TOML)
+ * @operator_path: (nullable): name of the operator's file
  * @error: return location for a #GError of #MH_SETTINGS_ERROR
  *
  * Returns: (transfer full) (nullable): checked settings, or %NULL with @error
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define DEFAULT_LEASE_US MH_SECOND_US
-#define DEFAULT_IDLE_US (8 * MH_SECOND_US)
+#define DEFAULT_LEADER_LEASE_US MH_SECOND_US
+#define DEFAULT_IDLE_LIMIT_US (8 * MH_SECOND_US)
 #define DEFAULT_CORE_SHARE 0.1
 #define DEFAULT_MAX_CONNECTIONS 1000u
 
@@ -51,9 +51,9 @@
   settings->teams = g_ptr_array_new_with_free_func (team_free);
   settings->objectives = g_ptr_array_new_with_free_func (objective_free);
   settings->spread_rules = g_ptr_array_new_with_free_func (spread_rule_free);
-  settings->leader_lease_us = DEFAULT_LEASE_US;
-  settings->idle_limit_us = DEFAULT_IDLE_US;
-  settings->max_batch = G_MAXUINT; /* lowered to txn_ops when it is checked */
+  settings->leader_lease_us = DEFAULT_LEADER_LEASE_US;
+  settings->idle_limit_us = DEFAULT_IDLE_LIMIT_US;
+  settings->max_batch = G_MAXUINT; /* mh_settings_check() lowers it to txn_ops */
   settings->max_skew = 1;
   settings->direct_commands = true;
   settings->core_share = DEFAULT_CORE_SHARE;
@@ -80,7 +80,7 @@
 }
 
 MhTeam *
-mh_settings_team (const MhSettings *settings, const char *name)
+mh_settings_find_team (const MhSettings *settings, const char *name)
 {
   for (guint i = 0; i < settings->teams->len; i++)
     {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,4 @@
-/* The settings of a controller: those that the platform hands over, and the operator's own. */
+/* The settings of a controller: those of the platform and those of the operator. */
 #pragma once
 
 #include "base/time-units.h"
@@ -9,7 +9,7 @@
 /**
  * MH_SETTINGS_ERROR:
  *
- * Error domain of the settings. Messages are one line, for the person who wrote the file.
+ * Error domain of the settings. A message is one line for the author of the file.
  */
 #define MH_SETTINGS_ERROR (mh_settings_error_quark ())
 
@@ -23,8 +23,8 @@
 
 /**
  * MhSettingsError:
- * @MH_SETTINGS_ERROR_FILE: a file cannot be read, or is not in its format
- * @MH_SETTINGS_ERROR_MISSING: a setting that has no default is not there
+ * @MH_SETTINGS_ERROR_FILE: a file cannot be read or parsed
+ * @MH_SETTINGS_ERROR_MISSING: a setting without a default is missing
  * @MH_SETTINGS_ERROR_INVALID: the value of a setting is not allowed
  *
  * Codes of #MH_SETTINGS_ERROR.
@@ -39,8 +39,8 @@
 /**
  * MhMember:
  * @name: node_name of the controller
- * @zone: (nullable): the zone it is in
- * @endpoint: "ADDRESS:PORT" where it listens for controllers
+ * @zone: (nullable): zone of the controller
+ * @endpoint: "ADDRESS:PORT" on which it listens for other controllers
  *
  * Another controller (platform: members).
  */
@@ -54,10 +54,10 @@
 /**
  * MhTeam:
  * @name: name of the team
- * @cpus: processors that are guaranteed to it; 0: none
- * @gpus: graphics processors that are guaranteed to it; 0: none
- * @cpus_max: limit of its processors; infinite: none
- * @gpus_max: limit of its graphics processors; infinite: none
+ * @cpus: guaranteed processors; 0: none
+ * @gpus: guaranteed graphics processors; 0: none
+ * @cpus_max: limit of processors; infinite: no limit
+ * @gpus_max: limit of graphics processors; infinite: no limit
  *
  * The quota of a team (platform: settings.teams).
  */
@@ -72,12 +72,13 @@
 
 /**
  * MhObjectiveKind:
- * @MH_OBJECTIVE_WAIT: a task starts soon after its submission ("wait")
- * @MH_OBJECTIVE_FINISHED: a job is done soon after its submission ("finished")
+ * @MH_OBJECTIVE_WAIT: a task starts within a time after its submission ("wait")
+ * @MH_OBJECTIVE_FINISHED: a job is done within a time after its submission ("finished")
  * @MH_OBJECTIVE_DEADLINE: a job is done by its deadline ("deadline")
- * @MH_OBJECTIVE_GUARANTEE: a team gets what is guaranteed to it soon after it asks ("guarantee")
+ * @MH_OBJECTIVE_GUARANTEE: a team gets its guaranteed quota within a time after it requests it
+ *   ("guarantee")
  *
- * What a service-level objective is about.
+ * Kind of a service-level objective, with its name in the platform's settings.
  */
 typedef enum
 {
@@ -89,11 +90,12 @@
 
 /**
  * MhObjective:
- * @kind: what it is about
- * @class_name: (nullable): class of the jobs that it holds for
- * @within_us: the time that is allowed, in microseconds; 0: not said
+ * @kind: kind of the objective
+ * @class_name: (nullable): class of the jobs to which it applies
+ * @within_us: time that is allowed, in microseconds; 0: not set
  *
- * A service-level objective (platform: settings.objectives). Those of unknown kinds are left out.
+ * A service-level objective (platform: settings.objectives). Objectives of unknown kinds are
+ * ignored.
  */
 typedef struct
 {
@@ -104,11 +106,11 @@
 
 /**
  * MhSpreadRule:
- * @class_name: class of services that it holds for
+ * @class_name: class of the services to which it applies
  * @max_skew: KEP-895's MaxSkew, at least 1
  * @soft: KEP-895's ScheduleAnyway; otherwise DoNotSchedule
  *
- * How one class of services is spread over zones (operator: spread).
+ * Topology spread of one class of services over zones (operator: spread).
  */
 typedef struct
 {
@@ -120,61 +122,63 @@
 /**
  * MhSettings:
  * @node_name: name of this controller (platform: node_name)
- * @zone: (nullable): the zone it is in (platform: zone)
- * @front: "ADDRESS:PORT" where it listens for users and workers (platform: front)
- * @peer_bind: "ADDRESS:PORT" where it listens for controllers (platform: peer_bind)
+ * @zone: (nullable): zone of this controller (platform: zone)
+ * @front: "ADDRESS:PORT" on which it listens for users and workers (platform: front)
+ * @peer_bind: "ADDRESS:PORT" on which it listens for other controllers (platform: peer_bind)
  * @cloud: "HOST:PORT" of the cloud (platform: endpoints.cloud)
  * @key_value_store: "HOST:PORT" of the key-value store (platform: endpoints.state)
  * @members: (element-type MhMember): the other controllers (platform: members)
  * @teams: (element-type MhTeam): quotas (platform: settings.teams)
  * @objectives: (element-type MhObjective): service-level objectives (platform: settings.objectives)
- * @report_interval_us: time between two heartbeats of a worker, in microseconds (platform:
+ * @heartbeat_interval_us: time between two heartbeats of a worker, in microseconds (platform:
  *   settings.workers.report_s)
- * @worker_lease_us: a worker that has had no answer for so long stops its tasks, in microseconds
- *   (platform: settings.workers.lease_s)
- * @cancel_limit_us: time within which a cancelled task has to be gone, in microseconds (platform:
- *   settings.workers.cancel_s)
- * @list_lag_us: how old the cloud's list of machines may be, in microseconds (platform:
+ * @worker_lease_us: time without an answer from the leader after which a worker stops its tasks, in
+ *   microseconds (platform: settings.workers.lease_s)
+ * @cancel_limit_us: time within which the tasks of a cancelled job have to be gone, in microseconds
+ *   (platform: settings.workers.cancel_s)
+ * @list_lag_us: how far the cloud's list of machines may be behind, in microseconds (platform:
  *   settings.cloud.list_lag_s)
- * @gang_wait_us: time that a gang may take to be complete, in microseconds (platform:
- *   settings.workers.gang_wait_s); 50 s when it is not said
- * @gang_peer_us: time within which all tasks of a gang have to be told, or notice a loss, in
- * microseconds (platform: settings.workers.gang_peer_s); 5 s when it is not said
- * @store_rps: requests a second that the key-value store takes (platform: settings.state.rps)
- * @store_write_rps: changes a second that the key-value store takes (platform:
- * settings.state.write_rps)
- * @cloud_rps: requests a second that the cloud takes (platform: settings.cloud.rps)
+ * @gang_wait_us: time that a ready task waits for the other tasks of its gang, in microseconds
+ *   (platform: settings.workers.gang_wait_s); 50 s by default
+ * @gang_peer_us: time within which all tasks of a gang have to receive a command to stop, or to
+ *   detect the loss of a task, in microseconds (platform: settings.workers.gang_peer_s); 5 s by
+ *   default
+ * @store_rps: requests per second that the key-value store allows (platform: settings.state.rps)
+ * @store_write_rps: changes per second that the key-value store allows (platform:
+ *   settings.state.write_rps)
+ * @cloud_rps: requests per second that the cloud allows (platform: settings.cloud.rps)
  * @value_bytes: largest value in the key-value store, in bytes (platform: settings.state.value_kb);
- *   once checked, the lower one of those now and next
- * @txn_ops: most changes in one transaction (platform: settings.state.txn_ops); once checked, the
- * lower one of those now and next
- * @next_write_rps: changes a second that the key-value store will take from some moment on, without
- *   notice (platform: settings.state.next.write_rps); 0: as now
- * @next_value_bytes: its largest value from then on, in bytes (platform:
- * settings.state.next.value_kb); 0: as now
- * @next_txn_ops: most changes in one of its transactions from then on (platform:
- *   settings.state.next.txn_ops); 0: as now
- * @core_share: share of one processor that this controller has (platform:
- *   settings.resources.core_share); 0.1 when it is not said
- * @max_connections: connections of users and workers that may be open (platform:
- *   settings.resources.max_connections); 1000 when it is not said
- * @memory_bytes: memory that this controller has, in bytes (platform: settings.resources.ram_mb);
- * 0: not said
- * @leader_lease_us: the leader's lease in the key-value store, in microseconds (operator: lease_s)
- * @silence_limit_us: a machine that has been silent for so long is given back, in microseconds
- * (operator: silence_s); once checked never 0
- * @idle_limit_us: a machine that has been idle for so long is given back, in microseconds
- * (operator: idle_s)
- * @max_batch: most records in one transaction (operator: batch); once checked at most @txn_ops
+ *   after mh_settings_check() the lower one of the present and the next limit
+ * @txn_ops: largest number of changes in one transaction (platform: settings.state.txn_ops); after
+ *   mh_settings_check() the lower one of the present and the next limit
+ * @next_write_rps: changes per second that the key-value store will allow from some moment on; the
+ *   change is not announced (platform: settings.state.next.write_rps); 0: no change
+ * @next_value_bytes: largest value from that moment on, in bytes (platform:
+ *   settings.state.next.value_kb); 0: no change
+ * @next_txn_ops: largest number of changes in one transaction from that moment on (platform:
+ *   settings.state.next.txn_ops); 0: no change
+ * @core_share: share of one processor that this controller may use (platform:
+ *   settings.resources.core_share); 0.1 by default
+ * @max_connections: number of connections of users and workers that may be open (platform:
+ *   settings.resources.max_connections); 1000 by default
+ * @memory_bytes: memory that this controller may use, in bytes (platform:
+ *   settings.resources.ram_mb); 0: not set
+ * @leader_lease_us: duration of the leader lease in the key-value store, in microseconds (operator:
+ *   lease_s)
+ * @silence_limit_us: time without a message from a machine after which it is released, in
+ *   microseconds (operator: silence_s); not 0 after mh_settings_check()
+ * @idle_limit_us: time without tasks after which a machine is released, in microseconds (operator:
+ *   idle_s)
+ * @max_batch: largest number of records in one transaction (operator: batch); at most @txn_ops
+ * after mh_settings_check()
  * @max_skew: MaxSkew of classes without a rule (operator: max_skew)
- * @soft_spread: whether classes without a rule are spread by ScheduleAnyway (operator:
- * when_unsatisfiable)
- * @direct_commands: whether commands are sent straight to workers too, not only in answers to their
- * heartbeats (operator: direct)
+ * @soft_spread: ScheduleAnyway for classes without a rule; otherwise DoNotSchedule (operator:
+ *   when_unsatisfiable)
+ * @direct_commands: whether commands are also sent to workers directly, not only in answers to
+ * their heartbeats (operator: direct)
  * @spread_rules: (element-type MhSpreadRule): rules of single classes (operator: spread)
  *
- * All settings. "platform" and "operator" above name the file and the field that a value comes
- * from.
+ * All settings. "platform" and "operator" name the file and the field that a value is read from.
  */
 typedef struct
 {
@@ -187,7 +191,7 @@
   GPtrArray *members;
   GPtrArray *teams;
   GPtrArray *objectives;
-  gint64 report_interval_us;
+  gint64 heartbeat_interval_us;
   gint64 worker_lease_us;
   gint64 cancel_limit_us;
   gint64 list_lag_us;
@@ -217,8 +221,7 @@
 /**
  * mh_settings_new:
  *
- * Returns: (transfer full): settings that hold the defaults and nothing else; they are not valid
- * yet
+ * Returns: (transfer full): settings with only the defaults, which are not valid yet
  */
 MhSettings *
 mh_settings_new (void);
@@ -232,11 +235,11 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhSettings, mh_settings_free)
 
 /**
- * mh_settings_team:
+ * mh_settings_find_team:
  * @settings: settings
  * @name: name of a team
  *
- * Returns: (transfer none) (nullable): the team; %NULL when there is none of that name
+ * Returns: (transfer none) (nullable): the team; %NULL when there is no team of that name
  */
 MhTeam *
-mh_settings_team (const MhSettings *settings, const char *name);
+mh_settings_find_team (const MhSettings *settings, const char *name);
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -50,7 +50,7 @@
   g_string_append_printf (text,
                           "[settings.workers]\nreport_s = %f\nlease_s = %f\ncancel_s = %f\n"
                           "gang_wait_s = %f\ngang_peer_s = %f\n",
-                          seconds (settings->report_interval_us),
+                          seconds (settings->heartbeat_interval_us),
                           seconds (settings->worker_lease_us), seconds (settings->cancel_limit_us),
                           seconds (settings->gang_wait_us), seconds (settings->gang_peer_us));
   g_string_append_printf (text,
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -103,7 +103,7 @@
   TaskStart start = { .machine = machine, .task = task, .job = job };
   for (guint i = 0; i < rules->machines->len; i++)
     check_beside_all_on (rules, &start, g_ptr_array_index (rules->machines, i));
-  const MhTeam *team = mh_settings_team (rules->settings, job->spec->team);
+  const MhTeam *team = mh_settings_find_team (rules->settings, job->spec->team);
   if (start.team_cpus > team->cpus_max + QUOTA_TOLERANCE)
     rule_checks_report (rules, "quota: %s uses %.1f", team->name, start.team_cpus);
   if (!in_right_place (&start))
@@ -145,7 +145,7 @@
 wants_a_task_within_quota (const RuleChecks *rules, const WorkloadJob *job)
 {
   const MhJobSpec *spec = job->spec;
-  const MhTeam *team = mh_settings_team (rules->settings, spec->team);
+  const MhTeam *team = mh_settings_find_team (rules->settings, spec->team);
   double team_cpus = 0, unused = 0;
   guint placed = 0;
   for (guint i = 0; i < rules->machines->len; i++)
--- a/tests/stand-in/simulation-settings.c
+++ b/tests/stand-in/simulation-settings.c
@@ -33,7 +33,7 @@
 static void
 set_limits (MhSettings *settings)
 {
-  settings->report_interval_us = 3 * MH_SECOND_US;
+  settings->heartbeat_interval_us = 3 * MH_SECOND_US;
   settings->worker_lease_us = 16 * MH_SECOND_US;
   settings->cancel_limit_us = 41 * MH_SECOND_US;
   settings->list_lag_us = 2 * MH_SECOND_US;
--- a/tests/stand-in/worker.c
+++ b/tests/stand-in/worker.c
@@ -114,7 +114,7 @@
   if (report->status == 200)
     {
       worker_protocol_response (worker->machine, report->sent_us, report->session, report->body);
-      report_again (worker, (gint64)((double)simulation->settings->report_interval_us
+      report_again (worker, (gint64)((double)simulation->settings->heartbeat_interval_us
                                      * g_rand_double_range (simulation->random, 0.75, 1.25)));
     }
   else if (report->status == STATUS_OTHER_LEADER && node && node->index != worker->node
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -248,7 +248,7 @@
   (void)data;
   MhNow now = { .mono_us = START_US, .wall_us = START_US };
   fixture->settings = mh_settings_new ();
-  fixture->settings->report_interval_us = 3 * MH_SECOND_US;
+  fixture->settings->heartbeat_interval_us = 3 * MH_SECOND_US;
   fixture->settings->value_bytes = 32768;
   fixture->settings->txn_ops = 64;
   fixture->settings->store_rps = fixture->settings->store_write_rps = 100;
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -251,7 +251,7 @@
 {
   /* So long that the worker's next try, after it has given up on an answer, is not even late. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
-    simulation->nodes[i].settings->report_interval_us = 5 * MH_SECOND_US;
+    simulation->nodes[i].settings->heartbeat_interval_us = 5 * MH_SECOND_US;
   User *user = running_service (simulation, 1, 1);
   Worker *worker = worker_of (simulation, "j-000001/0");
   worker->only_node = (gint)simulation_leader (simulation)->index;
--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -92,7 +92,7 @@
 settings_new (void)
 {
   MhSettings *settings = mh_settings_new ();
-  settings->report_interval_us = 3 * MH_SECOND_US;
+  settings->heartbeat_interval_us = 3 * MH_SECOND_US;
   settings->value_bytes = 32768;
   settings->store_rps = settings->store_write_rps = settings->cloud_rps = 100;
   MhTeam *team = g_new0 (MhTeam, 1);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -46,10 +46,10 @@
                                           "  when_unsatisfiable = \"ScheduleAnyway\"\n}\n",
                                           &error);
   g_assert_nonnull (settings);
-  g_assert_cmpint (settings->report_interval_us, ==, 3 * MH_SECOND_US);
+  g_assert_cmpint (settings->heartbeat_interval_us, ==, 3 * MH_SECOND_US);
   g_assert_cmpuint (settings->value_bytes, ==, 8192);
   g_assert_cmpuint (settings->teams->len, ==, 1);
-  g_assert_cmpfloat (mh_settings_team (settings, "desk")->cpus_max, ==, 24);
+  g_assert_cmpfloat (mh_settings_find_team (settings, "desk")->cpus_max, ==, 24);
   g_assert_cmpint (settings->leader_lease_us, ==, 2500000);
   g_assert_cmpuint (settings->max_batch, ==, 4);
   g_assert_cmpuint (settings->max_skew, ==, 3);
@@ -73,10 +73,10 @@
       = g_strconcat (valid_file, "[[settings.teams]]\nname = \"guest\"\ncpus_max = -1.0\n", NULL);
   g_autoptr (MhSettings) settings = load (guests, NULL, &error);
   g_assert_nonnull (settings);
-  g_assert_cmpfloat (mh_settings_team (settings, "guest")->cpus, ==, 0);
-  g_assert_true (isinf (mh_settings_team (settings, "guest")->cpus_max));
-  g_assert_true (isinf (mh_settings_team (settings, "other")->cpus_max));
-  g_assert_cmpfloat (mh_settings_team (settings, "desk")->cpus_max, ==, 24);
+  g_assert_cmpfloat (mh_settings_find_team (settings, "guest")->cpus, ==, 0);
+  g_assert_true (isinf (mh_settings_find_team (settings, "guest")->cpus_max));
+  g_assert_true (isinf (mh_settings_find_team (settings, "other")->cpus_max));
+  g_assert_cmpfloat (mh_settings_find_team (settings, "desk")->cpus_max, ==, 24);
   g_assert_null (load (negative, NULL, &refused));
   g_assert_nonnull (strstr (refused->message, "guest"));
 }
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -16,7 +16,7 @@
 static void
 allow_large_fleet (MhSettings *settings, guint machines)
 {
-  settings->report_interval_us = 5 * MH_SECOND_US;
+  settings->heartbeat_interval_us = 5 * MH_SECOND_US;
   settings->worker_lease_us = 24 * MH_SECOND_US;
   settings->cancel_limit_us = 54 * MH_SECOND_US;
   settings->core_share = 0.7;
