--- a/src/server/http-client.c
+++ b/src/server/http-client.c
@@ -4,7 +4,7 @@
 
 #define CBOR_MEDIA_TYPE "application/cbor"
 #define MILLISECOND_US 1000
-/* Open connections to the key-value store, and to the cloud: each has this limit. */
+/* Limit of open connections to the key-value store, and likewise to the cloud. */
 #define CONNECTIONS_PER_HOST 16u
 #define IDLE_TIMEOUT_S 30u
 /* Calls to workers after which their session is replaced. A session keeps a timer for five minutes
--- a/src/server/http-listener.c
+++ b/src/server/http-listener.c
@@ -32,7 +32,7 @@
   GPtrArray *groups; /* MhConnectionGroup, owned; a group without connections is kept for reuse */
   GPtrArray *groups_with_room; /* MhConnectionGroup, below CONNECTIONS_PER_GROUP connections */
   GPtrArray *ready;            /* MhConnectionGroup, to be iterated */
-  MhConnectionGroup *current;  /* the group that is being iterated; NULL: none */
+  MhConnectionGroup *current;  /* being iterated, or getting a new connection; NULL: none */
   guint connections;           /* open ones */
   guint max_connections;
 };
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -1,5 +1,5 @@
-/* The real program, three times over, against the stand-ins on loopback. Nothing here depends on
-   how fast things happen: each step waits for what it needs. */
+/* Three processes of the real program against the stand-ins, over loopback. No test depends on the
+   speed of the machine: each step waits for the state that it needs. */
 #include "protocol/user-messages.h"
 #include "settings/settings-loader.h"
 #include "stand-in/environment.h"
@@ -14,7 +14,7 @@
 #include <sys/socket.h>
 
 #define NODES 3
-#define MOST_CONNECTIONS 60u
+#define MAX_CONNECTIONS 60u
 #define MAX_WAIT_US (120 * MH_SECOND_US)
 
 static const char *program;
@@ -24,7 +24,7 @@
   Machine *machine;
   SoupServer *server;
   guint node;
-  bool report_pending;
+  bool heartbeat_pending;
   gint64 next_us, sent_us;
   guint64 session;
 } Worker;
@@ -33,17 +33,17 @@
 {
   Environment *environment;
   MhSettings *settings;
-  SoupServer *outside; /* state service and cloud */
+  SoupServer *services; /* the stand-ins of the key-value store and the cloud */
   SoupSession *session;
-  guint outside_port, front[NODES], peer[NODES];
+  guint services_port, front[NODES], peer[NODES];
   char *dir, *config[NODES];
   GSubprocess *process[NODES];
   GPtrArray *workers;
-  GHashTable *waiting; /* paused messages, each the token of its watch */
+  GHashTable *waiting_watches; /* paused messages; each is the token of its watch */
 } cluster;
 
 static guint
-free_port (void)
+find_free_port (void)
 {
   g_autoptr (GSocket) socket
       = g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
@@ -68,7 +68,7 @@
 }
 
 static MhValue *
-body_of (SoupServerMessage *message)
+get_request_body (SoupServerMessage *message)
 {
   g_autoptr (GBytes) bytes
       = soup_message_body_flatten (soup_server_message_get_request_body (message));
@@ -78,19 +78,19 @@
 }
 
 static void
-advance (void)
+advance_environment (void)
 {
   g_autoptr (GArray) woken = g_array_new (FALSE, FALSE, sizeof (EndedWatch));
   environment_advance (cluster.environment, g_get_monotonic_time (), woken);
   for (guint i = 0; i < woken->len; i++)
     {
       const EndedWatch *watch = &g_array_index (woken, EndedWatch, i);
-      SoupServerMessage *message = g_hash_table_lookup (cluster.waiting, watch->token);
+      SoupServerMessage *message = g_hash_table_lookup (cluster.waiting_watches, watch->token);
       if (message)
         {
           respond (message, watch->status, watch->body);
           soup_server_message_unpause (message);
-          g_hash_table_remove (cluster.waiting, watch->token);
+          g_hash_table_remove (cluster.waiting_watches, watch->token);
         }
       else
         mh_value_unref (watch->body);
@@ -98,21 +98,22 @@
 }
 
 static void
-serve_outside (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
-               gpointer data)
+handle_service_request (SoupServer *server, SoupServerMessage *message, const char *path,
+                        GHashTable *query, gpointer data)
 {
   (void)server;
   (void)query;
   (void)data;
-  advance ();
+  advance_environment ();
   GUri *uri = soup_server_message_get_uri (message);
   const char *query_text = g_uri_get_query (uri);
-  g_autofree char *whole = query_text ? g_strconcat (path, "?", query_text, NULL) : g_strdup (path);
+  g_autofree char *path_and_query
+      = query_text ? g_strconcat (path, "?", query_text, NULL) : g_strdup (path);
   MhTarget target
       = g_str_has_prefix (path, "/machine") ? MH_TARGET_CLOUD : MH_TARGET_KEY_VALUE_STORE;
-  g_autoptr (MhValue) body = body_of (message);
+  g_autoptr (MhValue) body = get_request_body (message);
   ServiceRequest request = { .method = soup_server_message_get_method (message),
-                             .path = whole,
+                             .path = path_and_query,
                              .body = body,
                              .token = message };
   ServiceReply reply;
@@ -122,20 +123,20 @@
       return;
     }
   soup_server_message_pause (message);
-  g_hash_table_add (cluster.waiting, g_object_ref (message));
+  g_hash_table_add (cluster.waiting_watches, g_object_ref (message));
 }
 
 static void
-serve_worker (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
-              gpointer data)
+handle_worker_request (SoupServer *server, SoupServerMessage *message, const char *path,
+                       GHashTable *query, gpointer data)
 {
   Worker *worker = data;
   MhValue *reply = NULL;
   (void)server;
   (void)path;
   (void)query;
-  advance ();
-  g_autoptr (MhValue) body = body_of (message);
+  advance_environment ();
+  g_autoptr (MhValue) body = get_request_body (message);
   guint status
       = worker->machine->up ? worker_protocol_commands (worker->machine, body, &reply) : 503;
   respond (message, status, reply);
@@ -144,7 +145,7 @@
 /* ---- workers ---- */
 
 static void
-on_report_answered (GObject *source, GAsyncResult *result, gpointer data)
+on_heartbeat_answered (GObject *source, GAsyncResult *result, gpointer data)
 {
   Worker *worker = data;
   SoupMessage *message = soup_session_get_async_result_message (SOUP_SESSION (source), result);
@@ -155,8 +156,8 @@
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
   g_autoptr (MhValue) body = size ? mh_value_load (raw, size, NULL) : NULL;
   g_autofree char *node = body ? mh_value_get_text (body, "dispatcher") : NULL;
-  worker->report_pending = false;
-  advance ();
+  worker->heartbeat_pending = false;
+  advance_environment ();
   if (status == 200)
     worker_protocol_response (worker->machine, worker->sent_us, worker->session, body);
   else if (status == 421 && node)
@@ -167,36 +168,36 @@
 }
 
 static void
-report_if_due (Worker *worker)
+send_heartbeat_if_due (Worker *worker)
 {
   gint64 now_us = g_get_monotonic_time ();
-  if (!worker->machine->up || worker->machine->gone || worker->report_pending
+  if (!worker->machine->up || worker->machine->gone || worker->heartbeat_pending
       || now_us < worker->next_us)
     return;
-  worker->report_pending = true;
+  worker->heartbeat_pending = true;
   worker->sent_us = now_us;
   worker->session = worker->machine->session;
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", cluster.front[worker->node]);
   g_autoptr (SoupMessage) message = soup_message_new ("POST", url);
-  g_autoptr (MhValue) report = worker_protocol_report (worker->machine);
-  g_autoptr (GBytes) bytes = mh_value_save (report);
+  g_autoptr (MhValue) heartbeat = worker_protocol_report (worker->machine);
+  g_autoptr (GBytes) bytes = mh_value_save (heartbeat);
   soup_message_set_request_body_from_bytes (message, "application/cbor", bytes);
   soup_session_send_and_read_async (cluster.session, message, G_PRIORITY_DEFAULT, NULL,
-                                    on_report_answered, worker);
+                                    on_heartbeat_answered, worker);
 }
 
 static gboolean
 on_timer (gpointer data)
 {
   (void)data;
-  advance ();
+  advance_environment ();
   for (guint i = cluster.workers->len; i < cluster.environment->cloud->machines->len; i++)
     {
       Worker *worker = g_new0 (Worker, 1);
       g_autoptr (GError) error = NULL;
       worker->machine = g_ptr_array_index (cluster.environment->cloud->machines, i);
       worker->server = soup_server_new (NULL, NULL);
-      soup_server_add_handler (worker->server, NULL, serve_worker, worker, NULL);
+      soup_server_add_handler (worker->server, NULL, handle_worker_request, worker, NULL);
       soup_server_listen_local (worker->server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
       g_assert_no_error (error);
       GSList *uris = soup_server_get_uris (worker->server);
@@ -206,11 +207,11 @@
       g_ptr_array_add (cluster.workers, worker);
     }
   for (guint i = 0; i < cluster.workers->len; i++)
-    report_if_due (g_ptr_array_index (cluster.workers, i));
+    send_heartbeat_if_due (g_ptr_array_index (cluster.workers, i));
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- asking ---- */
+/* ---- requests to controllers ---- */
 
 typedef struct
 {
@@ -221,7 +222,7 @@
 } Reply;
 
 static void
-on_reply (GObject *source, GAsyncResult *result, gpointer data)
+on_response (GObject *source, GAsyncResult *result, gpointer data)
 {
   Reply *reply = data;
   g_autoptr (GBytes) bytes
@@ -234,7 +235,7 @@
 }
 
 static guint
-ask (guint node, const char *method, const char *path, GBytes *body, char **state)
+send_request (guint node, const char *method, const char *path, GBytes *body, char **state)
 {
   Reply reply = { 0 };
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u%s", cluster.front[node], path);
@@ -242,7 +243,7 @@
   if (body)
     soup_message_set_request_body_from_bytes (reply.message, "application/cbor", body);
   soup_session_send_and_read_async (cluster.session, reply.message, G_PRIORITY_DEFAULT, NULL,
-                                    on_reply, &reply);
+                                    on_response, &reply);
   while (!reply.done)
     g_main_context_iteration (NULL, TRUE);
   if (state)
@@ -252,20 +253,20 @@
   return reply.status;
 }
 
-/* Asks until the status is the one wanted, and the state too where one is given. */
+/* Repeats the request until the response has `status` and, unless `state` is NULL, that state. */
 static void
-ask_until (guint node, const char *method, const char *path, GBytes *body, guint status,
-           const char *state)
+send_request_until (guint node, const char *method, const char *path, GBytes *body, guint status,
+                    const char *state)
 {
   gint64 end_us = g_get_monotonic_time () + MAX_WAIT_US;
   for (;;)
     {
       g_autofree char *got_state = NULL;
-      guint got = ask (node, method, path, body, &got_state);
+      guint got = send_request (node, method, path, body, &got_state);
       if (got == status && (state == NULL || g_strcmp0 (got_state, state) == 0))
         return;
       if (g_get_monotonic_time () > end_us)
-        g_error ("%s %s on node %u: %u %s, waited for %u %s", method, path, node, got, got_state,
+        g_error ("%s %s on node %u: got %u %s, expected %u %s", method, path, node, got, got_state,
                  status, state);
       gint64 pause_until_us = g_get_monotonic_time () + 100000;
       while (g_get_monotonic_time () < pause_until_us)
@@ -285,7 +286,7 @@
 }
 
 static GBytes *
-submission (const char *id, const char *team, MhShape shape, guint tasks, gint64 run_us)
+encode_submission (const char *id, const char *team, MhShape shape, guint tasks, gint64 run_us)
 {
   MhJobSpec *spec = g_new0 (MhJobSpec, 1);
   spec->id = g_strdup (id);
@@ -307,29 +308,29 @@
 
 /* ---- set-up ---- */
 
-/* Runs in the new process. A controller that outlived a failed test would keep ctest waiting for
-   the end of its output. */
+/* Runs in the new process. Without it, a controller that is left running by a failed test would
+   keep ctest waiting for the end of its output. */
 static void
-end_with_parent (gpointer data)
+kill_with_parent (gpointer data)
 {
   (void)data;
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
 static void
-start (guint node)
+start_controller (guint node)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GSubprocessLauncher) launcher = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_NONE);
   g_subprocess_launcher_setenv (launcher, "G_DEBUG", "fatal-criticals", TRUE);
-  g_subprocess_launcher_set_child_setup (launcher, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (launcher, kill_with_parent, NULL, NULL);
   cluster.process[node] = g_subprocess_launcher_spawn (launcher, &error, program, "--config",
                                                        cluster.config[node], NULL);
   g_assert_no_error (error);
 }
 
 static void
-stop (guint node)
+stop_controller (guint node)
 {
   g_subprocess_force_exit (cluster.process[node]);
   g_subprocess_wait (cluster.process[node], NULL, NULL);
@@ -341,11 +342,11 @@
 {
   g_autoptr (GError) error = NULL;
   cluster.dir = g_dir_make_tmp ("minthill-XXXXXX", NULL);
-  cluster.outside_port = free_port ();
+  cluster.services_port = find_free_port ();
   for (guint i = 0; i < NODES; i++)
     {
-      cluster.front[i] = free_port ();
-      cluster.peer[i] = free_port ();
+      cluster.front[i] = find_free_port ();
+      cluster.peer[i] = find_free_port ();
     }
   for (guint i = 0; i < NODES; i++)
     {
@@ -367,7 +368,7 @@
           "[settings.state]\nrps = 250.0\nwrite_rps = 50.0\nvalue_kb = 32.0\n"
           "txn_ops = 16\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 0.2\n"
           "[settings.resources]\ncore_share = 1.0\nmax_connections = %u\n",
-          cluster.outside_port, cluster.outside_port, MOST_CONNECTIONS);
+          cluster.services_port, cluster.services_port, MAX_CONNECTIONS);
       g_autofree char *name = g_strdup_printf ("node-%u.toml", i);
       cluster.config[i] = g_build_filename (cluster.dir, name, NULL);
       g_file_set_contents (cluster.config[i], text->str, -1, &error);
@@ -379,18 +380,19 @@
   cluster.environment = environment_new (cluster.settings, 0);
   cluster.environment->cloud->boot_us = MH_SECOND_US;
   cluster.workers = g_ptr_array_new ();
-  cluster.waiting = g_hash_table_new_full (g_direct_hash, g_direct_equal, g_object_unref, NULL);
+  cluster.waiting_watches
+      = g_hash_table_new_full (g_direct_hash, g_direct_equal, g_object_unref, NULL);
   cluster.session = soup_session_new_with_options ("proxy-resolver", NULL, NULL);
-  cluster.outside = soup_server_new (NULL, NULL);
-  soup_server_add_handler (cluster.outside, NULL, serve_outside, NULL, NULL);
-  soup_server_listen_local (cluster.outside, cluster.outside_port, SOUP_SERVER_LISTEN_IPV4_ONLY,
+  cluster.services = soup_server_new (NULL, NULL);
+  soup_server_add_handler (cluster.services, NULL, handle_service_request, NULL, NULL);
+  soup_server_listen_local (cluster.services, cluster.services_port, SOUP_SERVER_LISTEN_IPV4_ONLY,
                             &error);
   g_assert_no_error (error);
   g_timeout_add (20, on_timer, NULL);
   for (guint i = 0; i < NODES; i++)
-    start (i);
+    start_controller (i);
   for (guint i = 0; i < NODES; i++)
-    ask_until (i, "GET", "/ready", NULL, 200, NULL);
+    send_request_until (i, "GET", "/ready", NULL, 200, NULL);
 }
 
 static GSocket *
@@ -404,84 +406,84 @@
   return socket;
 }
 
-/* Connections that are reset before they are taken; a complaint ends the process here. */
+/* Connections that are reset before they are accepted must not cause a critical log message, which
+   ends the process here. */
 static void
-test_resets (void)
+test_connection_resets (void)
 {
   for (guint i = 0; i < 100 * NODES; i++)
     {
       g_autoptr (GSocket) socket = connect_to (i % NODES);
-      const struct linger at_once = { .l_onoff = 1 };
-      g_assert_cmpint (
-          setsockopt (g_socket_get_fd (socket), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once),
-          ==, 0);
+      const struct linger reset_on_close = { .l_onoff = 1 };
+      g_assert_cmpint (setsockopt (g_socket_get_fd (socket), SOL_SOCKET, SO_LINGER, &reset_on_close,
+                                   sizeof reset_on_close),
+                       ==, 0);
       g_socket_close (socket, NULL);
     }
   for (guint i = 0; i < NODES; i++)
-    ask_until (i, "GET", "/ready", NULL, 200, NULL);
+    send_request_until (i, "GET", "/ready", NULL, 200, NULL);
 }
 
-/* A request that is not understood must be refused with its own status, by every controller alike.
- */
+/* Every controller must refuse a malformed or unknown request with the status for its fault. */
 static void
-test_bad_input (void)
+test_refused_requests (void)
 {
   g_autoptr (GBytes) text = g_bytes_new_static ("hello", 5);
   g_autoptr (GBytes) list = g_bytes_new_static ("\x80", 1);
-  g_autoptr (GBytes) stranger = submission ("j-000900", "nobody", MH_SHAPE_ARRAY, 1, 1);
+  g_autoptr (GBytes) unknown_team = encode_submission ("j-000900", "nobody", MH_SHAPE_ARRAY, 1, 1);
   g_autofree char *large = g_malloc0 (MH_MAX_BODY + 1);
   g_autoptr (GBytes) too_large = g_bytes_new_static (large, MH_MAX_BODY + 1);
   for (guint i = 0; i < NODES; i++)
     {
-      g_assert_cmpuint (ask (i, "POST", "/submissions", text, NULL), ==, 400);
-      g_assert_cmpuint (ask (i, "POST", "/submissions", list, NULL), ==, 400);
-      g_assert_cmpuint (ask (i, "POST", "/submissions", NULL, NULL), ==, 400);
-      g_assert_cmpuint (ask (i, "POST", "/submissions", too_large, NULL), ==, 413);
-      g_assert_cmpuint (ask (i, "POST", "/hello", list, NULL), ==, 400);
-      g_assert_cmpuint (ask (i, "GET", "/nothing", NULL, NULL), ==, 404);
-      g_assert_cmpuint (ask (i, "GET", "/submissions/x/y/z", NULL, NULL), ==, 404);
-      g_assert_cmpuint (ask (i, "DELETE", "/submissions/j-000001", NULL, NULL), ==, 405);
-      g_assert_cmpuint (ask (i, "GET", "/submissions", NULL, NULL), ==, 405);
-      g_assert_cmpuint (ask (i, "GET", "/submissions/nonsense", NULL, NULL), ==, 404);
-      ask_until (i, "POST", "/submissions", stranger, 422, NULL);
-      ask_until (i, "GET", "/submissions/j-000901", NULL, 404, NULL);
+      g_assert_cmpuint (send_request (i, "POST", "/submissions", text, NULL), ==, 400);
+      g_assert_cmpuint (send_request (i, "POST", "/submissions", list, NULL), ==, 400);
+      g_assert_cmpuint (send_request (i, "POST", "/submissions", NULL, NULL), ==, 400);
+      g_assert_cmpuint (send_request (i, "POST", "/submissions", too_large, NULL), ==, 413);
+      g_assert_cmpuint (send_request (i, "POST", "/hello", list, NULL), ==, 400);
+      g_assert_cmpuint (send_request (i, "GET", "/nothing", NULL, NULL), ==, 404);
+      g_assert_cmpuint (send_request (i, "GET", "/submissions/x/y/z", NULL, NULL), ==, 404);
+      g_assert_cmpuint (send_request (i, "DELETE", "/submissions/j-000001", NULL, NULL), ==, 405);
+      g_assert_cmpuint (send_request (i, "GET", "/submissions", NULL, NULL), ==, 405);
+      g_assert_cmpuint (send_request (i, "GET", "/submissions/nonsense", NULL, NULL), ==, 404);
+      send_request_until (i, "POST", "/submissions", unknown_team, 422, NULL);
+      send_request_until (i, "GET", "/submissions/j-000901", NULL, 404, NULL);
     }
 }
 
-/* A job that one controller accepted would be unknown to the others, or run again when it is
-   submitted a second time. */
+/* Guards against a job that only the controller that accepted it knows, and against a job that runs
+   again when it is submitted a second time. */
 static void
-test_array (void)
+test_job_array (void)
 {
-  g_autoptr (GBytes) body = submission ("j-000001", "red", MH_SHAPE_ARRAY, 6, 300000);
-  ask_until (0, "POST", "/submissions", body, 201, NULL);
-  ask_until (1, "GET", "/submissions/j-000001", NULL, 200, "done");
-  ask_until (2, "GET", "/submissions/j-000001", NULL, 200, "done");
-  ask_until (0, "POST", "/submissions", body, 200, "done");
+  g_autoptr (GBytes) body = encode_submission ("j-000001", "red", MH_SHAPE_ARRAY, 6, 300000);
+  send_request_until (0, "POST", "/submissions", body, 201, NULL);
+  send_request_until (1, "GET", "/submissions/j-000001", NULL, 200, "done");
+  send_request_until (2, "GET", "/submissions/j-000001", NULL, 200, "done");
+  send_request_until (0, "POST", "/submissions", body, 200, "done");
 }
 
-/* A report that proves nothing: its worker has seen no leader yet. */
+/* The heartbeat of a worker that has seen no leader yet: it proves nothing about its tasks. */
 static GBytes *
-first_report (void)
-{
-  g_autoptr (MhValue) report = mh_value_map ();
-  mh_value_set_text (report, "box", "vm-999999");
-  mh_value_set_text (report, "endpoint", "127.0.0.1:9");
-  mh_value_set_text (report, "rack", "small");
-  mh_value_set_text (report, "hall", "a");
-  mh_value_set_bool (report, "standby", false);
-  mh_value_set_uint (report, "tenure", 1);
-  mh_value_set_uint (report, "tick", 1);
-  mh_value_set_uint (report, "epoch", 0);
-  mh_value_set (report, "legs", mh_value_list ());
-  return mh_value_save (report);
+encode_first_heartbeat (void)
+{
+  g_autoptr (MhValue) heartbeat = mh_value_map ();
+  mh_value_set_text (heartbeat, "box", "vm-999999");
+  mh_value_set_text (heartbeat, "endpoint", "127.0.0.1:9");
+  mh_value_set_text (heartbeat, "rack", "small");
+  mh_value_set_text (heartbeat, "hall", "a");
+  mh_value_set_bool (heartbeat, "standby", false);
+  mh_value_set_uint (heartbeat, "tenure", 1);
+  mh_value_set_uint (heartbeat, "tick", 1);
+  mh_value_set_uint (heartbeat, "epoch", 0);
+  mh_value_set (heartbeat, "legs", mh_value_list ());
+  return mh_value_save (heartbeat);
 }
 
-/* The headers of the answer to a report, on a connection of its own. libsoup's client does not do
-   here: a message that is answered with 421 it sends a second time, without the body, and then ends
+/* Sends a heartbeat over a new connection and returns the headers of the answer. libsoup's client
+   cannot be used: after an answer 421 it sends the message again, without the body, and then ends
    with an error, so that this test failed whenever node 0 was not the leader. */
 static char *
-send_report (guint node, GBytes *body)
+send_heartbeat (guint node, GBytes *body)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GSocket) socket = connect_to (node);
@@ -504,7 +506,7 @@
       if (g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
         {
           g_clear_error (&error);
-          g_main_context_iteration (NULL, TRUE); /* the stand-ins go on */
+          g_main_context_iteration (NULL, TRUE); /* lets the stand-ins run */
           continue;
         }
       g_assert_no_error (error);
@@ -515,59 +517,61 @@
 }
 
 static bool
-report_closes (void)
+heartbeat_closes_connection (void)
 {
-  g_autoptr (GBytes) body = first_report ();
-  g_autofree char *answer = send_report (0, body);
+  g_autoptr (GBytes) body = encode_first_heartbeat ();
+  g_autofree char *answer = send_heartbeat (0, body);
   g_assert_true (g_str_has_prefix (answer, "HTTP/1.1 "));
   guint64 status = g_ascii_strtoull (answer + strlen ("HTTP/1.1 "), NULL, 10);
   g_assert_true (status == 200 || status == 421 || status == 503);
   return strstr (answer, "\r\nConnection: close\r\n") != NULL;
 }
 
-/* More than the share of connections that workers may keep are open: a report is still answered,
-   and its connection is closed for others to come. */
+/* When more connections are open than the share within which workers may keep theirs, a heartbeat
+   must still be answered, and its connection must then be closed to make room for others. */
 static void
-test_crowded (void)
+test_heartbeats_near_connection_limit (void)
 {
   g_autoptr (GPtrArray) sockets = g_ptr_array_new_with_free_func (g_object_unref);
-  g_assert_false (report_closes ());
-  for (guint i = 0; i < MOST_CONNECTIONS * 2 / 3; i++)
+  g_assert_false (heartbeat_closes_connection ());
+  for (guint i = 0; i < MAX_CONNECTIONS * 2 / 3; i++)
     g_ptr_array_add (sockets, connect_to (0));
   gint64 end_us = g_get_monotonic_time () + MAX_WAIT_US;
-  while (!report_closes ())
+  while (!heartbeat_closes_connection ())
     g_assert_cmpint (g_get_monotonic_time (), <, end_us);
   g_ptr_array_set_size (sockets, 0);
-  while (report_closes ())
+  while (heartbeat_closes_connection ())
     g_assert_cmpint (g_get_monotonic_time (), <, end_us);
 }
 
-/* Each controller is killed and started again while a service runs: it goes on undisturbed. */
+/* A service must keep running, without a new start of a task, while each controller is killed and
+   started again. */
 static void
-test_restarts (void)
+test_controller_restarts (void)
 {
-  g_autoptr (GBytes) body = submission ("j-000003", "red", MH_SHAPE_SERVICE, 2, 0);
-  ask_until (0, "POST", "/submissions", body, 201, NULL);
+  g_autoptr (GBytes) body = encode_submission ("j-000003", "red", MH_SHAPE_SERVICE, 2, 0);
+  send_request_until (0, "POST", "/submissions", body, 201, NULL);
   wait_for_running_tasks ("j-000003", 2);
   guint starts = cluster.environment->rules->task_starts;
   for (guint i = 0; i < NODES; i++)
     {
-      stop (i);
-      ask_until ((i + 1) % NODES, "GET", "/submissions/j-000003", NULL, 200, "running");
-      start (i);
-      ask_until (i, "GET", "/ready", NULL, 200, NULL);
+      stop_controller (i);
+      send_request_until ((i + 1) % NODES, "GET", "/submissions/j-000003", NULL, 200, "running");
+      start_controller (i);
+      send_request_until (i, "GET", "/ready", NULL, 200, NULL);
     }
   g_assert_cmpuint (cluster.environment->rules->task_starts, ==, starts);
-  ask_until (2, "POST", "/submissions/j-000003/withdraw", NULL, 200, "aborted");
+  send_request_until (2, "POST", "/submissions/j-000003/withdraw", NULL, 200, "aborted");
   wait_for_running_tasks ("j-000003", 0);
-  ask_until (1, "GET", "/submissions/j-000003", NULL, 200, "aborted");
+  send_request_until (1, "GET", "/submissions/j-000003", NULL, 200, "aborted");
   for (guint i = 0; i < cluster.environment->rules->violations->len; i++)
-    g_printerr ("rule: %s\n",
+    g_printerr ("rule violated: %s\n",
                 (char *)g_ptr_array_index (cluster.environment->rules->violations, i));
   g_assert_cmpuint (cluster.environment->rules->violations->len, ==, 0);
 }
 
-/* Scripts tell bad settings from other failures by the exit status, and print the one line. */
+/* Scripts recognize invalid settings by the exit status and print the error message, which must be
+   one line. */
 static void
 test_command_line (void)
 {
@@ -575,7 +579,7 @@
   {
     const char *args[3];
     int exit;
-    const char *says;
+    const char *expected_text;
   } rows[] = { { { "--version" }, 0, NULL },
                { { "--config", cluster.config[0], "--check" }, 0, NULL },
                { { "--config", "/nonexistent", "--check" }, 2, "/nonexistent" },
@@ -592,9 +596,9 @@
       g_assert_true (
           g_subprocess_communicate_utf8 (process, NULL, NULL, &output, &error_output, &error));
       g_assert_cmpint (g_subprocess_get_exit_status (process), ==, rows[i].exit);
-      if (rows[i].says)
+      if (rows[i].expected_text)
         {
-          g_assert_nonnull (strstr (error_output, rows[i].says));
+          g_assert_nonnull (strstr (error_output, rows[i].expected_text));
           g_assert_true (strchr (error_output, '\n') == error_output + strlen (error_output) - 1);
         }
     }
@@ -607,16 +611,17 @@
   g_assert_cmpint (argc, ==, 2);
   program = argv[1];
   set_up ();
-  g_test_add_func ("/loopback/connections-reset-before-accept", test_resets);
-  g_test_add_func ("/loopback/refused-requests", test_bad_input);
-  g_test_add_func ("/loopback/job-array-seen-by-all", test_array);
-  g_test_add_func ("/loopback/reports-while-crowded", test_crowded);
-  g_test_add_func ("/loopback/restart-of-each-controller", test_restarts);
+  g_test_add_func ("/loopback/connections-reset-before-accept", test_connection_resets);
+  g_test_add_func ("/loopback/refused-requests", test_refused_requests);
+  g_test_add_func ("/loopback/job-array-known-to-all-controllers", test_job_array);
+  g_test_add_func ("/loopback/heartbeats-near-connection-limit",
+                   test_heartbeats_near_connection_limit);
+  g_test_add_func ("/loopback/restart-each-controller", test_controller_restarts);
   g_test_add_func ("/loopback/command-line", test_command_line);
   int status = g_test_run ();
   for (guint i = 0; i < NODES; i++)
     {
-      stop (i);
+      stop_controller (i);
       g_unlink (cluster.config[i]);
     }
   g_rmdir (cluster.dir);
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -1,4 +1,4 @@
-/* The modules of the server layer, each by itself on loopback. */
+/* The modules of the server layer, each tested separately on loopback. */
 #include "base/time-units.h"
 #include "server/http-client.h"
 #include "server/log-output.h"
@@ -10,16 +10,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An address that is read wrongly would listen elsewhere, or nowhere. */
+/* Guards against an address that is parsed wrongly: the controller would listen on another one or
+   on none. */
 static void
 test_socket_address (void)
 {
-  static const char *const refused[]
+  static const char *const invalid_addresses[]
       = { "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:", "node-0:80", ":80" };
   g_autoptr (GSocketAddress) address = mh_socket_address_parse ("10.0.0.1:8080");
   g_assert_cmpuint (g_inet_socket_address_get_port (G_INET_SOCKET_ADDRESS (address)), ==, 8080);
-  for (guint i = 0; i < G_N_ELEMENTS (refused); i++)
-    g_assert_null (mh_socket_address_parse (refused[i]));
+  for (guint i = 0; i < G_N_ELEMENTS (invalid_addresses); i++)
+    g_assert_null (mh_socket_address_parse (invalid_addresses[i]));
 }
 
 /* ---- HTTP client ---- */
@@ -46,8 +47,8 @@
 }
 
 static void
-serve (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
-       gpointer data)
+handle_request (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
+                gpointer data)
 {
   (void)server;
   (void)query;
@@ -70,7 +71,7 @@
   (void)data;
   g_autoptr (GError) error = NULL;
   fixture->server = soup_server_new (NULL, NULL);
-  soup_server_add_handler (fixture->server, NULL, serve, NULL, NULL);
+  soup_server_add_handler (fixture->server, NULL, handle_request, NULL, NULL);
   soup_server_listen_local (fixture->server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, &error);
   g_assert_no_error (error);
   GSList *uris = soup_server_get_uris (fixture->server);
@@ -90,9 +91,10 @@
   g_free (fixture->endpoint);
 }
 
-/* Sends one call to a worker and waits for its reply. */
+/* Sends one request to a worker and waits for its reply. */
 static void
-call (ClientFixture *fixture, guint64 id, const char *endpoint, const char *path, gint64 timeout_us)
+send_and_wait (ClientFixture *fixture, guint64 id, const char *endpoint, const char *path,
+               gint64 timeout_us)
 {
   MhRequest request = {
     .target = MH_TARGET_WORKER, .method = "GET", .endpoint = (char *)endpoint, .path = (char *)path
@@ -105,44 +107,44 @@
   g_assert_cmpuint (fixture->id, ==, id);
 }
 
-/* A reply that is lost would leave its call pending for ever; one that is not understood must not
-   pass for an empty one. */
+/* Guards against a lost reply, which would leave its call pending for ever, and against a malformed
+   reply that is handled as an empty one. */
 static void
 test_client_replies (ClientFixture *fixture, gconstpointer data)
 {
   (void)data;
-  call (fixture, 1, fixture->endpoint, "/empty", 10 * MH_SECOND_US);
+  send_and_wait (fixture, 1, fixture->endpoint, "/empty", 10 * MH_SECOND_US);
   g_assert_cmpuint (fixture->status, ==, 200);
   g_assert_false (fixture->has_body);
-  call (fixture, 2, fixture->endpoint, "/number", 10 * MH_SECOND_US);
+  send_and_wait (fixture, 2, fixture->endpoint, "/number", 10 * MH_SECOND_US);
   g_assert_cmpuint (fixture->status, ==, 200);
   g_assert_true (fixture->has_body);
-  call (fixture, 3, fixture->endpoint, "/malformed", 10 * MH_SECOND_US);
+  send_and_wait (fixture, 3, fixture->endpoint, "/malformed", 10 * MH_SECOND_US);
   g_assert_cmpuint (fixture->status, ==, 0);
   g_assert_false (fixture->has_body);
 }
 
-/* Without a reply of status 0 the controller would wait for a worker that is gone. */
+/* Without a reply with status 0 the controller would wait for a worker that no longer exists. */
 static void
-test_client_without_answer (ClientFixture *fixture, gconstpointer data)
+test_client_without_reply (ClientFixture *fixture, gconstpointer data)
 {
   (void)data;
-  call (fixture, 1, fixture->endpoint, "/silent", MH_SECOND_US / 10);
+  send_and_wait (fixture, 1, fixture->endpoint, "/silent", MH_SECOND_US / 10);
   g_assert_cmpuint (fixture->status, ==, 0);
-  call (fixture, 2, "127.0.0.1:1", "/number", 10 * MH_SECOND_US);
+  send_and_wait (fixture, 2, "127.0.0.1:1", "/number", 10 * MH_SECOND_US);
   g_assert_cmpuint (fixture->status, ==, 0);
-  call (fixture, 3, "not an address", "/number", 10 * MH_SECOND_US);
+  send_and_wait (fixture, 3, "not an address", "/number", 10 * MH_SECOND_US);
   g_assert_cmpuint (fixture->status, ==, 0);
 }
 
-/* After so many calls to workers a session is replaced; none of the calls may be lost with it. */
+/* The session for workers is replaced after a number of calls; no call may be lost with it. */
 static void
-test_client_many_workers (ClientFixture *fixture, gconstpointer data)
+test_client_session_replacement (ClientFixture *fixture, gconstpointer data)
 {
   (void)data;
   for (guint i = 1; i <= 70; i++)
     {
-      call (fixture, i, fixture->endpoint, "/number", 10 * MH_SECOND_US);
+      send_and_wait (fixture, i, fixture->endpoint, "/number", 10 * MH_SECOND_US);
       g_assert_cmpuint (fixture->status, ==, 200);
     }
 }
@@ -153,10 +155,10 @@
 {
   GSocketListener *listener;
   MhPeerConnection *connected, *accepted; /* NULL: closed */
-  GSocketConnection *socket;              /* the accepted one's */
+  GSocketConnection *socket;              /* of `accepted` */
   guint announcements, closed;
   guint64 epoch;
-  bool close_at_message;
+  bool close_on_message;
 } PeerFixture;
 
 static void
@@ -167,7 +169,7 @@
   g_assert_cmpstr (message->node, ==, "node-1");
   fixture->announcements++;
   fixture->epoch = message->epoch;
-  if (fixture->close_at_message)
+  if (fixture->close_on_message)
     mh_peer_connection_close (connection);
 }
 
@@ -240,9 +242,10 @@
   g_object_unref (fixture->listener);
 }
 
-/* What is sent before the connection stands would be lost, or come out of order. */
+/* Guards against messages that are lost or reordered when they are sent before the connection is
+   established. */
 static void
-test_peer_messages (PeerFixture *fixture, gconstpointer data)
+test_peer_messages_before_connected (PeerFixture *fixture, gconstpointer data)
 {
   (void)data;
   for (guint64 epoch = 1; epoch <= 3; epoch++)
@@ -257,12 +260,13 @@
   g_assert_cmpuint (fixture->closed, ==, 0);
 }
 
-/* A handler that closes its connection must not get what had arrived behind the message. */
+/* A handler that closes its connection must not be called with messages that were received after
+   the one that it handles. */
 static void
 test_peer_closed_by_handler (PeerFixture *fixture, gconstpointer data)
 {
   (void)data;
-  fixture->close_at_message = true;
+  fixture->close_on_message = true;
   mh_peer_connection_send (fixture->connected, mh_controller_announcement_encode ("node-1", 1));
   mh_peer_connection_send (fixture->connected, mh_controller_announcement_encode ("node-1", 2));
   accept_peer (fixture);
@@ -271,7 +275,8 @@
   g_assert_cmpuint (fixture->announcements, ==, 1);
 }
 
-/* A damaged record must end the connection, as no later one can be found in the stream. */
+/* A malformed record must close the connection, since the start of the next record cannot be found
+   in the stream. */
 static void
 test_peer_malformed (PeerFixture *fixture, gconstpointer data)
 {
@@ -287,8 +292,8 @@
   g_assert_cmpuint (fixture->announcements, ==, 0);
 }
 
-/* Users' requests that were passed on over a connection that is gone would wait for their time to
- * end. */
+/* If the closing of a connection were not detected, users' requests that were forwarded over it
+   would wait until their time-out. */
 static void
 test_peer_closed_by_other_side (PeerFixture *fixture, gconstpointer data)
 {
@@ -302,10 +307,10 @@
 
 /* ---- requests between controllers ---- */
 
-/* A request of a user that is passed on over the fixture's outgoing connection. */
+/* A user's request that is forwarded over the fixture's outgoing connection. */
 typedef struct
 {
-  PeerFixture peer; /* its handlers get the fixture's own address */
+  PeerFixture peer; /* the peer handlers get the address of this member */
   MhPendingRequests *requests;
   MhRequestForwarder *forwarder;
   MhPendingRequest *request;
@@ -341,8 +346,8 @@
   peer_tear_down (&fixture->peer, data);
 }
 
-/* An answer of another connection than the request was passed on over may be one of before a
- * restart. */
+/* An answer must be ignored if it arrives on another connection than the one that its request was
+   forwarded over: it may answer a request that was sent under the same id before a restart. */
 static void
 test_forward_answer (ForwardFixture *fixture, gconstpointer data)
 {
@@ -361,8 +366,8 @@
   g_assert_cmpuint (fixture->outcomes, ==, 1);
 }
 
-/* A user whose request went to a controller that hangs would wait for ever, and the next one too.
- */
+/* Guards against a user's request that waits for ever for a controller that hangs; the connection
+   must close too, or the next request would wait as well. */
 static void
 test_forward_timeout (ForwardFixture *fixture, gconstpointer data)
 {
@@ -375,18 +380,18 @@
   g_assert_cmpuint (fixture->status, ==, 0);
 }
 
-/* Nor may a connection that closes leave requests behind, on either side of it. */
+/* Guards against requests that stay pending on either side of a connection that was closed. */
 static void
 test_forward_closed (ForwardFixture *fixture, gconstpointer data)
 {
   (void)data;
   MhPeerConnection *connection = fixture->peer.connected;
-  const MhControllerMessage call = {
+  const MhControllerMessage message = {
     .kind = MH_CONTROLLER_REQUEST, .id = 7, .verb = MH_USER_CANCEL, .job = (char *)"j-000002"
   };
   MhJobSpec *spec = NULL;
   MhPendingRequest *received
-      = mh_request_forwarder_receive (fixture->forwarder, connection, &call, &spec);
+      = mh_request_forwarder_receive (fixture->forwarder, connection, &message, &spec);
   g_assert_null (spec);
   g_assert_cmpstr (received->job, ==, "j-000002");
   g_assert_cmpuint (received->peer_request_id, ==, 7);
@@ -397,28 +402,27 @@
   g_assert_null (received->peer);
 }
 
-/* A submission that is not understood must be answered there and then, not handed to the
- * controller. */
+/* A malformed submission must be answered at once and not be passed to the controller. */
 static void
 test_forward_malformed_submission (ForwardFixture *fixture, gconstpointer data)
 {
   (void)data;
   g_autoptr (GBytes) body = g_bytes_new_static ("\x80", 1);
-  const MhControllerMessage call = { .kind = MH_CONTROLLER_REQUEST,
-                                     .id = 7,
-                                     .verb = MH_USER_SUBMIT,
-                                     .job = (char *)"j-000002",
-                                     .body = body };
+  const MhControllerMessage message = { .kind = MH_CONTROLLER_REQUEST,
+                                        .id = 7,
+                                        .verb = MH_USER_SUBMIT,
+                                        .job = (char *)"j-000002",
+                                        .body = body };
   MhJobSpec *spec = NULL;
   g_assert_null (
-      mh_request_forwarder_receive (fixture->forwarder, fixture->peer.connected, &call, &spec));
+      mh_request_forwarder_receive (fixture->forwarder, fixture->peer.connected, &message, &spec));
   g_assert_null (spec);
   g_assert_true (mh_peer_connection_has_queued_output (fixture->peer.connected));
 }
 
 /* ---- log ---- */
 
-/* Runs in a process of its own. */
+/* The log lines are written in a subprocess, whose standard error is compared. */
 static void
 test_log_lines (void)
 {
@@ -453,17 +457,17 @@
   g_test_add_func ("/server/socket-address", test_socket_address);
   g_test_add ("/server/http-client/replies", ClientFixture, NULL, client_set_up,
               test_client_replies, client_tear_down);
-  g_test_add ("/server/http-client/without-answer", ClientFixture, NULL, client_set_up,
-              test_client_without_answer, client_tear_down);
-  g_test_add ("/server/http-client/many-workers", ClientFixture, NULL, client_set_up,
-              test_client_many_workers, client_tear_down);
-  g_test_add ("/server/peer-connection/messages-before-it-stands", PeerFixture, NULL, peer_set_up,
-              test_peer_messages, peer_tear_down);
-  g_test_add ("/server/peer-connection/closed-by-its-handler", PeerFixture, NULL, peer_set_up,
+  g_test_add ("/server/http-client/without-reply", ClientFixture, NULL, client_set_up,
+              test_client_without_reply, client_tear_down);
+  g_test_add ("/server/http-client/worker-session-replacement", ClientFixture, NULL, client_set_up,
+              test_client_session_replacement, client_tear_down);
+  g_test_add ("/server/peer-connection/messages-before-connected", PeerFixture, NULL, peer_set_up,
+              test_peer_messages_before_connected, peer_tear_down);
+  g_test_add ("/server/peer-connection/closed-by-handler", PeerFixture, NULL, peer_set_up,
               test_peer_closed_by_handler, peer_tear_down);
   g_test_add ("/server/peer-connection/malformed-record", PeerFixture, NULL, peer_set_up,
               test_peer_malformed, peer_tear_down);
-  g_test_add ("/server/peer-connection/closed-by-the-other-side", PeerFixture, NULL, peer_set_up,
+  g_test_add ("/server/peer-connection/closed-by-other-side", PeerFixture, NULL, peer_set_up,
               test_peer_closed_by_other_side, peer_tear_down);
   g_test_add ("/server/request-forwarder/answer", ForwardFixture, NULL, forward_set_up,
               test_forward_answer, forward_tear_down);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -16,18 +16,18 @@
       "[settings.state]\nrps = 250\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 16\n"
       "[settings.cloud]\nrps = 3.0\nlist_lag_s = 5.0\n";
 
-/* Writes the two files and loads them; no operator's file when its text is NULL. */
+/* Writes the two files and loads them; without an operator's file if its text is NULL. */
 static MhSettings *
-load (const char *platform, const char *operator_text, GError **error)
+load (const char *platform, const char *operator_file_text, GError **error)
 {
   g_autofree char *dir = g_dir_make_tmp ("minthill-XXXXXX", NULL);
   g_autofree char *platform_path = g_build_filename (dir, "a.toml", NULL);
   g_autofree char *operator_path = g_build_filename (dir, "b.hcl", NULL);
   g_file_set_contents (platform_path, platform, -1, NULL);
-  if (operator_text)
-    g_file_set_contents (operator_path, operator_text, -1, NULL);
+  if (operator_file_text)
+    g_file_set_contents (operator_path, operator_file_text, -1, NULL);
   MhSettings *settings
-      = mh_settings_load (platform_path, operator_text ? operator_path : NULL, error);
+      = mh_settings_load (platform_path, operator_file_text ? operator_path : NULL, error);
   g_assert_true ((settings == NULL) == (*error != NULL));
   g_unlink (platform_path);
   g_unlink (operator_path);
@@ -35,7 +35,8 @@
   return settings;
 }
 
-/* A value that is read from the wrong field or in the wrong unit would be taken silently. */
+/* Guards against a value that is read from the wrong field or in the wrong unit, which would cause
+   no error. */
 static void
 test_values_of_both_files (void)
 {
@@ -59,57 +60,61 @@
   g_assert_true (rule->soft);
 }
 
-/* Guest teams have no guarantee and no limit: 0, or nothing, says so. Every job of theirs was once
-   refused for ever, as above a limit of nothing. */
+/* Guest teams have no guarantee and no limit: their amounts are 0 or missing. Guards against a
+   limit of 0 that is read as nothing allowed: every job of a guest team was then refused
+   permanently. */
 static void
 test_team_without_limit (void)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GError) refused = NULL;
-  g_autofree char *guests
+  g_autofree char *guest_teams
       = g_strconcat (valid_file, "[[settings.teams]]\nname = \"guest\"\n",
                      "[[settings.teams]]\nname = \"other\"\ncpus = 0.0\ncpus_max = 0.0\n", NULL);
-  g_autofree char *negative
+  g_autofree char *negative_limit
       = g_strconcat (valid_file, "[[settings.teams]]\nname = \"guest\"\ncpus_max = -1.0\n", NULL);
-  g_autoptr (MhSettings) settings = load (guests, NULL, &error);
+  g_autoptr (MhSettings) settings = load (guest_teams, NULL, &error);
   g_assert_nonnull (settings);
   g_assert_cmpfloat (mh_settings_find_team (settings, "guest")->cpus, ==, 0);
   g_assert_true (isinf (mh_settings_find_team (settings, "guest")->cpus_max));
   g_assert_true (isinf (mh_settings_find_team (settings, "other")->cpus_max));
   g_assert_cmpfloat (mh_settings_find_team (settings, "desk")->cpus_max, ==, 24);
-  g_assert_null (load (negative, NULL, &refused));
+  g_assert_null (load (negative_limit, NULL, &refused));
   g_assert_nonnull (strstr (refused->message, "guest"));
 }
 
-/* Without this, values that the key-value store refuses later are written now. The limits that come
-   next: sizes keep to the lower ones from the start; none, or some of them, leave what there is. */
+/* Guards against writing values that the key-value store will refuse once its next limits take
+   effect: sizes keep to the lower ones of the present and the next limits. A next limit that is
+   missing leaves the present one in force. */
 static void
-test_next_limits (void)
+test_next_store_limits (void)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GError) refused = NULL;
-  g_autofree char *all = g_strconcat (valid_file,
-                                      "[settings.state.next]\nwrite_rps = 15.0\n"
-                                      "value_kb = 2.0\ntxn_ops = 5\n",
-                                      NULL);
-  g_autofree char *part = g_strconcat (valid_file, "[settings.state.next]\nvalue_kb = 64\n", NULL);
-  g_autofree char *bad = g_strconcat (valid_file, "[settings.state.next]\ntxn_ops = 1\n", NULL);
-  g_autoptr (MhSettings) settings = load (all, NULL, &error);
+  g_autofree char *all_limits = g_strconcat (valid_file,
+                                             "[settings.state.next]\nwrite_rps = 15.0\n"
+                                             "value_kb = 2.0\ntxn_ops = 5\n",
+                                             NULL);
+  g_autofree char *some_limits
+      = g_strconcat (valid_file, "[settings.state.next]\nvalue_kb = 64\n", NULL);
+  g_autofree char *low_txn_ops
+      = g_strconcat (valid_file, "[settings.state.next]\ntxn_ops = 1\n", NULL);
+  g_autoptr (MhSettings) settings = load (all_limits, NULL, &error);
   g_assert_nonnull (settings);
   g_assert_cmpuint (settings->value_bytes, ==, 2048);
   g_assert_cmpuint (settings->txn_ops, ==, 5);
   g_assert_cmpuint (settings->max_batch, ==, 5);
   g_assert_cmpfloat (settings->store_write_rps, ==, 20);
   g_assert_cmpfloat (settings->next_write_rps, ==, 15);
-  g_assert_cmpint (settings->gang_wait_us, ==, 50 * MH_SECOND_US); /* not named: as before gangs */
-  g_autoptr (MhSettings) partly = load (part, NULL, &error);
-  g_assert_nonnull (partly);
-  g_assert_cmpuint (partly->value_bytes, ==, 8192);
-  g_assert_cmpuint (partly->txn_ops, ==, 16);
-  g_assert_null (load (bad, NULL, &refused));
+  g_assert_cmpint (settings->gang_wait_us, ==, 50 * MH_SECOND_US); /* the default */
+  g_autoptr (MhSettings) partly_set = load (some_limits, NULL, &error);
+  g_assert_nonnull (partly_set);
+  g_assert_cmpuint (partly_set->value_bytes, ==, 8192);
+  g_assert_cmpuint (partly_set->txn_ops, ==, 16);
+  g_assert_null (load (low_txn_ops, NULL, &refused));
 }
 
-/* A file that names no more than it has to must not change how services are spread. */
+/* Settings without optional values must keep the defaults, such as that of the topology spread. */
 static void
 test_defaults (void)
 {
@@ -120,14 +125,14 @@
   g_assert_cmpuint (settings->max_batch, ==, 16);
 }
 
-/* A controller would start with settings that cannot work, or its operator would not be told in one
-   line what is wrong. */
+/* Guards against a controller that starts with settings that cannot work, and against an error
+   message that does not name the setting or is more than one line. */
 static void
 test_refused_values (void)
 {
   static const struct
   {
-    const char *cut, *put, *operator_text, *says;
+    const char *old_text, *new_text, *operator_file_text, *expected_text;
     int code; /* MhSettingsError */
   } rows[] = {
     { "node_name = \"w-0\"", "", NULL, "node_name", MH_SETTINGS_ERROR_MISSING },
@@ -148,21 +153,21 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_auto (GStrv) parts = g_strsplit (valid_file, *rows[i].cut ? rows[i].cut : "\001", 2);
-      g_autofree char *text
-          = parts[1] ? g_strconcat (parts[0], rows[i].put, parts[1], NULL) : g_strdup (parts[0]);
-      g_autoptr (MhSettings) settings = load (text, rows[i].operator_text, &error);
+      g_auto (GStrv) parts
+          = g_strsplit (valid_file, *rows[i].old_text ? rows[i].old_text : "\001", 2);
+      g_autofree char *text = parts[1] ? g_strconcat (parts[0], rows[i].new_text, parts[1], NULL)
+                                       : g_strdup (parts[0]);
+      g_autoptr (MhSettings) settings = load (text, rows[i].operator_file_text, &error);
       g_assert_null (settings);
       g_assert_error (error, MH_SETTINGS_ERROR, rows[i].code);
-      g_assert_nonnull (strstr (error->message, rows[i].says));
-      g_assert_null (strchr (error->message, '\n')); /* one clear line */
+      g_assert_nonnull (strstr (error->message, rows[i].expected_text));
+      g_assert_null (strchr (error->message, '\n')); /* one line */
     }
 }
 
-/* Operators search their notes for these lines; a file that is not there is the most usual mistake.
- */
+/* Operators search their notes for these messages; a missing file is the most common mistake. */
 static void
-test_messages (void)
+test_error_messages (void)
 {
   g_autoptr (GError) no_platform = NULL;
   g_autoptr (GError) no_operator = NULL;
@@ -189,9 +194,9 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/settings/values-of-both-files", test_values_of_both_files);
   g_test_add_func ("/settings/team-without-limit", test_team_without_limit);
-  g_test_add_func ("/settings/next-limits", test_next_limits);
+  g_test_add_func ("/settings/next-store-limits", test_next_store_limits);
   g_test_add_func ("/settings/defaults", test_defaults);
   g_test_add_func ("/settings/refused-values", test_refused_values);
-  g_test_add_func ("/settings/messages", test_messages);
+  g_test_add_func ("/settings/error-messages", test_error_messages);
   return g_test_run ();
 }
