--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -19,7 +19,7 @@
   MhTeamUse *use = g_hash_table_lookup (cluster->team_use, team_name);
   if (use == NULL)
     {
-      const MhTeam *team = mh_settings_team (cluster->settings, team_name);
+      const MhTeam *team = mh_settings_find_team (cluster->settings, team_name);
       use = g_new0 (MhTeamUse, 1);
       /* The table does not own its keys. The settings keep their copy of the name; a team that the
          settings no longer contain is named only by its jobs' specs, which are freed, so its name
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -103,7 +103,7 @@
     mark_late (cluster, machine, age_us);
   gint64 leading_us = now_us - mh_election_elected_us (cluster->election);
   bool had_time_to_report
-      = leading_us > cluster->settings->report_interval_us * 2 + FIRST_HEARTBEAT_MARGIN_US;
+      = leading_us > cluster->settings->heartbeat_interval_us * 2 + FIRST_HEARTBEAT_MARGIN_US;
   if (machine->boot.late_age_us && age_us > RELEASE_AGE_FACTOR * machine->boot.late_age_us
       && had_time_to_report)
     cluster->callbacks->release_machine (cluster->owner, machine, MH_RELEASE_REASON_NEVER_JOINED);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -62,7 +62,7 @@
 mh_failure_is_heartbeat_overdue (const MhCluster *cluster, const MhMachine *machine)
 {
   return mh_cluster_silence_us (cluster, machine->heartbeat.last_heartbeat_us)
-         > cluster->settings->report_interval_us * 5 / 2;
+         > cluster->settings->heartbeat_interval_us * 5 / 2;
 }
 
 bool
@@ -330,7 +330,7 @@
   MachineCounts counts = count_all_machines (cluster);
   mh_zone_update_partitions (cluster);
   MhSilenceThresholds silence = { .release_us = settings->silence_limit_us };
-  silence.overdue_us = settings->report_interval_us * 5 / 4 + HEARTBEAT_DELAY_MARGIN_US;
+  silence.overdue_us = settings->heartbeat_interval_us * 5 / 4 + HEARTBEAT_DELAY_MARGIN_US;
   silence.probe_us = silence.overdue_us + PROBE_MARGIN_US;
   silence.replica_probe_us = replica_probe_time_us (cluster, &counts, &silence);
   silence.unreported_release_us = settings->silence_limit_us + LEADER_DISCOVERY_GRACE_US;
@@ -362,9 +362,9 @@
   gint64 limit_us;
   if (any_heartbeat)
     limit_us
-        = CLAMP (settings->report_interval_us * LEADER_PARTITION_HEARTBEATS / MAX (machines, 1),
+        = CLAMP (settings->heartbeat_interval_us * LEADER_PARTITION_HEARTBEATS / MAX (machines, 1),
                  LEADER_PARTITION_TIMEOUT_US,
-                 MAX (LEADER_PARTITION_TIMEOUT_US, settings->report_interval_us * 3 / 2));
+                 MAX (LEADER_PARTITION_TIMEOUT_US, settings->heartbeat_interval_us * 3 / 2));
   else
     limit_us = (gint64)settings->members->len * WORKER_CONTROLLER_TIMEOUT_US
                + LEADER_PARTITION_TIMEOUT_US;
--- a/src/cluster/zone-silence.c
+++ b/src/cluster/zone-silence.c
@@ -81,7 +81,7 @@
 static bool
 is_silent (const MhCluster *cluster, const MhZone *zone)
 {
-  gint64 report_us = cluster->settings->report_interval_us;
+  gint64 report_us = cluster->settings->heartbeat_interval_us;
   gint64 expected_us
       = MAX (report_us * 4 / 5, MISSED_HEARTBEATS * report_us / MAX (zone->machines, 1));
   return zone->machines >= MH_MIN_PARTITION_MACHINES
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -82,7 +82,8 @@
          all silent is left out of the zones, and with it out of topology spread. */
       if (!is_live (machine)
           || mh_cluster_is_silent (pass->cluster, machine,
-                                   pass->settings->report_interval_us * SILENT_HALF_INTERVALS / 2))
+                                   pass->settings->heartbeat_interval_us * SILENT_HALF_INTERVALS
+                                       / 2))
         continue;
       machine->zone_index = find_or_add_zone (pass, machine->zone);
       if (is_usable (pass, machine))
