--- a/tests/stand-in/cloud.c
+++ b/tests/stand-in/cloud.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #define DEFAULT_BOOT_US (4 * MH_SECOND_US)
-#define DEFAULT_CAPACITY 12
-#define DEFAULT_ZONES 2
-#define DEFAULT_PAGE 500
+#define DEFAULT_MAX_MACHINES 12
+#define DEFAULT_ZONE_COUNT 2
+#define DEFAULT_PAGE_SIZE 500
 
 Cloud *
 cloud_new (GPtrArray *machines, gint64 list_lag_us, struct WorkerRuntime *runtime)
@@ -13,10 +13,10 @@
   Cloud *cloud = g_new0 (Cloud, 1);
   cloud->boot_us = DEFAULT_BOOT_US;
   cloud->list_lag_us = list_lag_us;
-  cloud->capacity = DEFAULT_CAPACITY;
-  cloud->zones = DEFAULT_ZONES;
+  cloud->max_machines = DEFAULT_MAX_MACHINES;
+  cloud->zone_count = DEFAULT_ZONE_COUNT;
   cloud->machines = g_ptr_array_ref (machines);
-  cloud->rentals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  cloud->create_requests = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   cloud->runtime = runtime;
   return cloud;
 }
@@ -25,17 +25,17 @@
 cloud_free (Cloud *cloud)
 {
   g_ptr_array_unref (cloud->machines);
-  g_hash_table_unref (cloud->rentals);
+  g_hash_table_unref (cloud->create_requests);
   g_free (cloud);
 }
 
 Machine *
 cloud_add_machine (Cloud *cloud, const char *type, const char *zone, bool spot)
 {
-  Machine *machine = machine_new ((guint)++cloud->machines_rented, type, zone, cloud->runtime);
+  Machine *machine = machine_new ((guint)++cloud->machines_created, type, zone, cloud->runtime);
   machine->spot = spot;
-  machine->rented_us = cloud->now_us;
-  machine->up_us = cloud->now_us + cloud->boot_us;
+  machine->created_us = cloud->now_us;
+  machine->boot_done_us = cloud->now_us + cloud->boot_us;
   g_ptr_array_add (cloud->machines, machine);
   return machine;
 }
@@ -55,10 +55,10 @@
 /* ---- types ---- */
 
 static MhValue *
-write_zones (const Cloud *cloud)
+encode_zones (const Cloud *cloud)
 {
   MhValue *zones = mh_value_list ();
-  for (guint i = 0; i < cloud->zones; i++)
+  for (guint i = 0; i < cloud->zone_count; i++)
     {
       const char name[] = { (char)('a' + i), '\0' };
       mh_value_push (zones, mh_value_text (name));
@@ -67,7 +67,7 @@
 }
 
 static MhValue *
-write_types (const Cloud *cloud)
+encode_types (const Cloud *cloud)
 {
   guint count;
   const MachineType *types = machine_types (&count);
@@ -83,7 +83,7 @@
       mh_value_set_number (item, "hourly", types[i].price);
       mh_value_set_number (item, "spot_price", types[i].spot_price);
       mh_value_set_number (item, "boot_s", 4);
-      mh_value_set (item, "halls", write_zones (cloud));
+      mh_value_set (item, "halls", encode_zones (cloud));
       mh_value_push (list, item);
     }
   MhValue *body = mh_value_map ();
@@ -94,17 +94,17 @@
 /* ---- rentals ---- */
 
 static guint
-count_live (const Cloud *cloud)
+count_existing (const Cloud *cloud)
 {
-  guint live = 0;
+  guint existing = 0;
   for (guint i = 0; i < cloud->machines->len; i++)
-    live += !((const Machine *)g_ptr_array_index (cloud->machines, i))->gone;
-  return live;
+    existing += !((const Machine *)g_ptr_array_index (cloud->machines, i))->removed;
+  return existing;
 }
 
 /* As many as the capacity allows. Returns their names, with commas. */
 static char *
-rent_machines (Cloud *cloud, const MhValue *body)
+create_machines (Cloud *cloud, const MhValue *body)
 {
   g_autofree char *type = mh_value_get_text (body, "rack");
   g_autofree char *zone = mh_value_get_text (body, "hall");
@@ -113,14 +113,15 @@
   mh_value_get_uint (body, "number", &count);
   mh_value_get_bool (body, "standby", &spot);
   GString *names = g_string_new (NULL);
-  for (guint live = count_live (cloud); count > 0 && live < cloud->capacity; count--, live++)
+  for (guint existing = count_existing (cloud); count > 0 && existing < cloud->max_machines;
+       count--, existing++)
     g_string_append_printf (names, "%s%s", names->len ? "," : "",
                             cloud_add_machine (cloud, type, zone, spot)->name);
   return g_string_free (names, FALSE);
 }
 
 static MhValue *
-write_names (const char *names)
+encode_names (const char *names)
 {
   g_auto (GStrv) each = g_strsplit (names, ",", -1);
   MhValue *list = mh_value_list (), *body = mh_value_map ();
@@ -132,11 +133,11 @@
 
 /* A rental that is asked for again has the machines that it got at first. */
 static void
-rent (Cloud *cloud, const MhValue *body, ServiceReply *reply)
+serve_create (Cloud *cloud, const MhValue *body, ServiceReply *reply)
 {
-  g_autofree char *rental = mh_value_get_text (body, "rental");
-  const char *known = g_hash_table_lookup (cloud->rentals, rental);
-  g_autofree char *names = known ? g_strdup (known) : rent_machines (cloud, body);
+  g_autofree char *request_id = mh_value_get_text (body, "rental");
+  const char *known_names = g_hash_table_lookup (cloud->create_requests, request_id);
+  g_autofree char *names = known_names ? g_strdup (known_names) : create_machines (cloud, body);
   if (*names == '\0')
     {
       reply->status = 503;
@@ -144,30 +145,30 @@
       mh_value_set_text (reply->body, "error", "no capacity");
       return;
     }
-  if (known == NULL)
-    g_hash_table_insert (cloud->rentals, g_strdup (rental), g_strdup (names));
-  reply->body = write_names (names);
+  if (known_names == NULL)
+    g_hash_table_insert (cloud->create_requests, g_strdup (request_id), g_strdup (names));
+  reply->body = encode_names (names);
 }
 
 static void
-release (Cloud *cloud, const MhValue *body)
+serve_release (Cloud *cloud, const MhValue *body)
 {
   const MhValue *list = mh_value_get (body, "boxes");
   for (gsize i = 0; i < mh_value_size (list); i++)
     {
       g_autofree char *name = mh_value_as_text (mh_value_at (list, i));
       Machine *machine = find_machine (cloud, name);
-      if (machine && !machine->gone)
-        machine_take_away (machine, cloud->now_us);
+      if (machine && !machine->removed)
+        machine_remove (machine, cloud->now_us);
     }
 }
 
 /* ---- the list ---- */
 
 static MhValue *
-write_machine (const Machine *machine, gint64 as_of_us)
+encode_machine (const Machine *machine, gint64 as_of_us)
 {
-  const char *status = machine->up_us > as_of_us ? "starting" : "running";
+  const char *status = machine->boot_done_us > as_of_us ? "starting" : "running";
   MhValue *item = mh_value_map ();
   mh_value_set_text (item, "id", machine->name);
   mh_value_set_text (item, "endpoint", machine->endpoint);
@@ -175,20 +176,20 @@
   mh_value_set_text (item, "hall", machine->zone);
   mh_value_set_bool (item, "standby", machine->spot);
   mh_value_set_text (item, "status", machine->failed ? "failed" : status);
-  mh_value_set_number (item, "held_s", (double)(as_of_us - machine->rented_us) / 1e6);
+  mh_value_set_number (item, "held_s", (double)(as_of_us - machine->created_us) / 1e6);
   return item;
 }
 
 static bool
 is_listed (const Machine *machine, gint64 as_of_us, const char *after)
 {
-  if (machine->rented_us > as_of_us || (machine->gone && machine->gone_us <= as_of_us))
+  if (machine->created_us > as_of_us || (machine->removed && machine->removed_us <= as_of_us))
     return false;
   return after == NULL || strcmp (machine->name, after) > 0;
 }
 
 static char *
-parameter (const char *path, const char *name)
+query_parameter (const char *path, const char *name)
 {
   const char *start = strstr (path, name);
   if (start == NULL)
@@ -201,22 +202,23 @@
 static MhValue *
 list_machines (const Cloud *cloud, const char *path)
 {
-  g_autofree char *limit_text = parameter (path, "limit="), *after = parameter (path, "since=");
-  guint64 limit = limit_text ? g_ascii_strtoull (limit_text, NULL, 10) : DEFAULT_PAGE;
+  g_autofree char *limit_text = query_parameter (path, "limit="),
+                  *after = query_parameter (path, "since=");
+  guint64 limit = limit_text ? g_ascii_strtoull (limit_text, NULL, 10) : DEFAULT_PAGE_SIZE;
   gint64 as_of_us = cloud->now_us - cloud->list_lag_us;
   MhValue *list = mh_value_list (), *body = mh_value_map ();
-  bool more = false;
-  for (guint i = 0; i < cloud->machines->len && !more; i++)
+  bool has_next = false;
+  for (guint i = 0; i < cloud->machines->len && !has_next; i++)
     {
       const Machine *machine = g_ptr_array_index (cloud->machines, i);
       if (!is_listed (machine, as_of_us, after))
         continue;
-      more = mh_value_size (list) >= limit;
-      if (!more)
-        mh_value_push (list, write_machine (machine, as_of_us));
+      has_next = mh_value_size (list) >= limit;
+      if (!has_next)
+        mh_value_push (list, encode_machine (machine, as_of_us));
     }
   mh_value_set (body, "boxes", list);
-  mh_value_set_bool (body, "has_next", more);
+  mh_value_set_bool (body, "has_next", has_next);
   return body;
 }
 
@@ -228,11 +230,11 @@
   if (cloud->now_us < cloud->outage_until_us)
     reply->status = 503;
   else if (strcmp (path, "/machine_types") == 0)
-    reply->body = write_types (cloud);
+    reply->body = encode_types (cloud);
   else if (strcmp (path, "/machines") == 0)
-    rent (cloud, request->body, reply);
+    serve_create (cloud, request->body, reply);
   else if (strcmp (path, "/machines/release") == 0)
-    release (cloud, request->body);
+    serve_release (cloud, request->body);
   else if (g_str_has_prefix (path, "/machines?"))
     {
       cloud->list_requests++;
@@ -249,10 +251,11 @@
 }
 
 void
-cloud_describe_rentals (const Cloud *cloud, GString *out)
+cloud_describe_create_requests (const Cloud *cloud, GString *out)
 {
-  g_autoptr (GList) names = g_list_sort (g_hash_table_get_keys (cloud->rentals), compare_names);
+  g_autoptr (GList) names
+      = g_list_sort (g_hash_table_get_keys (cloud->create_requests), compare_names);
   for (const GList *link = names; link; link = link->next)
     g_string_append_printf (out, "rental %s %s\n", (const char *)link->data,
-                            (const char *)g_hash_table_lookup (cloud->rentals, link->data));
+                            (const char *)g_hash_table_lookup (cloud->create_requests, link->data));
 }
--- a/tests/stand-in/cloud.h
+++ b/tests/stand-in/cloud.h
@@ -25,11 +25,11 @@
   gint64 now_us;
   gint64 boot_us, list_lag_us;
   gint64 outage_until_us;
-  guint capacity;
-  guint zones;
+  guint max_machines;
+  guint zone_count;
   GPtrArray *machines;
-  GHashTable *rentals;
-  guint64 machines_rented;
+  GHashTable *create_requests;
+  guint64 machines_created;
   guint list_requests;
   struct WorkerRuntime *runtime;
 } Cloud;
@@ -49,4 +49,4 @@
 cloud_serve (Cloud *cloud, const ServiceRequest *request, ServiceReply *reply);
 /** cloud_describe_rentals: Appends a line a rental to @out, in the order of their names. */
 void
-cloud_describe_rentals (const Cloud *cloud, GString *out);
+cloud_describe_create_requests (const Cloud *cloud, GString *out);
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -7,9 +7,9 @@
 #include "stand-in/peer-message.h"
 
 #define WALL_CLOCK_START_US 1700000000000000
-#define WALL_CLOCK_SKEW_US 1000
-#define LARGEST_DRIFT 0.0005
-#define SHORTEST_TIMER_US 1000
+#define WALL_CLOCK_SKEW_PER_NODE_US 1000
+#define MAX_CLOCK_DRIFT 0.0005
+#define MIN_TIMER_US 1000
 
 static void
 pending_request_free (gpointer data)
@@ -39,15 +39,16 @@
   node->index = index;
   node->settings = settings;
   node->name = g_strdup (settings->node_name);
-  node->clock_drift = g_rand_double_range (simulation->random, -LARGEST_DRIFT, LARGEST_DRIFT);
-  node->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_request_free);
+  node->clock_drift = g_rand_double_range (simulation->random, -MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT);
+  node->pending_requests
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, pending_request_free);
 }
 
 void
 controller_node_clear (ControllerNode *node)
 {
   controller_node_stop (node);
-  g_hash_table_unref (node->pending);
+  g_hash_table_unref (node->pending_requests);
   mh_settings_free (node->settings);
   g_free (node->name);
 }
@@ -66,8 +67,8 @@
 {
   gint64 now_us = node->simulation->clock->now_us;
   return (MhNow){ .mono_us = monotonic_us (node),
-                  .wall_us
-                  = WALL_CLOCK_START_US + now_us + (gint64)WALL_CLOCK_SKEW_US * node->index,
+                  .wall_us = WALL_CLOCK_START_US + now_us
+                             + (gint64)WALL_CLOCK_SKEW_PER_NODE_US * node->index,
                   .jitter = g_rand_double (node->simulation->random) };
 }
 
@@ -81,10 +82,10 @@
 
 /* Returns the id that the controller calls the request by. */
 static guint64
-expect_answer (ControllerNode *node, PendingRequest *request)
+add_pending_request (ControllerNode *node, PendingRequest *request)
 {
   guint64 id = fake_clock_next_number (node->simulation->clock);
-  g_hash_table_insert (node->pending, g_memdup2 (&id, sizeof id), request);
+  g_hash_table_insert (node->pending_requests, g_memdup2 (&id, sizeof id), request);
   return id;
 }
 
@@ -92,21 +93,21 @@
 controller_node_user_request (ControllerNode *node, PendingRequest *request, bool forwarded)
 {
   MhNow now = controller_node_now (node);
-  guint64 id = expect_answer (node, request);
+  guint64 id = add_pending_request (node, request);
   MhUserRequest sent = { .id = id,
                          .verb = request->verb,
                          .job_id = request->job_id,
                          .spec = request->spec ? job_spec_copy (request->spec) : NULL,
                          .forwarded = forwarded };
-  controller_user (node->controller, &now, &sent);
+  controller_user_request (node->controller, &now, &sent);
   controller_node_drain (node);
 }
 
 void
-controller_node_report (ControllerNode *node, PendingRequest *request, const MhValue *report)
+controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *report)
 {
   MhNow now = controller_node_now (node);
-  controller_report (node->controller, &now, expect_answer (node, request), report);
+  controller_heartbeat (node->controller, &now, add_pending_request (node, request), report);
   controller_node_drain (node);
 }
 
@@ -124,15 +125,15 @@
 static void
 answer_request (ControllerNode *node, const MhAction *action)
 {
-  const PendingRequest *request = g_hash_table_lookup (node->pending, &action->id);
+  const PendingRequest *request = g_hash_table_lookup (node->pending_requests, &action->id);
   if (request == NULL)
     return;
-  request->answered (node, request, action);
-  g_hash_table_remove (node->pending, &action->id);
+  request->on_answer (node, request, action);
+  g_hash_table_remove (node->pending_requests, &action->id);
 }
 
 static void
-carry_out (ControllerNode *node, MhAction *action)
+execute_action (ControllerNode *node, MhAction *action)
 {
   switch (action->kind)
     {
@@ -143,7 +144,8 @@
       peer_message_announce (node, action);
       break;
     case MH_ACTION_FORWARD:
-      peer_message_forward (node, action, g_hash_table_lookup (node->pending, &action->id));
+      peer_message_forward (node, action,
+                            g_hash_table_lookup (node->pending_requests, &action->id));
       break;
     case MH_ACTION_LOG:
       simulation_log (node->simulation, node->name, action->line);
@@ -154,7 +156,7 @@
 }
 
 static void
-wake (gpointer data)
+on_timer (gpointer data)
 {
   ControllerNode *node = data;
   if (node->controller == NULL || node->simulation->clock->now_us < node->next_wake_us)
@@ -172,15 +174,15 @@
   FakeClock *clock = node->simulation->clock;
   MhNow now = controller_node_now (node);
   gint64 in_us = controller_next_wake (node->controller) - now.mono_us;
-  gint64 wake_us = clock->now_us + MAX (in_us, SHORTEST_TIMER_US);
+  gint64 wake_us = clock->now_us + MAX (in_us, MIN_TIMER_US);
   if (node->next_wake_us != G_MAXINT64 && wake_us >= node->next_wake_us)
     return;
   node->next_wake_us = wake_us;
-  fake_clock_add_pausable (clock, &node->frozen_until_us, wake_us, wake, node, NULL);
+  fake_clock_add_pausable (clock, &node->frozen_until_us, wake_us, on_timer, node, NULL);
 }
 
 static void
-resume (gpointer data)
+on_thaw (gpointer data)
 {
   ControllerNode *node = data;
   if (node->controller)
@@ -196,15 +198,15 @@
   node->freeze_before_acting_us = 0;
   if (controller_node_is_frozen (node))
     {
-      fake_clock_add_pausable (clock, &node->frozen_until_us, node->frozen_until_us, resume, node,
+      fake_clock_add_pausable (clock, &node->frozen_until_us, node->frozen_until_us, on_thaw, node,
                                NULL);
       return;
     }
   MhAction *action;
-  while ((action = controller_pop (node->controller, controller_node_now (node).mono_us)))
+  while ((action = controller_next_action (node->controller, controller_node_now (node).mono_us)))
     {
-      decision_log_action (node, action);
-      carry_out (node, action);
+      decision_log_add_action (node, action);
+      execute_action (node, action);
       mh_action_free (action);
     }
   set_timer (node);
@@ -216,8 +218,8 @@
 controller_node_stop (ControllerNode *node)
 {
   g_clear_pointer (&node->controller, controller_free);
-  g_hash_table_remove_all (node->pending);
-  node->worker_calls = 0;
+  g_hash_table_remove_all (node->pending_requests);
+  node->worker_calls_in_flight = 0;
   node->incarnation++;
 }
 
--- a/tests/stand-in/controller-node.h
+++ b/tests/stand-in/controller-node.h
@@ -9,8 +9,8 @@
 typedef struct PendingRequest PendingRequest;
 
 /** PendingRequestAnswered: @action: the controller's answer to @request */
-typedef void (*PendingRequestAnswered) (ControllerNode *node, const PendingRequest *request,
-                                        const MhAction *action);
+typedef void (*PendingRequestAnswerFunc) (ControllerNode *node, const PendingRequest *request,
+                                          const MhAction *action);
 
 /**
  * PendingRequest:
@@ -26,7 +26,7 @@
  */
 struct PendingRequest
 {
-  PendingRequestAnswered answered;
+  PendingRequestAnswerFunc on_answer;
   gpointer data;
   GDestroyNotify free_data;
   MhUserVerb verb;
@@ -72,9 +72,9 @@
   Controller *controller;
   guint incarnation;
   guint wake_count;
-  guint worker_calls, peak_worker_calls;
+  guint worker_calls_in_flight, peak_worker_calls;
   double clock_drift;
-  GHashTable *pending;
+  GHashTable *pending_requests;
   gint64 next_wake_us;
   gint64 store_cut_until_us;
   gint64 peers_cut_until_us;
@@ -82,9 +82,9 @@
   gint64 writes_lost_until_us;
   gint64 write_answers_lost_until_us;
   bool hold_writes;
-  gint64 store_refuses_until_us;
+  gint64 store_rejects_until_us;
   gint64 key_lists_lost_until_us;
-  gint64 reports_lost_until_us;
+  gint64 heartbeats_lost_until_us;
   gint64 frozen_until_us;
   gint64 freeze_before_acting_us;
 };
@@ -120,7 +120,7 @@
 controller_node_user_request (ControllerNode *node, PendingRequest *request, bool forwarded);
 /** controller_node_report: @request: (transfer full): waits for the response to @report */
 void
-controller_node_report (ControllerNode *node, PendingRequest *request, const MhValue *report);
+controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *report);
 /** controller_node_leads: Returns: whether its controller, which runs, is the leader now */
 bool
 controller_node_leads (ControllerNode *node);
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -206,7 +206,7 @@
 }
 
 void
-controller_user (Controller *self, const MhNow *now, const MhUserRequest *request)
+controller_user_request (Controller *self, const MhNow *now, const MhUserRequest *request)
 {
   if (self->core)
     {
@@ -222,7 +222,7 @@
 }
 
 void
-controller_report (Controller *self, const MhNow *now, guint64 id, const MhValue *value)
+controller_heartbeat (Controller *self, const MhNow *now, guint64 id, const MhValue *value)
 {
   if (self->core)
     {
@@ -237,7 +237,8 @@
 }
 
 void
-controller_reply (Controller *self, const MhNow *now, guint64 id, guint status, const MhValue *body)
+controller_call_finished (Controller *self, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body)
 {
   if (self->core)
     {
@@ -250,7 +251,8 @@
 }
 
 void
-controller_forwarded (Controller *self, const MhNow *now, guint64 id, const MhUserAnswer *answer)
+controller_forward_finished (Controller *self, const MhNow *now, guint64 id,
+                             const MhUserAnswer *answer)
 {
   if (self->core)
     {
@@ -279,7 +281,7 @@
 }
 
 MhAction *
-controller_pop (Controller *self, gint64 mono_us)
+controller_next_action (Controller *self, gint64 mono_us)
 {
   ProductionAction popped;
   if (self->core)
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -25,25 +25,25 @@
 controller_tick (Controller *controller, const MhNow *now);
 /** controller_user: A user, or another controller for one, asks. */
 void
-controller_user (Controller *controller, const MhNow *now, const MhUserRequest *request);
+controller_user_request (Controller *controller, const MhNow *now, const MhUserRequest *request);
 /** controller_report: A worker's report. @id: that the response will have */
 void
-controller_report (Controller *controller, const MhNow *now, guint64 id, const MhValue *report);
+controller_heartbeat (Controller *controller, const MhNow *now, guint64 id, const MhValue *report);
 /** controller_reply: The answer to its call of that id. @status: HTTP status; 0: there was none */
 void
-controller_reply (Controller *controller, const MhNow *now, guint64 id, guint status,
-                  const MhValue *body);
+controller_call_finished (Controller *controller, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body);
 /** controller_forwarded: @answer: (nullable): to what it forwarded; %NULL: there was none */
 void
-controller_forwarded (Controller *controller, const MhNow *now, guint64 id,
-                      const MhUserAnswer *answer);
+controller_forward_finished (Controller *controller, const MhNow *now, guint64 id,
+                             const MhUserAnswer *answer);
 /** controller_leader_announced: Another controller says who leads. */
 void
 controller_leader_announced (Controller *controller, const MhNow *now, const char *node,
                              guint64 epoch);
 /** controller_pop: Returns: (transfer full) (nullable): its next action */
 MhAction *
-controller_pop (Controller *controller, gint64 mono_us);
+controller_next_action (Controller *controller, gint64 mono_us);
 /** controller_next_wake: Returns: when it wants its next tick, on its monotonic clock */
 gint64
 controller_next_wake (const Controller *controller);
--- a/tests/stand-in/decision-log.c
+++ b/tests/stand-in/decision-log.c
@@ -33,7 +33,7 @@
 }
 
 void
-decision_log_action (const ControllerNode *node, const MhAction *action)
+decision_log_add_action (const ControllerNode *node, const MhAction *action)
 {
   GChecksum *digest = node->simulation->digest;
   if (digest == NULL || action->kind == MH_ACTION_LOG)
@@ -53,7 +53,7 @@
 }
 
 void
-decision_log_state (Simulation *simulation)
+decision_log_add_state (Simulation *simulation)
 {
   if (simulation->digest == NULL)
     return;
--- a/tests/stand-in/decision-log.h
+++ b/tests/stand-in/decision-log.h
@@ -5,7 +5,7 @@
 
 /** decision_log_action: Takes in what leaves a controller; log lines are left out. */
 void
-decision_log_action (const ControllerNode *node, const MhAction *action);
+decision_log_add_action (const ControllerNode *node, const MhAction *action);
 /** decision_log_state: Takes in all that is left outside the controllers. */
 void
-decision_log_state (Simulation *simulation);
+decision_log_add_state (Simulation *simulation);
--- a/tests/stand-in/environment.c
+++ b/tests/stand-in/environment.c
@@ -2,10 +2,10 @@
 
 /* Not a rule of the protocol but ours: a late transaction of an earlier leader must fail. */
 static void
-report_unfenced (gpointer data)
+on_unfenced_transaction (gpointer data)
 {
   RuleChecks *rules = data;
-  rule_checks_report (rules, "a transaction without a condition on the leader's key");
+  rule_checks_add_violation (rules, "a transaction without a condition on the leader's key");
 }
 
 static void
@@ -27,7 +27,8 @@
   environment->cloud = cloud_new (machines, settings->list_lag_us, environment->runtime);
   environment->store = key_value_store_new (settings);
   environment->store->now_us = now_us;
-  key_value_store_set_unfenced (environment->store, report_unfenced, environment->rules);
+  key_value_store_set_unfenced_func (environment->store, on_unfenced_transaction,
+                                     environment->rules);
   set_time (environment, now_us);
   return environment;
 }
@@ -92,15 +93,15 @@
   const Cloud *cloud = environment->cloud;
   const RuleChecks *rules = environment->rules;
   g_string_append_printf (out, "revision %" G_GUINT64_FORMAT " starts %u rented %" G_GUINT64_FORMAT,
-                          store->revision, rules->task_starts, cloud->machines_rented);
+                          store->revision, rules->task_starts, cloud->machines_created);
   g_string_append_printf (out, " leases %u lists %u finals %u malformed %u refused %u\n",
-                          g_hash_table_size (store->lease_ends), cloud->list_requests,
+                          g_hash_table_size (store->lease_expiries), cloud->list_requests,
                           store->final_record_reads, store->malformed_writes,
                           store->throttled_writes);
   key_value_store_describe_keys (store, out);
   for (guint i = 0; i < cloud->machines->len; i++)
     machine_describe (g_ptr_array_index (cloud->machines, i), out);
-  cloud_describe_rentals (cloud, out);
+  cloud_describe_create_requests (cloud, out);
   workload_describe (environment->workload, out);
   for (guint i = 0; i < rules->violations->len; i++)
     g_string_append_printf (out, "broken %s\n",
--- a/tests/stand-in/gang-runtime.c
+++ b/tests/stand-in/gang-runtime.c
@@ -33,7 +33,7 @@
   for (guint i = 0; i < machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (machines, i);
-      if (!machine->up || runtime->now_us < machine->hung_until_us)
+      if (!machine->running || runtime->now_us < machine->hung_until_us)
         continue;
       for (guint j = 0; j < machine->tasks->len; j++)
         collect_task (runtime, spec, machine_task (machine, j), state);
@@ -75,13 +75,14 @@
 
 /* The others have waited for a lost task, or for one that does not save, for long enough. */
 static bool
-gives_up (const WorkerRuntime *runtime, const WorkloadJob *job)
+should_give_up (const WorkerRuntime *runtime, const WorkloadJob *job)
 {
-  gint64 patience_us = runtime->settings->gang_peer_us;
-  if (job->incomplete_since_us && runtime->now_us > job->incomplete_since_us + patience_us)
+  gint64 peer_timeout_us = runtime->settings->gang_peer_us;
+  if (job->incomplete_since_us && runtime->now_us > job->incomplete_since_us + peer_timeout_us)
     return true;
   return job->stop_requested_us
-         && runtime->now_us > job->stop_requested_us + job->spec->checkpoint_save_us + patience_us;
+         && runtime->now_us
+                > job->stop_requested_us + job->spec->checkpoint_save_us + peer_timeout_us;
 }
 
 static void
@@ -99,7 +100,7 @@
       job->orderly_stops++;
       end_gang (job, state->started, "stopped");
     }
-  else if (gives_up (runtime, job))
+  else if (should_give_up (runtime, job))
     {
       if (spec->checkpoint_interval_us)
         job->saved_progress_us
--- a/tests/stand-in/key-value-requests.c
+++ b/tests/stand-in/key-value-requests.c
@@ -8,22 +8,22 @@
 #define FINAL_RECORD_PATH "/kv/f/"
 #define LEASE_PATH "/grants/"
 #define LEADER_KEY "leader"
-#define DEFAULT_PAGE 1000
-#define CONDITIONS_PER_CHANGE 4u
-#define TRANSACTION_BYTES 65536
+#define DEFAULT_PAGE_SIZE 1000
+#define MAX_CONDITIONS_PER_CHANGE 4u
+#define MAX_TRANSACTION_BYTES 65536
 
 static MhValue *
-write_key (const char *name, const StoredKey *key)
+encode_key (const char *name, const StoredKey *key)
 {
   MhValue *item = mh_value_map ();
   mh_value_set_text (item, "key", name);
   mh_value_set (item, "v", cbor_incref (key->value));
-  mh_value_set_uint (item, "stamp", key->version);
+  mh_value_set_uint (item, "stamp", key->revision);
   return item;
 }
 
 static MhValue *
-write_revision (const KeyValueStore *store)
+encode_revision (const KeyValueStore *store)
 {
   MhValue *body = mh_value_map ();
   mh_value_set_uint (body, "ledger", store->revision);
@@ -49,7 +49,7 @@
 {
   const StoredKey *key = g_tree_lookup (store->keys, name);
   reply->status = key ? 200 : 404;
-  reply->body = key ? write_key (name, key) : write_revision (store);
+  reply->body = key ? encode_key (name, key) : encode_revision (store);
 }
 
 typedef struct
@@ -57,7 +57,7 @@
   const char *prefix, *after;
   guint limit;
   MhValue *entries;
-  bool more;
+  bool has_next;
 } KeyPage;
 
 static gboolean
@@ -68,10 +68,10 @@
     return FALSE;
   if (mh_value_size (page->entries) >= page->limit)
     {
-      page->more = true;
+      page->has_next = true;
       return TRUE;
     }
-  mh_value_push (page->entries, write_key (name, value));
+  mh_value_push (page->entries, encode_key (name, value));
   return FALSE;
 }
 
@@ -83,12 +83,12 @@
   g_autofree char *limit = query_parameter (path, "limit");
   KeyPage page = { .prefix = prefix ? prefix : "",
                    .after = after,
-                   .limit = limit ? (guint)g_ascii_strtoull (limit, NULL, 10) : DEFAULT_PAGE,
+                   .limit = limit ? (guint)g_ascii_strtoull (limit, NULL, 10) : DEFAULT_PAGE_SIZE,
                    .entries = mh_value_list () };
   g_tree_foreach (store->keys, collect_page, &page);
-  MhValue *body = write_revision (store);
+  MhValue *body = encode_revision (store);
   mh_value_set (body, "entries", page.entries);
-  mh_value_set_bool (body, "has_next", page.more);
+  mh_value_set_bool (body, "has_next", page.has_next);
   return body;
 }
 
@@ -96,7 +96,7 @@
 
 /* Transactions whose conditions fail count as well. */
 static bool
-within_write_rate (KeyValueStore *store, gsize changes)
+take_write_tokens (KeyValueStore *store, gsize changes)
 {
   if (store->write_rps <= 0)
     return true;
@@ -115,7 +115,7 @@
 
 /* Returns the names of the keys that have another version than their conditions say. */
 static MhValue *
-failed_conditions (const KeyValueStore *store, const MhValue *conditions, bool *fenced)
+find_failed_conditions (const KeyValueStore *store, const MhValue *conditions, bool *fenced)
 {
   MhValue *failed = mh_value_list ();
   *fenced = false;
@@ -123,28 +123,29 @@
     {
       const MhValue *condition = mh_value_at (conditions, i);
       g_autofree char *name = mh_value_get_text (condition, "key");
-      guint64 version = 0;
-      mh_value_get_uint (condition, "stamp", &version);
+      guint64 revision = 0;
+      mh_value_get_uint (condition, "stamp", &revision);
       *fenced |= strcmp (name, LEADER_KEY) == 0;
       const StoredKey *key = g_tree_lookup (store->keys, name);
-      if ((key ? key->version : 0) != version)
+      if ((key ? key->revision : 0) != revision)
         mh_value_push (failed, mh_value_text (name));
     }
   return failed;
 }
 
 static bool
-within_sizes (const KeyValueStore *store, const MhValue *body)
+is_within_size_limits (const KeyValueStore *store, const MhValue *body)
 {
-  guint most = store->settings->txn_ops;
-  return mh_value_size (mh_value_get (body, "apply")) <= most
-         && mh_value_size (mh_value_get (body, "if")) <= (gsize)CONDITIONS_PER_CHANGE * most
-         && mh_value_json_size (body) <= TRANSACTION_BYTES;
+  guint max_changes = store->settings->txn_ops;
+  return mh_value_size (mh_value_get (body, "apply")) <= max_changes
+         && mh_value_size (mh_value_get (body, "if"))
+                <= (gsize)MAX_CONDITIONS_PER_CHANGE * max_changes
+         && mh_value_json_size (body) <= MAX_TRANSACTION_BYTES;
 }
 
 /* Their leases exist, and their values are not too large. */
 static bool
-changes_are_possible (const KeyValueStore *store, const MhValue *changes)
+are_changes_valid (const KeyValueStore *store, const MhValue *changes)
 {
   for (gsize i = 0; i < mh_value_size (changes); i++)
     {
@@ -175,7 +176,7 @@
 }
 
 static void
-refuse_as_malformed (KeyValueStore *store, ServiceReply *reply)
+reject_as_malformed (KeyValueStore *store, ServiceReply *reply)
 {
   store->malformed_writes++;
   reply->status = 400;
@@ -186,29 +187,29 @@
 {
   const MhValue *changes = mh_value_get (body, "apply");
   bool fenced;
-  if (!within_sizes (store, body))
+  if (!is_within_size_limits (store, body))
     {
-      refuse_as_malformed (store, reply);
+      reject_as_malformed (store, reply);
       return;
     }
-  if (!within_write_rate (store, mh_value_size (changes)))
+  if (!take_write_tokens (store, mh_value_size (changes)))
     {
       reply->status = 429;
       return;
     }
-  g_autoptr (MhValue) failed = failed_conditions (store, mh_value_get (body, "if"), &fenced);
-  if (!fenced && store->unfenced)
-    store->unfenced (store->unfenced_data);
-  if (!changes_are_possible (store, changes))
+  g_autoptr (MhValue) failed = find_failed_conditions (store, mh_value_get (body, "if"), &fenced);
+  if (!fenced && store->unfenced_func)
+    store->unfenced_func (store->unfenced_data);
+  if (!are_changes_valid (store, changes))
     {
-      refuse_as_malformed (store, reply);
+      reject_as_malformed (store, reply);
       return;
     }
   if (mh_value_size (failed) == 0)
     apply_changes (store, changes);
   else
     reply->status = 409;
-  reply->body = write_revision (store);
+  reply->body = encode_revision (store);
   if (reply->status == 409)
     mh_value_set (reply->body, "failed", g_steal_pointer (&failed));
 }
@@ -216,7 +217,7 @@
 /* ---- leases ---- */
 
 static void
-serve_new_lease (KeyValueStore *store, const MhValue *body, ServiceReply *reply)
+serve_lease_grant (KeyValueStore *store, const MhValue *body, ServiceReply *reply)
 {
   guint64 life_ms = 0;
   mh_value_get_uint (body, "life_ms", &life_ms);
@@ -243,40 +244,41 @@
   g_autofree char *since = query_parameter (request->path, "since");
   g_autofree char *hold_ms = query_parameter (request->path, "hold_ms");
   Watch watch = { .token = request->token,
-                  .since = g_ascii_strtoull (since, NULL, 10),
+                  .since_revision = g_ascii_strtoull (since, NULL, 10),
                   .prefix = query_parameter (request->path, "starts"),
-                  .until_us = store->now_us + g_ascii_strtoll (hold_ms, NULL, 10) * 1000 };
+                  .hold_until_us = store->now_us + g_ascii_strtoll (hold_ms, NULL, 10) * 1000 };
   g_array_append_val (store->watches, watch);
 }
 
 static MhValue *
-write_change (const KeyChange *change)
+encode_change (const KeyChange *change)
 {
   MhValue *item = mh_value_map ();
   mh_value_set_text (item, change->value ? "put" : "drop", change->name);
   if (change->value)
     mh_value_set (item, "v", cbor_incref (change->value));
-  mh_value_set_uint (item, "stamp", change->version);
+  mh_value_set_uint (item, "stamp", change->revision);
   return item;
 }
 
 MhValue *
-key_value_store_watch_news (const KeyValueStore *store, const Watch *watch)
+key_value_store_changes_for_watch (const KeyValueStore *store, const Watch *watch)
 {
-  MhValue *news = NULL;
+  MhValue *changes = NULL;
   for (guint i = 0; i < store->history->len; i++)
     {
       const KeyChange *change = &g_array_index (store->history, KeyChange, i);
-      if (change->version <= watch->since || !g_str_has_prefix (change->name, watch->prefix))
+      if (change->revision <= watch->since_revision
+          || !g_str_has_prefix (change->name, watch->prefix))
         continue;
-      if (news == NULL)
-        news = mh_value_list ();
-      mh_value_push (news, write_change (change));
+      if (changes == NULL)
+        changes = mh_value_list ();
+      mh_value_push (changes, encode_change (change));
     }
-  if (news == NULL && store->now_us < watch->until_us)
+  if (changes == NULL && store->now_us < watch->hold_until_us)
     return NULL;
-  MhValue *body = write_revision (store);
-  mh_value_set (body, "news", news ? news : mh_value_list ());
+  MhValue *body = encode_revision (store);
+  mh_value_set (body, "news", changes ? changes : mh_value_list ());
   return body;
 }
 
@@ -297,7 +299,7 @@
   else if (strcmp (path, "/multi") == 0)
     serve_transaction (store, request->body, reply);
   else if (strcmp (path, "/grants") == 0)
-    serve_new_lease (store, request->body, reply);
+    serve_lease_grant (store, request->body, reply);
   else if (g_str_has_prefix (path, LEASE_PATH))
     serve_lease (store, request, reply);
   else if (g_str_has_prefix (path, "/watch?"))
--- a/tests/stand-in/key-value-store-private.h
+++ b/tests/stand-in/key-value-store-private.h
@@ -8,7 +8,7 @@
 typedef struct
 {
   MhValue *value;
-  guint64 version, lease;
+  guint64 revision, lease;
 } StoredKey;
 
 /** KeyChange: @value: (nullable): %NULL: the key was removed */
@@ -16,16 +16,16 @@
 {
   char *name;
   MhValue *value;
-  guint64 version;
+  guint64 revision;
 } KeyChange;
 
 /** Watch: for changes after revision @since of keys that begin with @prefix */
 typedef struct
 {
   gpointer token;
-  guint64 since;
+  guint64 since_revision;
   char *prefix;
-  gint64 until_us;
+  gint64 hold_until_us;
 } Watch;
 
 /**
@@ -39,7 +39,7 @@
 key_value_store_change (KeyValueStore *store, const char *name, MhValue *value, guint64 lease);
 /** key_value_store_grant_lease: Returns: a new lease that expires after @length_us */
 guint64
-key_value_store_grant_lease (KeyValueStore *store, gint64 length_us);
+key_value_store_grant_lease (KeyValueStore *store, gint64 duration_us);
 /** key_value_store_renew_lease: Returns: whether the lease exists */
 bool
 key_value_store_renew_lease (KeyValueStore *store, guint64 lease);
@@ -51,4 +51,4 @@
 key_value_store_has_lease (const KeyValueStore *store, guint64 lease);
 /** key_value_store_watch_news: Returns: (nullable): the answer to a watch that ends now */
 MhValue *
-key_value_store_watch_news (const KeyValueStore *store, const Watch *watch);
+key_value_store_changes_for_watch (const KeyValueStore *store, const Watch *watch);
--- a/tests/stand-in/key-value-store.c
+++ b/tests/stand-in/key-value-store.c
@@ -38,8 +38,8 @@
   KeyValueStore *store = g_new0 (KeyValueStore, 1);
   store->settings = settings;
   store->keys = g_tree_new_full (compare_names, NULL, g_free, key_free);
-  store->lease_ends = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  store->lease_lengths = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  store->lease_expiries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  store->lease_durations = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   store->history = g_array_new (FALSE, FALSE, sizeof (KeyChange));
   g_array_set_clear_func (store->history, change_clear);
   store->watches = g_array_new (FALSE, FALSE, sizeof (Watch));
@@ -51,17 +51,18 @@
 key_value_store_free (KeyValueStore *store)
 {
   g_tree_unref (store->keys);
-  g_hash_table_unref (store->lease_ends);
-  g_hash_table_unref (store->lease_lengths);
+  g_hash_table_unref (store->lease_expiries);
+  g_hash_table_unref (store->lease_durations);
   g_array_unref (store->history);
   g_array_unref (store->watches);
   g_free (store);
 }
 
 void
-key_value_store_set_unfenced (KeyValueStore *store, KeyValueStoreUnfenced unfenced, gpointer data)
+key_value_store_set_unfenced_func (KeyValueStore *store, KeyValueStoreUnfencedFunc unfenced_func,
+                                   gpointer data)
 {
-  store->unfenced = unfenced;
+  store->unfenced_func = unfenced_func;
   store->unfenced_data = data;
 }
 
@@ -70,12 +71,12 @@
 {
   KeyChange change = { .name = g_strdup (name),
                        .value = value ? cbor_incref (value) : NULL,
-                       .version = store->revision };
+                       .revision = store->revision };
   if (value)
     {
       StoredKey *key = g_new0 (StoredKey, 1);
       key->value = cbor_incref (value);
-      key->version = store->revision;
+      key->revision = store->revision;
       key->lease = lease;
       g_tree_replace (store->keys, g_strdup (name), key);
     }
@@ -96,31 +97,31 @@
 /* ---- leases ---- */
 
 guint64
-key_value_store_grant_lease (KeyValueStore *store, gint64 length_us)
+key_value_store_grant_lease (KeyValueStore *store, gint64 duration_us)
 {
   guint64 lease = ++store->last_lease;
-  gint64 end_us = store->now_us + length_us;
-  g_hash_table_insert (store->lease_lengths, g_memdup2 (&lease, sizeof lease),
-                       g_memdup2 (&length_us, sizeof length_us));
-  g_hash_table_insert (store->lease_ends, g_memdup2 (&lease, sizeof lease),
-                       g_memdup2 (&end_us, sizeof end_us));
+  gint64 expiry_us = store->now_us + duration_us;
+  g_hash_table_insert (store->lease_durations, g_memdup2 (&lease, sizeof lease),
+                       g_memdup2 (&duration_us, sizeof duration_us));
+  g_hash_table_insert (store->lease_expiries, g_memdup2 (&lease, sizeof lease),
+                       g_memdup2 (&expiry_us, sizeof expiry_us));
   return lease;
 }
 
 bool
 key_value_store_has_lease (const KeyValueStore *store, guint64 lease)
 {
-  return g_hash_table_contains (store->lease_ends, &lease);
+  return g_hash_table_contains (store->lease_expiries, &lease);
 }
 
 bool
 key_value_store_renew_lease (KeyValueStore *store, guint64 lease)
 {
-  gint64 *end_us = g_hash_table_lookup (store->lease_ends, &lease);
-  const gint64 *length_us = g_hash_table_lookup (store->lease_lengths, &lease);
-  if (end_us == NULL)
+  gint64 *expiry_us = g_hash_table_lookup (store->lease_expiries, &lease);
+  const gint64 *duration_us = g_hash_table_lookup (store->lease_durations, &lease);
+  if (expiry_us == NULL)
     return false;
-  *end_us = store->now_us + *length_us;
+  *expiry_us = store->now_us + *duration_us;
   return true;
 }
 
@@ -152,20 +153,20 @@
     store->revision++;
   for (guint i = 0; i < names->len; i++)
     key_value_store_change (store, g_ptr_array_index (names, i), NULL, 0);
-  g_hash_table_remove (store->lease_ends, &lease);
+  g_hash_table_remove (store->lease_expiries, &lease);
   return true;
 }
 
 static void
-restart_leases (KeyValueStore *store)
+extend_all_leases (KeyValueStore *store)
 {
   GHashTableIter it;
-  gpointer lease, end_us;
-  g_hash_table_iter_init (&it, store->lease_ends);
-  while (g_hash_table_iter_next (&it, &lease, &end_us))
+  gpointer lease, expiry_us;
+  g_hash_table_iter_init (&it, store->lease_expiries);
+  while (g_hash_table_iter_next (&it, &lease, &expiry_us))
     {
-      const gint64 *length_us = g_hash_table_lookup (store->lease_lengths, lease);
-      *(gint64 *)end_us = store->now_us + *length_us;
+      const gint64 *duration_us = g_hash_table_lookup (store->lease_durations, lease);
+      *(gint64 *)expiry_us = store->now_us + *duration_us;
     }
 }
 
@@ -174,10 +175,10 @@
 {
   g_autoptr (GArray) expired = g_array_new (FALSE, FALSE, sizeof (guint64));
   GHashTableIter it;
-  gpointer lease, end_us;
-  g_hash_table_iter_init (&it, store->lease_ends);
-  while (g_hash_table_iter_next (&it, &lease, &end_us))
-    if (*(gint64 *)end_us <= store->now_us)
+  gpointer lease, expiry_us;
+  g_hash_table_iter_init (&it, store->lease_expiries);
+  while (g_hash_table_iter_next (&it, &lease, &expiry_us))
+    if (*(gint64 *)expiry_us <= store->now_us)
       g_array_append_val (expired, *(guint64 *)lease);
   for (guint i = 0; i < expired->len; i++)
     key_value_store_end_lease (store, g_array_index (expired, guint64, i));
@@ -199,7 +200,7 @@
       const Watch *watch = &g_array_index (store->watches, Watch, i);
       EndedWatch answer = { .token = watch->token,
                             .status = 200,
-                            .body = key_value_store_watch_news (store, watch) };
+                            .body = key_value_store_changes_for_watch (store, watch) };
       if (answer.body == NULL)
         {
           i++;
@@ -213,12 +214,12 @@
 void
 key_value_store_advance (KeyValueStore *store, gint64 now_us, GArray *ended)
 {
-  bool was_out = store->now_us < store->outage_until_us;
+  bool was_in_outage = store->now_us < store->outage_until_us;
   store->now_us = now_us;
   if (now_us < store->outage_until_us)
     return;
-  if (was_out)
-    restart_leases (store);
+  if (was_in_outage)
+    extend_all_leases (store);
   expire_leases (store);
   end_watches (store, ended);
 }
@@ -241,7 +242,7 @@
   const StoredKey *key = value;
   GString *out = data;
   g_string_append_printf (out, "key %s %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " ",
-                          (const char *)name, key->version, key->lease);
+                          (const char *)name, key->revision, key->lease);
   describe_value (out, key->value);
   g_string_append_c (out, '\n');
   return FALSE;
--- a/tests/stand-in/key-value-store.h
+++ b/tests/stand-in/key-value-store.h
@@ -6,7 +6,7 @@
 #include "stand-in/service.h"
 
 /** KeyValueStoreUnfenced: Called for a transaction that has no condition on the leader's key. */
-typedef void (*KeyValueStoreUnfenced) (gpointer data);
+typedef void (*KeyValueStoreUnfencedFunc) (gpointer data);
 
 /**
  * KeyValueStore:
@@ -35,13 +35,13 @@
   guint64 revision;
 
   guint64 last_lease;
-  GHashTable *lease_ends;    /* lease -> gint64 time */
-  GHashTable *lease_lengths; /* lease -> gint64 duration */
-  GArray *history;           /* KeyChange */
-  GArray *watches;           /* Watch */
+  GHashTable *lease_expiries;  /* lease -> gint64 time */
+  GHashTable *lease_durations; /* lease -> gint64 duration */
+  GArray *history;             /* KeyChange */
+  GArray *watches;             /* Watch */
   double write_tokens;
   gint64 write_tokens_us;
-  KeyValueStoreUnfenced unfenced;
+  KeyValueStoreUnfencedFunc unfenced_func;
   gpointer unfenced_data;
 } KeyValueStore;
 
@@ -66,7 +66,8 @@
 key_value_store_free (KeyValueStore *store);
 /** key_value_store_set_unfenced: @unfenced is called whenever a transaction is not fenced. */
 void
-key_value_store_set_unfenced (KeyValueStore *store, KeyValueStoreUnfenced unfenced, gpointer data);
+key_value_store_set_unfenced_func (KeyValueStore *store, KeyValueStoreUnfencedFunc unfenced_func,
+                                   gpointer data);
 /**
  * key_value_store_serve:
  * @request: a request
--- a/tests/stand-in/machine.c
+++ b/tests/stand-in/machine.c
@@ -18,7 +18,7 @@
 }
 
 static const MachineType *
-type_of (const Machine *machine)
+machine_type (const Machine *machine)
 {
   return strcmp (machine->type, types[0].name) == 0 ? &types[0] : &types[1];
 }
@@ -40,10 +40,10 @@
                                        number % MACHINES_PER_SUBNET + 1);
   machine->type = g_strdup (type);
   machine->zone = g_strdup (zone);
-  machine->session = 1;
+  machine->incarnation = 1;
   machine->tasks = g_array_new (FALSE, FALSE, sizeof (MachineTask));
   g_array_set_clear_func (machine->tasks, task_clear);
-  machine->images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  machine->cached_images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   machine->runtime = runtime;
   return machine;
 }
@@ -57,7 +57,7 @@
   g_free (machine->type);
   g_free (machine->zone);
   g_array_unref (machine->tasks);
-  g_hash_table_unref (machine->images);
+  g_hash_table_unref (machine->cached_images);
   g_free (machine);
 }
 
@@ -65,16 +65,16 @@
 machine_fail (Machine *machine)
 {
   machine->failed = true;
-  machine->up = false;
+  machine->running = false;
   g_array_set_size (machine->tasks, 0);
 }
 
 void
-machine_take_away (Machine *machine, gint64 now_us)
+machine_remove (Machine *machine, gint64 now_us)
 {
-  machine->gone = true;
-  machine->up = false;
-  machine->gone_us = now_us;
+  machine->removed = true;
+  machine->running = false;
+  machine->removed_us = now_us;
   g_array_set_size (machine->tasks, 0);
 }
 
@@ -114,7 +114,7 @@
 bool
 machine_has_room (const Machine *machine, const Workload *workload, const MhJobSpec *spec)
 {
-  const MachineType *type = type_of (machine);
+  const MachineType *type = machine_type (machine);
   double cpus = 0, mem_gb = 0;
   machine_add_use (machine, workload, NULL, &cpus, &mem_gb);
   return cpus + spec->cpus <= type->cpus + CAPACITY_TOLERANCE
@@ -135,11 +135,12 @@
 machine_describe (const Machine *machine, GString *out)
 {
   g_string_append_printf (out, "machine %s %s %s %d%d%d%d%d %" G_GINT64_FORMAT " %" G_GINT64_FORMAT,
-                          machine->name, machine->type, machine->zone, machine->spot, machine->up,
-                          machine->gone, machine->failed, machine->faulty, machine->rented_us,
-                          machine->gone_us);
+                          machine->name, machine->type, machine->zone, machine->spot,
+                          machine->running, machine->removed, machine->failed,
+                          machine->fails_all_tasks, machine->created_us, machine->removed_us);
   g_string_append_printf (out, " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT,
-                          machine->session, machine->sequence, machine->token);
+                          machine->incarnation, machine->heartbeat_sequence,
+                          machine->fencing_token);
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const MachineTask *task = machine_task (machine, i);
--- a/tests/stand-in/machine.h
+++ b/tests/stand-in/machine.h
@@ -75,13 +75,13 @@
 typedef struct
 {
   char *name, *endpoint, *type, *zone;
-  bool spot, up, gone, failed, faulty;
-  gint64 rented_us, up_us, gone_us, hung_until_us;
+  bool spot, running, removed, failed, fails_all_tasks;
+  gint64 created_us, boot_done_us, removed_us, hung_until_us;
   gint64 preempted_at_us;
-  guint64 session, sequence, token;
-  gint64 lease_from_us;
+  guint64 incarnation, heartbeat_sequence, fencing_token;
+  gint64 lease_start_us;
   GArray *tasks;
-  GHashTable *images;
+  GHashTable *cached_images;
   struct WorkerRuntime *runtime;
 } Machine;
 
@@ -99,7 +99,7 @@
 machine_fail (Machine *machine);
 /** machine_take_away: The cloud has it again, as of @now_us. */
 void
-machine_take_away (Machine *machine, gint64 now_us);
+machine_remove (Machine *machine, gint64 now_us);
 /** machine_task: Returns: the task at that place of the machine's list */
 MachineTask *
 machine_task (const Machine *machine, guint position);
--- a/tests/stand-in/network.c
+++ b/tests/stand-in/network.c
@@ -2,12 +2,12 @@
 
 #include "base/time-units.h"
 
-#define SHORTEST_DELAY_US 500
-#define LONGEST_DELAY_US 8000
-#define LONGEST_LATE_US (30 * MH_SECOND_US)
-#define LONGEST_DUPLICATE_US (60 * MH_SECOND_US)
-#define SHORTEST_LATE_WRITE_S 2
-#define LONGEST_LATE_WRITE_S 12
+#define MIN_DELAY_US 500
+#define MAX_DELAY_US 8000
+#define MAX_EXTRA_DELAY_US (30 * MH_SECOND_US)
+#define MAX_DUPLICATE_DELAY_US (60 * MH_SECOND_US)
+#define MIN_LATE_WRITE_DELAY_S 2
+#define LATE_WRITE_DELAY_END_S 12
 
 Network *
 network_new (GRand *random, GDestroyNotify call_unref)
@@ -39,9 +39,9 @@
 gint64
 network_draw_delay (Network *network)
 {
-  gint64 delay_us = g_rand_int_range (network->random, SHORTEST_DELAY_US, LONGEST_DELAY_US);
+  gint64 delay_us = g_rand_int_range (network->random, MIN_DELAY_US, MAX_DELAY_US);
   if (draw (network, network->delay_probability))
-    delay_us += g_rand_int_range (network->random, 0, LONGEST_LATE_US);
+    delay_us += g_rand_int_range (network->random, 0, MAX_EXTRA_DELAY_US);
   return delay_us;
 }
 
@@ -60,14 +60,14 @@
 gint64
 network_draw_duplicate_delay (Network *network)
 {
-  return g_rand_int_range (network->random, 1, LONGEST_DUPLICATE_US);
+  return g_rand_int_range (network->random, 1, MAX_DUPLICATE_DELAY_US);
 }
 
 gint64
-network_draw_late_write (Network *network)
+network_draw_late_write_delay (Network *network)
 {
   if (!draw (network, network->late_write_probability))
     return 0;
-  return g_rand_int_range (network->random, SHORTEST_LATE_WRITE_S, LONGEST_LATE_WRITE_S)
+  return g_rand_int_range (network->random, MIN_LATE_WRITE_DELAY_S, LATE_WRITE_DELAY_END_S)
          * MH_SECOND_US;
 }
--- a/tests/stand-in/network.h
+++ b/tests/stand-in/network.h
@@ -53,4 +53,4 @@
 /** network_draw_late_write: Returns: by how much the transaction is late, in microseconds; 0: not
  */
 gint64
-network_draw_late_write (Network *network);
+network_draw_late_write_delay (Network *network);
--- a/tests/stand-in/outgoing-call.c
+++ b/tests/stand-in/outgoing-call.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define AFTER_FAULT_US 1000
+#define AFTER_FAULT_DELAY_US 1000
 
 struct OutgoingCall
 {
@@ -18,7 +18,7 @@
 };
 
 static void
-arrive (gpointer data);
+on_arrival (gpointer data);
 
 static void
 call_clear (gpointer data)
@@ -41,7 +41,7 @@
 }
 
 static bool
-is_write (const OutgoingCall *call)
+is_transaction (const OutgoingCall *call)
 {
   return strcmp (call->request->path, "/multi") == 0;
 }
@@ -49,7 +49,7 @@
 /* ---- answers ---- */
 
 static void
-deliver_answer (gpointer data)
+on_answer_arrival (gpointer data)
 {
   OutgoingCall *call = data;
   ControllerNode *node = sender_of (call);
@@ -58,26 +58,26 @@
   call->answered = true;
   if (node->controller == NULL || node->incarnation != call->incarnation)
     return;
-  node->worker_calls -= call->request->target == MH_TARGET_WORKER;
+  node->worker_calls_in_flight -= call->request->target == MH_TARGET_WORKER;
   MhNow now = controller_node_now (node);
-  controller_reply (node->controller, &now, call->id, call->status, call->body);
+  controller_call_finished (node->controller, &now, call->id, call->status, call->body);
   controller_node_drain (node);
 }
 
 static void
-time_out (gpointer data)
+on_timeout (gpointer data)
 {
   OutgoingCall *call = data;
   if (call->answered)
     return;
   call->status = 0;
   g_clear_pointer (&call->body, mh_value_unref);
-  deliver_answer (call);
+  on_answer_arrival (call);
 }
 
 /* The body is taken over. */
 static void
-answer (OutgoingCall *call, guint status, MhValue *body)
+send_answer (OutgoingCall *call, guint status, MhValue *body)
 {
   Simulation *simulation = call->simulation;
   ControllerNode *node = sender_of (call);
@@ -88,17 +88,17 @@
     return;
   if (call->request->target == MH_TARGET_KEY_VALUE_STORE && now_us < node->store_cut_until_us)
     return;
-  if (is_write (call) && now_us < node->write_answers_lost_until_us)
+  if (is_transaction (call) && now_us < node->write_answers_lost_until_us)
     return;
   fake_clock_add_pausable (simulation->clock, &node->frozen_until_us,
-                           now_us + network_draw_delay (simulation->network), deliver_answer,
+                           now_us + network_draw_delay (simulation->network), on_answer_arrival,
                            g_rc_box_acquire (call), outgoing_call_unref);
 }
 
 void
 outgoing_call_end_watch (OutgoingCall *call, guint status, MhValue *body)
 {
-  answer (call, status, body);
+  send_answer (call, status, body);
   outgoing_call_unref (call);
 }
 
@@ -118,10 +118,10 @@
 }
 
 static void
-arrive_later (OutgoingCall *call, gint64 in_us)
+schedule_arrival (OutgoingCall *call, gint64 in_us)
 {
   FakeClock *clock = call->simulation->clock;
-  fake_clock_add (clock, clock->now_us + in_us, arrive, call, outgoing_call_unref);
+  fake_clock_add (clock, clock->now_us + in_us, on_arrival, call, outgoing_call_unref);
 }
 
 static void
@@ -133,18 +133,18 @@
   if (network->keep_requests)
     g_ptr_array_add (network->kept_requests, copy_call (call));
   if (network_draw_duplicate (network))
-    arrive_later (copy_call (call), network_draw_duplicate_delay (network));
+    schedule_arrival (copy_call (call), network_draw_duplicate_delay (network));
 }
 
 /* ---- arrival ---- */
 
 static void
-arrive_at_worker (OutgoingCall *call)
+deliver_to_worker (OutgoingCall *call)
 {
   Simulation *simulation = call->simulation;
   gint64 now_us = simulation->clock->now_us;
   const Worker *worker = worker_by_endpoint (simulation, call->request->endpoint);
-  if (worker == NULL || !worker->machine->up || worker->machine->gone)
+  if (worker == NULL || !worker->machine->running || worker->machine->removed)
     return;
   if (worker->answers_lost_until_us > now_us)
     return;
@@ -152,16 +152,16 @@
   gint64 until_us = worker_unreachable_until (worker, sender_of (call));
   if (until_us > now_us)
     {
-      arrive_later (g_rc_box_acquire (call), until_us + AFTER_FAULT_US - now_us);
+      schedule_arrival (g_rc_box_acquire (call), until_us + AFTER_FAULT_DELAY_US - now_us);
       return;
     }
   guint status = 200;
   MhValue *reply;
   if (strcmp (call->request->path, "/show") == 0)
-    reply = worker_protocol_report (worker->machine);
+    reply = worker_protocol_heartbeat (worker->machine);
   else
     status = worker_protocol_commands (worker->machine, call->request->body, &reply);
-  answer (call, status, reply);
+  send_answer (call, status, reply);
 }
 
 /* Returns whether a transaction comes late, is held back or is lost. */
@@ -170,10 +170,10 @@
 {
   Simulation *simulation = call->simulation;
   const ControllerNode *node = sender_of (call);
-  gint64 late_us = call->answered ? 0 : network_draw_late_write (simulation->network);
+  gint64 late_us = call->answered ? 0 : network_draw_late_write_delay (simulation->network);
   if (late_us > 0)
     {
-      arrive_later (copy_call (call), late_us);
+      schedule_arrival (copy_call (call), late_us);
       return true;
     }
   if (node->hold_writes)
@@ -185,7 +185,7 @@
 }
 
 static void
-arrive_at_service (OutgoingCall *call)
+deliver_to_service (OutgoingCall *call)
 {
   const ControllerNode *node = sender_of (call);
   const MhRequest *called = call->request;
@@ -193,36 +193,36 @@
   bool store = called->target == MH_TARGET_KEY_VALUE_STORE;
   if (store && now_us < node->store_cut_until_us)
     return;
-  if (store && now_us < node->store_refuses_until_us)
+  if (store && now_us < node->store_rejects_until_us)
     {
-      answer (call, 503, NULL);
+      send_answer (call, 503, NULL);
       return;
     }
   if (g_str_has_prefix (called->path, "/kv?") && now_us < node->key_lists_lost_until_us)
     return;
-  if (is_write (call) && intercept_write (call))
+  if (is_transaction (call) && intercept_write (call))
     return;
   ServiceRequest request
       = { .method = called->method, .path = called->path, .body = called->body, .token = call };
   ServiceReply reply;
   if (environment_serve (call->simulation->environment, called->target, &request, &reply))
-    answer (call, reply.status, reply.body);
+    send_answer (call, reply.status, reply.body);
   else
     g_rc_box_acquire (call); /* the watch holds it */
 }
 
 static void
-arrive (gpointer data)
+on_arrival (gpointer data)
 {
   OutgoingCall *call = data;
   Network *network = call->simulation->network;
   keep_copies (call);
   if (call->request->target != MH_TARGET_WORKER)
-    arrive_at_service (call);
+    deliver_to_service (call);
   else if (network->hold_commands)
     g_ptr_array_add (network->held_commands, g_rc_box_acquire (call));
   else
-    arrive_at_worker (call);
+    deliver_to_worker (call);
 }
 
 void
@@ -236,12 +236,12 @@
   call->incarnation = node->incarnation;
   call->id = action->id;
   call->request = request;
-  node->worker_calls += request->target == MH_TARGET_WORKER;
-  node->peak_worker_calls = MAX (node->peak_worker_calls, node->worker_calls);
+  node->worker_calls_in_flight += request->target == MH_TARGET_WORKER;
+  node->peak_worker_calls = MAX (node->peak_worker_calls, node->worker_calls_in_flight);
   fake_clock_add_pausable (clock, &node->frozen_until_us, clock->now_us + action->timeout_us,
-                           time_out, g_rc_box_acquire (call), outgoing_call_unref);
+                           on_timeout, g_rc_box_acquire (call), outgoing_call_unref);
   if (!network_draw_loss (simulation->network))
-    arrive_later (g_rc_box_acquire (call), network_draw_delay (simulation->network));
+    schedule_arrival (g_rc_box_acquire (call), network_draw_delay (simulation->network));
   outgoing_call_unref (call);
 }
 
@@ -253,7 +253,7 @@
   GPtrArray *held = simulation->network->held_commands;
   simulation->network->hold_commands = false;
   for (guint i = 0; i < held->len; i++)
-    arrive_at_worker (g_ptr_array_index (held, i));
+    deliver_to_worker (g_ptr_array_index (held, i));
   g_ptr_array_set_size (held, 0);
 }
 
@@ -266,9 +266,9 @@
   ControllerNode *node = sender_of (call);
   node->hold_writes = false;
   if (arrives)
-    arrive (call);
+    on_arrival (call);
   else
-    time_out (call);
+    on_timeout (call);
   node->hold_writes = true;
   outgoing_call_unref (call);
 }
@@ -278,7 +278,7 @@
 {
   GPtrArray *kept = simulation->network->kept_requests;
   for (guint i = 0; i < kept->len; i++)
-    arrive (g_ptr_array_index (kept, i));
+    on_arrival (g_ptr_array_index (kept, i));
   g_ptr_array_set_size (kept, 0);
 }
 
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -39,7 +39,8 @@
 
 /* Handed to `node` after `in_us`, and when it does not stand still. */
 static void
-send (PeerMessage *message, const ControllerNode *node, gint64 in_us, FakeClockFunc arrive)
+schedule_delivery (PeerMessage *message, const ControllerNode *node, gint64 in_us,
+                   FakeClockFunc arrive)
 {
   FakeClock *clock = message->simulation->clock;
   fake_clock_add_pausable (clock, &node->frozen_until_us, clock->now_us + in_us, arrive, message,
@@ -47,7 +48,7 @@
 }
 
 static bool
-is_cut (const PeerMessage *message)
+is_partitioned (const PeerMessage *message)
 {
   const ControllerNode *nodes = message->simulation->nodes;
   gint64 now_us = message->simulation->clock->now_us;
@@ -58,11 +59,11 @@
 /* ---- announcements ---- */
 
 static void
-announcement_arrives (gpointer data)
+on_announcement (gpointer data)
 {
   const PeerMessage *message = data;
   ControllerNode *node = &message->simulation->nodes[message->to];
-  if (node->controller == NULL || is_cut (message))
+  if (node->controller == NULL || is_partitioned (message))
     return;
   MhNow now = controller_node_now (node);
   controller_leader_announced (node->controller, &now, message->text, message->id);
@@ -76,22 +77,23 @@
   PeerMessage *message = message_new (from, action->id);
   message->to = receiver->index;
   message->text = g_strdup (from->name);
-  send (message, receiver, network_draw_delay (from->simulation->network), announcement_arrives);
+  schedule_delivery (message, receiver, network_draw_delay (from->simulation->network),
+                     on_announcement);
 }
 
 /* ---- forwarded requests ---- */
 
 /* The answer, or that there was none in time. */
 static void
-answer_arrives (gpointer data)
+on_answer (gpointer data)
 {
   const PeerMessage *message = data;
   ControllerNode *node = &message->simulation->nodes[message->from];
   if (node->controller == NULL || node->incarnation != message->incarnation)
     return;
   MhNow now = controller_node_now (node);
-  controller_forwarded (node->controller, &now, message->id,
-                        message->answered ? &message->answer : NULL);
+  controller_forward_finished (node->controller, &now, message->id,
+                               message->answered ? &message->answer : NULL);
   controller_node_drain (node);
 }
 
@@ -109,27 +111,28 @@
 }
 
 static void
-request_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_request_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   const PeerMessage *message = request->data;
-  if (is_cut (message))
+  if (is_partitioned (message))
     return;
-  const ControllerNode *asker = &node->simulation->nodes[message->from];
-  PeerMessage *back = copy_sender (message);
-  back->answer = action->answer;
-  back->answered = true;
-  send (back, asker, network_draw_delay (node->simulation->network), answer_arrives);
+  const ControllerNode *requester = &node->simulation->nodes[message->from];
+  PeerMessage *answer_message = copy_sender (message);
+  answer_message->answer = action->answer;
+  answer_message->answered = true;
+  schedule_delivery (answer_message, requester, network_draw_delay (node->simulation->network),
+                     on_answer);
 }
 
 static void
-request_arrives (gpointer data)
+on_request (gpointer data)
 {
   PeerMessage *message = data;
   ControllerNode *node = &message->simulation->nodes[message->to];
-  if (node->controller == NULL || is_cut (message))
+  if (node->controller == NULL || is_partitioned (message))
     return;
   PendingRequest *request = g_new0 (PendingRequest, 1);
-  request->answered = request_answered;
+  request->on_answer = on_request_answered;
   request->data = copy_sender (message);
   request->free_data = message_free;
   request->verb = message->verb;
@@ -148,6 +151,6 @@
   message->verb = request->verb;
   message->text = g_strdup (request->job_id);
   message->spec = request->spec ? job_spec_copy (request->spec) : NULL;
-  send (message, receiver, network_draw_delay (from->simulation->network), request_arrives);
-  send (message_new (from, action->id), from, action->timeout_us, answer_arrives);
+  schedule_delivery (message, receiver, network_draw_delay (from->simulation->network), on_request);
+  schedule_delivery (message_new (from, action->id), from, action->timeout_us, on_answer);
 }
--- a/tests/stand-in/random-day.c
+++ b/tests/stand-in/random-day.c
@@ -3,28 +3,28 @@
 #include "stand-in/decision-log.h"
 #include "stand-in/random-fault.h"
 
-#define TURNS 60u
-#define TURN_S 2
-#define TURNS_PER_JOB 3u
-#define FAULTS_FROM_TURN 5u
-#define NEXT_LIMITS_TURN 30u
+#define TURNS_PER_DAY 60u
+#define TURN_LENGTH_S 2
+#define TURNS_BETWEEN_JOBS 3u
+#define LAST_TURN_WITHOUT_FAULTS 5u
+#define NEXT_LIMITS_START_TURN 30u
 #define NEXT_VALUE_BYTES 2048u
 #define NEXT_TXN_OPS 5u
 #define NEXT_WRITE_RPS 15.0
-#define LARGE_FLEET 250u
-#define VERY_LARGE_FLEET 2000u
-#define LARGE_FLEET_SPARE 70u
-#define LONGEST_RECOVERY_S 400u
-#define LAST_FAULTS_S 60u
+#define LARGE_FLEET_MACHINES 250u
+#define VERY_LARGE_FLEET_MACHINES 2000u
+#define FLEET_SPARE_MACHINES 70u
+#define MAX_RECOVERY_S 400u
+#define MAX_REMAINING_FAULT_S 60u
 /* Within this time every user has asked several times. */
-#define ASKING_S 75
+#define ANSWER_CHECK_S 75
 
 typedef struct
 {
   Simulation *simulation;
-  bool versions; /* the controllers' versions change */
-  bool limits;   /* the store's limits do */
-  guint jobs;
+  bool mixed_versions; /* the controllers' versions change */
+  bool changes_limits; /* the store's limits do */
+  guint job_count;
 } RandomDay;
 
 /* ---- the beginning ---- */
@@ -32,13 +32,13 @@
 /* All begin with the version in production. The limits that come next are announced on every other
    of these days. */
 static void
-begin_with_production (const RandomDay *day)
+start_with_production (const RandomDay *day)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       MhSettings *settings = day->simulation->nodes[i].settings;
       simulation_stop_node (day->simulation, i);
-      if (day->limits)
+      if (day->changes_limits)
         {
           settings->value_bytes = NEXT_VALUE_BYTES;
           settings->txn_ops = settings->max_batch = NEXT_TXN_OPS;
@@ -54,11 +54,11 @@
 {
   guint machines = 0;
   if (seed % 40 == 0)
-    machines = VERY_LARGE_FLEET;
+    machines = VERY_LARGE_FLEET_MACHINES;
   else if (seed % 20 == 0)
-    machines = LARGE_FLEET;
+    machines = LARGE_FLEET_MACHINES;
   if (machines)
-    simulation->cloud->capacity = machines + LARGE_FLEET_SPARE;
+    simulation->cloud->max_machines = machines + FLEET_SPARE_MACHINES;
   for (guint i = 0; i < machines; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
 }
@@ -106,7 +106,7 @@
   double cpus = g_rand_int_range (random, 1, 3);
   guint tasks = (guint)g_rand_int_range (random, 1, service ? 4 : 12);
   MhJobSpec *spec
-      = job_spec_new (++day->jobs, service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY, tasks, cpus);
+      = job_spec_new (++day->job_count, service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY, tasks, cpus);
   if (!service && g_rand_int_range (random, 0, 3) == 0)
     draw_gang (random, spec);
   draw_zones (random, spec);
@@ -127,7 +127,7 @@
 
 /* Whoever starts again next has either version; now and then one is replaced. */
 static void
-draw_versions (Simulation *simulation)
+draw_node_versions (Simulation *simulation)
 {
   GRand *random = simulation->random;
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -139,7 +139,7 @@
 }
 
 static void
-begin_next_limits (Simulation *simulation)
+apply_next_limits (Simulation *simulation)
 {
   simulation->settings->value_bytes = NEXT_VALUE_BYTES;
   simulation->settings->txn_ops = NEXT_TXN_OPS;
@@ -159,25 +159,25 @@
 {
   Simulation *simulation = day->simulation;
   GRand *random = simulation->random;
-  if (turn % TURNS_PER_JOB == 0)
+  if (turn % TURNS_BETWEEN_JOBS == 0)
     submit_job (day);
-  if (turn > FAULTS_FROM_TURN && g_rand_int_range (random, 0, 3) == 0)
+  if (turn > LAST_TURN_WITHOUT_FAULTS && g_rand_int_range (random, 0, 3) == 0)
     random_fault_inject (simulation);
   if (simulation->users->len && g_rand_int_range (random, 0, 6) == 0)
     cancel_some_job (simulation);
-  if (day->versions)
-    draw_versions (simulation);
-  if (day->limits && turn == NEXT_LIMITS_TURN)
-    begin_next_limits (simulation);
+  if (day->mixed_versions)
+    draw_node_versions (simulation);
+  if (day->changes_limits && turn == NEXT_LIMITS_START_TURN)
+    apply_next_limits (simulation);
   start_some_nodes (simulation);
-  simulation_run (simulation, TURN_S);
+  simulation_run (simulation, TURN_LENGTH_S);
   simulation_leader (simulation); /* asserts that there is at most one */
 }
 
 /* ---- the end ---- */
 
 static void
-end_faults (Simulation *simulation)
+end_network_faults (Simulation *simulation)
 {
   Network *network = simulation->network;
   network->loss_probability = network->delay_probability = 0;
@@ -193,7 +193,7 @@
 }
 
 static void
-print_unsettled (const Simulation *simulation, const User *user)
+print_if_unsettled (const Simulation *simulation, const User *user)
 {
   const WorkloadJob *job = user->job;
   guint running = simulation_running_tasks (simulation, job->spec->id);
@@ -201,7 +201,8 @@
     return;
   g_printerr ("left: %s, %u of %u done, %u running, last answer %u%s%s\n", job->spec->id,
               job->done_count, job->spec->tasks, running, user->last_status,
-              user->told_cancelled ? ", told cancelled" : "", user->told_done ? ", told done" : "");
+              user->reported_cancelled ? ", told cancelled" : "",
+              user->reported_done ? ", told done" : "");
 }
 
 /* Everything that was accepted must come to its end. */
@@ -209,15 +210,15 @@
 assert_all_settle (Simulation *simulation)
 {
   bool settled = false;
-  for (guint second = 0; second < LONGEST_RECOVERY_S && !settled; second++)
+  for (guint second = 0; second < MAX_RECOVERY_S && !settled; second++)
     {
-      settled = simulation_until (simulation, 1, simulation_all_settled, NULL);
-      if (second > LAST_FAULTS_S)
+      settled = simulation_run_until (simulation, 1, simulation_all_settled, NULL);
+      if (second > MAX_REMAINING_FAULT_S)
         rule_checks_waiting_jobs (simulation->rules);
     }
   simulation_assert_rules (simulation);
   for (guint i = 0; i < simulation->users->len && !settled; i++)
-    print_unsettled (simulation, g_ptr_array_index (simulation->users, i));
+    print_if_unsettled (simulation, g_ptr_array_index (simulation->users, i));
   g_assert_true (settled);
 }
 
@@ -225,13 +226,13 @@
 static void
 assert_all_are_answered (Simulation *simulation)
 {
-  simulation_run (simulation, ASKING_S);
+  simulation_run (simulation, ANSWER_CHECK_S);
   for (guint i = 0; i < simulation->users->len; i++)
     {
       const User *user = g_ptr_array_index (simulation->users, i);
       if (!user->infeasible)
         g_assert_cmpint (simulation->clock->now_us - user->last_answer_us, <,
-                         ASKING_S * MH_SECOND_US);
+                         ANSWER_CHECK_S * MH_SECOND_US);
     }
 }
 
@@ -239,19 +240,20 @@
 random_day_run (guint seed, GChecksum *digest)
 {
   Simulation *simulation = simulation_new (seed);
-  RandomDay day = { .simulation = simulation, .versions = seed > RANDOM_DAY_VERSIONS };
-  day.limits = day.versions && seed % 2;
+  RandomDay day
+      = { .simulation = simulation, .mixed_versions = seed > RANDOM_DAY_MIXED_VERSIONS_SEEDS };
+  day.changes_limits = day.mixed_versions && seed % 2;
   simulation->digest = digest;
-  if (day.versions)
-    begin_with_production (&day);
+  if (day.mixed_versions)
+    start_with_production (&day);
   add_fleet (simulation, seed);
   make_network_unreliable (simulation, seed);
-  for (guint turn = 0; turn < TURNS; turn++)
+  for (guint turn = 0; turn < TURNS_PER_DAY; turn++)
     play_turn (&day, turn);
-  end_faults (simulation);
+  end_network_faults (simulation);
   assert_all_settle (simulation);
   assert_all_are_answered (simulation);
   g_assert_cmpuint (simulation->rules->task_starts, >, 0);
-  decision_log_state (simulation);
+  decision_log_add_state (simulation);
   simulation_free (simulation);
 }
--- a/tests/stand-in/random-day.h
+++ b/tests/stand-in/random-day.h
@@ -5,7 +5,7 @@
 #include <glib.h>
 
 /** RANDOM_DAY_VERSIONS: Days in which the controllers' versions change have seeds above this. */
-#define RANDOM_DAY_VERSIONS 10000u
+#define RANDOM_DAY_MIXED_VERSIONS_SEEDS 10000u
 
 /**
  * random_day_run:
--- a/tests/stand-in/random-fault.c
+++ b/tests/stand-in/random-fault.c
@@ -1,6 +1,6 @@
 #include "stand-in/random-fault.h"
 
-#define FIRST_ODD_JOB 900000u
+#define FIRST_ODD_JOB_NUMBER 900000u
 
 /* Whom it meets, and how long it lasts. */
 typedef struct
@@ -82,9 +82,9 @@
 
 /* Refused alone, and a moment later everybody is. */
 static void
-store_refuses (const Fault *fault)
+reject_at_store (const Fault *fault)
 {
-  fault->node->store_refuses_until_us = fault->until_us;
+  fault->node->store_rejects_until_us = fault->until_us;
   if (g_rand_boolean (fault->simulation->random))
     fault->simulation->store->outage_until_us = fault->until_us + 30 * MH_SECOND_US;
 }
@@ -96,21 +96,21 @@
 }
 
 static void
-lose_reports_to_node (const Fault *fault)
+lose_heartbeats_to_node (const Fault *fault)
 {
-  fault->node->reports_lost_until_us = fault->until_us;
+  fault->node->heartbeats_lost_until_us = fault->until_us;
 }
 
 /* ---- services ---- */
 
 static void
-store_outage (const Fault *fault)
+begin_store_outage (const Fault *fault)
 {
   fault->simulation->store->outage_until_us = fault->until_us;
 }
 
 static void
-cloud_outage (const Fault *fault)
+begin_cloud_outage (const Fault *fault)
 {
   fault->simulation->cloud->outage_until_us = fault->until_us;
 }
@@ -139,7 +139,7 @@
 }
 
 static void
-lose_answers_to_worker (const Fault *fault)
+lose_messages_to_worker (const Fault *fault)
 {
   if (fault->worker)
     fault->worker->answers_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
@@ -147,20 +147,21 @@
 
 /* Reports reach nobody, commands arrive. */
 static void
-lose_reports_of_worker (const Fault *fault)
+lose_heartbeats_of_worker (const Fault *fault)
 {
   if (fault->worker)
-    fault->worker->reports_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
+    fault->worker->heartbeats_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
 }
 
 /* ---- users ---- */
 
 /* A job that can never run, and cancellations of what is over. */
 static void
-odd_requests (const Fault *fault)
+send_odd_requests (const Fault *fault)
 {
   Simulation *simulation = fault->simulation;
-  MhJobSpec *spec = job_spec_new (FIRST_ODD_JOB + simulation->users->len, MH_SHAPE_ARRAY, 1, 1);
+  MhJobSpec *spec
+      = job_spec_new (FIRST_ODD_JOB_NUMBER + simulation->users->len, MH_SHAPE_ARRAY, 1, 1);
   if (g_rand_boolean (simulation->random))
     spec->mem_gb = 1000;
   else
@@ -171,7 +172,7 @@
   for (guint i = 0; i < simulation->users->len; i++)
     {
       User *user = g_ptr_array_index (simulation->users, i);
-      if (user->told_done)
+      if (user->reported_done)
         user_cancel (user);
     }
   simulation_submit (simulation, spec, 1)->infeasible = true;
@@ -185,20 +186,20 @@
   cut_store,
   cut_peers,
   cut_workers,
-  store_outage,
-  cloud_outage,
+  begin_store_outage,
+  begin_cloud_outage,
   hang_machine,
   cut_worker,
   restart_node,
   cut_store_and_peers,
   freeze_node,
   freeze_before_acting,
-  lose_answers_to_worker,
-  lose_reports_of_worker,
-  store_refuses,
-  lose_reports_to_node,
+  lose_messages_to_worker,
+  lose_heartbeats_of_worker,
+  reject_at_store,
+  lose_heartbeats_to_node,
   lose_key_lists,
-  odd_requests,
+  send_odd_requests,
   fail_machine,
 };
 
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define LONGEST_WAIT_US (90 * MH_SECOND_US)
+#define MAX_SCHEDULABLE_WAIT_US (90 * MH_SECOND_US)
 #define QUOTA_TOLERANCE 1e-6
 
 RuleChecks *
@@ -26,7 +26,7 @@
 }
 
 void
-rule_checks_report (RuleChecks *rules, const char *format, ...)
+rule_checks_add_violation (RuleChecks *rules, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
@@ -37,9 +37,10 @@
 }
 
 static bool
-past_cancel_limit (const RuleChecks *rules, const WorkloadJob *job)
+is_past_cancel_limit (const RuleChecks *rules, const WorkloadJob *job)
 {
-  return job->cancelled_us && rules->now_us > job->cancelled_us + rules->settings->cancel_limit_us;
+  return job->cancel_confirmed_us
+         && rules->now_us > job->cancel_confirmed_us + rules->settings->cancel_limit_us;
 }
 
 /* ---- a task starts ---- */
@@ -54,16 +55,17 @@
 } TaskStart;
 
 static void
-check_beside (RuleChecks *rules, TaskStart *start, const Machine *machine, const MachineTask *other)
+check_against_task (RuleChecks *rules, TaskStart *start, const Machine *machine,
+                    const MachineTask *other)
 {
   if (other == start->task || strcmp (other->job_id, start->task->job_id) != 0)
     return;
   /* Not a rule of the protocol but ours. */
   if (workload_job_is_gang (start->job) && other->attempt != start->task->attempt)
-    rule_checks_report (rules, "two attempts of gang %s at once", start->task->job_id);
+    rule_checks_add_violation (rules, "two attempts of gang %s at once", start->task->job_id);
   if (other->index == start->task->index)
-    rule_checks_report (rules, "ran_twice: %s starts on %s while on %s", start->task->task_id,
-                        start->machine->name, machine->name);
+    rule_checks_add_violation (rules, "ran_twice: %s starts on %s while on %s",
+                               start->task->task_id, start->machine->name, machine->name);
   if (strcmp (machine->zone, start->machine->zone) == 0)
     start->same_zone++;
   else
@@ -71,7 +73,7 @@
 }
 
 static void
-check_beside_all_on (RuleChecks *rules, TaskStart *start, const Machine *machine)
+check_against_machine (RuleChecks *rules, TaskStart *start, const Machine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -81,12 +83,12 @@
         continue;
       if (strcmp (other_job->spec->team, start->job->spec->team) == 0)
         start->team_cpus += other_job->spec->cpus;
-      check_beside (rules, start, machine, other);
+      check_against_task (rules, start, machine, other);
     }
 }
 
 static bool
-in_right_place (const TaskStart *start)
+is_placement_allowed (const TaskStart *start)
 {
   const MhJobSpec *spec = start->job->spec;
   if (!machine_allowed (start->machine, spec))
@@ -102,14 +104,14 @@
 {
   TaskStart start = { .machine = machine, .task = task, .job = job };
   for (guint i = 0; i < rules->machines->len; i++)
-    check_beside_all_on (rules, &start, g_ptr_array_index (rules->machines, i));
+    check_against_machine (rules, &start, g_ptr_array_index (rules->machines, i));
   const MhTeam *team = mh_settings_team (rules->settings, job->spec->team);
   if (start.team_cpus > team->cpus_max + QUOTA_TOLERANCE)
-    rule_checks_report (rules, "quota: %s uses %.1f", team->name, start.team_cpus);
-  if (!in_right_place (&start))
-    rule_checks_report (rules, "wrong_place: %s on %s", task->task_id, machine->name);
-  if (past_cancel_limit (rules, job))
-    rule_checks_report (rules, "ran_cancelled: %s starts", task->task_id);
+    rule_checks_add_violation (rules, "quota: %s uses %.1f", team->name, start.team_cpus);
+  if (!is_placement_allowed (&start))
+    rule_checks_add_violation (rules, "wrong_place: %s on %s", task->task_id, machine->name);
+  if (is_past_cancel_limit (rules, job))
+    rule_checks_add_violation (rules, "ran_cancelled: %s starts", task->task_id);
   rules->task_starts++;
 }
 
@@ -119,17 +121,18 @@
 rule_checks_task_running (RuleChecks *rules, const Machine *machine, const MachineTask *task,
                           WorkloadJob *job)
 {
-  if (task->phase == MH_TASK_PHASE_ENDED || !past_cancel_limit (rules, job))
+  if (task->phase == MH_TASK_PHASE_ENDED || !is_past_cancel_limit (rules, job))
     return;
-  rule_checks_report (rules, "ran_cancelled: %s is still on %s", task->task_id, machine->name);
-  job->cancelled_us = G_MAXINT64 / 2; /* once is enough */
+  rule_checks_add_violation (rules, "ran_cancelled: %s is still on %s", task->task_id,
+                             machine->name);
+  job->cancel_confirmed_us = G_MAXINT64 / 2; /* once is enough */
 }
 
 /* ---- a job waits ---- */
 
 /* Tasks that need no start: on a machine, unless they must be started again. */
 static guint
-tasks_placed_on (const Machine *machine, const WorkloadJob *job)
+count_placed_tasks (const Machine *machine, const WorkloadJob *job)
 {
   guint count = 0;
   for (guint i = 0; i < machine->tasks->len; i++)
@@ -142,7 +145,7 @@
 }
 
 static bool
-wants_a_task_within_quota (const RuleChecks *rules, const WorkloadJob *job)
+has_unplaced_task_within_quota (const RuleChecks *rules, const WorkloadJob *job)
 {
   const MhJobSpec *spec = job->spec;
   const MhTeam *team = mh_settings_team (rules->settings, spec->team);
@@ -152,7 +155,7 @@
     {
       const Machine *machine = g_ptr_array_index (rules->machines, i);
       machine_add_use (machine, rules->workload, spec->team, &team_cpus, &unused);
-      placed += tasks_placed_on (machine, job);
+      placed += count_placed_tasks (machine, job);
     }
   return placed + job->done_count < spec->tasks
          && team_cpus + spec->cpus <= team->cpus_max + QUOTA_TOLERANCE;
@@ -161,15 +164,15 @@
 static bool
 is_usable (const RuleChecks *rules, const Machine *machine)
 {
-  return machine->up && !machine->gone && !machine->failed && !machine->faulty
+  return machine->running && !machine->removed && !machine->failed && !machine->fails_all_tasks
          && rules->now_us >= machine->hung_until_us;
 }
 
 /* A task of the job could start now, whatever its other tasks do. */
 static bool
-could_start (const RuleChecks *rules, const WorkloadJob *job)
+could_start_a_task (const RuleChecks *rules, const WorkloadJob *job)
 {
-  if (!wants_a_task_within_quota (rules, job))
+  if (!has_unplaced_task_within_quota (rules, job))
     return false;
   for (guint i = 0; i < rules->machines->len; i++)
     {
@@ -183,11 +186,11 @@
 
 /* Jobs whose zones depend on their other tasks, and services, which are spread, are left out. */
 static bool
-must_not_wait (const RuleChecks *rules, const WorkloadJob *job)
+must_not_keep_waiting (const RuleChecks *rules, const WorkloadJob *job)
 {
   const MhJobSpec *spec = job->spec;
   return spec->shape == MH_SHAPE_ARRAY && !spec->single_zone && !spec->spread_over_zones
-         && job->accepted && !job->cancelled_us && could_start (rules, job);
+         && job->accepted && !job->cancel_confirmed_us && could_start_a_task (rules, job);
 }
 
 void
@@ -199,13 +202,14 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       WorkloadJob *job = value;
-      if (!must_not_wait (rules, job))
+      if (!must_not_keep_waiting (rules, job))
         job->schedulable_since_us = 0;
       else if (job->schedulable_since_us == 0)
         job->schedulable_since_us = rules->now_us;
-      else if (rules->now_us - job->schedulable_since_us > LONGEST_WAIT_US)
+      else if (rules->now_us - job->schedulable_since_us > MAX_SCHEDULABLE_WAIT_US)
         {
-          rule_checks_report (rules, "left waiting: %s, though there is room", job->spec->id);
+          rule_checks_add_violation (rules, "left waiting: %s, though there is room",
+                                     job->spec->id);
           job->schedulable_since_us = rules->now_us;
         }
     }
--- a/tests/stand-in/rule-checks.h
+++ b/tests/stand-in/rule-checks.h
@@ -32,7 +32,7 @@
 rule_checks_free (RuleChecks *rules);
 /** rule_checks_report: A rule was broken now. */
 void
-rule_checks_report (RuleChecks *rules, const char *format, ...) G_GNUC_PRINTF (2, 3);
+rule_checks_add_violation (RuleChecks *rules, const char *format, ...) G_GNUC_PRINTF (2, 3);
 /** rule_checks_task_started: Checks what must hold at the moment at which a task gets onto a
  * machine. */
 void
--- a/tests/stand-in/simulation.c
+++ b/tests/stand-in/simulation.c
@@ -6,7 +6,7 @@
 
 #define START_US MH_SECOND_US
 /* The environment changes by itself too, in steps small against everything else. */
-#define STEP_US 20000
+#define MAX_STEP_US 20000
 
 Simulation *
 simulation_new (guint32 seed)
@@ -50,7 +50,7 @@
 }
 
 void
-simulation_limit (Simulation *simulation, guint value_bytes, guint txn_ops)
+simulation_set_store_limits (Simulation *simulation, guint value_bytes, guint txn_ops)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -73,7 +73,7 @@
   simulation->clock->now_us = to_us;
   environment_advance (simulation->environment, to_us, ended);
   if (simulation->cancel_at_end_probability > 0)
-    users_cancel_finished (simulation);
+    users_cancel_at_job_end (simulation);
   for (guint i = 0; i < ended->len; i++)
     {
       const EndedWatch *watch = &g_array_index (ended, EndedWatch, i);
@@ -83,15 +83,15 @@
 }
 
 bool
-simulation_until (Simulation *simulation, double seconds, SimulationCondition condition,
-                  gpointer data)
+simulation_run_until (Simulation *simulation, double seconds, SimulationCondition condition,
+                      gpointer data)
 {
   FakeClock *clock = simulation->clock;
   gint64 end_us = clock->now_us + (gint64)(seconds * 1e6);
   while (clock->now_us < end_us)
     {
       gint64 event_us = fake_clock_next_event_us (clock);
-      gint64 step_us = MIN (clock->now_us + STEP_US, end_us);
+      gint64 step_us = MIN (clock->now_us + MAX_STEP_US, end_us);
       if (event_us > step_us)
         {
           advance (simulation, step_us);
@@ -109,7 +109,7 @@
 void
 simulation_run (Simulation *simulation, double seconds)
 {
-  simulation_until (simulation, seconds, NULL, NULL);
+  simulation_run_until (simulation, seconds, NULL, NULL);
 }
 
 /* ---- nodes ---- */
@@ -179,13 +179,13 @@
 
 /* Its user knows how it ended, and nothing of it runs; or all of it runs and never ends. */
 static bool
-has_come_to_rest (const Simulation *simulation, const User *user)
+has_settled (const Simulation *simulation, const User *user)
 {
   const WorkloadJob *job = user->job;
-  if (user->infeasible || user->told_done)
+  if (user->infeasible || user->reported_done)
     return true;
   guint running = simulation_running_tasks (simulation, job->spec->id);
-  if (user->told_cancelled && running == 0)
+  if (user->reported_cancelled && running == 0)
     return true;
   return job->run_us == 0 && !user->wants_cancel && running == job->spec->tasks;
 }
@@ -195,7 +195,7 @@
 {
   (void)unused;
   for (guint i = 0; i < simulation->users->len; i++)
-    if (!has_come_to_rest (simulation, g_ptr_array_index (simulation->users, i)))
+    if (!has_settled (simulation, g_ptr_array_index (simulation->users, i)))
       return false;
   return true;
 }
@@ -216,7 +216,7 @@
 }
 
 bool
-simulation_logged (const Simulation *simulation, const char *part)
+simulation_has_logged (const Simulation *simulation, const char *part)
 {
   for (guint i = 0; i < simulation->log_lines->len; i++)
     if (strstr (g_ptr_array_index (simulation->log_lines, i), part))
--- a/tests/stand-in/simulation.h
+++ b/tests/stand-in/simulation.h
@@ -58,14 +58,14 @@
 simulation_free (Simulation *simulation);
 /** simulation_limit: What the store takes, and what all controllers are told; those start again. */
 void
-simulation_limit (Simulation *simulation, guint value_bytes, guint txn_ops);
+simulation_set_store_limits (Simulation *simulation, guint value_bytes, guint txn_ops);
 /** simulation_run: Lets so many seconds pass. */
 void
 simulation_run (Simulation *simulation, double seconds);
 /** simulation_until: Runs until @condition holds. Returns: false when @seconds have passed */
 bool
-simulation_until (Simulation *simulation, double seconds, SimulationCondition condition,
-                  gpointer data);
+simulation_run_until (Simulation *simulation, double seconds, SimulationCondition condition,
+                      gpointer data);
 /** simulation_stop_node: Its process ends. */
 void
 simulation_stop_node (Simulation *simulation, guint node);
@@ -98,7 +98,7 @@
 simulation_log (Simulation *simulation, const char *node, const char *text);
 /** simulation_logged: Returns: whether a log line has that part */
 bool
-simulation_logged (const Simulation *simulation, const char *part);
+simulation_has_logged (const Simulation *simulation, const char *part);
 /** simulation_prints_log: Returns: whether the environment (SIMULATION_LOG) asks for the log */
 bool
 simulation_prints_log (void);
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -5,8 +5,8 @@
 #define ASK_INTERVAL_US MH_SECOND_US
 #define SETTLED_ASK_INTERVAL_US (10 * MH_SECOND_US)
 #define SETTLED_REPEAT_PROBABILITY 0.5
-#define ANSWER_TURNS 50
-#define ANSWER_TURN_S 0.1
+#define MAX_ANSWER_WAIT_STEPS 50
+#define ANSWER_WAIT_STEP_S 0.1
 
 MhJobSpec *
 job_spec_new (guint number, MhShape shape, guint tasks, double cpus)
@@ -37,7 +37,7 @@
 bool
 user_is_settled (const User *user)
 {
-  return user->told_done || user->told_cancelled;
+  return user->reported_done || user->reported_cancelled;
 }
 
 /* ---- answers ---- */
@@ -45,8 +45,8 @@
 static void
 report_violation (const User *user, const char *rule, const MhUserAnswer *answer)
 {
-  rule_checks_report (user->simulation->rules, "%s: %s got %u, state %u", rule, user->job->spec->id,
-                      answer->status, answer->state);
+  rule_checks_add_violation (user->simulation->rules, "%s: %s got %u, state %u", rule,
+                             user->job->spec->id, answer->status, answer->state);
 }
 
 static void
@@ -60,26 +60,26 @@
 
 /* What was told once stays true, and only what happened is told. */
 static void
-check_state (User *user, const MhUserAnswer *answer)
+check_reported_state (User *user, const MhUserAnswer *answer)
 {
   WorkloadJob *job = user->job;
   if (answer->state == MH_JOB_DONE)
     {
       if (job->done_count < job->spec->tasks)
         report_violation (user, "not_done", answer);
-      user->told_done = true;
+      user->reported_done = true;
     }
-  else if (user->told_done)
+  else if (user->reported_done)
     report_violation (user, "went_back", answer);
   if (answer->state == MH_JOB_CANCELLED)
     {
-      if (!user->wants_cancel || user->told_done)
+      if (!user->wants_cancel || user->reported_done)
         report_violation (user, "went_back", answer);
-      user->told_cancelled = true;
-      if (job->cancelled_us == 0)
-        job->cancelled_us = user->simulation->clock->now_us;
+      user->reported_cancelled = true;
+      if (job->cancel_confirmed_us == 0)
+        job->cancel_confirmed_us = user->simulation->clock->now_us;
     }
-  else if (user->told_cancelled)
+  else if (user->reported_cancelled)
     report_violation (user, "went_back", answer);
 }
 
@@ -90,7 +90,7 @@
 }
 
 static void
-user_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_user_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   User *user = request->data;
   const MhUserAnswer *answer = &action->answer;
@@ -111,7 +111,7 @@
     return;
   if (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED)
     user->final_answer_us = now_us;
-  check_state (user, answer);
+  check_reported_state (user, answer);
 }
 
 /* ---- questions ---- */
@@ -151,7 +151,7 @@
   MhUserVerb verb = draw_verb (user);
   PendingRequest *request
       = new_request (verb, spec->id, verb == MH_USER_SUBMIT ? job_spec_copy (spec) : NULL);
-  request->answered = user_answered;
+  request->on_answer = on_user_answer;
   request->data = user;
   request->sent_us = user->simulation->clock->now_us;
   controller_node_user_request (node, request, false);
@@ -165,20 +165,20 @@
 }
 
 void
-simulation_ask_all (Simulation *simulation, User *user)
+simulation_request_from_all_nodes (Simulation *simulation, User *user)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     ask_node (user, &simulation->nodes[i]);
 }
 
 static void
-user_turn (gpointer data)
+on_ask_timer (gpointer data)
 {
   User *user = data;
   FakeClock *clock = user->simulation->clock;
   /* Even settled jobs are asked about now and then: their answer must never change. */
   gint64 interval_us = user_is_settled (user) ? SETTLED_ASK_INTERVAL_US : ASK_INTERVAL_US;
-  fake_clock_add (clock, clock->now_us + interval_us, user_turn, user, NULL);
+  fake_clock_add (clock, clock->now_us + interval_us, on_ask_timer, user, NULL);
   ask_any_node (user);
 }
 
@@ -189,19 +189,19 @@
   user->simulation = simulation;
   user->job = workload_add (simulation->environment->workload, spec, (gint64)(run_s * 1e6));
   g_ptr_array_add (simulation->users, user);
-  fake_clock_add (simulation->clock, simulation->clock->now_us, user_turn, user, NULL);
+  fake_clock_add (simulation->clock, simulation->clock->now_us, on_ask_timer, user, NULL);
   return user;
 }
 
 void
-users_cancel_finished (Simulation *simulation)
+users_cancel_at_job_end (Simulation *simulation)
 {
   for (guint i = 0; i < simulation->users->len; i++)
     {
       User *user = g_ptr_array_index (simulation->users, i);
-      if (user->finished || user->job->done_count < user->job->spec->tasks)
+      if (user->job_end_seen || user->job->done_count < user->job->spec->tasks)
         continue;
-      user->finished = true;
+      user->job_end_seen = true;
       if (g_rand_double (simulation->random) >= simulation->cancel_at_end_probability)
         continue;
       user_cancel (user);
@@ -213,7 +213,7 @@
 /* ---- single questions of a test ---- */
 
 static void
-test_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_test_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   MhUserAnswer *answer = request->data;
   (void)node;
@@ -221,23 +221,23 @@
 }
 
 void
-simulation_ask_later (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                      MhJobSpec *spec, MhUserAnswer *answer)
+simulation_send_request (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
+                         MhJobSpec *spec, MhUserAnswer *answer)
 {
   PendingRequest *request = new_request (verb, job_id, spec);
-  request->answered = test_answered;
+  request->on_answer = on_test_answer;
   request->data = answer;
   controller_node_user_request (&simulation->nodes[node], request, false);
 }
 
 guint
-simulation_ask (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                MhJobSpec *spec, MhUserAnswer *answer)
+simulation_request_and_wait (Simulation *simulation, guint node, MhUserVerb verb,
+                             const char *job_id, MhJobSpec *spec, MhUserAnswer *answer)
 {
   *answer = (MhUserAnswer){};
-  simulation_ask_later (simulation, node, verb, job_id, spec, answer);
-  for (guint i = 0; i < ANSWER_TURNS && answer->status == 0; i++)
-    simulation_run (simulation, ANSWER_TURN_S);
+  simulation_send_request (simulation, node, verb, job_id, spec, answer);
+  for (guint i = 0; i < MAX_ANSWER_WAIT_STEPS && answer->status == 0; i++)
+    simulation_run (simulation, ANSWER_WAIT_STEP_S);
   g_assert_cmpuint (answer->status, !=, 0);
   return answer->status;
 }
--- a/tests/stand-in/user.h
+++ b/tests/stand-in/user.h
@@ -23,9 +23,9 @@
   Simulation *simulation;
   WorkloadJob *job;
   bool wants_cancel;
-  bool told_done, told_cancelled;
+  bool reported_done, reported_cancelled;
   bool infeasible;
-  bool finished;
+  bool job_end_seen;
   guint last_status;
   gint64 final_answer_us;
   gint64 last_answer_us;
@@ -52,7 +52,7 @@
 user_is_settled (const User *user);
 /** simulation_ask_all: The user asks every node at once, for what he would ask next. */
 void
-simulation_ask_all (Simulation *simulation, User *user);
+simulation_request_from_all_nodes (Simulation *simulation, User *user);
 /**
  * simulation_ask_later:
  * @spec: (transfer full) (nullable): of a submission
@@ -61,12 +61,12 @@
  * One request of its own, to one node.
  */
 void
-simulation_ask_later (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                      MhJobSpec *spec, MhUserAnswer *answer);
+simulation_send_request (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
+                         MhJobSpec *spec, MhUserAnswer *answer);
 /** simulation_ask: The same, and waits for the answer. Returns: its HTTP status */
 guint
-simulation_ask (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                MhJobSpec *spec, MhUserAnswer *answer);
+simulation_request_and_wait (Simulation *simulation, guint node, MhUserVerb verb,
+                             const char *job_id, MhJobSpec *spec, MhUserAnswer *answer);
 /** users_cancel_finished: Some cancel just when their last task ends, before anybody was told. */
 void
-users_cancel_finished (Simulation *simulation);
+users_cancel_at_job_end (Simulation *simulation);
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -12,7 +12,7 @@
 };
 
 static MhValue *
-write_task (const MachineTask *task)
+encode_task (const MachineTask *task)
 {
   MhValue *item = mh_value_map ();
   mh_value_set_text (item, "leg", task->task_id);
@@ -24,23 +24,23 @@
 }
 
 MhValue *
-worker_protocol_report (Machine *machine)
+worker_protocol_heartbeat (Machine *machine)
 {
   MhValue *report = mh_value_map (), *tasks = mh_value_list ();
-  machine->sequence++;
+  machine->heartbeat_sequence++;
   mh_value_set_text (report, "box", machine->name);
   mh_value_set_text (report, "endpoint", machine->endpoint);
   mh_value_set_text (report, "rack", machine->type);
   mh_value_set_text (report, "hall", machine->zone);
   mh_value_set_bool (report, "standby", machine->spot);
-  mh_value_set_uint (report, "tenure", machine->session);
-  mh_value_set_uint (report, "tick", machine->sequence);
-  mh_value_set_uint (report, "epoch", machine->token);
+  mh_value_set_uint (report, "tenure", machine->incarnation);
+  mh_value_set_uint (report, "tick", machine->heartbeat_sequence);
+  mh_value_set_uint (report, "epoch", machine->fencing_token);
   if (machine->preempted_at_us)
     mh_value_set_number (report, "warning_s",
                          (double)(machine->preempted_at_us - machine->runtime->now_us) / 1e6);
   for (guint i = 0; i < machine->tasks->len; i++)
-    mh_value_push (tasks, write_task (machine_task (machine, i)));
+    mh_value_push (tasks, encode_task (machine_task (machine, i)));
   mh_value_set (report, "legs", tasks);
   return report;
 }
@@ -58,7 +58,7 @@
 }
 
 static void
-carry_out (Machine *machine, const MhValue *command)
+execute_command (Machine *machine, const MhValue *command)
 {
   g_autofree char *verb = mh_value_get_text (command, "verb");
   g_autofree char *task_id = mh_value_get_text (command, "leg");
@@ -80,22 +80,23 @@
 }
 
 static void
-carry_out_all (Machine *machine, const MhValue *commands)
+execute_commands (Machine *machine, const MhValue *commands)
 {
   for (gsize i = 0; i < mh_value_size (commands); i++)
-    carry_out (machine, mh_value_at (commands, i));
+    execute_command (machine, mh_value_at (commands, i));
 }
 
 void
-worker_protocol_response (Machine *machine, gint64 sent_us, guint64 session, const MhValue *body)
+worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 session,
+                                    const MhValue *body)
 {
   guint64 token;
-  if (!machine->up || session != machine->session || !mh_value_get_uint (body, "epoch", &token)
-      || token < machine->token)
+  if (!machine->running || session != machine->incarnation
+      || !mh_value_get_uint (body, "epoch", &token) || token < machine->fencing_token)
     return;
-  machine->token = token;
-  machine->lease_from_us = MAX (machine->lease_from_us, sent_us);
-  carry_out_all (machine, mh_value_get (body, "orders"));
+  machine->fencing_token = token;
+  machine->lease_start_us = MAX (machine->lease_start_us, sent_us);
+  execute_commands (machine, mh_value_get (body, "orders"));
 }
 
 guint
@@ -105,12 +106,12 @@
   *reply = NULL;
   if (!mh_value_get_uint (body, "epoch", &token) || !mh_value_get_uint (body, "tenure", &session))
     return 400;
-  bool current = token >= machine->token && session == machine->session;
+  bool current = token >= machine->fencing_token && session == machine->incarnation;
   if (current)
     {
-      machine->token = token;
-      carry_out_all (machine, mh_value_get (body, "orders"));
+      machine->fencing_token = token;
+      execute_commands (machine, mh_value_get (body, "orders"));
     }
-  *reply = worker_protocol_report (machine);
+  *reply = worker_protocol_heartbeat (machine);
   return current ? 200 : 409;
 }
--- a/tests/stand-in/worker-protocol.h
+++ b/tests/stand-in/worker-protocol.h
@@ -7,7 +7,7 @@
 
 /** worker_protocol_report: Returns: (transfer full): a new report; its number rises */
 MhValue *
-worker_protocol_report (Machine *machine);
+worker_protocol_heartbeat (Machine *machine);
 /**
  * worker_protocol_response:
  * @sent_us: when the report was sent that this answers
@@ -18,7 +18,8 @@
  * incarnation, or with a lower fencing token, changes nothing.
  */
 void
-worker_protocol_response (Machine *machine, gint64 sent_us, guint64 session, const MhValue *body);
+worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 session,
+                                    const MhValue *body);
 /**
  * worker_protocol_commands:
  * @body: of a direct call
--- a/tests/stand-in/worker-runtime.c
+++ b/tests/stand-in/worker-runtime.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define FAILS_AFTER_US MH_SECOND_US
+#define FAILURE_DELAY_US MH_SECOND_US
 
 WorkerRuntime *
 worker_runtime_new (const MhSettings *settings, Workload *workload, RuleChecks *rules)
@@ -62,7 +62,7 @@
 begin_task (const WorkerRuntime *runtime, const Machine *machine, const WorkloadJob *job,
             MachineTask *task)
 {
-  bool cached = g_hash_table_contains (machine->images, job->spec->image);
+  bool cached = g_hash_table_contains (machine->cached_images, job->spec->image);
   gint64 fetch_us = cached ? 0 : (gint64)(job->spec->image_gb * 1e6);
   if (!cached)
     task->phase = MH_TASK_PHASE_FETCHING_IMAGE;
@@ -100,7 +100,7 @@
 
 /* A running task of a gang that has checkpoints saves, when it is given the time. */
 static bool
-saves_first (const WorkerRuntime *runtime, MachineTask *task, double grace_s)
+begin_save (const WorkerRuntime *runtime, MachineTask *task, double grace_s)
 {
   WorkloadJob *job = workload_find (runtime->workload, task->job_id);
   if (task->phase == MH_TASK_PHASE_CHECKPOINTING)
@@ -120,7 +120,7 @@
 void
 worker_runtime_stop_task (WorkerRuntime *runtime, MachineTask *task, double grace_s)
 {
-  if (!saves_first (runtime, task, grace_s) && task->phase != MH_TASK_PHASE_ENDED)
+  if (!begin_save (runtime, task, grace_s) && task->phase != MH_TASK_PHASE_ENDED)
     end_task (task, "stopped");
 }
 
@@ -128,21 +128,21 @@
 
 /* Returns whether its worker acts now. */
 static bool
-advance_power (const WorkerRuntime *runtime, Machine *machine)
+advance_machine_power (const WorkerRuntime *runtime, Machine *machine)
 {
-  if (machine->gone || machine->failed)
+  if (machine->removed || machine->failed)
     return false;
   if (machine->preempted_at_us && runtime->now_us >= machine->preempted_at_us)
     {
-      machine_take_away (machine, runtime->now_us);
+      machine_remove (machine, runtime->now_us);
       return false;
     }
-  if (!machine->up)
+  if (!machine->running)
     {
-      if (runtime->now_us < machine->up_us)
+      if (runtime->now_us < machine->boot_done_us)
         return false;
-      machine->up = true;
-      machine->lease_from_us = runtime->now_us;
+      machine->running = true;
+      machine->lease_start_us = runtime->now_us;
     }
   return runtime->now_us >= machine->hung_until_us;
 }
@@ -151,12 +151,12 @@
 static void
 advance_lease (const WorkerRuntime *runtime, Machine *machine)
 {
-  if (runtime->now_us <= machine->lease_from_us + runtime->settings->worker_lease_us)
+  if (runtime->now_us <= machine->lease_start_us + runtime->settings->worker_lease_us)
     return;
   g_array_set_size (machine->tasks, 0);
-  machine->session++;
-  machine->sequence = 0;
-  machine->lease_from_us = runtime->now_us;
+  machine->incarnation++;
+  machine->heartbeat_sequence = 0;
+  machine->lease_start_us = runtime->now_us;
 }
 
 static void
@@ -168,10 +168,11 @@
   if (task->phase == MH_TASK_PHASE_FETCHING_IMAGE && now_us >= task->ready_us)
     {
       task->phase = gang ? MH_TASK_PHASE_WAITING_FOR_GANG : MH_TASK_PHASE_RUNNING;
-      g_hash_table_add (machine->images, g_strdup (job->spec->image));
+      g_hash_table_add (machine->cached_images, g_strdup (job->spec->image));
     }
-  if (task->phase == MH_TASK_PHASE_RUNNING && (machine->faulty || (job && job->fails))
-      && now_us >= task->ready_us + FAILS_AFTER_US)
+  if (task->phase == MH_TASK_PHASE_RUNNING
+      && (machine->fails_all_tasks || (job && job->always_fails))
+      && now_us >= task->ready_us + FAILURE_DELAY_US)
     end_task (task, "error");
   if (task->phase == MH_TASK_PHASE_WAITING_FOR_GANG
       && now_us > task->ready_us + runtime->settings->gang_wait_us)
@@ -187,7 +188,7 @@
 void
 worker_runtime_advance (WorkerRuntime *runtime, Machine *machine)
 {
-  if (!advance_power (runtime, machine))
+  if (!advance_machine_power (runtime, machine))
     return;
   advance_lease (runtime, machine);
   for (guint i = 0; i < machine->tasks->len; i++)
--- a/tests/stand-in/worker.c
+++ b/tests/stand-in/worker.c
@@ -4,14 +4,14 @@
 
 #include <string.h>
 
-#define TURN_US 100000
-#define REPORT_TIMEOUT_US (4 * MH_SECOND_US)
-#define RETRY_US MH_SECOND_US
-#define REDIRECT_US 10000
+#define WORKER_TICK_US 100000
+#define HEARTBEAT_TIMEOUT_US (4 * MH_SECOND_US)
+#define RETRY_DELAY_US MH_SECOND_US
+#define REDIRECT_DELAY_US 10000
 #define STATUS_OTHER_LEADER 421
 /* A change is reported at once, unless a report was just sent or the worker backs off for long. */
-#define SHORTEST_INTERVAL_US (MH_SECOND_US / 2)
-#define LONGEST_BACKOFF_US (3 * MH_SECOND_US)
+#define MIN_CHANGE_INTERVAL_US (MH_SECOND_US / 2)
+#define MAX_SHORTENED_DELAY_US (3 * MH_SECOND_US)
 
 /* A report on its way, and then the response to it. */
 typedef struct
@@ -23,18 +23,18 @@
   gint64 sent_us;
   MhValue *body;
   guint status;
-} SentReport;
+} SentHeartbeat;
 
 static void
-sent_report_free (gpointer data)
+sent_heartbeat_free (gpointer data)
 {
-  SentReport *report = data;
-  mh_value_unref (report->body);
-  g_free (report);
+  SentHeartbeat *heartbeat = data;
+  mh_value_unref (heartbeat->body);
+  g_free (heartbeat);
 }
 
 static gint64
-now_of (const Worker *worker)
+now_us_of (const Worker *worker)
 {
   return worker->simulation->clock->now_us;
 }
@@ -43,22 +43,22 @@
 
 /* The one node that the worker can reach; -1: any. */
 static gint
-bound_to (const Worker *worker)
+sole_reachable_node (const Worker *worker)
 {
-  return worker->only_until_us > now_of (worker) ? worker->only_node : -1;
+  return worker->sole_node_until_us > now_us_of (worker) ? worker->sole_node : -1;
 }
 
 static void
 try_next_node (Worker *worker)
 {
-  worker->node = (worker->node + 1) % SIMULATION_NODES;
+  worker->target_node = (worker->target_node + 1) % SIMULATION_NODES;
 }
 
 static void
-report_again (Worker *worker, gint64 in_us)
+schedule_heartbeat (Worker *worker, gint64 in_us)
 {
-  worker->report_in_flight = false;
-  worker->next_report_us = now_of (worker) + in_us;
+  worker->heartbeat_in_flight = false;
+  worker->next_heartbeat_us = now_us_of (worker) + in_us;
 }
 
 gint64
@@ -66,8 +66,8 @@
 {
   gint64 until_us = MAX (worker->machine->hung_until_us,
                          MAX (worker->cut_until_us, node->workers_cut_until_us));
-  if (worker->only_node >= 0 && (guint)worker->only_node != node->index)
-    until_us = MAX (until_us, worker->only_until_us);
+  if (worker->sole_node >= 0 && (guint)worker->sole_node != node->index)
+    until_us = MAX (until_us, worker->sole_node_until_us);
   return until_us;
 }
 
@@ -86,120 +86,123 @@
 /* ---- responses ---- */
 
 static bool
-still_waits_for (const Worker *worker, const SentReport *report)
+is_awaiting_response (const Worker *worker, const SentHeartbeat *heartbeat)
 {
-  return worker->report_in_flight && worker->report_number == report->number
-         && now_of (worker) <= report->sent_us + REPORT_TIMEOUT_US;
+  return worker->heartbeat_in_flight && worker->heartbeat_number == heartbeat->number
+         && now_us_of (worker) <= heartbeat->sent_us + HEARTBEAT_TIMEOUT_US;
 }
 
 /* Otherwise the response is dropped: too late when the worker goes on. */
 static bool
 can_receive (const Worker *worker)
 {
-  gint64 now_us = now_of (worker);
+  gint64 now_us = now_us_of (worker);
   return worker->machine->hung_until_us <= now_us && worker->cut_until_us <= now_us
          && worker->answers_lost_until_us <= now_us;
 }
 
 static void
-response_arrives (gpointer data)
+on_response (gpointer data)
 {
-  const SentReport *report = data;
-  Worker *worker = report->worker;
+  const SentHeartbeat *heartbeat = data;
+  Worker *worker = heartbeat->worker;
   Simulation *simulation = worker->simulation;
-  if (!still_waits_for (worker, report) || !can_receive (worker))
+  if (!is_awaiting_response (worker, heartbeat) || !can_receive (worker))
     return;
-  g_autofree char *leader = mh_value_get_text (report->body, "dispatcher");
+  g_autofree char *leader = mh_value_get_text (heartbeat->body, "dispatcher");
   const ControllerNode *node = leader ? simulation_node_named (simulation, leader) : NULL;
-  if (report->status == 200)
+  if (heartbeat->status == 200)
     {
-      worker_protocol_response (worker->machine, report->sent_us, report->session, report->body);
-      report_again (worker, (gint64)((double)simulation->settings->report_interval_us
-                                     * g_rand_double_range (simulation->random, 0.75, 1.25)));
+      worker_protocol_heartbeat_response (worker->machine, heartbeat->sent_us, heartbeat->session,
+                                          heartbeat->body);
+      schedule_heartbeat (worker, (gint64)((double)simulation->settings->report_interval_us
+                                           * g_rand_double_range (simulation->random, 0.75, 1.25)));
     }
-  else if (report->status == STATUS_OTHER_LEADER && node && node->index != worker->node
-           && bound_to (worker) < 0)
+  else if (heartbeat->status == STATUS_OTHER_LEADER && node && node->index != worker->target_node
+           && sole_reachable_node (worker) < 0)
     {
-      worker->node = node->index;
-      report_again (worker, REDIRECT_US);
+      worker->target_node = node->index;
+      schedule_heartbeat (worker, REDIRECT_DELAY_US);
     }
   else
     {
-      if (bound_to (worker) < 0)
+      if (sole_reachable_node (worker) < 0)
         try_next_node (worker);
-      report_again (worker, RETRY_US);
+      schedule_heartbeat (worker, RETRY_DELAY_US);
     }
 }
 
 static void
-report_answered (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_heartbeat_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   Simulation *simulation = node->simulation;
   FakeClock *clock = simulation->clock;
   if (network_draw_loss (simulation->network))
     return;
-  SentReport *response = g_memdup2 (request->data, sizeof *response);
+  SentHeartbeat *response = g_memdup2 (request->data, sizeof *response);
   response->status = action->status;
   response->body = action->body ? cbor_incref (action->body) : NULL;
-  fake_clock_add (clock, clock->now_us + network_draw_delay (simulation->network), response_arrives,
-                  response, sent_report_free);
+  fake_clock_add (clock, clock->now_us + network_draw_delay (simulation->network), on_response,
+                  response, sent_heartbeat_free);
 }
 
 /* ---- reports ---- */
 
 static void
-report_arrives (gpointer data)
+on_heartbeat_arrival (gpointer data)
 {
-  const SentReport *report = data;
-  gint64 now_us = now_of (report->worker);
-  ControllerNode *node = &report->worker->simulation->nodes[report->node];
+  const SentHeartbeat *heartbeat = data;
+  gint64 now_us = now_us_of (heartbeat->worker);
+  ControllerNode *node = &heartbeat->worker->simulation->nodes[heartbeat->node];
   if (node->controller == NULL || node->workers_cut_until_us > now_us
-      || node->reports_lost_until_us > now_us)
+      || node->heartbeats_lost_until_us > now_us)
     return;
   PendingRequest *request = g_new0 (PendingRequest, 1);
-  SentReport *waiting = g_memdup2 (report, sizeof *report);
+  SentHeartbeat *waiting = g_memdup2 (heartbeat, sizeof *heartbeat);
   waiting->body = NULL;
-  request->answered = report_answered;
+  request->on_answer = on_heartbeat_answer;
   request->data = waiting;
-  request->free_data = sent_report_free;
-  controller_node_report (node, request, report->body);
+  request->free_data = sent_heartbeat_free;
+  controller_node_heartbeat (node, request, heartbeat->body);
 }
 
 void
-workers_deliver_late_report (Simulation *simulation, ControllerNode *node, const MhValue *report)
+workers_deliver_late_heartbeat (Simulation *simulation, ControllerNode *node,
+                                const MhValue *heartbeat)
 {
-  SentReport sent = { .worker = g_ptr_array_index (simulation->workers, 0),
-                      .node = node->index,
-                      .body = (MhValue *)report };
-  report_arrives (&sent);
+  SentHeartbeat sent = { .worker = g_ptr_array_index (simulation->workers, 0),
+                         .node = node->index,
+                         .body = (MhValue *)heartbeat };
+  on_heartbeat_arrival (&sent);
 }
 
 static void
-send_report (SentReport *report, gint64 at_us)
+send_heartbeat (SentHeartbeat *heartbeat, gint64 at_us)
 {
-  Simulation *simulation = report->worker->simulation;
-  const ControllerNode *node = &simulation->nodes[report->node];
-  fake_clock_add_pausable (simulation->clock, &node->frozen_until_us, at_us, report_arrives, report,
-                           sent_report_free);
+  Simulation *simulation = heartbeat->worker->simulation;
+  const ControllerNode *node = &simulation->nodes[heartbeat->node];
+  fake_clock_add_pausable (simulation->clock, &node->frozen_until_us, at_us, on_heartbeat_arrival,
+                           heartbeat, sent_heartbeat_free);
 }
 
 /* To any node, and nobody waits for its response. */
 static void
-send_duplicate (const SentReport *report)
+send_duplicate (const SentHeartbeat *heartbeat)
 {
-  Simulation *simulation = report->worker->simulation;
-  SentReport *copy = g_memdup2 (report, sizeof *report);
-  copy->body = cbor_incref (report->body);
+  Simulation *simulation = heartbeat->worker->simulation;
+  SentHeartbeat *copy = g_memdup2 (heartbeat, sizeof *heartbeat);
+  copy->body = cbor_incref (heartbeat->body);
   copy->number = 0;
   copy->node = (guint)g_rand_int_range (simulation->random, 0, SIMULATION_NODES);
-  send_report (copy,
-               simulation->clock->now_us + network_draw_duplicate_delay (simulation->network));
+  send_heartbeat (copy,
+                  simulation->clock->now_us + network_draw_duplicate_delay (simulation->network));
 }
 
 static guint64
 hash_state (const Machine *machine)
 {
-  guint64 hash = machine->session * 31 + machine->token + (machine->preempted_at_us ? 7 : 0);
+  guint64 hash
+      = machine->incarnation * 31 + machine->fencing_token + (machine->preempted_at_us ? 7 : 0);
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const MachineTask *task = machine_task (machine, i);
@@ -209,68 +212,69 @@
 }
 
 static void
-report_state (Worker *worker)
+send_current_heartbeat (Worker *worker)
 {
   Network *network = worker->simulation->network;
-  gint64 now_us = now_of (worker);
-  worker->report_in_flight = true;
-  worker->report_number++;
-  worker->report_sent_us = now_us;
-  SentReport *report = g_new0 (SentReport, 1);
-  report->worker = worker;
-  report->node = worker->node;
-  report->number = worker->report_number;
-  report->session = worker->machine->session;
-  report->sent_us = now_us;
-  report->body = worker_protocol_report (worker->machine);
-  worker->reported_state = hash_state (worker->machine);
+  gint64 now_us = now_us_of (worker);
+  worker->heartbeat_in_flight = true;
+  worker->heartbeat_number++;
+  worker->heartbeat_sent_us = now_us;
+  SentHeartbeat *heartbeat = g_new0 (SentHeartbeat, 1);
+  heartbeat->worker = worker;
+  heartbeat->node = worker->target_node;
+  heartbeat->number = worker->heartbeat_number;
+  heartbeat->session = worker->machine->incarnation;
+  heartbeat->sent_us = now_us;
+  heartbeat->body = worker_protocol_heartbeat (worker->machine);
+  worker->last_sent_state_hash = hash_state (worker->machine);
   gint64 reconnected_us = worker->cut_until_us > now_us ? worker->cut_until_us + 1000 : 0;
   gint64 arrives_us = MAX (now_us + network_draw_delay (network), reconnected_us);
   if (network_draw_duplicate (network))
-    send_duplicate (report);
+    send_duplicate (heartbeat);
   if (network_draw_loss (network))
-    sent_report_free (report);
+    sent_heartbeat_free (heartbeat);
   else
-    send_report (report, arrives_us);
+    send_heartbeat (heartbeat, arrives_us);
 }
 
 static bool
-report_is_due (const Worker *worker)
+is_heartbeat_due (const Worker *worker)
 {
-  gint64 now_us = now_of (worker);
-  if (worker->report_in_flight)
+  gint64 now_us = now_us_of (worker);
+  if (worker->heartbeat_in_flight)
     return false;
-  if (now_us >= worker->next_report_us)
+  if (now_us >= worker->next_heartbeat_us)
     return true;
-  return hash_state (worker->machine) != worker->reported_state
-         && now_us > worker->report_sent_us + SHORTEST_INTERVAL_US
-         && worker->next_report_us < now_us + LONGEST_BACKOFF_US;
+  return hash_state (worker->machine) != worker->last_sent_state_hash
+         && now_us > worker->heartbeat_sent_us + MIN_CHANGE_INTERVAL_US
+         && worker->next_heartbeat_us < now_us + MAX_SHORTENED_DELAY_US;
 }
 
 static void
-give_up_response (Worker *worker)
+abandon_response (Worker *worker)
 {
-  if (worker->only_node < 0 || (worker->only_until_us && bound_to (worker) < 0))
+  if (worker->sole_node < 0 || (worker->sole_node_until_us && sole_reachable_node (worker) < 0))
     try_next_node (worker);
-  report_again (worker, RETRY_US);
+  schedule_heartbeat (worker, RETRY_DELAY_US);
 }
 
 static void
-worker_turn (gpointer data)
+on_worker_timer (gpointer data)
 {
   Worker *worker = data;
   const Machine *machine = worker->machine;
   FakeClock *clock = worker->simulation->clock;
-  if (machine->gone || machine->failed)
+  if (machine->removed || machine->failed)
     return;
-  fake_clock_add (clock, clock->now_us + TURN_US, worker_turn, worker, NULL);
-  if (!machine->up || machine->hung_until_us > clock->now_us
-      || worker->reports_lost_until_us > clock->now_us)
+  fake_clock_add (clock, clock->now_us + WORKER_TICK_US, on_worker_timer, worker, NULL);
+  if (!machine->running || machine->hung_until_us > clock->now_us
+      || worker->heartbeats_lost_until_us > clock->now_us)
     return;
-  if (worker->report_in_flight && clock->now_us > worker->report_sent_us + REPORT_TIMEOUT_US)
-    give_up_response (worker);
-  if (report_is_due (worker))
-    report_state (worker);
+  if (worker->heartbeat_in_flight
+      && clock->now_us > worker->heartbeat_sent_us + HEARTBEAT_TIMEOUT_US)
+    abandon_response (worker);
+  if (is_heartbeat_due (worker))
+    send_current_heartbeat (worker);
 }
 
 void
@@ -282,9 +286,9 @@
       Worker *worker = g_new0 (Worker, 1);
       worker->simulation = simulation;
       worker->machine = g_ptr_array_index (machines, i);
-      worker->node = (guint)g_rand_int_range (simulation->random, 0, SIMULATION_NODES);
-      worker->only_node = -1;
+      worker->target_node = (guint)g_rand_int_range (simulation->random, 0, SIMULATION_NODES);
+      worker->sole_node = -1;
       g_ptr_array_add (simulation->workers, worker);
-      fake_clock_add (simulation->clock, simulation->clock->now_us, worker_turn, worker, NULL);
+      fake_clock_add (simulation->clock, simulation->clock->now_us, on_worker_timer, worker, NULL);
     }
 }
--- a/tests/stand-in/worker.h
+++ b/tests/stand-in/worker.h
@@ -25,17 +25,17 @@
 {
   Simulation *simulation;
   Machine *machine;
-  guint node;
-  gint64 next_report_us;
-  gint64 report_sent_us;
-  bool report_in_flight;
-  guint report_number;
-  guint64 reported_state;
+  guint target_node;
+  gint64 next_heartbeat_us;
+  gint64 heartbeat_sent_us;
+  bool heartbeat_in_flight;
+  guint heartbeat_number;
+  guint64 last_sent_state_hash;
   gint64 cut_until_us;
-  gint64 reports_lost_until_us;
+  gint64 heartbeats_lost_until_us;
   gint64 answers_lost_until_us;
-  gint only_node;
-  gint64 only_until_us;
+  gint sole_node;
+  gint64 sole_node_until_us;
 } Worker;
 
 /** workers_adopt_machines: Machines that are new get a worker. */
@@ -49,4 +49,5 @@
 worker_unreachable_until (const Worker *worker, const ControllerNode *node);
 /** workers_deliver_late_report: Hands a report to a node, as if it had been on its way for long. */
 void
-workers_deliver_late_report (Simulation *simulation, ControllerNode *node, const MhValue *report);
+workers_deliver_late_heartbeat (Simulation *simulation, ControllerNode *node,
+                                const MhValue *heartbeat);
--- a/tests/stand-in/workload.c
+++ b/tests/stand-in/workload.c
@@ -67,7 +67,8 @@
 describe_job (const WorkloadJob *job, GString *out)
 {
   g_string_append_printf (out, "job %s %d %" G_GINT64_FORMAT " %u %u ", job->spec->id,
-                          job->accepted, job->cancelled_us, job->done_count, job->orderly_stops);
+                          job->accepted, job->cancel_confirmed_us, job->done_count,
+                          job->orderly_stops);
   for (guint i = 0; i < job->spec->tasks; i++)
     g_string_append_c (out, job->task_done[i] ? '1' : '0');
   g_string_append_c (out, '\n');
--- a/tests/stand-in/workload.h
+++ b/tests/stand-in/workload.h
@@ -28,9 +28,9 @@
   MhJobSpec *spec;
   gint64 run_us;
   gint64 stagger_us;
-  gint64 cancelled_us;
+  gint64 cancel_confirmed_us;
   bool accepted;
-  bool fails;
+  bool always_fails;
   guint64 running_attempt;
   gint64 saved_progress_us;
   gint64 running_since_us;
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -3,28 +3,28 @@
 #include <string.h>
 
 bool
-told_done (Simulation *simulation, gpointer data)
+is_reported_done (Simulation *simulation, gpointer data)
 {
   (void)simulation;
-  return ((User *)data)->told_done;
+  return ((User *)data)->reported_done;
 }
 
 bool
-told_cancelled (Simulation *simulation, gpointer data)
+is_reported_cancelled (Simulation *simulation, gpointer data)
 {
   (void)simulation;
-  return ((User *)data)->told_cancelled;
+  return ((User *)data)->reported_cancelled;
 }
 
 bool
-all_run (Simulation *simulation, gpointer data)
+all_tasks_running (Simulation *simulation, gpointer data)
 {
   const User *user = data;
   return simulation_running_tasks (simulation, user->job->spec->id) == user->job->spec->tasks;
 }
 
 bool
-all_done (Simulation *simulation, gpointer data)
+all_tasks_done (Simulation *simulation, gpointer data)
 {
   const User *user = data;
   (void)simulation;
@@ -32,7 +32,7 @@
 }
 
 bool
-accepted (Simulation *simulation, gpointer data)
+is_accepted (Simulation *simulation, gpointer data)
 {
   (void)simulation;
   return ((User *)data)->job->accepted;
@@ -46,20 +46,20 @@
 }
 
 bool
-is_gone (Simulation *simulation, gpointer data)
+is_removed (Simulation *simulation, gpointer data)
 {
   (void)simulation;
-  return ((Machine *)data)->gone;
+  return ((Machine *)data)->removed;
 }
 
 Worker *
-simulation_worker (Simulation *simulation, guint index)
+worker_by_index (Simulation *simulation, guint index)
 {
   return g_ptr_array_index (simulation->workers, index);
 }
 
 Worker *
-worker_of (Simulation *simulation, const char *task_id)
+worker_with_task (Simulation *simulation, const char *task_id)
 {
   for (guint i = 0; i < simulation->workers->len; i++)
     {
@@ -79,31 +79,31 @@
 }
 
 User *
-running_service (Simulation *simulation, guint number, guint tasks)
+start_service (Simulation *simulation, guint number, guint tasks)
 {
   User *user = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_SERVICE, tasks, 1), 0);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, all_tasks_running, user);
   return user;
 }
 
 User *
-running_array (Simulation *simulation, guint number, guint tasks, double run_s)
+start_array (Simulation *simulation, guint number, guint tasks, double run_s)
 {
   MhJobSpec *spec = job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1);
   spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, run_s);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, all_tasks_running, user);
   return user;
 }
 
 void
-use_small_machines (MhJobSpec *spec)
+require_small_machines (MhJobSpec *spec)
 {
   spec->types = g_strsplit ("small", ",", -1);
 }
 
 MhJobSpec *
-gang_spec (guint number, guint tasks, double cpus)
+gang_spec_new (guint number, guint tasks, double cpus)
 {
   MhJobSpec *spec = job_spec_new (number, MH_SHAPE_GANG, tasks, cpus);
   spec->spot = false;
@@ -115,32 +115,32 @@
 }
 
 bool
-gang_runs (Simulation *simulation, gpointer data)
+is_gang_running (Simulation *simulation, gpointer data)
 {
   (void)simulation;
   return ((User *)data)->job->running_attempt != 0;
 }
 
 User *
-running_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s)
+start_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s)
 {
-  User *user = simulation_submit (simulation, gang_spec (number, tasks, cpus), run_s);
-  WAIT (simulation, 60, gang_runs, user);
+  User *user = simulation_submit (simulation, gang_spec_new (number, tasks, cpus), run_s);
+  WAIT (simulation, 60, is_gang_running, user);
   return user;
 }
 
 User *
-gang_on_small_machines (Simulation *simulation, guint machines, double run_s)
+submit_gang_on_small_machines (Simulation *simulation, guint machines, double run_s)
 {
-  simulation->cloud->capacity = 0;
+  simulation->cloud->max_machines = 0;
   add_small_machines (simulation, machines);
-  MhJobSpec *spec = gang_spec (1, 4, 2);
-  use_small_machines (spec);
+  MhJobSpec *spec = gang_spec_new (1, 4, 2);
+  require_small_machines (spec);
   return simulation_submit (simulation, spec, run_s);
 }
 
 void
-wait_all (Simulation *simulation, double seconds)
+wait_until_all_settled (Simulation *simulation, double seconds)
 {
   for (guint second = 0; second < seconds && !simulation_all_settled (simulation, NULL); second++)
     {
@@ -151,7 +151,7 @@
 }
 
 void
-finish (Simulation *simulation)
+simulation_check_and_free (Simulation *simulation)
 {
   simulation_assert_rules (simulation);
   simulation_free (simulation);
@@ -165,12 +165,12 @@
 } SimulationCase;
 
 static void
-run_case (gconstpointer data)
+run_simulation_case (gconstpointer data)
 {
   const SimulationCase *self = data;
   Simulation *simulation = simulation_new (self->seed);
   self->test (simulation);
-  finish (simulation);
+  simulation_check_and_free (simulation);
 }
 
 void
@@ -178,5 +178,5 @@
 {
   SimulationCase *self = g_new (SimulationCase, 1);
   *self = (SimulationCase){ .seed = seed, .test = test };
-  g_test_add_data_func_full (path, self, run_case, g_free);
+  g_test_add_data_func_full (path, self, run_simulation_case, g_free);
 }
--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -11,10 +11,10 @@
 submit_job_for_four_machines (Simulation *simulation)
 {
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, TASKS, 1);
-  use_small_machines (spec);
+  require_small_machines (spec);
   spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 120);
-  WAIT (simulation, 20, accepted, user);
+  WAIT (simulation, 20, is_accepted, user);
   simulation_run (simulation, 3);
   g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4);
   return user;
@@ -30,10 +30,10 @@
   User *user = submit_job_for_four_machines (simulation);
   simulation_run (simulation, 14);
   g_assert_cmpuint (simulation->cloud->machines->len, <=, 5);
-  g_assert_true (simulation_logged (simulation, "machine late to join"));
+  g_assert_true (simulation_has_logged (simulation, "machine late to join"));
   simulation_run (simulation, 15);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
-  WAIT (simulation, 200, told_done, user);
+  WAIT (simulation, 200, is_reported_done, user);
 }
 
 /* One machine never joins. It must be replaced, otherwise its tasks wait forever, and released,
@@ -43,12 +43,12 @@
 {
   submit_job_for_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
-  machine->up_us = G_MAXINT64;
+  machine->boot_done_us = G_MAXINT64;
   simulation_run (simulation, 25);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
   g_assert_cmpuint (simulation->cloud->machines->len, ==, TASKS / 4 + 1);
-  g_assert_true (machine->gone);
-  g_assert_true (simulation_logged (simulation, "never_joined"));
+  g_assert_true (machine->removed);
+  g_assert_true (simulation_has_logged (simulation, "never_joined"));
 }
 
 /* One machine joins after another was created in its place. It must not be released then, since its
@@ -58,10 +58,10 @@
 {
   submit_job_for_four_machines (simulation);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
-  machine->up_us = simulation->clock->now_us + 10 * MH_SECOND_US;
+  machine->boot_done_us = simulation->clock->now_us + 10 * MH_SECOND_US;
   simulation_run (simulation, 20);
-  g_assert_true (machine->up);
-  g_assert_false (machine->gone);
+  g_assert_true (machine->running);
+  g_assert_false (machine->removed);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, TASKS);
 }
 
@@ -77,11 +77,11 @@
   guint machines_before = simulation->cloud->machines->len;
   simulation->cloud->boot_us = 6 * MH_SECOND_US;
   User *service_user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
-  WAIT (simulation, 30, all_run, service_user);
+  WAIT (simulation, 30, all_tasks_running, service_user);
   g_assert_cmpuint (simulation->cloud->machines->len - machines_before, <=, 4);
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->cloud->machines->len - machines_before, <=, 4);
-  WAIT (simulation, 200, told_done, user);
+  WAIT (simulation, 200, is_reported_done, user);
 }
 
 int
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -14,7 +14,7 @@
   gint64 end = simulation->clock->now_us + (gint64)(seconds * MH_SECOND_US);
   while (simulation->clock->now_us < end)
     {
-      simulation_ask_all (simulation, user);
+      simulation_request_from_all_nodes (simulation, user);
       simulation_run (simulation, 0.003);
     }
 }
@@ -24,7 +24,7 @@
 {
   (void)simulation;
   const User *user = data;
-  return user->told_cancelled || user->told_done;
+  return user->reported_cancelled || user->reported_done;
 }
 
 /* Users ask at all nodes, again and again, right after a job was accepted, ended or cancelled: a
@@ -37,9 +37,9 @@
     {
       bool cancels = round % 2, leader_ends = round / 2 % 2, peers_cut = round / 4;
       Simulation *simulation = simulation_new (300 + round);
-      running_service (simulation, 1, 1);
+      start_service (simulation, 1, 1);
       User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 1.5);
-      WAIT (simulation, 30, accepted, user);
+      WAIT (simulation, 30, is_accepted, user);
       if (peers_cut)
         simulation->nodes[(simulation_leader (simulation)->index + 1) % SIMULATION_NODES]
             .peers_cut_until_us
@@ -60,7 +60,7 @@
       g_assert_true (cancel_asked (simulation, user));
       simulation_start_node (simulation, leader);
       ask_closely (simulation, user, 1.5);
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -73,10 +73,10 @@
   for (guint cancels = 0; cancels < 2; cancels++)
     {
       Simulation *simulation = simulation_new (310 + cancels);
-      User *first = running_service (simulation, 1, 1);
+      User *first = start_service (simulation, 1, 1);
       simulation->network->hold_commands = true;
       User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 2, 1), 0);
-      WAIT (simulation, 10, accepted, user);
+      WAIT (simulation, 10, is_accepted, user);
       simulation_run (simulation, 0.2);
       g_assert_cmpuint (simulation->network->held_commands->len, >, 0);
       ControllerNode *old = simulation_leader (simulation);
@@ -88,7 +88,7 @@
       if (cancels)
         {
           user_cancel (user);
-          WAIT (simulation, 20, told_cancelled, user);
+          WAIT (simulation, 20, is_reported_cancelled, user);
         }
       simulation_run (simulation, 10);
       guint starts = simulation->rules->task_starts;
@@ -98,7 +98,7 @@
       g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==,
                         cancels ? 0 : 2);
       g_assert_cmpuint (simulation_running_tasks (simulation, first->job->spec->id), ==, 1);
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -118,7 +118,7 @@
               = simulation_submit (simulation, job_spec_new (1 + i, MH_SHAPE_SERVICE, 2, 0.5), 0);
         }
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-        WAIT (simulation, 60, all_run, users[i]);
+        WAIT (simulation, 60, all_tasks_running, users[i]);
       guint leader = simulation_leader (simulation)->index;
       guint starts = simulation->rules->task_starts;
       simulation->network->hold_commands = true;
@@ -129,18 +129,18 @@
           if (i == 3 + 2 && returns) /* within a fraction of a second */
             simulation_start_node (simulation, leader);
           user_cancel (users[i]);
-          simulation_ask_all (simulation, users[i]);
+          simulation_request_from_all_nodes (simulation, users[i]);
           simulation_run (simulation, 0.1);
         }
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-        WAIT (simulation, 20, told_cancelled, users[i]);
+        WAIT (simulation, 20, is_reported_cancelled, users[i]);
       simulation_run (simulation, CANCEL_S + 1);
       outgoing_calls_release_commands (simulation);
       simulation_run (simulation, 1);
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
         g_assert_cmpuint (simulation_running_tasks (simulation, users[i]->job->spec->id), ==, 0);
       g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -182,8 +182,8 @@
       User *ends
           = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 4 + 0.5 * round);
       User *cancelled = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 100);
-      WAIT (simulation, 60, all_run, ends);
-      WAIT (simulation, 60, all_run, cancelled);
+      WAIT (simulation, 60, all_tasks_running, ends);
+      WAIT (simulation, 60, all_tasks_running, cancelled);
       ControllerNode *leader = simulation_leader (simulation);
       guint other = (leader->index + 1) % SIMULATION_NODES;
       leader->write_answers_lost_until_us = simulation->clock->now_us + 8 * MH_SECOND_US;
@@ -197,12 +197,12 @@
           if (i == 150 && leader_ends)
             simulation_stop_node (simulation, leader->index);
           simulation_restart_node (simulation, other, CONTROLLER_CURRENT, 0);
-          simulation_ask_all (simulation, users[i % G_N_ELEMENTS (users)]);
+          simulation_request_from_all_nodes (simulation, users[i % G_N_ELEMENTS (users)]);
           simulation_run (simulation, 0.03);
         }
       simulation_start_node (simulation, leader->index);
       WAIT (simulation, 90, simulation_all_settled, NULL);
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -229,7 +229,7 @@
         }
       simulation->network->late_write_probability = 0;
       WAIT (simulation, 200, simulation_all_settled, NULL);
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -241,16 +241,16 @@
   for (guint round = 0; round < 2; round++)
     {
       Simulation *simulation = simulation_new (360 + round);
-      User *service = running_service (simulation, 1, 2);
+      User *service = start_service (simulation, 1, 2);
       User *array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 6, 1), 4);
-      WAIT (simulation, 60, all_run, array);
+      WAIT (simulation, 60, all_tasks_running, array);
       g_autoptr (GPtrArray) old = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
       for (guint i = 0; i < simulation->workers->len; i++)
-        g_ptr_array_add (old, worker_protocol_report (
+        g_ptr_array_add (old, worker_protocol_heartbeat (
                                   ((Worker *)g_ptr_array_index (simulation->workers, i))->machine));
-      WAIT (simulation, 60, told_done, array);
+      WAIT (simulation, 60, is_reported_done, array);
       User *second = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 6, 1), 30);
-      WAIT (simulation, 60, all_run, second);
+      WAIT (simulation, 60, all_tasks_running, second);
       guint starts = simulation->rules->task_starts;
       guint leader = simulation_leader (simulation)->index;
       if (round) /* all sessions end, and the old reports are of earlier ones */
@@ -264,15 +264,15 @@
         {
           for (guint i = 0; i < SIMULATION_NODES; i++)
             for (guint k = 0; k < old->len; k++)
-              workers_deliver_late_report (simulation, &simulation->nodes[i],
-                                           g_ptr_array_index (old, k));
+              workers_deliver_late_heartbeat (simulation, &simulation->nodes[i],
+                                              g_ptr_array_index (old, k));
           simulation_run (simulation, 0.05);
         }
-      WAIT (simulation, 120, told_done, second);
-      WAIT (simulation, 60, all_run, service);
+      WAIT (simulation, 120, is_reported_done, second);
+      WAIT (simulation, 60, all_tasks_running, service);
       if (!round)
         g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -293,7 +293,7 @@
           running[i] = simulation_submit (simulation, spec, 300);
         }
       for (guint i = 0; i < G_N_ELEMENTS (running); i++)
-        WAIT (simulation, 90, all_run, running[i]);
+        WAIT (simulation, 90, all_tasks_running, running[i]);
       for (guint i = 0; i < G_N_ELEMENTS (waiting); i++)
         waiting[i] = simulation_submit (simulation, job_spec_new (11 + i, MH_SHAPE_ARRAY, 8, 1), 3);
       simulation_run (simulation, 3);
@@ -316,11 +316,11 @@
       simulation_stop_node (simulation, leader);
       simulation_run (simulation, 3);
       simulation_start_node (simulation, leader);
-      WAIT (simulation, 30, told_cancelled, running[0]);
-      WAIT (simulation, 30, told_cancelled, running[1]);
+      WAIT (simulation, 30, is_reported_cancelled, running[0]);
+      WAIT (simulation, 30, is_reported_cancelled, running[1]);
       for (guint i = 0; i < G_N_ELEMENTS (waiting); i++)
-        WAIT (simulation, 200, told_done, waiting[i]);
-      finish (simulation);
+        WAIT (simulation, 200, is_reported_done, waiting[i]);
+      simulation_check_and_free (simulation);
     }
 }
 
--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -12,11 +12,11 @@
     {
       Simulation *simulation = simulation_new (6 + how);
       add_small_machines (simulation, 6);
-      MhJobSpec *spec = gang_spec (1, 6, 2);
-      use_small_machines (spec);
+      MhJobSpec *spec = gang_spec_new (1, 6, 2);
+      require_small_machines (spec);
       User *user = simulation_submit (simulation, spec, 25);
-      WAIT (simulation, 60, gang_runs, user);
-      Worker *worker = worker_of (simulation, "j-000001/0");
+      WAIT (simulation, 60, is_gang_running, user);
+      Worker *worker = worker_with_task (simulation, "j-000001/0");
       if (how == 0)
         {
           machine_fail (worker->machine);
@@ -26,11 +26,11 @@
       else if (how == 2)
         worker->cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       else if (how == 3)
-        worker->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+        worker->heartbeats_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       else
         worker->answers_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
-      WAIT (simulation, 200, told_done, user);
-      finish (simulation);
+      WAIT (simulation, 200, is_reported_done, user);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -40,14 +40,14 @@
 test_incomplete (Simulation *simulation)
 {
   simulation->settings->gang_wait_us = 4 * MH_SECOND_US; /* the workers', not the controllers' */
-  User *user = gang_on_small_machines (simulation, 2, 5);
-  for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
+  User *user = submit_gang_on_small_machines (simulation, 2, 5);
+  for (guint i = 0; i < 400 && worker_with_task (simulation, "j-000001/3") == NULL; i++)
     simulation_run (simulation, 0.05);
-  Machine *late = worker_of (simulation, "j-000001/3")->machine;
+  Machine *late = worker_with_task (simulation, "j-000001/3")->machine;
   for (guint i = 0; i < late->tasks->len; i++)
     g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
-  WAIT (simulation, 60, told_done, user);
-  g_assert_true (simulation_logged (simulation, "incomplete_in_time"));
+  WAIT (simulation, 60, is_reported_done, user);
+  g_assert_true (simulation_has_logged (simulation, "incomplete_in_time"));
 }
 
 /* It fails on every machine. Without back-off its attempts would take all writes and machines from
@@ -55,9 +55,9 @@
 static void
 test_fails_everywhere (Simulation *simulation)
 {
-  User *user = gang_on_small_machines (simulation, 4, 20);
-  User *other = running_service (simulation, 2, 1);
-  WAIT (simulation, 60, accepted, user);
+  User *user = submit_gang_on_small_machines (simulation, 4, 20);
+  User *other = start_service (simulation, 2, 1);
+  WAIT (simulation, 60, is_accepted, user);
   guint starts = simulation->rules->task_starts;
   for (guint second = 0; second < 60; second++)
     {
@@ -76,11 +76,11 @@
         }
       simulation_run (simulation, 1);
     }
-  g_assert_true (simulation_logged (simulation, "next_start_s="));
+  g_assert_true (simulation_has_logged (simulation, "next_start_s="));
   g_assert_cmpuint (simulation->rules->task_starts - starts, <=, 32); /* eight attempts */
   g_assert_cmpuint (simulation_running_tasks (simulation, other->job->spec->id), ==, 1);
   user_cancel (user);
-  WAIT (simulation, 10, told_cancelled, user);
+  WAIT (simulation, 10, is_reported_cancelled, user);
   simulation_run (simulation, 42);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
@@ -91,15 +91,15 @@
 test_late_start_of_an_old_attempt (Simulation *simulation)
 {
   simulation->network->keep_requests = true;
-  simulation->cloud->capacity = 0;
+  simulation->cloud->max_machines = 0;
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
-  MhJobSpec *spec = gang_spec (1, 4, 1);
+  MhJobSpec *spec = gang_spec_new (1, 4, 1);
   spec->single_zone = false;
   spec->spread_over_zones = true;
   User *user = simulation_submit (simulation, spec, 25);
-  WAIT (simulation, 60, gang_runs, user);
-  machine_fail (worker_of (simulation, "j-000001/0")->machine);
+  WAIT (simulation, 60, is_gang_running, user);
+  machine_fail (worker_with_task (simulation, "j-000001/0")->machine);
   simulation_run (simulation, 1);
   for (guint i = 0; i < 600 && user->job->running_attempt < 2; i++)
     simulation_run (simulation, 0.1);
@@ -112,7 +112,7 @@
   outgoing_calls_repeat_kept (simulation);
   simulation_run (simulation, 2);
   g_assert_cmpuint (user->job->running_attempt, ==, 2);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
 }
 
 /* A report from the time of an attempt that was given up comes while the next one runs, also to a
@@ -123,11 +123,11 @@
   for (guint new_leader = 0; new_leader < 2; new_leader++)
     {
       Simulation *simulation = simulation_new (17 + new_leader);
-      User *user = gang_on_small_machines (simulation, 5, 25);
-      WAIT (simulation, 60, gang_runs, user);
+      User *user = submit_gang_on_small_machines (simulation, 5, 25);
+      WAIT (simulation, 60, is_gang_running, user);
       g_autoptr (MhValue) old
-          = worker_protocol_report (worker_of (simulation, "j-000001/3")->machine);
-      machine_fail (worker_of (simulation, "j-000001/0")->machine);
+          = worker_protocol_heartbeat (worker_with_task (simulation, "j-000001/3")->machine);
+      machine_fail (worker_with_task (simulation, "j-000001/0")->machine);
       for (guint i = 0; i < 600 && user->job->running_attempt != 2; i++)
         simulation_run (simulation, 0.1);
       g_assert_cmpuint (user->job->running_attempt, ==, 2);
@@ -138,11 +138,11 @@
         }
       for (guint i = 0; i < SIMULATION_NODES; i++)
         if (simulation->nodes[i].controller)
-          workers_deliver_late_report (simulation, &simulation->nodes[i], old);
+          workers_deliver_late_heartbeat (simulation, &simulation->nodes[i], old);
       simulation_run (simulation, 3);
       g_assert_cmpuint (user->job->running_attempt, ==, 2);
-      WAIT (simulation, 60, told_done, user);
-      finish (simulation);
+      WAIT (simulation, 60, is_reported_done, user);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -152,12 +152,12 @@
 test_task_fails (Simulation *simulation)
 {
   add_small_machines (simulation, 4);
-  MhJobSpec *spec = gang_spec (1, 4, 2);
-  use_small_machines (spec);
+  MhJobSpec *spec = gang_spec_new (1, 4, 2);
+  require_small_machines (spec);
   User *user = simulation_submit (simulation, spec, 15);
-  WAIT (simulation, 60, gang_runs, user);
-  worker_of (simulation, "j-000001/2")->machine->faulty = true;
-  WAIT (simulation, 300, told_done, user);
+  WAIT (simulation, 60, is_gang_running, user);
+  worker_with_task (simulation, "j-000001/2")->machine->fails_all_tasks = true;
+  WAIT (simulation, 300, is_reported_done, user);
 }
 
 /* Controllers change at every step of a gang's life: a leader that did not take the attempt over
@@ -168,16 +168,16 @@
   for (guint step = 0; step < 24; step++)
     {
       Simulation *simulation = simulation_new (20 + step);
-      User *user = simulation_submit (simulation, gang_spec (1, 5, 2), 8);
-      WAIT (simulation, 30, accepted, user);
+      User *user = simulation_submit (simulation, gang_spec_new (1, 5, 2), 8);
+      WAIT (simulation, 30, is_accepted, user);
       simulation_run (simulation, 0.6 * step);
       ControllerNode *leader = simulation_leader (simulation);
       guint stopped = leader ? leader->index : 0;
       simulation_stop_node (simulation, stopped);
       simulation_run (simulation, step % 2 ? 0.2 : 3);
       simulation_start_node (simulation, stopped);
-      WAIT (simulation, 120, told_done, user);
-      finish (simulation);
+      WAIT (simulation, 120, is_reported_done, user);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -186,17 +186,17 @@
 static void
 test_late_image (Simulation *simulation)
 {
-  User *user = simulation_submit (simulation, gang_spec (1, 4, 4), 5);
-  WAIT (simulation, 30, accepted, user);
-  for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
+  User *user = simulation_submit (simulation, gang_spec_new (1, 4, 4), 5);
+  WAIT (simulation, 30, is_accepted, user);
+  for (guint i = 0; i < 400 && worker_with_task (simulation, "j-000001/3") == NULL; i++)
     simulation_run (simulation, 0.05);
-  Worker *worker = worker_of (simulation, "j-000001/3");
+  Worker *worker = worker_with_task (simulation, "j-000001/3");
   MachineTask *task
       = &g_array_index (worker->machine->tasks, MachineTask, worker->machine->tasks->len - 1);
   task->ready_us = simulation->clock->now_us + 300 * MH_SECOND_US;
-  WAIT (simulation, 150, told_done, user);
-  g_assert_true (simulation_logged (simulation, "gang stopped, not complete in time"));
-  g_assert_false (simulation_logged (simulation, "incomplete_in_time"));
+  WAIT (simulation, 150, is_reported_done, user);
+  g_assert_true (simulation_has_logged (simulation, "gang stopped, not complete in time"));
+  g_assert_false (simulation_has_logged (simulation, "incomplete_in_time"));
 }
 
 /* The gang is done, and one of its machines fails before it has told so. If the others' word were
@@ -205,17 +205,17 @@
 test_done_together (Simulation *simulation)
 {
   add_small_machines (simulation, 3);
-  MhJobSpec *spec = gang_spec (1, 6, 2);
-  use_small_machines (spec);
+  MhJobSpec *spec = gang_spec_new (1, 6, 2);
+  require_small_machines (spec);
   User *user = simulation_submit (simulation, spec, 8);
-  WAIT (simulation, 60, gang_runs, user);
-  Worker *worker = worker_of (simulation, "j-000001/0");
+  WAIT (simulation, 60, is_gang_running, user);
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
   Machine *machine = worker->machine;
   simulation_run (simulation, 5);
-  worker->reports_lost_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
-  WAIT (simulation, 30, all_done, user);
+  worker->heartbeats_lost_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
+  WAIT (simulation, 30, all_tasks_done, user);
   machine_fail (machine);
-  WAIT (simulation, 20, told_done, user);
+  WAIT (simulation, 20, is_reported_done, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
 }
 
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -8,16 +8,16 @@
 static void
 test_life (Simulation *simulation)
 {
-  User *user = running_gang (simulation, 1, 6, 2, 10);
-  const Machine *first = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_gang (simulation, 1, 6, 2, 10);
+  const Machine *first = worker_with_task (simulation, "j-000001/0")->machine;
   for (guint i = 1; i < 6; i++)
     {
       g_autofree char *leg = g_strdup_printf ("j-000001/%u", i);
-      const Machine *machine = worker_of (simulation, leg)->machine;
+      const Machine *machine = worker_with_task (simulation, leg)->machine;
       g_assert_cmpstr (machine->zone, ==, first->zone);
       g_assert_cmpuint (g_array_index (machine->tasks, MachineTask, 0).attempt, ==, 1);
     }
-  WAIT (simulation, 40, told_done, user);
+  WAIT (simulation, 40, is_reported_done, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
 }
 
@@ -27,28 +27,31 @@
 {
   MhUserAnswer answer;
   simulation_run (simulation, 5);
-  g_assert_cmpuint (
-      simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer), ==,
-      422); /* of 16 */
-  MhJobSpec *spec = gang_spec (2, 2, 1);
+  g_assert_cmpuint (simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000001",
+                                                 gang_spec_new (1, 17, 1), &answer),
+                    ==, 422); /* of 16 */
+  MhJobSpec *spec = gang_spec_new (2, 2, 1);
   spec->spread_over_zones = true; /* and in one zone */
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
-                    422);
-  spec = gang_spec (3, 4, 1);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
+      422);
+  spec = gang_spec_new (3, 4, 1);
   spec->single_zone = false;
   spec->spread_over_zones = true;
   spec->zone = g_strdup ("a");
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
-                    422);
-  spec = gang_spec (4, 1, 1);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
+      422);
+  spec = gang_spec_new (4, 1, 1);
   spec->mem_gb = 100;
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
-                    422);
-  spec = gang_spec (5, 4, 1);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
+      422);
+  spec = gang_spec_new (5, 4, 1);
   spec->single_zone = false;
   spec->spread_over_zones = true;
   User *user = simulation_submit (simulation, spec, 3);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
 }
 
 /* With room for a part only, tasks that start alone would hold it for nothing; and smaller work
@@ -56,32 +59,32 @@
 static void
 test_all_or_none (Simulation *simulation)
 {
-  simulation->cloud->capacity = 2;
-  simulation->cloud->zones = 1;
-  MhJobSpec *spec = gang_spec (1, 4, 2); /* two whole small machines */
-  use_small_machines (spec);
+  simulation->cloud->max_machines = 2;
+  simulation->cloud->zone_count = 1;
+  MhJobSpec *spec = gang_spec_new (1, 4, 2); /* two whole small machines */
+  require_small_machines (spec);
   spec->spot = true;
   User *small[6];
   for (guint i = 0; i < G_N_ELEMENTS (small); i++)
     {
       MhJobSpec *other = job_spec_new (10 + i, MH_SHAPE_ARRAY, 4, 1);
-      use_small_machines (other);
+      require_small_machines (other);
       other->priority = MH_PRIORITY_LOW;
       small[i] = simulation_submit (simulation, other, 4 + i);
     }
   simulation_run (simulation, 10);
   User *user = simulation_submit (simulation, spec, 5);
   guint parts = 0;
-  for (guint i = 0; i < 600 && !user->told_done; i++)
+  for (guint i = 0; i < 600 && !user->reported_done; i++)
     {
       guint running = simulation_running_tasks (simulation, "j-000001");
       parts += running > 0 && running < 4 && user->job->done_count == 0;
       simulation_run (simulation, 0.1);
     }
-  g_assert_true (user->told_done);
+  g_assert_true (user->reported_done);
   g_assert_cmpuint (parts, <=, 10); /* only until the commands are there: a second */
   for (guint i = 0; i < G_N_ELEMENTS (small); i++)
-    WAIT (simulation, 120, told_done, small[i]);
+    WAIT (simulation, 120, is_reported_done, small[i]);
 }
 
 /* Two gangs, each of which needs most of what there is, would hold room from each other for ever if
@@ -89,17 +92,17 @@
 static void
 test_two_gangs (Simulation *simulation)
 {
-  simulation->cloud->capacity = 2;
-  simulation->cloud->zones = 1;
+  simulation->cloud->max_machines = 2;
+  simulation->cloud->zone_count = 1;
   User *users[4];
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
     {
-      MhJobSpec *spec = gang_spec (1 + i, 3, 2);
-      use_small_machines (spec);
+      MhJobSpec *spec = gang_spec_new (1 + i, 3, 2);
+      require_small_machines (spec);
       users[i] = simulation_submit (simulation, spec, 5);
     }
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
-    WAIT (simulation, 200, told_done, users[i]);
+    WAIT (simulation, 200, is_reported_done, users[i]);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 12); /* each once */
 }
 
@@ -108,14 +111,14 @@
 static void
 test_on_record_first (Simulation *simulation)
 {
-  User *user = simulation_submit (simulation, gang_spec (1, 4, 1), 20);
-  WAIT (simulation, 30, accepted, user);
+  User *user = simulation_submit (simulation, gang_spec_new (1, 4, 1), 20);
+  WAIT (simulation, 30, is_accepted, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 15 * MH_SECOND_US;
   simulation_run (simulation, 14);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 0);
-  WAIT (simulation, 30, gang_runs, user);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 30, is_gang_running, user);
+  WAIT (simulation, 60, is_reported_done, user);
 }
 
 /* All its tasks have ended, and nothing of that is on record. A user who were told that it is done
@@ -123,15 +126,15 @@
 static void
 test_done_only_on_record (Simulation *simulation)
 {
-  User *user = gang_on_small_machines (simulation, 2, 8);
-  WAIT (simulation, 60, gang_runs, user);
+  User *user = submit_gang_on_small_machines (simulation, 2, 8);
+  WAIT (simulation, 60, is_gang_running, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 25 * MH_SECOND_US;
-  WAIT (simulation, 15, all_done, user);
+  WAIT (simulation, 15, all_tasks_done, user);
   simulation_run (simulation, 6);
-  g_assert_false (user->told_done);
+  g_assert_false (user->reported_done);
   simulation_stop_node (simulation, leader->index);
-  WAIT (simulation, 30, told_done, user);
+  WAIT (simulation, 30, is_reported_done, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
 }
 
@@ -149,12 +152,12 @@
       simulation_stop_node (simulation, i);
   simulation_run (simulation, 3);
   g_assert_null (simulation_leader (simulation));
-  g_assert_cmpuint (
-      simulation_ask (simulation, last, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer),
-      ==, 422);
-  g_assert_cmpuint (
-      simulation_ask (simulation, last, MH_USER_SUBMIT, "j-000002", gang_spec (2, 16, 1), &answer),
-      ==, 503);
+  g_assert_cmpuint (simulation_request_and_wait (simulation, last, MH_USER_SUBMIT, "j-000001",
+                                                 gang_spec_new (1, 17, 1), &answer),
+                    ==, 422);
+  g_assert_cmpuint (simulation_request_and_wait (simulation, last, MH_USER_SUBMIT, "j-000002",
+                                                 gang_spec_new (2, 16, 1), &answer),
+                    ==, 503);
 }
 
 /* Nothing is there: as many machines as the whole gang needs are rented in one zone, and it starts
@@ -162,17 +165,17 @@
 static void
 test_rented_whole (Simulation *simulation)
 {
-  MhJobSpec *spec = gang_spec (1, 6, 2);
-  use_small_machines (spec);
+  MhJobSpec *spec = gang_spec_new (1, 6, 2);
+  require_small_machines (spec);
   User *user = simulation_submit (simulation, spec, 5);
-  WAIT (simulation, 30, accepted, user);
+  WAIT (simulation, 30, is_accepted, user);
   simulation_run (simulation, 3);
   g_assert_cmpuint (simulation->cloud->machines->len, ==, 3);
   for (guint i = 0; i < 3; i++)
     g_assert_cmpstr (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->zone, ==,
                      ((Machine *)g_ptr_array_index (simulation->cloud->machines, 0))->zone);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 0);
-  WAIT (simulation, 30, told_done, user);
+  WAIT (simulation, 30, is_reported_done, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
 }
 
@@ -180,14 +183,14 @@
 static void
 test_small_records (Simulation *simulation)
 {
-  simulation_limit (simulation, 2048, 5);
-  MhJobSpec *spec = gang_spec (1, 60, 0.2);
+  simulation_set_store_limits (simulation, 2048, 5);
+  MhJobSpec *spec = gang_spec_new (1, 60, 0.2);
   spec->mem_gb = 0.1;
   User *user = simulation_submit (simulation, spec, 8);
-  WAIT (simulation, 60, gang_runs, user);
+  WAIT (simulation, 60, is_gang_running, user);
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
 }
 
 int
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -11,29 +11,33 @@
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), 3);
   MhUserAnswer answer;
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
   g_assert_cmpuint (user->job->done_count, ==, 10);
   /* For ever after, from every controller, also for a repeated submission. */
   simulation_run (simulation, 120);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
-                        ==, 200);
+      g_assert_cmpuint (
+          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
+          ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_SUBMIT, "j-000001",
-                                        job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), &answer),
+      g_assert_cmpuint (simulation_request_and_wait (simulation, i, MH_USER_SUBMIT, "j-000001",
+                                                     job_spec_new (1, MH_SHAPE_ARRAY, 10, 1),
+                                                     &answer),
                         ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000001", NULL, &answer),
-                        ==, 200);
+      g_assert_cmpuint (
+          simulation_request_and_wait (simulation, i, MH_USER_CANCEL, "j-000001", NULL, &answer),
+          ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-777777", NULL, &answer),
-                        ==, 404);
+      g_assert_cmpuint (
+          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-777777", NULL, &answer),
+          ==, 404);
     }
   /* Nothing idle is kept, and nothing is left of the job but its final record. */
   guint live = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
-    live += !((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone;
+    live += !((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->removed;
   g_assert_cmpuint (live, ==, 0);
   g_assert_null (g_tree_lookup (simulation->store->keys, "j/j-000001"));
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "f/j-000001"));
@@ -44,15 +48,15 @@
 static void
 test_chunks (Simulation *simulation)
 {
-  simulation->cloud->capacity = 6;
+  simulation->cloud->max_machines = 6;
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 200, 0.05);
   spec->mem_gb = 0.1;
   spec->estimated_run_us = 600 * MH_SECOND_US; /* so that none may wait for another */
   User *user = simulation_submit (simulation, spec, 30);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, all_tasks_running, user);
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
-  WAIT (simulation, 90, told_done, user);
+  WAIT (simulation, 90, is_reported_done, user);
   simulation_run (simulation, 10);
   g_assert_null (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
   g_assert_cmpuint (simulation->rules->task_starts, ==, 200);
@@ -67,19 +71,23 @@
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 1, 1);
   g_free (spec->team);
   spec->team = g_strdup ("nobody");
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", spec, &answer), ==,
-                    422);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000001", spec, &answer), ==,
+      422);
   spec = job_spec_new (2, MH_SHAPE_SERVICE, 17, 1); /* a service counts whole: 17 of 16 cpus */
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
-                    422);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
+      422);
   spec = job_spec_new (3, MH_SHAPE_ARRAY, 1, 1);
   spec->zone = g_strdup ("nowhere");
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
-                    422);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
+      422);
   spec = job_spec_new (4, MH_SHAPE_ARRAY, 1, 1);
   spec->mem_gb = 65;
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
-                    422);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
+      422);
   /* Thousands of types: none that exists can never run, and one is enough. Stored as they came they
      would not fit a value of the state service, which once ended each leadership in turn. */
   for (guint known = 0; known < 2; known++)
@@ -92,14 +100,16 @@
         workload_add (simulation->environment->workload, job_spec_new (7, MH_SHAPE_ARRAY, 1, 1),
                       MH_SECOND_US);
       g_autofree char *id = g_strdup (spec->id);
-      g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, id, spec, &answer), ==,
-                        known ? 201 : 422);
+      g_assert_cmpuint (
+          simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, id, spec, &answer), ==,
+          known ? 201 : 422);
     }
   spec = job_spec_new (5, MH_SHAPE_ARRAY, 17, 1); /* an array counts by the task */
   workload_add (simulation->environment->workload, job_spec_new (5, MH_SHAPE_ARRAY, 17, 1),
                 MH_SECOND_US);
-  g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000005", spec, &answer), ==,
-                    201);
+  g_assert_cmpuint (
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000005", spec, &answer), ==,
+      201);
 }
 
 /* While the machine types are unknown nothing can be decided: a refusal would be wrong, and work
@@ -111,9 +121,9 @@
   simulation->cloud->outage_until_us = G_MAXINT64;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
-  g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
-                                    MH_USER_SUBMIT, "j-000001",
-                                    job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer),
+  g_assert_cmpuint (simulation_request_and_wait (simulation, simulation_leader (simulation)->index,
+                                                 MH_USER_SUBMIT, "j-000001",
+                                                 job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer),
                     ==, 503);
   g_assert_cmpuint (answer.retry_after_s, >, 0);
 }
@@ -123,12 +133,12 @@
 static void
 test_cancel_in_flight (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   simulation->network->hold_commands = true;
   User *user = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 10, accepted, user);
+  WAIT (simulation, 10, is_accepted, user);
   user_cancel (user);
-  WAIT (simulation, 10, told_cancelled, user);
+  WAIT (simulation, 10, is_reported_cancelled, user);
   simulation_run (simulation, 1);
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 60);
@@ -141,13 +151,13 @@
 test_start_waits_for_its_record (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 30, accepted, user);
+  WAIT (simulation, 30, is_accepted, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 15 * MH_SECOND_US;
   simulation_run (simulation, 14);
   g_assert_true (simulation_leader (simulation) == leader);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 0);
-  WAIT (simulation, 10, all_run, user);
+  WAIT (simulation, 10, all_tasks_running, user);
 }
 
 /* A result that is cleared from its machine before it is on record would be lost with the leader,
@@ -156,22 +166,23 @@
 test_result_waits_for_its_record (Simulation *simulation)
 {
   MhUserAnswer answer;
-  User *service = running_service (simulation, 1, 1);
+  User *service = start_service (simulation, 1, 1);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
-  WAIT (simulation, 30, all_run, user);
+  WAIT (simulation, 30, all_tasks_running, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation_run (simulation, 6);
   user_cancel (service);
   simulation_run (simulation, 4);
   g_assert_true (simulation_leader (simulation) == leader);
-  g_assert_nonnull (worker_of (simulation, "j-000004/0"));
-  g_assert_nonnull (worker_of (simulation, "j-000004/1"));
-  g_assert_false (user->told_done || service->told_cancelled);
-  simulation_ask (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+  g_assert_nonnull (worker_with_task (simulation, "j-000004/0"));
+  g_assert_nonnull (worker_with_task (simulation, "j-000004/1"));
+  g_assert_false (user->reported_done || service->reported_cancelled);
+  simulation_request_and_wait (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL,
+                               &answer);
   g_assert_cmpint (answer.state, !=, MH_JOB_CANCELLED);
-  WAIT (simulation, 20, told_done, user);
-  WAIT (simulation, 20, told_cancelled, service);
+  WAIT (simulation, 20, is_reported_done, user);
+  WAIT (simulation, 20, is_reported_cancelled, service);
 }
 
 /* A follower once woke every 10 ms, which costs much where it has a small share of a cpu. */
@@ -216,8 +227,9 @@
     {
       g_autofree char *id = g_strdup_printf ("j-%06u", i);
       gint64 asked = simulation->clock->now_us;
-      g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
-                                        MH_USER_STATUS, id, NULL, &answer),
+      g_assert_cmpuint (simulation_request_and_wait (simulation,
+                                                     simulation_leader (simulation)->index,
+                                                     MH_USER_STATUS, id, NULL, &answer),
                         ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
       g_assert_cmpint (simulation->clock->now_us - asked, <, 2 * MH_SECOND_US);
@@ -229,7 +241,7 @@
 static void
 test_large_job_begins (Simulation *simulation)
 {
-  simulation->cloud->capacity = 1;
+  simulation->cloud->max_machines = 1;
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 300, 10);
   spec->priority = MH_PRIORITY_LOW;
   cloud_add_machine (simulation->cloud, "large", "a", false);
@@ -257,7 +269,7 @@
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, MH_MAX_TASKS, 1);
   spec->estimated_run_us = 600 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 5);
-  WAIT (simulation, 10, accepted, user);
+  WAIT (simulation, 10, is_accepted, user);
   simulation_run (simulation, 15);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), >, 0);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
@@ -265,7 +277,7 @@
   simulation_run (simulation, 15);
   g_assert_cmpuint (user->job->done_count, >, 0);
   user_cancel (user);
-  WAIT (simulation, 10, told_cancelled, user);
+  WAIT (simulation, 10, is_reported_cancelled, user);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 0);
 }
@@ -275,10 +287,10 @@
 static void
 test_large_fleet (Simulation *simulation)
 {
-  simulation->cloud->capacity = 2100;
+  simulation->cloud->max_machines = 2100;
   for (guint i = 0; i < 2000; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
-  User *user = running_service (simulation, 1, 4);
+  User *user = start_service (simulation, 1, 4);
   User *arrays[6];
   for (guint i = 0; i < G_N_ELEMENTS (arrays); i++)
     arrays[i] = simulation_submit (simulation, job_spec_new (10 + i, MH_SHAPE_ARRAY, 60, 0.25), 4);
@@ -289,9 +301,9 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
   for (guint i = 0; i < G_N_ELEMENTS (arrays); i++)
-    WAIT (simulation, 120, told_done, arrays[i]);
+    WAIT (simulation, 120, is_reported_done, arrays[i]);
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
-  g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
+  g_assert_false (simulation_has_logged (simulation, "releasing machine reason=silent"));
 }
 
 int
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -30,9 +30,9 @@
         }
       simulation_run (simulation, 30);
       simulation->network->late_write_probability = 0;
-      wait_all (simulation, 200);
-      g_assert_false (simulation_logged (simulation, "reason=write_outcome_unknown"));
-      finish (simulation);
+      wait_until_all_settled (simulation, 200);
+      g_assert_false (simulation_has_logged (simulation, "reason=write_outcome_unknown"));
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -43,7 +43,7 @@
 {
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
   simulation_run (simulation, 5);
   simulation_stop_node (
       simulation,
@@ -54,13 +54,13 @@
   leader->writes_lost_until_us
       = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first copy gets no answer */
   for (guint i = 0; i < 3; i++)
-    if (simulation_ask (simulation, leader->index, MH_USER_SUBMIT, "j-000001",
-                        job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer)
+    if (simulation_request_and_wait (simulation, leader->index, MH_USER_SUBMIT, "j-000001",
+                                     job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer)
         != 503)
       break;
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_true (simulation_leader (simulation) == leader);
-  g_assert_false (simulation_logged (simulation, "reason=write_outcome_unknown"));
+  g_assert_false (simulation_has_logged (simulation, "reason=write_outcome_unknown"));
 }
 
 /* The same, and while its write waits the user asks, and submits once more: what the question found
@@ -69,7 +69,7 @@
 test_question_between_repeated_submissions (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
   simulation_run (simulation, 5);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
@@ -80,7 +80,7 @@
   MhUserAnswer answers[G_N_ELEMENTS (verbs)] = {};
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
     {
-      simulation_ask_later (
+      simulation_send_request (
           simulation, leader->index, verbs[i], "j-000001",
           verbs[i] == MH_USER_SUBMIT ? job_spec_new (1, MH_SHAPE_ARRAY, 1, 1) : NULL, &answers[i]);
       simulation_run (simulation, 0.3);
@@ -95,18 +95,18 @@
 static void
 test_report_of_an_earlier_session (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 1);
-  Worker *worker = worker_of (simulation, "j-000001/0");
-  worker->machine->sequence += 100; /* the next session counts from the beginning */
-  g_autoptr (MhValue) old = worker_protocol_report (worker->machine);
-  worker->reports_lost_until_us
+  User *user = start_service (simulation, 1, 1);
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
+  worker->machine->heartbeat_sequence += 100; /* the next session counts from the beginning */
+  g_autoptr (MhValue) old = worker_protocol_heartbeat (worker->machine);
+  worker->heartbeats_lost_until_us
       = simulation->clock->now_us + 22 * MH_SECOND_US; /* its lease ends */
   simulation_run (simulation, 24);
-  WAIT (simulation, 30, all_run, user);
+  WAIT (simulation, 30, all_tasks_running, user);
   guint starts = simulation->rules->task_starts;
   for (guint i = 0; i < 3; i++)
     {
-      workers_deliver_late_report (simulation, simulation_leader (simulation), old);
+      workers_deliver_late_heartbeat (simulation, simulation_leader (simulation), old);
       simulation_run (simulation, 6);
     }
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
@@ -126,7 +126,7 @@
       simulation_run (simulation, 1);
     }
   simulation->network->duplicate_probability = 0;
-  wait_all (simulation, 200);
+  wait_until_all_settled (simulation, 200);
 }
 
 /* A report is held back until a new leader has acted. As proof that its start is gone, which was
@@ -134,18 +134,18 @@
 static void
 test_report_held_until_a_new_leader_acted (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
-  Worker *worker = worker_of (simulation, "j-000001/0");
+  start_service (simulation, 1, 1);
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
   simulation_run (simulation, 8);
-  g_autoptr (MhValue) held = worker_protocol_report (worker->machine);
+  g_autoptr (MhValue) held = worker_protocol_heartbeat (worker->machine);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 20, all_run, user);
+  WAIT (simulation, 20, all_tasks_running, user);
   simulation_run (simulation, 1);
   for (guint i = 0; i < 3; i++)
     {
-      workers_deliver_late_report (simulation, simulation_leader (simulation), held);
+      workers_deliver_late_heartbeat (simulation, simulation_leader (simulation), held);
       simulation_run (simulation, 4);
     }
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
@@ -158,16 +158,18 @@
 test_odd_requests (Simulation *simulation)
 {
   MhUserAnswer answer;
-  User *user = running_service (simulation, 1, 1), *done;
+  User *user = start_service (simulation, 1, 1), *done;
   done = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
-  WAIT (simulation, 60, told_done, done);
+  WAIT (simulation, 60, is_reported_done, done);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_SUBMIT, "j-000001",
-                                        job_spec_new (1, MH_SHAPE_SERVICE, 1, 1), &answer),
-                        ==, 200);
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &answer),
+      g_assert_cmpuint (simulation_request_and_wait (simulation, i, MH_USER_SUBMIT, "j-000001",
+                                                     job_spec_new (1, MH_SHAPE_SERVICE, 1, 1),
+                                                     &answer),
                         ==, 200);
+      g_assert_cmpuint (
+          simulation_request_and_wait (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &answer),
+          ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
     }
   /* Two of three nodes end, the leader among them, and the third cannot be elected: what can be
@@ -183,15 +185,17 @@
   MhJobSpec *spec = job_spec_new (5, MH_SHAPE_ARRAY, 1, 1);
   g_free (spec->team);
   spec->team = g_strdup ("nobody");
-  g_assert_cmpuint (
-      simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000005", spec, &answer), ==, 422);
-  g_assert_cmpuint (simulation_ask (simulation, last->index, MH_USER_SUBMIT, "j-000007",
-                                    job_spec_new (7, MH_SHAPE_ARRAY, 1, 1), &answer),
+  g_assert_cmpuint (simulation_request_and_wait (simulation, last->index, MH_USER_SUBMIT,
+                                                 "j-000005", spec, &answer),
+                    ==, 422);
+  g_assert_cmpuint (simulation_request_and_wait (simulation, last->index, MH_USER_SUBMIT,
+                                                 "j-000007", job_spec_new (7, MH_SHAPE_ARRAY, 1, 1),
+                                                 &answer),
                     ==, 503);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
   simulation_run (simulation, 10);
-  g_assert_false (user->told_done || user->told_cancelled);
+  g_assert_false (user->reported_done || user->reported_cancelled);
 }
 
 /* A record that is not understood, as another version may write it: its job would be told as
@@ -200,7 +204,7 @@
 test_record_not_understood (Simulation *simulation)
 {
   MhUserAnswer answer;
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   simulation_run (simulation, 10);
   guint leader = simulation_leader (simulation)->index;
   simulation_stop_node (simulation, leader);
@@ -211,8 +215,9 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     if (i != leader)
-      g_assert_cmpuint (simulation_ask (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
-                        ==, 503);
+      g_assert_cmpuint (
+          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
+          ==, 503);
 }
 
 /* Jobs written in large records go on under limits that take only small ones. Left as they are they
@@ -224,14 +229,14 @@
   for (guint step = 0; step < 12; step++)
     {
       Simulation *simulation = simulation_new (90 + step);
-      simulation->cloud->capacity = 6;
+      simulation->cloud->max_machines = 6;
       MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 320, 0.04);
       spec->mem_gb = 0.1;
       spec->estimated_run_us = 600 * MH_SECOND_US;
       User *user = simulation_submit (simulation, spec, 40);
-      WAIT (simulation, 60, all_run, user);
-      User *cancelled = running_service (simulation, 3, 2);
-      simulation_limit (simulation, 2048, 5);
+      WAIT (simulation, 60, all_tasks_running, user);
+      User *cancelled = start_service (simulation, 3, 2);
+      simulation_set_store_limits (simulation, 2048, 5);
       simulation_run (simulation, 1 + 0.1 * step);
       if (step)
         simulation_stop_node (
@@ -240,15 +245,15 @@
       simulation_run (simulation, 0.7 * step);
       for (guint i = 0; i < SIMULATION_NODES; i++)
         simulation_start_node (simulation, i);
-      WAIT (simulation, 10, told_cancelled, cancelled);
-      WAIT (simulation, 120, told_done, user);
-      g_assert_true (simulation_logged (simulation, "job re-chunked"));
-      g_assert_false (simulation_logged (simulation, "refused by the key-value store"));
+      WAIT (simulation, 10, is_reported_cancelled, cancelled);
+      WAIT (simulation, 120, is_reported_done, user);
+      g_assert_true (simulation_has_logged (simulation, "job re-chunked"));
+      g_assert_false (simulation_has_logged (simulation, "refused by the key-value store"));
       g_assert_cmpuint (simulation->store->malformed_writes, ==, 0);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 322);
       simulation_run (simulation, 15);
       g_assert_null (g_tree_lookup (simulation->store->keys, "t/j-000001/00001"));
-      finish (simulation);
+      simulation_check_and_free (simulation);
     }
 }
 
