--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -9,7 +9,7 @@
 static void
 test_frozen_leader (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 3);
+  User *user = start_service (simulation, 1, 3);
   ControllerNode *old = simulation_leader (simulation);
   guint starts = simulation->rules->task_starts;
   simulation_freeze_node (simulation, old->index, 8);
@@ -21,7 +21,7 @@
   g_assert_true (simulation_leader (simulation) != old);
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 3);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-  g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
+  g_assert_false (simulation_has_logged (simulation, "releasing machine reason=silent"));
 }
 
 /* The leader is frozen during an outage of the key-value store, so its lease does not expire. It
@@ -30,17 +30,17 @@
 static void
 test_frozen_leader_in_store_outage (Simulation *simulation)
 {
-  running_service (simulation, 1, 3);
+  start_service (simulation, 1, 3);
   ControllerNode *old = simulation_leader (simulation);
   /* The worker sends no reports, so none waits for the leader when it resumes. */
-  worker_of (simulation, "j-000001/0")->reports_lost_until_us
+  worker_with_task (simulation, "j-000001/0")->heartbeats_lost_until_us
       = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation->store->outage_until_us = simulation->clock->now_us + 11 * MH_SECOND_US;
   simulation_freeze_node (simulation, old->index, 11);
   simulation_run (simulation, 20);
-  g_assert_true (simulation_logged (simulation, "stood still seconds="));
+  g_assert_true (simulation_has_logged (simulation, "stood still seconds="));
   g_assert_true (simulation_leader (simulation) == old);
-  g_assert_false (simulation_logged (simulation, "releasing machine reason=silent"));
+  g_assert_false (simulation_has_logged (simulation, "releasing machine reason=silent"));
 }
 
 /* The leader is frozen between deciding and sending. Commands and answers that depend on its lease
@@ -50,17 +50,18 @@
 {
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, all_tasks_running, user);
   ControllerNode *old = simulation_leader (simulation);
   old->freeze_before_acting_us = 4 * MH_SECOND_US;
-  g_assert_cmpuint (
-      simulation_ask (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &answer), ==, 503);
+  g_assert_cmpuint (simulation_request_and_wait (simulation, old->index, MH_USER_STATUS, "j-000001",
+                                                 NULL, &answer),
+                    ==, 503);
   /* The same with the command that starts a task. */
-  WAIT (simulation, 30, told_done, user);
-  running_service (simulation, 3, 1);
+  WAIT (simulation, 30, is_reported_done, user);
+  start_service (simulation, 3, 1);
   old = simulation_leader (simulation);
   User *late = simulation_submit (simulation, job_spec_new (5, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 10, accepted, late);
+  WAIT (simulation, 10, is_accepted, late);
   old->freeze_before_acting_us = 6 * MH_SECOND_US;
   simulation_run (simulation, 5.5);
   simulation->network->keep_requests = true;
@@ -72,7 +73,7 @@
     g_assert_false (outgoing_calls_kept_is_command (simulation, i));
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
-  WAIT (simulation, 30, all_run, late);
+  WAIT (simulation, 30, all_tasks_running, late);
 }
 
 /* A new leader must probe the machines that it knows. Otherwise it would place no task until their
@@ -80,30 +81,30 @@
 static void
 test_new_leader_probes_machines (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   simulation_run (simulation, 10); /* the cloud lists the machine */
   for (guint i = 0; i < simulation->workers->len; i++)
-    ((Worker *)g_ptr_array_index (simulation->workers, i))->reports_lost_until_us
+    ((Worker *)g_ptr_array_index (simulation->workers, i))->heartbeats_lost_until_us
         = simulation->clock->now_us + 10 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 4, all_run, user);
+  WAIT (simulation, 4, all_tasks_running, user);
 }
 
 /* A successor that does not know which tasks run would start them again. */
 static void
 test_leader_crash (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 3), *array;
+  User *user = start_service (simulation, 1, 3), *array;
   array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 6);
-  WAIT (simulation, 30, accepted, array);
+  WAIT (simulation, 30, is_accepted, array);
   guint old = simulation_leader (simulation)->index;
   simulation_stop_node (simulation, old);
   WAIT (simulation, 10, has_leader, NULL);
   g_assert_cmpuint (simulation_leader (simulation)->index, !=, old);
-  WAIT (simulation, 90, told_done, array);
-  WAIT (simulation, 10, all_run, user);
+  WAIT (simulation, 90, is_reported_done, array);
+  WAIT (simulation, 10, all_tasks_running, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 3 + 8); /* no task was started twice */
 }
 
@@ -113,7 +114,7 @@
 test_all_controllers_crash (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 14, 1), 8);
-  WAIT (simulation, 30, accepted, user);
+  WAIT (simulation, 30, is_accepted, user);
   for (guint round = 0; round < 4; round++)
     {
       simulation_run (simulation, 4);
@@ -123,7 +124,7 @@
       for (guint i = 0; i < SIMULATION_NODES; i++)
         simulation_start_node (simulation, i);
     }
-  WAIT (simulation, 120, told_done, user);
+  WAIT (simulation, 120, is_reported_done, user);
 }
 
 /* A leader that is cut off from the key-value store only must neither continue to send commands nor
@@ -131,7 +132,7 @@
 static void
 test_leader_cut_off_from_store (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 4);
+  User *user = start_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 4);
@@ -147,10 +148,10 @@
 static void
 test_leader_cut_off_from_store_and_peers (Simulation *simulation)
 {
-  running_service (simulation, 1, 4);
-  running_service (simulation, 2, 4);
-  running_service (simulation, 3, 4);
-  running_service (simulation, 4, 4);
+  start_service (simulation, 1, 4);
+  start_service (simulation, 2, 4);
+  start_service (simulation, 3, 4);
+  start_service (simulation, 4, 4);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 25 * MH_SECOND_US;
   simulation_run (simulation, 60);
@@ -167,14 +168,15 @@
 test_store_outage (Simulation *simulation)
 {
   MhUserAnswer answer;
-  User *user = running_service (simulation, 1, 3);
+  User *user = start_service (simulation, 1, 3);
   ControllerNode *leader = simulation_leader (simulation);
   simulation->store->outage_until_us = simulation->clock->now_us + 18 * MH_SECOND_US;
   simulation_run (simulation, 5);
   /* A request whose write is impossible is answered at once. */
   gint64 asked_us = simulation->clock->now_us;
-  g_assert_cmpuint (simulation_ask (simulation, leader->index, MH_USER_SUBMIT, "j-000009",
-                                    job_spec_new (9, MH_SHAPE_ARRAY, 1, 1), &answer),
+  g_assert_cmpuint (simulation_request_and_wait (simulation, leader->index, MH_USER_SUBMIT,
+                                                 "j-000009", job_spec_new (9, MH_SHAPE_ARRAY, 1, 1),
+                                                 &answer),
                     ==, 503);
   g_assert_cmpint (simulation->clock->now_us - asked_us, <, MH_SECOND_US);
   simulation_run (simulation, 30);
@@ -188,7 +190,7 @@
 static void
 test_cancel_while_old_leader_isolated (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 2);
+  User *user = start_service (simulation, 1, 2);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = old->peers_cut_until_us
       = simulation->clock->now_us + 200 * MH_SECOND_US;
@@ -196,7 +198,7 @@
       = simulation->clock->now_us + 200 * MH_SECOND_US; /* no machine is released */
   simulation_run (simulation, 3);
   user_cancel (user);
-  WAIT (simulation, 20, told_cancelled, user);
+  WAIT (simulation, 20, is_reported_cancelled, user);
   simulation_run (simulation, 60); /* the rule checks of the simulation enforce cancel_s */
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
@@ -209,26 +211,28 @@
 {
   MhUserAnswer answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 3);
-  WAIT (simulation, 30, all_run, user);
+  WAIT (simulation, 30, all_tasks_running, user);
   ControllerNode *leader = simulation_leader (simulation);
   guint other = (leader->index + 1) % SIMULATION_NODES;
   /* The other controller restarts each time, cut off from its peers, so it does not know the leader
      until it has read the leader key. */
   simulation->nodes[other].peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
-  for (guint i = 0; i < 200 && !user->told_done; i++)
+  for (guint i = 0; i < 200 && !user->reported_done; i++)
     {
       simulation_stop_node (simulation, other);
       simulation_start_node (simulation, other);
       leader->write_answers_lost_until_us = simulation->clock->now_us + MH_SECOND_US / 2;
-      if (simulation_ask (simulation, other, MH_USER_STATUS, "j-000001", NULL, &answer) == 200
+      if (simulation_request_and_wait (simulation, other, MH_USER_STATUS, "j-000001", NULL, &answer)
+              == 200
           && answer.state == MH_JOB_DONE)
         {
-          simulation_ask (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+          simulation_request_and_wait (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL,
+                                       &answer);
           g_assert_true (answer.status != 200 || answer.state == MH_JOB_DONE);
         }
       simulation_run (simulation, 0.05);
     }
-  WAIT (simulation, 30, told_done, user);
+  WAIT (simulation, 30, is_reported_done, user);
 }
 
 /* The leader keeps the connections to its workers, but is cut off from the key-value store and its
@@ -236,10 +240,10 @@
 static void
 test_isolated_leader_with_workers (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 4);
+  User *user = start_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    ((Worker *)g_ptr_array_index (simulation->workers, i))->node = old->index;
+    ((Worker *)g_ptr_array_index (simulation->workers, i))->target_node = old->index;
   simulation_run (simulation, 10); /* the cloud lists the machines */
   old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 10);
@@ -249,7 +253,7 @@
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       Worker *worker = g_ptr_array_index (simulation->workers, i);
-      g_assert_true (machine->gone || worker->node != old->index);
+      g_assert_true (machine->removed || worker->target_node != old->index);
     }
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
@@ -270,16 +274,17 @@
   g_assert_true (controller_ready (other->controller));
   other->peers_cut_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
   for (guint i = 0; i < 2; i++)
-    simulation_ask (simulation, other->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+    simulation_request_and_wait (simulation, other->index, MH_USER_STATUS, "j-000001", NULL,
+                                 &answer);
   g_assert_cmpuint (answer.status, ==, 503);
   simulation_run (simulation, 0.5);
   g_assert_false (controller_ready (other->controller));
   simulation_run (simulation, 5);
   g_assert_true (controller_ready (other->controller));
   simulation_run (simulation, 20);
-  g_assert_cmpuint (
-      simulation_ask (simulation, other->index, MH_USER_STATUS, "j-000001", NULL, &answer), ==,
-      404);
+  g_assert_cmpuint (simulation_request_and_wait (simulation, other->index, MH_USER_STATUS,
+                                                 "j-000001", NULL, &answer),
+                    ==, 404);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   for (guint i = 0; i < 20; i++)
     {
@@ -332,7 +337,7 @@
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
-  User *user = running_service (simulation, 1, 4);
+  User *user = start_service (simulation, 1, 4);
   ControllerNode *old = simulation_leader (simulation);
   old->workers_cut_until_us = simulation->clock->now_us + 90 * MH_SECOND_US;
   simulation_run (simulation, 13);
@@ -353,7 +358,7 @@
   for (guint i = 0; i < 6; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
-  running_service (simulation, 1, 4);
+  start_service (simulation, 1, 4);
   guint old = simulation_leader (simulation)->index;
   guint next = (old + 1) % SIMULATION_NODES;
   simulation_stop_node (simulation, next);
@@ -377,9 +382,9 @@
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
-  running_service (simulation, 1, 4);
+  start_service (simulation, 1, 4);
   for (guint i = 0; i < SIMULATION_NODES; i++)
-    simulation->nodes[i].reports_lost_until_us = simulation->clock->now_us + 120 * MH_SECOND_US;
+    simulation->nodes[i].heartbeats_lost_until_us = simulation->clock->now_us + 120 * MH_SECOND_US;
   guint changes = 0;
   const ControllerNode *last_leader = simulation_leader (simulation);
   for (guint i = 0; i < 1200; i++)
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -61,7 +61,7 @@
   Simulation *simulation = simulation_after_rate_fell (1);
   guint first_leader = simulation->store->throttled_writes;
   g_assert_cmpuint (first_leader, <=, 6); /* those that were under way together */
-  g_assert_true (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_true (simulation_has_logged (simulation, "takes fewer changes"));
   g_assert_nonnull (g_tree_lookup (simulation->store->keys, "limits"));
 
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -76,7 +76,7 @@
     }
   g_assert_cmpuint (simulation->store->throttled_writes, ==, first_leader);
   WAIT (simulation, 400, simulation_all_settled, NULL);
-  finish (simulation);
+  simulation_check_and_free (simulation);
 }
 
 /* Without an announcement a refusal is no more than that: a rate that fell with every refusal would
@@ -89,7 +89,7 @@
   submit_many (simulation, 1, 40);
   WAIT (simulation, 30, refused, NULL);
   WAIT (simulation, 300, simulation_all_settled, NULL);
-  g_assert_false (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_false (simulation_has_logged (simulation, "takes fewer changes"));
   g_assert_null (g_tree_lookup (simulation->store->keys, "limits"));
 }
 
@@ -109,9 +109,9 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
   simulation_run (simulation, 20);
-  g_assert_false (simulation_logged (simulation, "takes fewer changes"));
+  g_assert_false (simulation_has_logged (simulation, "takes fewer changes"));
   WAIT (simulation, 300, simulation_all_settled, NULL);
-  finish (simulation);
+  simulation_check_and_free (simulation);
 }
 
 /* Values and transactions become smaller, and nobody has said so. What does not fit would end every
@@ -123,23 +123,23 @@
   spec->mem_gb = 0.1;
   spec->estimated_run_us = 600 * MH_SECOND_US;
   User *large = simulation_submit (simulation, spec, 40);
-  WAIT (simulation, 60, all_run, large);
-  User *service = running_service (simulation, 2, 2);
+  WAIT (simulation, 60, all_tasks_running, large);
+  User *service = start_service (simulation, 2, 2);
   guint leader = simulation_leader (simulation)->index;
   g_ptr_array_set_size (simulation->log_lines, 0);
   simulation->settings->value_bytes = 1600;
   simulation->settings->txn_ops = 5;
 
   submit_many (simulation, 10, 20);
-  WAIT (simulation, 120, all_done, large);
+  WAIT (simulation, 120, all_tasks_done, large);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation_leader (simulation)->index, ==, leader);
-  g_assert_false (simulation_logged (simulation, "no longer leading"));
-  g_assert_true (simulation_logged (simulation, "refused by the key-value store"));
+  g_assert_false (simulation_has_logged (simulation, "no longer leading"));
+  g_assert_true (simulation_has_logged (simulation, "refused by the key-value store"));
   g_assert_cmpuint (simulation->store->malformed_writes, <, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
   /* Its end is a small record. */
-  WAIT (simulation, 60, told_done, large);
+  WAIT (simulation, 60, is_reported_done, large);
   WAIT (simulation, 60, simulation_all_settled, NULL);
 }
 
@@ -154,14 +154,15 @@
   simulation->settings->value_bytes = 300;
   g_autoptr (MhJobSpec) spec = job_spec_new (1, MH_SHAPE_ARRAY, 3, 1);
   MhValue *copy = mh_submission_encode (spec);
-  guint status = simulation_ask (simulation, simulation_leader (simulation)->index, MH_USER_SUBMIT,
-                                 spec->id, mh_submission_decode (copy, NULL), &answer);
+  guint status = simulation_request_and_wait (simulation, simulation_leader (simulation)->index,
+                                              MH_USER_SUBMIT, spec->id,
+                                              mh_submission_decode (copy, NULL), &answer);
   mh_value_unref (copy);
   g_assert_cmpuint (status, ==, 503);
   g_assert_cmpuint (answer.retry_after_s, >=, 10);
-  g_assert_false (simulation_logged (simulation, "no longer leading"));
-  g_assert_cmpuint (simulation_ask (simulation, simulation_leader (simulation)->index,
-                                    MH_USER_STATUS, spec->id, NULL, &answer),
+  g_assert_false (simulation_has_logged (simulation, "no longer leading"));
+  g_assert_cmpuint (simulation_request_and_wait (simulation, simulation_leader (simulation)->index,
+                                                 MH_USER_STATUS, spec->id, NULL, &answer),
                     ==, 404);
 }
 
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -137,7 +137,7 @@
   advance ();
   g_autoptr (MhValue) body = body_of (message);
   guint status
-      = worker->machine->up ? worker_protocol_commands (worker->machine, body, &reply) : 503;
+      = worker->machine->running ? worker_protocol_commands (worker->machine, body, &reply) : 503;
   respond (message, status, reply);
 }
 
@@ -158,7 +158,7 @@
   worker->report_pending = false;
   advance ();
   if (status == 200)
-    worker_protocol_response (worker->machine, worker->sent_us, worker->session, body);
+    worker_protocol_heartbeat_response (worker->machine, worker->sent_us, worker->session, body);
   else if (status == 421 && node)
     worker->node = (guint)(node[strlen (node) - 1] - '0') % NODES;
   else
@@ -170,15 +170,15 @@
 report_if_due (Worker *worker)
 {
   gint64 now_us = g_get_monotonic_time ();
-  if (!worker->machine->up || worker->machine->gone || worker->report_pending
+  if (!worker->machine->running || worker->machine->removed || worker->report_pending
       || now_us < worker->next_us)
     return;
   worker->report_pending = true;
   worker->sent_us = now_us;
-  worker->session = worker->machine->session;
+  worker->session = worker->machine->incarnation;
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", cluster.front[worker->node]);
   g_autoptr (SoupMessage) message = soup_message_new ("POST", url);
-  g_autoptr (MhValue) report = worker_protocol_report (worker->machine);
+  g_autoptr (MhValue) report = worker_protocol_heartbeat (worker->machine);
   g_autoptr (GBytes) bytes = mh_value_save (report);
   soup_message_set_request_body_from_bytes (message, "application/cbor", bytes);
   soup_session_send_and_read_async (cluster.session, message, G_PRIORITY_DEFAULT, NULL,
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -9,14 +9,14 @@
 static void
 test_hung_machine (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 1);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_service (simulation, 1, 1);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
   machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
   simulation_run (simulation, 25);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1); /* no proof, no start */
-  WAIT (simulation, 60, is_gone, machine);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, is_removed, machine);
+  WAIT (simulation, 60, all_tasks_running, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
@@ -25,14 +25,14 @@
 static void
 test_hung_machine_new_leader (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 1);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_service (simulation, 1, 1);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
   machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
-  WAIT (simulation, 90, is_gone, machine);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 90, is_removed, machine);
+  WAIT (simulation, 60, all_tasks_running, user);
 }
 
 /* An unanswered command is carried out late. Were the attempt cleared or moved meanwhile, its task
@@ -40,21 +40,21 @@
 static void
 test_late_command (Simulation *simulation)
 {
-  running_service (simulation, 1, 1); /* a machine that is up, with the image */
-  Worker *worker = worker_of (simulation, "j-000001/0");
+  start_service (simulation, 1, 1); /* a machine that is up, with the image */
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
   simulation->network->hold_commands = true;
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 1, 1), 0.2);
-  worker->next_report_us = simulation->clock->now_us + MH_SECOND_US / 2;
+  worker->next_heartbeat_us = simulation->clock->now_us + MH_SECOND_US / 2;
   /* The start comes with a report's response, the task ends, and the direct start is still on its
      way. Until a new epoch fences it the ended attempt stays on the machine. */
-  WAIT (simulation, 30, all_done, user);
+  WAIT (simulation, 30, all_tasks_done, user);
   /* Reports enough for a clear that should not be sent. */
   for (guint i = 0; i < 4; i++)
     {
-      worker->next_report_us = simulation->clock->now_us;
+      worker->next_heartbeat_us = simulation->clock->now_us;
       simulation_run (simulation, 0.1);
     }
-  g_assert_false (simulation_logged (simulation, "token raised"));
+  g_assert_false (simulation_has_logged (simulation, "token raised"));
   guint starts = simulation->rules->task_starts;
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 20);
@@ -66,12 +66,12 @@
 static void
 test_late_command_is_fenced (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   simulation->network->hold_commands = true;
   User *user = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (simulation, 30, told_done, user);
+  WAIT (simulation, 30, is_reported_done, user);
   simulation_run (simulation, 40);
-  g_assert_true (simulation_logged (simulation, "token raised"));
+  g_assert_true (simulation_has_logged (simulation, "token raised"));
   guint starts = simulation->rules->task_starts;
   outgoing_calls_release_commands (
       simulation); /* now the attempt is cleared, and the command too old */
@@ -84,19 +84,20 @@
 static void
 test_repeated_requests (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   simulation->network->keep_requests = true;
-  User *user = running_service (simulation, 3, 2), *array = NULL;
+  User *user = start_service (simulation, 3, 2), *array = NULL;
   array = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 3, 1), 2);
-  WAIT (simulation, 30, told_done, array);
+  WAIT (simulation, 30, is_reported_done, array);
   user_cancel (user);
-  WAIT (simulation, 10, told_cancelled, user);
+  WAIT (simulation, 10, is_reported_cancelled, user);
   simulation_run (simulation, 45); /* cleared by now */
-  guint starts = simulation->rules->task_starts, rented = (guint)simulation->cloud->machines_rented;
+  guint starts = simulation->rules->task_starts,
+        rented = (guint)simulation->cloud->machines_created;
   outgoing_calls_repeat_kept (simulation);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation->cloud->machines_created, ==, rented);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
 }
 
@@ -105,23 +106,23 @@
 static void
 test_release_outlives_its_leader (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 1);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_service (simulation, 1, 1);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
   simulation_run (simulation, 60); /* paid for anyway until then */
   user_cancel (user);
-  WAIT (simulation, 10, told_cancelled, user);
+  WAIT (simulation, 10, is_reported_cancelled, user);
   simulation->cloud->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
-  for (guint i = 0; i < 150 && !simulation_logged (simulation, "releasing machine reason=idle");
+  for (guint i = 0; i < 150 && !simulation_has_logged (simulation, "releasing machine reason=idle");
        i++)
     simulation_run (simulation, 0.1);
   simulation_run (simulation, 0.5);
-  g_assert_true (simulation_logged (simulation, "releasing machine reason=idle"));
+  g_assert_true (simulation_has_logged (simulation, "releasing machine reason=idle"));
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 60, all_run, next);
-  g_assert_true (worker_of (simulation, "j-000003/0")->machine != machine);
+  WAIT (simulation, 60, all_tasks_running, next);
+  g_assert_true (worker_with_task (simulation, "j-000003/0")->machine != machine);
   simulation_run (simulation, 5);
-  g_assert_true (machine->gone);
+  g_assert_true (machine->removed);
   simulation_run (simulation, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 1);
 }
@@ -131,15 +132,15 @@
 static void
 test_suspected_machine_is_probed (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
-  Worker *worker = worker_of (simulation, "j-000001/0");
-  worker->reports_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
+  start_service (simulation, 1, 1);
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
+  worker->heartbeats_lost_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation_run (simulation, 14);
-  g_assert_false (worker->machine->gone);
+  g_assert_false (worker->machine->removed);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
   worker->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
   gint64 hung = simulation->clock->now_us;
-  WAIT (simulation, 60, is_gone, worker->machine);
+  WAIT (simulation, 60, is_removed, worker->machine);
   g_assert_cmpint (simulation->clock->now_us - hung, <, simulation->settings->worker_lease_us / 2);
 }
 
@@ -147,16 +148,16 @@
 static void
 test_proof_is_kept (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
-  Worker *worker = worker_of (simulation, "j-000001/0");
-  simulation->cloud->capacity = 0; /* the task has nowhere else to go */
+  start_service (simulation, 1, 1);
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
+  simulation->cloud->max_machines = 0; /* the task has nowhere else to go */
   worker->machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
-  WAIT (simulation, 60, is_gone, worker->machine);
+  WAIT (simulation, 60, is_removed, worker->machine);
   simulation_run (simulation, 2);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   simulation_run (simulation, 40);
   g_assert_nonnull (simulation_leader (simulation));
-  g_assert_false (simulation_logged (simulation, "reason=silent_since_failover"));
+  g_assert_false (simulation_has_logged (simulation, "reason=silent_since_failover"));
 }
 
 static guint
@@ -171,7 +172,7 @@
 static bool
 has_leader_with_job (Simulation *simulation, gpointer data)
 {
-  return has_leader (simulation, data) && simulation_logged (simulation, "unfinished_jobs=1");
+  return has_leader (simulation, data) && simulation_has_logged (simulation, "unfinished_jobs=1");
 }
 
 /* A report that was sent before a start was carried out reaches a new leader late. Taken as proof
@@ -185,13 +186,13 @@
   simulation_run (simulation, 10);
   Machine *first = g_ptr_array_index (simulation->cloud->machines, 0);
   Machine *second = g_ptr_array_index (simulation->cloud->machines, 1);
-  g_autoptr (MhValue) of_first = worker_protocol_report (first);
-  g_autoptr (MhValue) of_second = worker_protocol_report (second);
+  g_autoptr (MhValue) of_first = worker_protocol_heartbeat (first);
+  g_autoptr (MhValue) of_second = worker_protocol_heartbeat (second);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
-  WAIT (simulation, 30, all_run, user);
+  WAIT (simulation, 30, all_tasks_running, user);
   guint joined = joined_count (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    simulation_worker (simulation, i)->reports_lost_until_us
+    worker_by_index (simulation, i)->heartbeats_lost_until_us
         = simulation->clock->now_us + 8 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader_with_job, NULL);
@@ -199,21 +200,21 @@
   /* It has read the record of the attempt, and has not heard the machines: to a leader that they
      have answered, the late reports are merely old. */
   g_assert_cmpuint (joined_count (simulation), ==, joined);
-  workers_deliver_late_report (simulation, leader, of_first);
-  workers_deliver_late_report (simulation, leader, of_second);
+  workers_deliver_late_heartbeat (simulation, leader, of_first);
+  workers_deliver_late_heartbeat (simulation, leader, of_second);
   g_assert_cmpuint (joined_count (simulation), ==, joined); /* at most they tell where to ask */
   /* The workers go on with the new leader. One that first tried the node that is stopped would get
      its next answer when its lease is over, and rightly kill the task. */
   for (guint i = 0; i < simulation->workers->len; i++)
     {
-      Worker *worker = simulation_worker (simulation, i);
-      worker->node = leader->index;
-      worker->only_node = (gint)leader->index;
+      Worker *worker = worker_by_index (simulation, i);
+      worker->target_node = leader->index;
+      worker->sole_node = (gint)leader->index;
     }
   simulation_run (simulation, 30); /* the world checks that nothing runs twice */
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
   g_assert_cmpuint (joined_count (simulation), ==, joined + 2);
-  g_assert_false (simulation_logged (simulation, "attempt proven gone"));
+  g_assert_false (simulation_has_logged (simulation, "attempt proven gone"));
 }
 
 /* A worker whose lease expired has a new session, which is proof by itself: without it its tasks
@@ -221,12 +222,12 @@
 static void
 test_new_session (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 1);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_service (simulation, 1, 1);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
   g_array_set_size (machine->tasks, 0);
-  machine->session++;
-  machine->sequence = 0;
-  WAIT (simulation, 20, all_run, user);
+  machine->incarnation++;
+  machine->heartbeat_sequence = 0;
+  WAIT (simulation, 20, all_tasks_running, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
@@ -234,14 +235,14 @@
 static void
 test_sick_machine (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
-  machine->faulty = true;
+  start_service (simulation, 1, 1);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
+  machine->fails_all_tasks = true;
   User *first = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 3);
   User *second = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
-  WAIT (simulation, 120, told_done, first);
-  WAIT (simulation, 120, told_done, second);
-  g_assert_true (machine->gone);
+  WAIT (simulation, 120, is_reported_done, first);
+  WAIT (simulation, 120, is_reported_done, second);
+  g_assert_true (machine->removed);
 }
 
 /* The reports of a machine arrive, but nothing reaches it. It looks alive, and reports on time;
@@ -252,17 +253,17 @@
   /* So long that the worker's next try, after it has given up on an answer, is not even late. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation->nodes[i].settings->report_interval_us = 5 * MH_SECOND_US;
-  User *user = running_service (simulation, 1, 1);
-  Worker *worker = worker_of (simulation, "j-000001/0");
-  worker->only_node = (gint)simulation_leader (simulation)->index;
+  User *user = start_service (simulation, 1, 1);
+  Worker *worker = worker_with_task (simulation, "j-000001/0");
+  worker->sole_node = (gint)simulation_leader (simulation)->index;
   worker->answers_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   gint64 from = simulation->clock->now_us;
   /* One more task for it, which it never shows. */
   User *array = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 2, 1), 2);
-  WAIT (simulation, 40, is_gone, worker->machine);
+  WAIT (simulation, 40, is_removed, worker->machine);
   g_assert_cmpint (simulation->clock->now_us - from, <, simulation->settings->worker_lease_us);
-  WAIT (simulation, 30, all_run, user);
-  WAIT (simulation, 30, told_done, array);
+  WAIT (simulation, 30, all_tasks_running, user);
+  WAIT (simulation, 30, is_reported_done, array);
 }
 
 /* A copy of a report comes late to a leader that has heard nothing newer, of a machine that was
@@ -271,18 +272,18 @@
 test_late_copy_of_returned_machine (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (simulation, 60, told_done, user);
+  WAIT (simulation, 60, is_reported_done, user);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
-  g_autoptr (MhValue) copy = worker_protocol_report (machine);
-  WAIT (simulation, 200, is_gone, machine);
+  g_autoptr (MhValue) copy = worker_protocol_heartbeat (machine);
+  WAIT (simulation, 200, is_removed, machine);
   guint lease_lengths = simulation->cloud->machines->len;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 1);
-  workers_deliver_late_report (simulation, simulation_leader (simulation), copy);
-  workers_deliver_late_report (simulation, simulation_leader (simulation), copy);
+  workers_deliver_late_heartbeat (simulation, simulation_leader (simulation), copy);
+  workers_deliver_late_heartbeat (simulation, simulation_leader (simulation), copy);
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
-  WAIT (simulation, 25, told_done, next);
+  WAIT (simulation, 25, is_reported_done, next);
   g_assert_cmpuint (simulation->cloud->machines->len, >, lease_lengths);
   g_autofree char *line = g_strdup_printf ("machine joined machine=%s ", machine->name);
   guint reported = 0;
@@ -299,8 +300,8 @@
   for (guint i = 0; i < 8; i++)
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
-  running_service (simulation, 1, 4);
-  running_service (simulation, 2, 4);
+  start_service (simulation, 1, 4);
+  start_service (simulation, 2, 4);
   for (guint i = 0; i < simulation->workers->len; i++)
     {
       Worker *worker = g_ptr_array_index (simulation->workers, i);
@@ -314,12 +315,12 @@
   spec->estimated_run_us = 60 * MH_SECOND_US;
   simulation_submit (simulation, spec, 60);
   simulation_run (simulation, 8);
-  g_assert_true (
-      simulation_logged (simulation, "zone considered partitioned, no messages from its workers"));
+  g_assert_true (simulation_has_logged (
+      simulation, "zone considered partitioned, no messages from its workers"));
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
-      g_assert_false (machine->gone);
+      g_assert_false (machine->removed);
       g_assert_true (i < before || strcmp (machine->zone, "a") == 0);
     }
   simulation_run (simulation, 10);
@@ -334,16 +335,16 @@
 static void
 test_worker_begins_anew (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 1);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_service (simulation, 1, 1);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
   simulation_run (simulation, 20);
   g_array_set_size (machine->tasks, 0);
-  machine->session = 1;
-  machine->sequence = machine->token = 0;
-  machine->lease_from_us = simulation->clock->now_us;
-  WAIT (simulation, 7, is_gone, machine);
-  g_assert_true (simulation_logged (simulation, "reason=worker_restarted"));
-  WAIT (simulation, 15, all_run, user);
+  machine->incarnation = 1;
+  machine->heartbeat_sequence = machine->fencing_token = 0;
+  machine->lease_start_us = simulation->clock->now_us;
+  WAIT (simulation, 7, is_removed, machine);
+  g_assert_true (simulation_has_logged (simulation, "reason=worker_restarted"));
+  WAIT (simulation, 15, all_tasks_running, user);
 }
 
 /* All machines hang: the questions to them would take all connections, and those that had to wait
@@ -359,7 +360,7 @@
   for (guint i = 0; i < 60; i++)
     cloud_add_machine (simulation->cloud, "small", "a", false);
   simulation_run (simulation, 8);
-  User *user = running_service (simulation, 1, 4);
+  User *user = start_service (simulation, 1, 4);
   ControllerNode *leader = simulation_leader (simulation);
   leader->peak_worker_calls = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
@@ -370,7 +371,7 @@
   simulation_run (simulation, 30);
   g_assert_cmpuint (leader->peak_worker_calls, <=, 20);
   g_assert_cmpuint (leader->peak_worker_calls, >=, 16);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, all_tasks_running, user);
 }
 
 int
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -9,8 +9,8 @@
 static void
 test_quota_unreachable (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 4);
-  Machine *machine = worker_of (simulation, "j-000001/0")->machine;
+  User *user = start_service (simulation, 1, 4);
+  Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 4);
   simulation->cloud->outage_until_us
       = simulation->clock->now_us + 40 * MH_SECOND_US; /* no release, no proof */
@@ -29,7 +29,7 @@
   for (guint i = 0; i < 2; i++)
     cloud_add_machine (simulation->cloud, "large", i ? "b" : "a", false);
   simulation_run (simulation, 15);
-  running_service (simulation, 1, 7);
+  start_service (simulation, 1, 7);
   guint in_a = 0, in_b = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
@@ -44,12 +44,12 @@
 static void
 test_guarantee (Simulation *simulation)
 {
-  simulation->cloud->capacity = 1;
+  simulation->cloud->max_machines = 1;
   cloud_add_machine (simulation->cloud, "large", "a", false);
   User *borrows = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 16, 1), 60);
-  WAIT (simulation, 30, all_run, borrows);
+  WAIT (simulation, 30, all_tasks_running, borrows);
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
-  WAIT (simulation, 6, all_run, user);
+  WAIT (simulation, 6, all_tasks_running, user);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 8);
 }
 
@@ -58,7 +58,7 @@
 static void
 test_no_preemption_cycle (Simulation *simulation)
 {
-  simulation->cloud->capacity = 1;
+  simulation->cloud->max_machines = 1;
   cloud_add_machine (simulation->cloud, "large", "a", false);
   for (guint i = 0; i < 5; i++)
     {
@@ -97,8 +97,8 @@
 test_spread_four_zones (Simulation *simulation)
 {
   guint counts[4];
-  simulation->cloud->zones = 4;
-  simulation->cloud->capacity = 4;
+  simulation->cloud->zone_count = 4;
+  simulation->cloud->max_machines = 4;
   Machine *last = NULL;
   for (guint i = 0; i < 4; i++)
     {
@@ -111,7 +111,7 @@
       MhJobSpec *filler = job_spec_new (i, MH_SHAPE_SERVICE, 1, 8);
       filler->zone = g_strdup ("d");
       User *filled = simulation_submit (simulation, filler, 0);
-      WAIT (simulation, 30, all_run, filled);
+      WAIT (simulation, 30, all_tasks_running, filled);
     }
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
   simulation_run (simulation, 20);
@@ -119,9 +119,9 @@
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (counts[i], ==, i < 3 ? 1 : 0);
   last->hung_until_us = simulation->clock->now_us + 1000 * MH_SECOND_US;
-  WAIT (simulation, 60, is_gone, last);
-  simulation->cloud->capacity = 3; /* no other in its place */
-  WAIT (simulation, 30, all_run, user);
+  WAIT (simulation, 60, is_removed, last);
+  simulation->cloud->max_machines = 3; /* no other in its place */
+  WAIT (simulation, 30, all_tasks_running, user);
 }
 
 /* Replicas with different images would crowd onto the first machine that is up, where their fetches
@@ -152,9 +152,9 @@
       simulation_submit (simulation, lesser, 300);
     }
   for (guint i = 0; i < 4; i++)
-    WAIT (simulation, 60, all_run, users[i]);
+    WAIT (simulation, 60, all_tasks_running, users[i]);
   /* Nor is anything stopped for them on the machine that is full by now. */
-  g_assert_false (simulation_logged (simulation, "task preempted"));
+  g_assert_false (simulation_has_logged (simulation, "task preempted"));
   guint used = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     used += ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->tasks->len > 0;
@@ -176,11 +176,11 @@
     }
   cloud_add_machine (simulation->cloud, "small", "a", false);
   simulation_run (simulation, 8);
-  User *first = running_service (simulation, 3, 1); /* its image is there now */
+  User *first = start_service (simulation, 3, 1); /* its image is there now */
   MhJobSpec *lesser = job_spec_new (4, MH_SHAPE_ARRAY, 3, 1);
   lesser->priority = MH_PRIORITY_LOW;
   User *array = simulation_submit (simulation, lesser, 200);
-  WAIT (simulation, 30, all_run, array);
+  WAIT (simulation, 30, all_tasks_running, array);
   cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation_run (simulation, 8);
   MhJobSpec *spec = job_spec_new (5, MH_SHAPE_SERVICE, 1, 1);
@@ -195,8 +195,9 @@
       simulation_submit (simulation, job_spec_new (20 + 6 * i, MH_SHAPE_ARRAY, 1, 0.1), 0.1);
       simulation_run (simulation, 0.06);
     }
-  WAIT (simulation, 12, all_run, user);
-  g_assert_true (worker_of (simulation, "j-000005/0") == worker_of (simulation, "j-000003/0"));
+  WAIT (simulation, 12, all_tasks_running, user);
+  g_assert_true (worker_with_task (simulation, "j-000005/0")
+                 == worker_with_task (simulation, "j-000003/0"));
   guint stops = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
     stops += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
@@ -207,7 +208,7 @@
 gives_back_silent (Simulation *simulation, gpointer data)
 {
   (void)data;
-  return simulation_logged (simulation, "releasing machine reason=silent");
+  return simulation_has_logged (simulation, "releasing machine reason=silent");
 }
 
 /* Half of the machines fail while there is always as much to do as nearly all can. Room for what
@@ -220,7 +221,7 @@
       ((MhTeam *)g_ptr_array_index (simulation->nodes[i].settings->teams, k))->cpus_max = 200;
   for (guint i = 0; i < 4; i++)
     cloud_add_machine (simulation->cloud, "small", "a", false);
-  simulation->cloud->capacity = 4;
+  simulation->cloud->max_machines = 4;
   simulation_run (simulation, 10);
   guint number = 0;
   for (guint turn = 0; turn < 40 && !gives_back_silent (simulation, NULL); turn++)
@@ -235,17 +236,17 @@
         }
       if (turn == 12)
         {
-          simulation->cloud->capacity = 20;
+          simulation->cloud->max_machines = 20;
           for (guint i = 0; i < 2; i++)
             ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->hung_until_us
                 = simulation->clock->now_us + 300 * MH_SECOND_US;
         }
-      simulation_until (simulation, 1, gives_back_silent, NULL);
+      simulation_run_until (simulation, 1, gives_back_silent, NULL);
     }
   g_assert_true (gives_back_silent (simulation, NULL));
-  guint64 rented = simulation->cloud->machines_rented;
+  guint64 rented = simulation->cloud->machines_created;
   simulation_run (simulation, 1.5);
-  g_assert_cmpuint (simulation->cloud->machines_rented, >, rented);
+  g_assert_cmpuint (simulation->cloud->machines_created, >, rented);
 }
 
 /* A job that is still being written down would rent machines beside free room, where it will be
@@ -253,19 +254,19 @@
 static void
 test_no_rental_while_being_written (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   simulation_run (simulation, 5);
-  guint64 rented = simulation->cloud->machines_rented;
+  guint64 rented = simulation->cloud->machines_created;
   ControllerNode *leader = simulation_leader (simulation);
   leader->hold_writes = true;
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 4, 1), 2);
   simulation_run (simulation, 3);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation->cloud->machines_created, ==, rented);
   while (simulation->network->held_writes->len)
     outgoing_calls_release_write (simulation, true);
   leader->hold_writes = false;
-  WAIT (simulation, 60, told_done, user);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  WAIT (simulation, 60, is_reported_done, user);
+  g_assert_cmpuint (simulation->cloud->machines_created, ==, rented);
 }
 
 int
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -1,7 +1,7 @@
 /* Random days as tests: see stand-in/random-day.h. */
 #include "stand-in/random-day.h"
 
-#define VERSIONS_DAYS 24u
+#define DEFAULT_MIXED_VERSION_DAYS 24u
 
 static void
 test_day (gconstpointer data)
@@ -20,8 +20,9 @@
       g_autofree char *path = g_strdup_printf ("/random/%u", seed);
       g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_day);
     }
-  days = extra ? days : VERSIONS_DAYS;
-  for (guint seed = RANDOM_DAY_VERSIONS + 1; seed <= RANDOM_DAY_VERSIONS + days; seed++)
+  days = extra ? days : DEFAULT_MIXED_VERSION_DAYS;
+  for (guint seed = RANDOM_DAY_MIXED_VERSIONS_SEEDS + 1;
+       seed <= RANDOM_DAY_MIXED_VERSIONS_SEEDS + days; seed++)
     {
       g_autofree char *path = g_strdup_printf ("/random/versions/%u", seed);
       g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_day);
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 #define ZONES 4u
-#define SWARM_JOBS 200u
-#define TASKS_OF_ONE_MACHINE 4u
+#define BURST_JOBS 200u
+#define TASKS_PER_MACHINE 4u
 #define MACHINES_PER_LOSS 2000u
 
 static const char *const zones[ZONES] = { "a", "b", "c", "d" };
@@ -30,10 +30,10 @@
 }
 
 static Simulation *
-large_fleet (guint32 seed, guint machines)
+large_fleet_new (guint32 seed, guint machines)
 {
   Simulation *simulation = simulation_new (seed);
-  simulation->cloud->zones = ZONES;
+  simulation->cloud->zone_count = ZONES;
   allow_large_fleet (simulation->settings, machines);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     allow_large_fleet (simulation->nodes[i].settings, machines);
@@ -47,45 +47,45 @@
 /* No worker's lease has run out, and no machine was given back, but for the few that were already
    being probed as their zone fell silent. */
 static void
-assert_fleet_whole (const Simulation *simulation, guint machines)
+assert_fleet_kept (const Simulation *simulation, guint machines)
 {
-  guint gone = 0;
+  guint removed = 0;
   for (guint i = 0; i < machines; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
-      gone += machine->gone;
-      g_assert_true (machine->gone || machine->session == 1);
+      removed += machine->removed;
+      g_assert_true (machine->removed || machine->incarnation == 1);
     }
-  g_assert_cmpuint (gone, <=, machines / MACHINES_PER_LOSS);
+  g_assert_cmpuint (removed, <=, machines / MACHINES_PER_LOSS);
 }
 
 /* By the leadership that their tokens belong to. */
 static guint
-machines_that_know_leader (Simulation *simulation)
+count_machines_with_latest_token (Simulation *simulation)
 {
-  guint known = 0;
-  guint64 latest = 0;
+  guint count = 0;
+  guint64 latest_leadership = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       guint64 leadership
-          = (machine->token + MH_EPOCHS_PER_LEADERSHIP - 1) / MH_EPOCHS_PER_LEADERSHIP;
-      if (machine->gone)
+          = (machine->fencing_token + MH_EPOCHS_PER_LEADERSHIP - 1) / MH_EPOCHS_PER_LEADERSHIP;
+      if (machine->removed)
         continue;
-      if (leadership > latest)
+      if (leadership > latest_leadership)
         {
-          latest = leadership;
-          known = 0;
+          latest_leadership = leadership;
+          count = 0;
         }
-      known += leadership == latest;
+      count += leadership == latest_leadership;
     }
-  return known;
+  return count;
 }
 
 static void
-swarm (Simulation *simulation, User **users)
+submit_burst (Simulation *simulation, User **users)
 {
-  for (guint i = 0; i < SWARM_JOBS; i++)
+  for (guint i = 0; i < BURST_JOBS; i++)
     {
       MhJobSpec *spec = job_spec_new (100 + i, MH_SHAPE_ARRAY, 1, 0.25);
       spec->estimated_run_us = 300 * MH_SECOND_US;
@@ -97,20 +97,20 @@
 test_large_fleet (gconstpointer data)
 {
   guint machines = GPOINTER_TO_UINT (data);
-  Simulation *simulation = large_fleet (71, machines);
+  Simulation *simulation = large_fleet_new (71, machines);
   simulation_run (simulation, 14);
-  g_assert_cmpuint (machines_that_know_leader (simulation), ==, machines);
+  g_assert_cmpuint (count_machines_with_latest_token (simulation), ==, machines);
 
   /* One task for each machine. */
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, machines, 1);
   spec->estimated_run_us = 600 * MH_SECOND_US;
   simulation_submit (simulation, spec, 600);
-  User *users[SWARM_JOBS];
-  swarm (simulation, users);
+  User *users[BURST_JOBS];
+  submit_burst (simulation, users);
   simulation_run (simulation, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, machines);
-  for (guint i = 0; i < SWARM_JOBS; i++)
-    g_assert_true (users[i]->told_done);
+  for (guint i = 0; i < BURST_JOBS; i++)
+    g_assert_true (users[i]->reported_done);
 
   /* Lists leave three quarters of the calls to the cloud, about ten calls in ten seconds here. */
   guint lists = simulation->cloud->list_requests;
@@ -125,21 +125,21 @@
         worker->cut_until_us = simulation->clock->now_us + 12 * MH_SECOND_US;
     }
   simulation_run (simulation, 24);
-  assert_fleet_whole (simulation, machines);
+  assert_fleet_kept (simulation, machines);
 
   /* Each controller in turn is restarted, and every worker finds the next leader in time. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation_restart_node (simulation, i, CONTROLLER_CURRENT, 3);
       simulation_run (simulation, 16);
-      g_assert_cmpuint (machines_that_know_leader (simulation), >=,
+      g_assert_cmpuint (count_machines_with_latest_token (simulation), >=,
                         machines - machines / MACHINES_PER_LOSS);
     }
-  assert_fleet_whole (simulation, machines);
+  assert_fleet_kept (simulation, machines);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, machines);
   g_assert_cmpuint (simulation->rules->task_starts, <=,
-                    machines + SWARM_JOBS + TASKS_OF_ONE_MACHINE * (machines / MACHINES_PER_LOSS));
-  finish (simulation);
+                    machines + BURST_JOBS + TASKS_PER_MACHINE * (machines / MACHINES_PER_LOSS));
+  simulation_check_and_free (simulation);
 }
 
 int
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -13,12 +13,12 @@
 extend_across_leaders (guint seed, bool refused, bool isolated, double outage_s)
 {
   Simulation *simulation = simulation_new (seed);
-  User *user = running_service (simulation, 1, 2);
+  User *user = start_service (simulation, 1, 2);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    simulation_worker (simulation, i)->node = old->index;
-  *(refused ? &old->store_refuses_until_us : &old->store_cut_until_us)
+    worker_by_index (simulation, i)->target_node = old->index;
+  *(refused ? &old->store_rejects_until_us : &old->store_cut_until_us)
       = simulation->clock->now_us + 300 * MH_SECOND_US;
   if (isolated)
     old->peers_cut_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
@@ -26,13 +26,13 @@
   simulation->cloud->outage_until_us
       = simulation->clock->now_us + 300 * MH_SECOND_US; /* no machine is released */
   user_cancel (user);
-  WAIT (simulation, 20, told_cancelled, user);
+  WAIT (simulation, 20, is_reported_cancelled, user);
   g_assert_true (simulation_leader (simulation) != old);
   simulation_run (simulation, outage_s);
   simulation->store->outage_until_us = simulation->clock->now_us + 70 * MH_SECOND_US;
   simulation_run (simulation, 120); /* the world checks cancel_s */
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
-  finish (simulation);
+  simulation_check_and_free (simulation);
 }
 
 static void
@@ -52,7 +52,7 @@
 static void
 test_cancel_before_a_slow_load (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 2);
+  User *user = start_service (simulation, 1, 2);
   simulation_run (simulation, 10);
   guint old = simulation_leader (simulation)->index;
   simulation->network->hold_commands = true;
@@ -60,10 +60,10 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation->nodes[i].key_lists_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   for (guint i = 0; i < simulation->workers->len; i++)
-    simulation_worker (simulation, i)->reports_lost_until_us
+    worker_by_index (simulation, i)->heartbeats_lost_until_us
         = simulation->clock->now_us + 3 * MH_SECOND_US;
   user_cancel (user);
-  WAIT (simulation, 3, told_cancelled, user);
+  WAIT (simulation, 3, is_reported_cancelled, user);
   simulation_stop_node (simulation, old);
   simulation_run (simulation, 80);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
@@ -81,21 +81,21 @@
       simulation->nodes[i].settings->cancel_limit_us = 18 * MH_SECOND_US;
       simulation_start_node (simulation, i);
     }
-  User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 3, 1);
-  g_assert_true (simulation_logged (simulation, "leaves no room"));
+  User *user = start_service (simulation, 1, 2), *other = start_service (simulation, 3, 1);
+  g_assert_true (simulation_has_logged (simulation, "leaves no room"));
   simulation_run (simulation, 10);
-  Machine *machine = worker_of (simulation, "j-000003/0")->machine;
+  Machine *machine = worker_with_task (simulation, "j-000003/0")->machine;
   machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
-  WAIT (simulation, 20, is_gone, machine);
-  WAIT (simulation, 20, all_run, other);
-  WAIT (simulation, 20, all_run, user);
+  WAIT (simulation, 20, is_removed, machine);
+  WAIT (simulation, 20, all_tasks_running, other);
+  WAIT (simulation, 20, all_tasks_running, user);
   ControllerNode *old = simulation_leader (simulation);
   old->store_cut_until_us = old->peers_cut_until_us
       = simulation->clock->now_us + 100 * MH_SECOND_US;
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
   user_cancel (user);
-  WAIT (simulation, 20, told_cancelled, user);
+  WAIT (simulation, 20, is_reported_cancelled, user);
   simulation->store->outage_until_us = simulation->clock->now_us + 40 * MH_SECOND_US;
   simulation_run (simulation, 40);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
@@ -107,14 +107,14 @@
 static void
 test_long_outage (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 4);
+  User *user = start_service (simulation, 1, 4);
   simulation->store->outage_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 59);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
-  WAIT (simulation, 8, all_run, user);
+  WAIT (simulation, 8, all_tasks_running, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 8);
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
-    g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone);
+    g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->removed);
 }
 
 /* A leader keeps its workers and users alone, and jobs are cancelled through the new one: users of
@@ -123,22 +123,22 @@
 test_cancel_beside_a_cut_leader (Simulation *simulation)
 {
   MhUserAnswer answer;
-  User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
+  User *user = start_service (simulation, 1, 2), *other = start_service (simulation, 2, 2);
   simulation_run (simulation, 10);
   ControllerNode *old = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    simulation_worker (simulation, i)->node = old->index;
+    worker_by_index (simulation, i)->target_node = old->index;
   old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation->network->hold_commands = true; /* no worker tells the old one of the new */
   simulation_run (simulation, 3);
   user_cancel (user);
-  WAIT (simulation, 20, told_cancelled, user);
-  simulation_ask (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+  WAIT (simulation, 20, is_reported_cancelled, user);
+  simulation_request_and_wait (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &answer);
   g_assert_true (answer.status == 503 || answer.state == MH_JOB_CANCELLED);
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 80);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
-  WAIT (simulation, 60, all_run, other);
+  WAIT (simulation, 60, all_tasks_running, other);
 }
 
 /* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel: what
@@ -146,7 +146,7 @@
 static void
 test_ten_leaders (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 3);
+  User *user = start_service (simulation, 1, 3);
   for (guint i = 0; i < 10; i++)
     {
       User *next = simulation_submit (simulation, job_spec_new (10 + i, MH_SHAPE_ARRAY, 3, 1), 4);
@@ -163,8 +163,8 @@
       if (i % 3 == 0)
         user_cancel (next);
     }
-  wait_all (simulation, 200);
-  g_assert_true (user->told_cancelled);
+  wait_until_all_settled (simulation, 200);
+  g_assert_true (user->reported_cancelled);
 }
 
 /* A team is at its limit when the leader changes; a machine that runs its tasks can't be asked, and
@@ -172,18 +172,18 @@
 static void
 test_limit_across_leaders (Simulation *simulation)
 {
-  User *user = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
+  User *user = start_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
   MhJobSpec *spec = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
   spec->estimated_run_us = 300 * MH_SECOND_US;
   User *more = simulation_submit (simulation, spec, 5);
-  WAIT (simulation, 20, accepted, more);
+  WAIT (simulation, 20, is_accepted, more);
   simulation_run (simulation, 5);
-  Worker *lost = worker_of (simulation, "j-000002/0");
+  Worker *lost = worker_with_task (simulation, "j-000002/0");
   lost->cut_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   user_cancel (user);
-  WAIT (simulation, 20, told_cancelled, user);
-  WAIT (simulation, 200, told_done, more); /* the world checks the limit at each start */
+  WAIT (simulation, 20, is_reported_cancelled, user);
+  WAIT (simulation, 200, is_reported_done, more); /* the world checks the limit at each start */
 }
 
 /* No controller for longer than the workers' lease: whatever ran is gone, and would not run again
@@ -191,16 +191,16 @@
 static void
 test_all_away_for_a_lease (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 3);
-  User *array = running_array (simulation, 2, 6, 20);
+  User *user = start_service (simulation, 1, 3);
+  User *array = start_array (simulation, 2, 6, 20);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_stop_node (simulation, i);
   simulation_run (simulation, 30);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
-  WAIT (simulation, 15, all_run, user);
-  WAIT (simulation, 60, told_done, array);
+  WAIT (simulation, 15, all_tasks_running, user);
+  WAIT (simulation, 60, is_reported_done, array);
 }
 
 /* Controllers transfer leadership and get it back; then all end, and one is back within a moment,
@@ -208,14 +208,14 @@
 static void
 test_back_and_forth (Simulation *simulation)
 {
-  User *user = running_service (simulation, 1, 3);
-  running_service (simulation, 3, 1);
+  User *user = start_service (simulation, 1, 3);
+  start_service (simulation, 3, 1);
   simulation_run (simulation, 10);
   for (guint i = 0; i < 4; i++)
     {
       ControllerNode *leader = simulation_leader (simulation);
       if (leader)
-        leader->reports_lost_until_us = simulation->clock->now_us + 10 * MH_SECOND_US;
+        leader->heartbeats_lost_until_us = simulation->clock->now_us + 10 * MH_SECOND_US;
       simulation_run (simulation, 14);
     }
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -224,7 +224,7 @@
   simulation_start_node (simulation, 1);
   simulation_run (simulation, 10);
   g_assert_true (simulation_leader (simulation) == &simulation->nodes[1]);
-  WAIT (simulation, 60, all_run, user);
+  WAIT (simulation, 60, all_tasks_running, user);
 }
 
 int
--- a/tests/test-task-failure.c
+++ b/tests/test-task-failure.c
@@ -8,7 +8,7 @@
 failing_array (Simulation *simulation, guint number, guint tasks)
 {
   User *user = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1), 30);
-  user->job->fails = true;
+  user->job->always_fails = true;
   return user;
 }
 
@@ -25,34 +25,34 @@
 static void
 test_no_machine_is_blamed (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   User *first = failing_array (simulation, 2, 4), *second = failing_array (simulation, 3, 4);
   User *good = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 4, 1), 5);
-  WAIT (simulation, 120, told_done, good);
+  WAIT (simulation, 120, is_reported_done, good);
   simulation_run (simulation, 60);
-  g_assert_false (simulation_logged (simulation, "fails_every_task"));
-  g_assert_true (simulation_logged (simulation, "fails wherever it starts job=j-000002"));
-  g_assert_true (simulation_logged (simulation, "fails wherever it starts job=j-000003"));
+  g_assert_false (simulation_has_logged (simulation, "fails_every_task"));
+  g_assert_true (simulation_has_logged (simulation, "fails wherever it starts job=j-000002"));
+  g_assert_true (simulation_has_logged (simulation, "fails wherever it starts job=j-000003"));
   user_cancel (first);
   user_cancel (second);
-  WAIT (simulation, 10, told_cancelled, first);
-  WAIT (simulation, 10, told_cancelled, second);
+  WAIT (simulation, 10, is_reported_cancelled, first);
+  WAIT (simulation, 10, is_reported_cancelled, second);
 }
 
 /* All tasks of a large array once were tried at each turn, and machines rented for them. */
 static void
 test_tries_are_few (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   User *user = failing_array (simulation, 2, 200);
-  WAIT (simulation, 60, accepted, user);
+  WAIT (simulation, 60, is_accepted, user);
   simulation_run (simulation, 40);
-  guint64 rented = simulation->cloud->machines_rented;
+  guint64 rented = simulation->cloud->machines_created;
   /* At most one task after 16 and 32 s, and half of that less by chance. */
   g_assert_cmpuint (starts_within (simulation, 60), <=, 4);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation->cloud->machines_created, ==, rented);
   user_cancel (user);
-  WAIT (simulation, 10, told_cancelled, user);
+  WAIT (simulation, 10, is_reported_cancelled, user);
 }
 
 /* A new leader goes on with the back-off: it once began anew with all tasks of all such jobs. */
@@ -61,13 +61,13 @@
 {
   add_small_machines (simulation, 4);
   User *user = failing_array (simulation, 2, 100);
-  WAIT (simulation, 60, accepted, user);
+  WAIT (simulation, 60, is_accepted, user);
   simulation_run (simulation, 50);
   simulation_restart_node (simulation, simulation_leader (simulation)->index, CONTROLLER_CURRENT,
                            3);
   g_assert_cmpuint (starts_within (simulation, 20), <=, 2);
   user_cancel (user);
-  WAIT (simulation, 20, told_cancelled, user);
+  WAIT (simulation, 20, is_reported_cancelled, user);
 }
 
 /* What made it fail is gone, for example a missing file: with a back-off that went on for all its
@@ -75,13 +75,13 @@
 static void
 test_runs_after_all (Simulation *simulation)
 {
-  running_service (simulation, 1, 1);
+  start_service (simulation, 1, 1);
   User *user = failing_array (simulation, 2, 8);
-  WAIT (simulation, 60, accepted, user);
+  WAIT (simulation, 60, is_accepted, user);
   simulation_run (simulation, 20);
-  user->job->fails = false;
-  WAIT (simulation, 180, told_done, user);
-  g_assert_true (simulation_logged (simulation, "job runs after back-off"));
+  user->job->always_fails = false;
+  WAIT (simulation, 180, is_reported_done, user);
+  g_assert_true (simulation_has_logged (simulation, "job runs after back-off"));
 }
 
 /* A faulty machine is still told from such jobs by what runs elsewhere. */
@@ -90,12 +90,12 @@
 {
   add_small_machines (simulation, 4);
   failing_array (simulation, 2, 2);
-  User *array = running_array (simulation, 3, 8, 20);
+  User *array = start_array (simulation, 3, 8, 20);
   simulation_run (simulation, 6);
-  Machine *machine = worker_of (simulation, "j-000003/0")->machine;
-  machine->faulty = true;
-  WAIT (simulation, 15, is_gone, machine);
-  WAIT (simulation, 120, told_done, array);
+  Machine *machine = worker_with_task (simulation, "j-000003/0")->machine;
+  machine->fails_all_tasks = true;
+  WAIT (simulation, 15, is_removed, machine);
+  WAIT (simulation, 120, is_reported_done, array);
 }
 
 int
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -356,13 +356,13 @@
   for (guint seed = 1; seed <= 6; seed++)
     {
       Simulation *simulation = simulation_new (seed);
-      simulation->cloud->capacity = 6;
+      simulation->cloud->max_machines = 6;
       MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 300, 0.04);
       spec->mem_gb = 0.1;
       spec->estimated_run_us = 600 * MH_SECOND_US;
       User *user = simulation_submit (simulation, spec, 70),
-           *service = running_service (simulation, 3, 2);
-      WAIT (simulation, 60, all_run, user);
+           *service = start_service (simulation, 3, 2);
+      WAIT (simulation, 60, all_tasks_running, user);
       for (guint turn = 0; turn < 6; turn++)
         {
           guint index = (turn + seed) % SIMULATION_NODES;
@@ -382,8 +382,8 @@
             }
           simulation_run (simulation, 4);
         }
-      simulation_limit (simulation, 2048, 5);
-      WAIT (simulation, 200, told_done, user);
+      simulation_set_store_limits (simulation, 2048, 5);
+      WAIT (simulation, 200, is_reported_done, user);
       g_assert_cmpuint (simulation_running_tasks (simulation, service->job->spec->id), ==, 2);
       g_assert_cmpuint (simulation->rules->task_starts, ==, 302);
       simulation_assert_rules (simulation);
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -68,8 +68,8 @@
 static MhJobSpec *
 two_version_gang_spec (void)
 {
-  MhJobSpec *spec = gang_spec (1, GANG_TASKS, 4);
-  use_small_machines (spec);
+  MhJobSpec *spec = gang_spec_new (1, GANG_TASKS, 4);
+  require_small_machines (spec);
   spec->checkpoint_save_us = 3 * MH_SECOND_US;
   return spec;
 }
@@ -78,7 +78,7 @@
 static void
 add_machines (Simulation *simulation)
 {
-  simulation->cloud->capacity = 0;
+  simulation->cloud->max_machines = 0;
   add_small_machines (simulation, 2 * GANG_TASKS);
 }
 
@@ -136,13 +136,13 @@
 until_running (Scene *scene)
 {
   add_machines (scene->simulation);
-  WAIT (scene->simulation, 60, gang_runs, scene->gang);
+  WAIT (scene->simulation, 60, is_gang_running, scene->gang);
 }
 
 static bool
 fetches (Simulation *simulation, gpointer leg)
 {
-  return worker_of (simulation, leg) != NULL;
+  return worker_with_task (simulation, leg) != NULL;
 }
 
 /* The image of one task comes later than the others'. */
@@ -152,7 +152,7 @@
   char leg[] = "j-000001/3";
   add_machines (scene->simulation);
   WAIT (scene->simulation, 20, fetches, leg);
-  Machine *machine = worker_of (scene->simulation, leg)->machine;
+  Machine *machine = worker_with_task (scene->simulation, leg)->machine;
   g_array_index (machine->tasks, MachineTask, 0).ready_us += 4 * MH_SECOND_US;
   WAIT (scene->simulation, 20, gathers, NULL);
 }
@@ -178,7 +178,7 @@
 {
   until_running (scene);
   for (guint i = 1; i < scene->simulation->workers->len; i++)
-    ((Worker *)g_ptr_array_index (scene->simulation->workers, i))->reports_lost_until_us
+    ((Worker *)g_ptr_array_index (scene->simulation->workers, i))->heartbeats_lost_until_us
         = scene->simulation->clock->now_us + 20 * MH_SECOND_US;
   scene->simulation->nodes[0].hold_writes = true;
   WAIT (scene->simulation, 30, write_held, NULL);
@@ -227,7 +227,7 @@
     case CANCELLED:
       until_running (scene);
       user_cancel (scene->gang);
-      WAIT (simulation, 10, told_cancelled, scene->gang);
+      WAIT (simulation, 10, is_reported_cancelled, scene->gang);
       break;
     default:
       g_assert_not_reached ();
@@ -255,9 +255,9 @@
     {
       Scene scene = { .simulation = mixed_sim (100 + 10 * moment + late, change) };
       Simulation *simulation = scene.simulation;
-      simulation->cloud->capacity = 0;
+      simulation->cloud->max_machines = 0;
       scene.gang = simulation_submit (simulation, two_version_gang_spec (), 12);
-      WAIT (simulation, 10, accepted, scene.gang);
+      WAIT (simulation, 10, is_accepted, scene.gang);
       bring_about (&scene, moment);
       if (late)
         {
@@ -271,19 +271,19 @@
         }
       if (scene.urgent)
         {
-          WAIT (simulation, 60, all_run, scene.urgent);
+          WAIT (simulation, 60, all_tasks_running, scene.urgent);
           user_cancel (scene.urgent);
         }
       if (moment == CANCELLING || moment == CANCELLED)
         {
-          WAIT (simulation, 30, told_cancelled, scene.gang);
+          WAIT (simulation, 30, is_reported_cancelled, scene.gang);
           simulation_run (simulation, 45);
           g_assert_cmpuint (simulation_running_tasks (simulation, scene.gang->job->spec->id), ==,
                             0);
         }
       else
-        WAIT (simulation, 200, told_done, scene.gang);
-      finish (simulation);
+        WAIT (simulation, 200, is_reported_done, scene.gang);
+      simulation_check_and_free (simulation);
     }
 }
 
@@ -314,8 +314,8 @@
 rechunked (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return simulation_logged (simulation, "job re-chunked")
-         || simulation_logged (simulation, "laid out anew");
+  return simulation_has_logged (simulation, "job re-chunked")
+         || simulation_has_logged (simulation, "laid out anew");
 }
 
 /* A job of more records than a transaction takes changes, or of fewer. The leaders of both versions
@@ -325,13 +325,13 @@
 rechunk_across (const Change *change, guint value_bytes, bool many, guint writes)
 {
   Simulation *simulation = simulation_new (7);
-  simulation_limit (simulation, value_bytes, TXN_OPS);
-  simulation->cloud->capacity = 6;
+  simulation_set_store_limits (simulation, value_bytes, TXN_OPS);
+  simulation->cloud->max_machines = 6;
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, CHUNKED_TASKS, 0.04);
   spec->mem_gb = 0.1;
   spec->estimated_run_us = 600 * MH_SECOND_US;
   User *job = simulation_submit (simulation, spec, 45);
-  WAIT (simulation, 60, all_run, job);
+  WAIT (simulation, 60, all_tasks_running, job);
   if (many)
     g_assert_cmpuint (count_records (simulation), >, TXN_OPS);
   else
@@ -349,7 +349,7 @@
   /* The first one makes it the leader. */
   WAIT (simulation, 10, write_held, NULL);
   outgoing_calls_release_write (simulation, true);
-  for (guint i = 0; i < writes && simulation_until (simulation, 2, write_held, NULL); i++)
+  for (guint i = 0; i < writes && simulation_run_until (simulation, 2, write_held, NULL); i++)
     outgoing_calls_release_write (simulation, true);
   simulation_run (simulation, 0.05);
   simulation_stop_node (simulation, 0);
@@ -362,9 +362,9 @@
   simulation->nodes[0].version = change->to;
   simulation_start_node (simulation, 0);
 
-  WAIT (simulation, 120, told_done, job);
+  WAIT (simulation, 120, is_reported_done, job);
   g_assert_cmpuint (simulation->rules->task_starts, ==, CHUNKED_TASKS);
-  finish (simulation);
+  simulation_check_and_free (simulation);
   return midway;
 }
 
