--- a/tests/decision-digest.c
+++ b/tests/decision-digest.c
@@ -1,6 +1,6 @@
-/* Prints a digest of the decisions of each of a range of random days: the first seed, and how many.
-   Days without and with changes of version count alike. tests/compare-decisions compares two builds
-   by it. */
+/* Prints a digest of the decisions of each of a range of random days. The arguments are the first
+   seed and the number of days, with or without changes of version. tests/compare-decisions uses it
+   to compare two builds. */
 #include "stand-in/random-day.h"
 
 #include <stdlib.h>
--- a/tests/production-gang-records.h
+++ b/tests/production-gang-records.h
@@ -1,7 +1,8 @@
-/* Written by version 34832da0, with gangs and under the limits that come next (2 KiB values): gang
-   j-000500 of four tasks, in its third attempt on vm-000231 and vm-000232, then done; array
-   j-000501 of 60 tasks in two records, task 31 done, 0 and 59 live, 30 over; and what passes
-   between controllers. */
+/* Records and messages written by version 34832da0, which has gangs, under the next limits of the
+   store (values of 2 KiB): gang j-000500 of 4 tasks in its third attempt on vm-000231 and
+   vm-000232, and later done; array j-000501 of 60 tasks in 2 records, of which task 31 is done,
+   tasks 0 and 59 are running, and the last attempt of task 30 has ended without result; and
+   messages between controllers. */
 #pragma once
 
 #include <glib.h>
--- a/tests/production-records.h
+++ b/tests/production-records.h
@@ -1,5 +1,7 @@
-/* Written by version 8a825855, before there were gangs: job j-000412 of 40 tasks, 32 in a record,
-   task 1 done, 0, 15 and 30 on vm-000231, 33 over; its final record; the rest. */
+/* Records and messages written by version 8a825855, which had no gangs: job j-000412 of 40 tasks
+   with 32 tasks per record, of which task 1 is done, tasks 0, 15 and 30 are on vm-000231, and the
+   last attempt of task 33 has ended without result; the final record of the job; the records of the
+   leader, of the epochs and of a release; and messages between controllers. */
 #pragma once
 
 #include <glib.h>
--- a/tests/production/production-core.c
+++ b/tests/production/production-core.c
@@ -1,5 +1,5 @@
 /* See production-core.h. This file is compiled against the sources of the version in production,
-   never against those beside it. */
+   never against those of this version. */
 #include "production-core.h"
 
 #include "core.h"
--- a/tests/production/production-core.h
+++ b/tests/production/production-core.h
@@ -1,9 +1,9 @@
 /* The core of the version in production, behind an interface of plain types.
 
-   deploy/service.toml names a commit; tests/CMakeLists.txt takes the sources of that commit from
-   the repository's history and builds them, with production-core.c, into a shared library that
-   exports nothing else. Both versions then run in one process, and neither sees the other's
-   structures: messages cross as CBOR, settings as the platform's file. */
+   deploy/service.toml names a commit. tests/CMakeLists.txt extracts the sources of that commit from
+   the history of the repository and builds them with production-core.c as a shared library, which
+   exports only the functions below. Both versions then run in one process without access to each
+   other's structures: messages are passed as CBOR, and settings as a file of platform settings. */
 #pragma once
 
 #include <glib.h>
@@ -54,14 +54,14 @@
 
 #define PRODUCTION_PUBLIC __attribute__ ((visibility ("default")))
 
-/* `settings_path`: a settings file of the platform. */
+/* `settings_path`: a file of platform settings. */
 PRODUCTION_PUBLIC ProductionCore *
 production_core_new (const char *settings_path, const ProductionNow *now);
 PRODUCTION_PUBLIC void
 production_core_free (ProductionCore *core);
 PRODUCTION_PUBLIC void
 production_core_tick (ProductionCore *core, const ProductionNow *now);
-/* `submission`: CBOR, NULL for other requests; `verb`: as in the messages between controllers. */
+/* `submission`: CBOR; NULL for other requests. `verb`: as in the messages between controllers. */
 PRODUCTION_PUBLIC void
 production_core_user (ProductionCore *core, const ProductionNow *now, guint64 id, guint verb,
                       const char *job, GBytes *submission, bool forwarded);
@@ -76,7 +76,7 @@
 PRODUCTION_PUBLIC void
 production_core_leader_announced (ProductionCore *core, const ProductionNow *now, const char *node,
                                   guint64 epoch);
-/* False: there is no action left. Its members are the caller's to free. */
+/* Returns false if no action is left. The caller frees the members of the action. */
 PRODUCTION_PUBLIC bool
 production_core_pop (ProductionCore *core, gint64 mono_us, ProductionAction *action);
 PRODUCTION_PUBLIC gint64
--- a/tests/stand-in/cloud.c
+++ b/tests/stand-in/cloud.c
@@ -102,7 +102,8 @@
   return existing;
 }
 
-/* As many as the capacity allows. Returns their names, with commas. */
+/* Creates the requested machines, but not beyond the limit. Returns their names, separated by
+   commas. */
 static char *
 create_machines (Cloud *cloud, const MhValue *body)
 {
@@ -131,7 +132,7 @@
   return body;
 }
 
-/* A rental that is asked for again has the machines that it got at first. */
+/* A repeated request returns the machines of the first one. */
 static void
 serve_create (Cloud *cloud, const MhValue *body, ServiceReply *reply)
 {
@@ -198,7 +199,7 @@
   return g_strndup (start, strcspn (start, "&"));
 }
 
-/* A page, in the order of the names. */
+/* Returns a page, in the order of the names. */
 static MhValue *
 list_machines (const Cloud *cloud, const char *path)
 {
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -80,7 +80,7 @@
 
 /* ---- inputs ---- */
 
-/* Returns the id that the controller calls the request by. */
+/* Returns the id of the request for the controller. */
 static guint64
 add_pending_request (ControllerNode *node, PendingRequest *request)
 {
--- a/tests/stand-in/controller-node.h
+++ b/tests/stand-in/controller-node.h
@@ -1,5 +1,5 @@
-/* A node on which a controller runs, or is down: its clock, what waits for its answers, and the
-   faults that a test gives it. */
+/* A node on which a controller runs, or which is down: its clocks, the requests that wait for its
+   answers, and the faults that a test gives it. */
 #pragma once
 
 #include "stand-in/controller.h"
@@ -8,21 +8,21 @@
 typedef struct ControllerNode ControllerNode;
 typedef struct PendingRequest PendingRequest;
 
-/** PendingRequestAnswered: @action: the controller's answer to @request */
+/** PendingRequestAnswerFunc: @action: the controller's answer to @request */
 typedef void (*PendingRequestAnswerFunc) (ControllerNode *node, const PendingRequest *request,
                                           const MhAction *action);
 
 /**
  * PendingRequest:
- * @answered: called with the answer
+ * @on_answer: called with the answer
  * @data: of the sender
- * @free_data: (nullable): for @data
+ * @free_data: (nullable): frees @data
  * @verb: of a user's request
  * @job_id: (nullable): of a user's request; owned
  * @spec: (nullable): of a submission; owned
  * @sent_us: when it was sent
  *
- * A request to a controller that has not been answered.
+ * A request to a controller that has not been answered yet.
  */
 struct PendingRequest
 {
@@ -39,28 +39,32 @@
  * ControllerNode:
  * @simulation: that it is part of
  * @index: of the node
- * @name: that the members know it by
+ * @name: of the node in the settings
  * @settings: of its controller; owned
- * @version: that it has when it starts again
+ * @version: that its next process runs
  * @controller: (nullable): %NULL: down
- * @incarnation: which process of this node it is
- * @wake_count: how often a timer woke it
- * @worker_calls: direct calls to workers that are under way
- * @peak_worker_calls: the most that ever were
- * @clock_drift: its clock's, as a share
- * @pending: request's id -> PendingRequest
- * @next_wake_us: of its timer; %G_MAXINT64: not set
- * @store_cut_until_us: cut off from the key-value store until then
- * @peers_cut_until_us: cut off from the other nodes until then
- * @workers_cut_until_us: cut off from the workers until then
- * @writes_lost_until_us: its transactions are lost on the way until then
- * @write_answers_lost_until_us: they are carried out, and their answers are lost, until then
- * @hold_writes: its transactions arrive only when the test releases them
- * @store_refuses_until_us: the key-value store refuses this node alone (503) until then
- * @key_lists_lost_until_us: its lists of keys get no answer until then
- * @reports_lost_until_us: no worker's report reaches it until then
- * @frozen_until_us: stands still until then, while its clocks run on; what comes meanwhile waits
- * @freeze_before_acting_us: stands still for so long between its next input and what it decides
+ * @incarnation: number of its process; answers to calls of earlier processes are dropped
+ * @wake_count: how often its timer has fired
+ * @worker_calls_in_flight: direct calls to workers that wait for an answer
+ * @peak_worker_calls: highest value of @worker_calls_in_flight so far
+ * @clock_drift: rate error of its monotonic clock, as a fraction
+ * @pending_requests: id of the request -> PendingRequest
+ * @next_wake_us: when its timer fires; %G_MAXINT64: not set
+ * @store_cut_until_us: partitioned from the key-value store until then
+ * @peers_cut_until_us: partitioned from the other nodes until then
+ * @workers_cut_until_us: partitioned from the workers until then: heartbeats are lost, and commands
+ *   arrive when the partition ends
+ * @writes_lost_until_us: until then its transactions do not reach the key-value store
+ * @write_answers_lost_until_us: until then its transactions are applied but their answers are lost
+ * @hold_writes: its transactions are held until the test releases them
+ * @store_rejects_until_us: until then the key-value store answers 503 to this node, but not to the
+ *   others
+ * @key_lists_lost_until_us: until then its requests for lists of keys get no answer
+ * @heartbeats_lost_until_us: until then no heartbeat reaches it
+ * @frozen_until_us: executes nothing until then, while its clocks run on; events for it are
+ *   delayed until then
+ * @freeze_before_acting_us: it freezes for that long after the next input, before it carries out
+ *   the actions that the input caused; 0: not
  */
 struct ControllerNode
 {
@@ -89,41 +93,44 @@
   gint64 freeze_before_acting_us;
 };
 
-/** controller_node_init: Down, with a clock of its own. @settings: (transfer full): */
+/** controller_node_init: Initializes a node that is down, with its own clock drift. @settings:
+ * (transfer full): */
 void
 controller_node_init (ControllerNode *node, Simulation *simulation, guint index,
                       MhSettings *settings);
-/** controller_node_clear: Stops it, and frees what it holds. */
+/** controller_node_clear: Stops the node and frees its parts. */
 void
 controller_node_clear (ControllerNode *node);
-/** controller_node_start: Does nothing if it is up. */
+/** controller_node_start: Starts the node's process. Does nothing if it runs. */
 void
 controller_node_start (ControllerNode *node);
-/** controller_node_stop: Its process ends; what waits for answers gets none. */
+/** controller_node_stop: Ends the node's process. Pending requests get no answer. */
 void
 controller_node_stop (ControllerNode *node);
-/** controller_node_now: Returns: its clocks now; draws the jitter */
+/** controller_node_now: Returns: the present time on its clocks; draws the jitter at random */
 MhNow
 controller_node_now (ControllerNode *node);
-/** controller_node_is_frozen: Returns: whether it stands still now */
+/** controller_node_is_frozen: Returns: whether the node is frozen now */
 bool
 controller_node_is_frozen (const ControllerNode *node);
-/** controller_node_drain: Carries out what the controller decided, and sets its timer. */
+/** controller_node_drain: Carries out the controller's actions, and sets the timer. */
 void
 controller_node_drain (ControllerNode *node);
 /**
  * controller_node_user_request:
- * @request: (transfer full): with the verb, the job's id and the spec of a submission
+ * @request: (transfer full): with the verb, the id of the job and the spec of a submission
  * @forwarded: it comes from another controller
  */
 void
 controller_node_user_request (ControllerNode *node, PendingRequest *request, bool forwarded);
-/** controller_node_report: @request: (transfer full): waits for the response to @report */
+/** controller_node_heartbeat: Delivers a heartbeat. @request: (transfer full): waits for the
+ * response */
 void
 controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *report);
-/** controller_node_leads: Returns: whether its controller, which runs, is the leader now */
+/** controller_node_leads: Returns: whether its controller leads now; the controller must run */
 bool
 controller_node_leads (ControllerNode *node);
-/** job_spec_copy: Returns: (transfer full): as it is after a way over the wire */
+/** job_spec_copy: Returns: (transfer full): a copy by way of encoding and decoding, as the wire
+ * makes it */
 MhJobSpec *
 job_spec_copy (const MhJobSpec *spec);
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -8,8 +8,9 @@
 
 struct Controller
 {
-  MhCore *core;               /* this version's; NULL: it is the other */
-  ProductionCore *production; /* the other's */
+  MhCore *core;               /* of this version; NULL: the controller has the other version */
+  ProductionCore *production; /* of the version in production; NULL: the controller has this version
+                               */
 };
 
 /* ---- settings, as the platform's file ---- */
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -1,10 +1,10 @@
-/* One controller of a simulation: this version's core, or that of the version in production. Both
-   take the same inputs, and their actions come out as this version's. */
+/* A controller of a simulation: the core of this version, or that of the version in production.
+   Both get the same inputs, and the actions of both are returned as types of this version. */
 #pragma once
 
 #include "controller/core.h"
 
-/** ControllerVersion: which core it is */
+/** ControllerVersion: which core a controller has */
 typedef enum
 {
   CONTROLLER_CURRENT,
@@ -13,43 +13,47 @@
 
 typedef struct Controller Controller;
 
-/** controller_new: @settings: must outlive it. Returns: (transfer full): a controller that started
- * now */
+/** controller_new: @settings: must outlive the controller. Returns: (transfer full): a controller
+ * that starts now */
 Controller *
 controller_new (ControllerVersion version, const MhSettings *settings, const MhNow *now);
-/** controller_free: @controller: (nullable): a controller */
+/** controller_free: Frees @controller, which may be %NULL. */
 void
 controller_free (Controller *controller);
-/** controller_tick: Its timer has run out. */
+/** controller_tick: The timer has fired. */
 void
 controller_tick (Controller *controller, const MhNow *now);
-/** controller_user: A user, or another controller for one, asks. */
+/** controller_user_request: A request of a user arrives, directly or by way of another controller.
+ */
 void
 controller_user_request (Controller *controller, const MhNow *now, const MhUserRequest *request);
-/** controller_report: A worker's report. @id: that the response will have */
+/** controller_heartbeat: A heartbeat arrives. @id: that the response gets */
 void
 controller_heartbeat (Controller *controller, const MhNow *now, guint64 id, const MhValue *report);
-/** controller_reply: The answer to its call of that id. @status: HTTP status; 0: there was none */
+/** controller_call_finished: The call @id of the controller is over. @status: HTTP status; 0: no
+ * answer came */
 void
 controller_call_finished (Controller *controller, const MhNow *now, guint64 id, guint status,
                           const MhValue *body);
-/** controller_forwarded: @answer: (nullable): to what it forwarded; %NULL: there was none */
+/** controller_forward_finished: A request that the controller forwarded is over. @answer:
+ * (nullable): %NULL: no answer came */
 void
 controller_forward_finished (Controller *controller, const MhNow *now, guint64 id,
                              const MhUserAnswer *answer);
-/** controller_leader_announced: Another controller says who leads. */
+/** controller_leader_announced: Another controller announces itself as leader. */
 void
 controller_leader_announced (Controller *controller, const MhNow *now, const char *node,
                              guint64 epoch);
-/** controller_pop: Returns: (transfer full) (nullable): its next action */
+/** controller_next_action: Returns: (transfer full) (nullable): the next action; %NULL: none is
+ * left */
 MhAction *
 controller_next_action (Controller *controller, gint64 mono_us);
-/** controller_next_wake: Returns: when it wants its next tick, on its monotonic clock */
+/** controller_next_wake: Returns: when it needs its next tick, on its monotonic clock */
 gint64
 controller_next_wake (const Controller *controller);
-/** controller_leads: Returns: whether its lease is valid, as of its last input */
+/** controller_leads: Returns: whether its leader lease is valid, as of its last input */
 bool
 controller_leads (const Controller *controller);
-/** controller_ready: Returns: as GET /ready is answered */
+/** controller_ready: Returns: whether GET /ready is answered with success */
 bool
 controller_ready (const Controller *controller);
--- a/tests/stand-in/environment.c
+++ b/tests/stand-in/environment.c
@@ -1,6 +1,7 @@
 #include "stand-in/environment.h"
 
-/* Not a rule of the protocol but ours: a late transaction of an earlier leader must fail. */
+/* A rule of this project, not of the protocol: each transaction must depend on the leader key, so
+   that a late transaction of an earlier leader fails. */
 static void
 on_unfenced_transaction (gpointer data)
 {
--- a/tests/stand-in/environment.h
+++ b/tests/stand-in/environment.h
@@ -1,6 +1,6 @@
-/* Everything outside the service by its published protocol: the key-value store, the cloud, the
-   workers, and what jobs really do, with the account of the rules. No I/O, and no clock of its
-   own: it can stand behind a simulated network or behind real servers. */
+/* Everything outside the service, by the published protocol: the key-value store, the cloud, the
+   workers, the workload of the jobs, and the rule checks. It does no I/O and has no clock of its
+   own, so that it can run behind a simulated network or behind real servers. */
 #pragma once
 
 #include "protocol/request.h"
@@ -9,7 +9,7 @@
 #include "stand-in/rule-checks.h"
 #include "stand-in/worker-protocol.h"
 
-/** Environment: The parts, each with a header of its own. */
+/** Environment: The parts of the environment. Each has its own header. */
 typedef struct
 {
   KeyValueStore *store;
@@ -19,34 +19,37 @@
   RuleChecks *rules;
 } Environment;
 
-/** environment_new: @settings: of the services and the workers; must outlive it */
+/** environment_new: @settings: of the services and the workers; must outlive the environment */
 Environment *
 environment_new (const MhSettings *settings, gint64 now_us);
-/** environment_free: @environment: with all its parts */
+/** environment_free: Frees @environment with all its parts. */
 void
 environment_free (Environment *environment);
 /**
  * environment_advance:
- * @now_us: time, not before the last one
- * @ended: (element-type EndedWatch): watches that are answered now are added
+ * @now_us: new time, not before the previous one
+ * @ended: (element-type EndedWatch): the watches that end now are appended
  *
- * Lets time pass: leases expire, machines come up, tasks run.
+ * Advances the time: leases expire, machines finish booting, tasks make progress.
  */
 void
 environment_advance (Environment *environment, gint64 now_us, GArray *ended);
 /**
  * environment_serve:
- * @target: the store or the cloud
- * @reply: (out): its answer
+ * @target: the key-value store or the cloud
+ * @reply: (out): the answer
  *
- * Returns: false if the answer comes through environment_advance() under the request's token
+ * Returns: false if the request is a watch, which environment_advance() answers later under the
+ * token of the request
  */
 bool
 environment_serve (Environment *environment, MhTarget target, const ServiceRequest *request,
                    ServiceReply *reply);
-/** environment_running_tasks: Returns: how many tasks of the job have not ended on any machine */
+/** environment_running_tasks: Returns: how many tasks of the job are on machines and have not ended
+ */
 guint
 environment_running_tasks (const Environment *environment, const char *job_id);
-/** environment_describe: Appends all that is stored, rented, running or told, in a fixed order. */
+/** environment_describe: Appends the state of the environment to @out in a fixed order: keys,
+ * machines, create requests, jobs and violations. */
 void
 environment_describe (const Environment *environment, GString *out);
--- a/tests/stand-in/fake-clock.c
+++ b/tests/stand-in/fake-clock.c
@@ -89,7 +89,7 @@
   Event *event = g_sequence_get (first);
   if (event->paused_until_us && *event->paused_until_us > clock->now_us)
     {
-      /* Queued up until then, in the old order. */
+      /* Postponed events keep their order. */
       event->at_us = *event->paused_until_us;
       g_sequence_sort_changed (first, compare_events, NULL);
       return;
--- a/tests/stand-in/fake-clock.h
+++ b/tests/stand-in/fake-clock.h
@@ -1,5 +1,6 @@
-/* A clock that stands still between events, and the queue of these events. Events at the same time
-   run in the order in which they were added, so that a run depends on nothing but its inputs. */
+/* A clock that advances only from event to event, and the queue of these events. Events of the same
+   time run in the order in which they were added, so that a run depends on nothing but its inputs.
+   */
 #pragma once
 
 #include <glib.h>
@@ -9,8 +10,8 @@
 
 /**
  * FakeClock:
- * @now_us: present time; the owner moves it, never past the next event
- * @last_number: of the numbers that were handed out
+ * @now_us: present time; set by the owner, never to a time past the next event
+ * @last_number: last number that fake_clock_next_number() returned
  * @events: private
  */
 typedef struct
@@ -20,27 +21,26 @@
   GSequence *events;
 } FakeClock;
 
-/** fake_clock_new: Returns: (transfer full): without events */
+/** fake_clock_new: Returns: (transfer full): a clock without events */
 FakeClock *
 fake_clock_new (gint64 now_us);
-/** fake_clock_free: @clock: with the data of events that have not run */
+/** fake_clock_free: Frees @clock, and the data of events that have not run. */
 void
 fake_clock_free (FakeClock *clock);
-/** fake_clock_next_number: Returns: one that no event and no other caller has */
+/** fake_clock_next_number: Returns: a number that no event and no other caller has */
 guint64
 fake_clock_next_number (FakeClock *clock);
 /**
  * fake_clock_add:
  * @at_us: when @func is called; a time in the past means now
- * @free: (nullable): called with @data when the event has run, or with the clock
+ * @free: (nullable): called with @data when the event has run or the clock is freed
  */
 void
 fake_clock_add (FakeClock *clock, gint64 at_us, FakeClockFunc func, gpointer data,
                 GDestroyNotify free);
 /**
  * fake_clock_add_pausable:
- * @paused_until_us: (nullable): while this time has not come, the event waits for it; read when the
- *   event is due
+ * @paused_until_us: (nullable): the event is postponed to this time; read when the event is due
  */
 void
 fake_clock_add_pausable (FakeClock *clock, const gint64 *paused_until_us, gint64 at_us,
@@ -48,6 +48,6 @@
 /** fake_clock_next_event_us: Returns: time of the next event; %G_MAXINT64: there is none */
 gint64
 fake_clock_next_event_us (const FakeClock *clock);
-/** fake_clock_run_next: Runs the next event, which must be due, or puts it off if it is paused. */
+/** fake_clock_run_next: Runs the next event, which must be due, or postpones it if it is paused. */
 void
 fake_clock_run_next (FakeClock *clock);
--- a/tests/stand-in/gang-runtime.c
+++ b/tests/stand-in/gang-runtime.c
@@ -1,13 +1,13 @@
-/* The part of worker-runtime.h that runs gangs: what their workers do together. */
+/* The part of worker-runtime.h that runs gangs: what their tasks do together. */
 #include "stand-in/worker-runtime.h"
 #include "protocol/worker-messages.h"
 
 #include <string.h>
 
-/* The tasks of a gang on machines that do not stand still. */
+/* The tasks of a gang that have not ended, on running machines that do not hang. */
 typedef struct
 {
-  GPtrArray *started; /* MachineTask: running or saving */
+  GPtrArray *started; /* MachineTask: running or saving a checkpoint */
   guint gathered, saved;
   guint64 attempt;
 } GangState;
@@ -73,7 +73,8 @@
   job->incomplete_since_us = job->stop_requested_us = 0;
 }
 
-/* The others have waited for a lost task, or for one that does not save, for long enough. */
+/* Returns whether the other tasks have waited long enough for a lost task, or for one that does not
+   finish its checkpoint. */
 static bool
 should_give_up (const WorkerRuntime *runtime, const WorkloadJob *job)
 {
--- a/tests/stand-in/key-value-requests.c
+++ b/tests/stand-in/key-value-requests.c
@@ -94,7 +94,7 @@
 
 /* ---- transactions ---- */
 
-/* Transactions whose conditions fail count as well. */
+/* Takes tokens for a transaction. It costs them even if its conditions fail. */
 static bool
 take_write_tokens (KeyValueStore *store, gsize changes)
 {
@@ -113,7 +113,7 @@
   return true;
 }
 
-/* Returns the names of the keys that have another version than their conditions say. */
+/* Returns the names of the keys whose revision differs from that of their condition. */
 static MhValue *
 find_failed_conditions (const KeyValueStore *store, const MhValue *conditions, bool *fenced)
 {
@@ -143,7 +143,7 @@
          && mh_value_json_size (body) <= MAX_TRANSACTION_BYTES;
 }
 
-/* Their leases exist, and their values are not too large. */
+/* Returns whether the leases of the changes exist and no value is too large. */
 static bool
 are_changes_valid (const KeyValueStore *store, const MhValue *changes)
 {
--- a/tests/stand-in/key-value-store.h
+++ b/tests/stand-in/key-value-store.h
@@ -5,19 +5,19 @@
 #include "settings/settings.h"
 #include "stand-in/service.h"
 
-/** KeyValueStoreUnfenced: Called for a transaction that has no condition on the leader's key. */
+/** KeyValueStoreUnfencedFunc: Called for each transaction without a condition on the leader key. */
 typedef void (*KeyValueStoreUnfencedFunc) (gpointer data);
 
 /**
  * KeyValueStore:
  * @settings: limits of values and transactions; not owned, and read at each request
- * @now_us: present time; the owner moves it by key_value_store_advance()
- * @outage_until_us: every request gets 503 until then, and no lease expires
- * @write_rps: changes a second that it takes, in bursts of one second; 0: any
- * @throttled_writes: transactions refused because of @write_rps
- * @malformed_writes: transactions refused for their size or for a lease that has expired
- * @final_record_reads: requests for the final record of a job
- * @keys: name -> key, in the order of the names
+ * @now_us: present time; set by key_value_store_advance()
+ * @outage_until_us: until then every request gets 503, and no lease expires
+ * @write_rps: rate limit in changes per second, with bursts of one second; 0: no limit
+ * @throttled_writes: number of transactions refused because of @write_rps
+ * @malformed_writes: number of transactions refused for their size or an expired lease
+ * @final_record_reads: number of requests for the final record of a job
+ * @keys: name -> StoredKey, in the order of the names
  * @revision: of the last change
  *
  * The other fields are private.
@@ -35,8 +35,8 @@
   guint64 revision;
 
   guint64 last_lease;
-  GHashTable *lease_expiries;  /* lease -> gint64 time */
-  GHashTable *lease_durations; /* lease -> gint64 duration */
+  GHashTable *lease_expiries;  /* lease -> gint64, when it expires, in microseconds */
+  GHashTable *lease_durations; /* lease -> gint64, its duration, in microseconds */
   GArray *history;             /* KeyChange */
   GArray *watches;             /* Watch */
   double write_tokens;
@@ -49,7 +49,7 @@
  * EndedWatch:
  * @token: of the request
  * @status: HTTP status
- * @body: its news; the receiver's to unref
+ * @body: the changes; the receiver must unref it
  */
 typedef struct
 {
@@ -58,41 +58,44 @@
   MhValue *body;
 } EndedWatch;
 
-/** key_value_store_new: Returns: (transfer full): empty, at time 0 */
+/** key_value_store_new: Returns: (transfer full): an empty store at time 0 */
 KeyValueStore *
 key_value_store_new (const MhSettings *settings);
-/** key_value_store_free: @store: a store; tokens of watches are the callers' */
+/** key_value_store_free: Frees @store. The tokens of watches remain owned by the callers. */
 void
 key_value_store_free (KeyValueStore *store);
-/** key_value_store_set_unfenced: @unfenced is called whenever a transaction is not fenced. */
+/** key_value_store_set_unfenced_func: Sets the function that is called for each transaction without
+ * a condition on the leader key. */
 void
 key_value_store_set_unfenced_func (KeyValueStore *store, KeyValueStoreUnfencedFunc unfenced_func,
                                    gpointer data);
 /**
  * key_value_store_serve:
  * @request: a request
- * @reply: (out): its answer
+ * @reply: (out): the answer
  *
- * Returns: false if the answer comes later, from key_value_store_advance() under the request's
- * token
+ * Returns: false if the request is a watch, which key_value_store_advance() answers later under the
+ * token of the request
  */
 bool
 key_value_store_serve (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply);
 /**
  * key_value_store_advance:
- * @now_us: time, not before the last one
- * @ended: (element-type EndedWatch): watches that are answered now are added
+ * @now_us: new time, not before the previous one
+ * @ended: (element-type EndedWatch): the watches that end now are appended
  *
- * Leases expire, and watches end. After an outage every lease has its full time again.
+ * Advances the time: leases expire and watches end. After an outage, every lease gets its full
+ * duration again.
  */
 void
 key_value_store_advance (KeyValueStore *store, gint64 now_us, GArray *ended);
 /** key_value_store_watch_token: Returns: the token of the waiting watch with that index */
 gpointer
 key_value_store_watch_token (const KeyValueStore *store, guint index);
-/** key_value_store_corrupt: The key's value becomes one that no version writes. */
+/** key_value_store_corrupt: Replaces the value of the key by one that no version writes. */
 void
 key_value_store_corrupt (KeyValueStore *store, const char *name);
-/** key_value_store_describe_keys: Appends a line a key to @out, in the order of their names. */
+/** key_value_store_describe_keys: Appends a line for each key to @out, in the order of their names.
+ */
 void
 key_value_store_describe_keys (const KeyValueStore *store, GString *out);
--- a/tests/stand-in/machine.h
+++ b/tests/stand-in/machine.h
@@ -1,6 +1,5 @@
-/* A machine of the cloud, and the tasks that its worker program holds. This is its state alone:
-   worker-runtime.h runs the tasks, worker-protocol.h speaks to controllers, cloud.h rents it out.
- */
+/* A machine of the cloud and the tasks on it. This is the state alone: worker-runtime.h runs the
+   tasks, worker-protocol.h talks to controllers, cloud.h creates and releases machines. */
 #pragma once
 
 #include "stand-in/workload.h"
@@ -11,10 +10,10 @@
 /**
  * MachineType:
  * @name: as the cloud lists it
- * @cpus: that tasks may use
- * @mem_gb: that tasks may use
- * @price: an hour
- * @spot_price: an hour, as a spot machine
+ * @cpus: available to tasks
+ * @mem_gb: available to tasks
+ * @price: per hour
+ * @spot_price: per hour, as a spot machine
  */
 typedef struct
 {
@@ -24,16 +23,16 @@
 
 /**
  * MachineTask:
- * @workload_job: (nullable): looked up when the task is first advanced, as that is done often
+ * @workload_job: (nullable): cached at the first advance, because tasks are advanced often
  * @task_id: "JOB/INDEX"
- * @job_id: the job's id
+ * @job_id: id of the job
  * @index: of the task in its job
- * @attempt: number that the controllers gave
- * @phase: as it is reported
- * @cause: (nullable): of an ended task: why, in the protocol's words
- * @ready_us: when its image is there
- * @end_us: when its run ends by itself; 0: never
- * @stop_requested_us: of a gang's task: when it was told to save and stop; 0: it was not
+ * @attempt: number that the controllers gave the attempt
+ * @phase: as heartbeats report it
+ * @cause: (nullable): why an ended task has ended, in the protocol's words
+ * @ready_us: when its image is fetched
+ * @end_us: when it has run to its end; 0: never
+ * @stop_requested_us: when a task of a gang was commanded to save and stop; 0: not yet
  */
 typedef struct
 {
@@ -53,23 +52,23 @@
  * @name: given by the cloud
  * @endpoint: "address:port" of its worker
  * @type: name of its MachineType
- * @zone: where it stands
- * @spot: the cloud may take it back
- * @up: it has started, and its worker runs
- * @gone: released, or taken back by the cloud
- * @failed: stopped by itself, with all that was on it; still in the cloud's list
- * @faulty: every task on it fails
- * @rented_us: when the cloud gave it
- * @up_us: when it has started
- * @gone_us: when @gone was set
- * @hung_until_us: it stands still until then
- * @preempted_at_us: when the cloud takes it back, as its reports warn; 0: never
- * @session: incarnation of its worker, which rises whenever the lease has expired
- * @sequence: number of its last report
- * @token: highest fencing token that it has seen
- * @lease_from_us: when its last answered report was sent
+ * @zone: in which it is
+ * @spot: the cloud may preempt it
+ * @running: it has booted, and has neither failed nor been removed
+ * @removed: it was released or preempted
+ * @failed: it has failed, with all tasks on it; the cloud still lists it
+ * @fails_all_tasks: every task on it fails
+ * @created_us: when it was created
+ * @boot_done_us: when it has booted
+ * @removed_us: when @removed was set
+ * @hung_until_us: executes nothing until then
+ * @preempted_at_us: when it is preempted, as heartbeats announce in advance; 0: never
+ * @incarnation: of its worker; rises when the lease has expired
+ * @heartbeat_sequence: number of the last heartbeat in this incarnation
+ * @fencing_token: highest fencing token seen
+ * @lease_start_us: when the heartbeat was sent that last renewed the lease
  * @tasks: (element-type MachineTask):
- * @images: set of the images that it has
+ * @cached_images: set of the images that it has fetched
  * @runtime: runs its tasks; not owned
  */
 typedef struct
@@ -85,42 +84,44 @@
   struct WorkerRuntime *runtime;
 } Machine;
 
-/** machine_types: @count: (out): how many there are; Returns: all types */
+/** machine_types: @count: (out): number of types. Returns: all types */
 const MachineType *
 machine_types (guint *count);
-/** machine_new: Returns: (transfer full): the machine of that number, which is not up yet */
+/** machine_new: Returns: (transfer full): machine number @number, which has not booted yet */
 Machine *
 machine_new (guint number, const char *type, const char *zone, struct WorkerRuntime *runtime);
-/** machine_free: @machine: a Machine */
+/** machine_free: Frees @machine, a Machine. */
 void
 machine_free (gpointer machine);
-/** machine_fail: It stops by itself, with all that is on it. */
+/** machine_fail: Makes the machine fail, with all tasks on it. */
 void
 machine_fail (Machine *machine);
-/** machine_take_away: The cloud has it again, as of @now_us. */
+/** machine_remove: Removes the machine as released or preempted at @now_us. */
 void
 machine_remove (Machine *machine, gint64 now_us);
-/** machine_task: Returns: the task at that place of the machine's list */
+/** machine_task: Returns: the task at that position in @tasks */
 MachineTask *
 machine_task (const Machine *machine, guint position);
-/** machine_running_tasks: Returns: how many tasks of a job have not ended on the machine */
+/** machine_running_tasks: Returns: how many tasks of the job are on the machine and have not ended
+ */
 guint
 machine_running_tasks (const Machine *machine, const char *job_id);
 /**
  * machine_add_use:
- * @team: (nullable): whose tasks are counted; %NULL: all
- * @cpus: increased by what running tasks use
- * @mem_gb: increased by what running tasks use
+ * @team: (nullable): whose tasks are counted; %NULL: all tasks
+ * @cpus: increased by what tasks that have not ended use
+ * @mem_gb: increased by what tasks that have not ended use
  */
 void
 machine_add_use (const Machine *machine, const Workload *workload, const char *team, double *cpus,
                  double *mem_gb);
-/** machine_has_room: Returns: whether a task of the job fits beside what runs there */
+/** machine_has_room: Returns: whether the machine has free capacity for a task of the job */
 bool
 machine_has_room (const Machine *machine, const Workload *workload, const MhJobSpec *spec);
-/** machine_allowed: Returns: whether the job's wishes for spot, zone and type allow the machine */
+/** machine_allowed: Returns: whether the job's constraints on spot machines, zone and type allow
+ * the machine */
 bool
 machine_allowed (const Machine *machine, const MhJobSpec *spec);
-/** machine_describe: Appends a line to @out. */
+/** machine_describe: Appends a line with the state of the machine to @out. */
 void
 machine_describe (const Machine *machine, GString *out);
--- a/tests/stand-in/network.c
+++ b/tests/stand-in/network.c
@@ -29,7 +29,7 @@
   g_free (network);
 }
 
-/* What cannot happen draws nothing. */
+/* Draws no random number if the probability is 0. */
 static bool
 draw (Network *network, double probability)
 {
--- a/tests/stand-in/network.h
+++ b/tests/stand-in/network.h
@@ -1,5 +1,5 @@
-/* How unreliable the network is: chances of loss, delay and duplication, drawn from one seeded
-   source, and requests that a test holds back or keeps. */
+/* The unreliability of the network: probabilities of loss, delay and duplication, drawn from one
+   seeded source, and requests that a test holds or records. */
 #pragma once
 
 #include <glib.h>
@@ -7,16 +7,16 @@
 
 /**
  * Network:
- * @random: source of all chance; not owned
- * @loss_probability: that a message, or its answer, is lost
- * @delay_probability: that it comes up to 30 s late
- * @duplicate_probability: that another copy of a request comes, up to a minute later
- * @late_write_probability: that a transaction gets no answer, and is carried out 2 to 12 s later
- * @hold_commands: direct calls to workers arrive only when the test releases them
- * @held_commands: (element-type OutgoingCall): those
- * @held_writes: (element-type OutgoingCall): transactions of nodes with hold_writes
- * @keep_requests: every request that arrives is kept, to be repeated
- * @kept_requests: (element-type OutgoingCall): those
+ * @random: the source of randomness; not owned
+ * @loss_probability: that a message or its answer is lost
+ * @delay_probability: that a message is delayed by up to 30 s more
+ * @duplicate_probability: that a request arrives a second time, up to 60 s later
+ * @late_write_probability: that a transaction is not answered, but applied 2 s to 12 s later
+ * @hold_commands: direct calls to workers are held until the test releases them
+ * @held_commands: (element-type OutgoingCall): the held calls to workers
+ * @held_writes: (element-type OutgoingCall): the held transactions of nodes with @hold_writes
+ * @keep_requests: a copy of every request other than a GET is kept when it arrives
+ * @kept_requests: (element-type OutgoingCall): the copies
  */
 typedef struct
 {
@@ -32,25 +32,26 @@
   GPtrArray *kept_requests;
 } Network;
 
-/** network_new: @call_unref: for what is held and kept. Returns: (transfer full): a reliable one */
+/** network_new: @call_unref: frees held and kept calls. Returns: (transfer full): a reliable
+ * network */
 Network *
 network_new (GRand *random, GDestroyNotify call_unref);
-/** network_free: @network: with what is held and kept */
+/** network_free: Frees @network with the calls that are held or kept. */
 void
 network_free (Network *network);
-/** network_draw_delay: Returns: how long the next message is on its way, in microseconds */
+/** network_draw_delay: Returns: the delay of the next message, in microseconds */
 gint64
 network_draw_delay (Network *network);
 /** network_draw_loss: Returns: whether the next message is lost */
 bool
 network_draw_loss (Network *network);
-/** network_draw_duplicate: Returns: whether the request comes once more */
+/** network_draw_duplicate: Returns: whether the next request is duplicated */
 bool
 network_draw_duplicate (Network *network);
-/** network_draw_duplicate_delay: Returns: how much later it does, in microseconds */
+/** network_draw_duplicate_delay: Returns: the delay of the duplicate, in microseconds */
 gint64
 network_draw_duplicate_delay (Network *network);
-/** network_draw_late_write: Returns: by how much the transaction is late, in microseconds; 0: not
- */
+/** network_draw_late_write_delay: Returns: by how much the transaction is delayed, in microseconds;
+ * 0: not at all */
 gint64
 network_draw_late_write_delay (Network *network);
--- a/tests/stand-in/outgoing-call.c
+++ b/tests/stand-in/outgoing-call.c
@@ -12,7 +12,7 @@
   guint node, incarnation; /* of the sender */
   guint64 id;
   MhRequest *request;
-  bool answered; /* or nobody waits for an answer */
+  bool answered; /* also true for a copy, whose answer is ignored */
   guint status;
   MhValue *body;
 };
@@ -75,7 +75,7 @@
   on_answer_arrival (call);
 }
 
-/* The body is taken over. */
+/* Sends an answer to the caller. Takes ownership of the body. */
 static void
 send_answer (OutgoingCall *call, guint status, MhValue *body)
 {
@@ -104,7 +104,7 @@
 
 /* ---- copies ---- */
 
-/* The same request once more, as an old copy of it: nobody waits for its answer. */
+/* Returns a duplicate of the request, whose answer is ignored. */
 static OutgoingCall *
 copy_call (const OutgoingCall *call)
 {
@@ -148,7 +148,7 @@
     return;
   if (worker->answers_lost_until_us > now_us)
     return;
-  /* Held back by a hang or a cut, it is carried out afterwards, however late. */
+  /* A command that a hang or a partition delays is carried out afterwards, however late. */
   gint64 until_us = worker_unreachable_until (worker, sender_of (call));
   if (until_us > now_us)
     {
@@ -164,7 +164,7 @@
   send_answer (call, status, reply);
 }
 
-/* Returns whether a transaction comes late, is held back or is lost. */
+/* Returns whether the transaction is delayed, held or lost. */
 static bool
 intercept_write (OutgoingCall *call)
 {
@@ -208,7 +208,7 @@
   if (environment_serve (call->simulation->environment, called->target, &request, &reply))
     send_answer (call, reply.status, reply.body);
   else
-    g_rc_box_acquire (call); /* the watch holds it */
+    g_rc_box_acquire (call); /* owned by the watch */
 }
 
 static void
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -9,8 +9,8 @@
   Simulation *simulation;
   guint from, to;
   guint incarnation; /* of the sender */
-  guint64 id;        /* of the request; of an announcement: the epoch */
-  char *text;        /* the job's id; of an announcement: the leader's node */
+  guint64 id;        /* of the request; in an announcement: the epoch */
+  char *text;        /* id of the job; in an announcement: name of the leader's node */
   MhUserVerb verb;
   MhJobSpec *spec;
   MhUserAnswer answer;
@@ -37,7 +37,7 @@
   return message;
 }
 
-/* Handed to `node` after `in_us`, and when it does not stand still. */
+/* Delivers the message to `node` after `in_us`, or when the node is no longer frozen. */
 static void
 schedule_delivery (PeerMessage *message, const ControllerNode *node, gint64 in_us,
                    FakeClockFunc arrive)
@@ -83,7 +83,7 @@
 
 /* ---- forwarded requests ---- */
 
-/* The answer, or that there was none in time. */
+/* An answer, or the time-out of a request that got none. */
 static void
 on_answer (gpointer data)
 {
@@ -97,7 +97,7 @@
   controller_node_drain (node);
 }
 
-/* From whom a request came, and which it was. */
+/* Copies the fields that identify the request and its sender. */
 static PeerMessage *
 copy_sender (const PeerMessage *message)
 {
--- a/tests/stand-in/peer-message.h
+++ b/tests/stand-in/peer-message.h
@@ -1,12 +1,12 @@
-/* Messages between controllers: announcements of a leader, and users' requests that a follower
-   forwards, with their answers. */
+/* Messages between controllers: announcements of a leader, and requests of users that a follower
+   forwards to the leader, with their answers. */
 #pragma once
 
 #include "stand-in/controller-node.h"
 
-/** peer_message_announce: Sends an announcement to the node that @action names. */
+/** peer_message_announce: Sends a leader announcement to the node that @action names. */
 void
 peer_message_announce (ControllerNode *from, const MhAction *action);
-/** peer_message_forward: Sends a user's request to the node that @action names. */
+/** peer_message_forward: Forwards a user's request to the node that @action names. */
 void
 peer_message_forward (ControllerNode *from, const MhAction *action, const PendingRequest *request);
--- a/tests/stand-in/random-day.c
+++ b/tests/stand-in/random-day.c
@@ -14,23 +14,25 @@
 #define LARGE_FLEET_MACHINES 250u
 #define VERY_LARGE_FLEET_MACHINES 2000u
 #define FLEET_SPARE_MACHINES 70u
+/* Within this time after the last turn every job must be settled. */
 #define MAX_RECOVERY_S 400u
+/* Faults may remain active for this long after the last turn. */
 #define MAX_REMAINING_FAULT_S 60u
-/* Within this time every user has asked several times. */
+/* Within this time every user has sent several requests. */
 #define ANSWER_CHECK_S 75
 
 typedef struct
 {
   Simulation *simulation;
-  bool mixed_versions; /* the controllers' versions change */
-  bool changes_limits; /* the store's limits do */
+  bool mixed_versions; /* the controllers change versions */
+  bool changes_limits; /* the limits of the store change */
   guint job_count;
 } RandomDay;
 
 /* ---- the beginning ---- */
 
-/* All begin with the version in production. The limits that come next are announced on every other
-   of these days. */
+/* Starts all controllers with the version in production. On days with odd seeds the settings
+   announce the next limits, which the store applies from NEXT_LIMITS_START_TURN on. */
 static void
 start_with_production (const RandomDay *day)
 {
@@ -48,7 +50,7 @@
     }
 }
 
-/* Now and then the fleet is large, or very large. */
+/* On every 20th day the fleet is large, and on every 40th very large. */
 static void
 add_fleet (Simulation *simulation, guint seed)
 {
@@ -110,7 +112,7 @@
   if (!service && g_rand_int_range (random, 0, 3) == 0)
     draw_gang (random, spec);
   draw_zones (random, spec);
-  /* At most half of its tasks may be in a zone, and only one zone is allowed. */
+  /* At most half of the tasks may be in one zone, but only one zone is allowed. */
   bool infeasible
       = spec->shape == MH_SHAPE_GANG && spec->spread_over_zones && spec->zone && spec->tasks > 1;
   double run_s = service ? 0 : g_rand_double_range (random, 1, 10);
@@ -125,7 +127,7 @@
       g_ptr_array_index (users, g_rand_int_range (simulation->random, 0, (gint)users->len)));
 }
 
-/* Whoever starts again next has either version; now and then one is replaced. */
+/* Gives each node that is down a random version for its next start, and sometimes stops a node. */
 static void
 draw_node_versions (Simulation *simulation)
 {
@@ -171,7 +173,7 @@
     apply_next_limits (simulation);
   start_some_nodes (simulation);
   simulation_run (simulation, TURN_LENGTH_S);
-  simulation_leader (simulation); /* asserts that there is at most one */
+  simulation_leader (simulation); /* asserts that there is at most one leader */
 }
 
 /* ---- the end ---- */
@@ -199,13 +201,13 @@
   guint running = simulation_running_tasks (simulation, job->spec->id);
   if (user_is_settled (user) && running == 0)
     return;
-  g_printerr ("left: %s, %u of %u done, %u running, last answer %u%s%s\n", job->spec->id,
+  g_printerr ("not settled: %s, %u of %u done, %u running, last status %u%s%s\n", job->spec->id,
               job->done_count, job->spec->tasks, running, user->last_status,
-              user->reported_cancelled ? ", told cancelled" : "",
-              user->reported_done ? ", told done" : "");
+              user->reported_cancelled ? ", reported cancelled" : "",
+              user->reported_done ? ", reported done" : "");
 }
 
-/* Everything that was accepted must come to its end. */
+/* Asserts that every accepted job is settled in the end. */
 static void
 assert_all_settle (Simulation *simulation)
 {
@@ -222,7 +224,7 @@
   g_assert_true (settled);
 }
 
-/* Nobody's job is forgotten. */
+/* Asserts that no job is forgotten: every user gets answers until the end. */
 static void
 assert_all_are_answered (Simulation *simulation)
 {
--- a/tests/stand-in/random-day.h
+++ b/tests/stand-in/random-day.h
@@ -1,19 +1,21 @@
-/* Seeded days: crashes, cuts, hangs, losses, late and repeated messages over three controllers,
-   with the rules checked throughout. The same seed is the same day. */
+/* Random days: two minutes of jobs and faults on three controllers, drawn from a seed, with the
+   rules checked throughout: crashes, partitions, hangs, lost, late and duplicate messages. The same
+   seed gives the same day. */
 #pragma once
 
 #include <glib.h>
 
-/** RANDOM_DAY_VERSIONS: Days in which the controllers' versions change have seeds above this. */
+/** RANDOM_DAY_MIXED_VERSIONS_SEEDS: On days with seeds above this the controllers change versions.
+ */
 #define RANDOM_DAY_MIXED_VERSIONS_SEEDS 10000u
 
 /**
  * random_day_run:
  * @seed: of the day
- * @digest: (nullable): takes in all that leaves the controllers on that day, and all that is left
- *   outside at its end
+ * @digest: (nullable): hashes every action of the controllers on that day, and the final state of
+ *   the environment
  *
- * Plays the day and asserts the rules.
+ * Runs the day, and asserts that no rule is violated and that every job is settled in the end.
  */
 void
 random_day_run (guint seed, GChecksum *digest);
--- a/tests/stand-in/random-fault.c
+++ b/tests/stand-in/random-fault.c
@@ -2,12 +2,12 @@
 
 #define FIRST_ODD_JOB_NUMBER 900000u
 
-/* Whom it meets, and how long it lasts. */
+/* What the fault affects, and until when. */
 typedef struct
 {
   Simulation *simulation;
   ControllerNode *node;
-  Worker *worker; /* NULL: there is none yet */
+  Worker *worker; /* NULL: no machine exists yet */
   gint64 until_us;
 } Fault;
 
@@ -28,7 +28,8 @@
     simulation_stop_node (fault->simulation, i);
 }
 
-/* Back at once, whatever it was doing: perhaps in the middle of an election. */
+/* Restarts the node within 0.4 s, whatever it was doing, for example in the middle of an election.
+ */
 static void
 restart_node (const Fault *fault)
 {
@@ -44,7 +45,7 @@
   simulation_freeze_node (fault->simulation, fault->node->index, seconds);
 }
 
-/* Between deciding and sending. */
+/* Freezes the node between its decision and the sending of the messages. */
 static void
 freeze_before_acting (const Fault *fault)
 {
@@ -72,7 +73,7 @@
   fault->node->workers_cut_until_us = fault->until_us;
 }
 
-/* It keeps its workers alone. */
+/* The node can reach only its workers. */
 static void
 cut_store_and_peers (const Fault *fault)
 {
@@ -80,7 +81,8 @@
   cut_peers (fault);
 }
 
-/* Refused alone, and a moment later everybody is. */
+/* The store rejects the requests of this node. In half of the cases an outage of the store for all
+   nodes begins at the same time, and lasts 30 s longer. */
 static void
 reject_at_store (const Fault *fault)
 {
@@ -145,7 +147,7 @@
     fault->worker->answers_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
 }
 
-/* Reports reach nobody, commands arrive. */
+/* No heartbeat reaches a controller, but commands reach the worker. */
 static void
 lose_heartbeats_of_worker (const Fault *fault)
 {
@@ -155,7 +157,7 @@
 
 /* ---- users ---- */
 
-/* A job that can never run, and cancellations of what is over. */
+/* Submits a job that can never run, and cancels the jobs that are done. */
 static void
 send_odd_requests (const Fault *fault)
 {
@@ -178,7 +180,7 @@
   simulation_submit (simulation, spec, 1)->infeasible = true;
 }
 
-/* Their order is part of every day. */
+/* The order must not change: a random day draws its faults by index. */
 static const FaultFunc faults[] = {
   stop_node,
   stop_node,
--- a/tests/stand-in/random-fault.h
+++ b/tests/stand-in/random-fault.h
@@ -1,9 +1,9 @@
-/* One fault of a random day. */
+/* A fault of a random day. */
 #pragma once
 
 #include "stand-in/simulation.h"
 
-/** random_fault_inject: Draws a fault, which mostly ends by itself, and gives it to the simulation.
- */
+/** random_fault_inject: Draws a random fault and injects it. Most faults end after a time that is
+ * drawn as well. */
 void
 random_fault_inject (Simulation *simulation);
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -51,7 +51,7 @@
   const MachineTask *task;
   const WorkloadJob *job;
   double team_cpus;
-  guint same_zone, other_zones; /* further tasks of the job */
+  guint same_zone, other_zones; /* number of other tasks of the job */
 } TaskStart;
 
 static void
@@ -60,11 +60,12 @@
 {
   if (other == start->task || strcmp (other->job_id, start->task->job_id) != 0)
     return;
-  /* Not a rule of the protocol but ours. */
+  /* A rule of this project, not of the protocol. */
   if (workload_job_is_gang (start->job) && other->attempt != start->task->attempt)
-    rule_checks_add_violation (rules, "two attempts of gang %s at once", start->task->job_id);
+    rule_checks_add_violation (rules, "two attempts of gang %s at the same time",
+                               start->task->job_id);
   if (other->index == start->task->index)
-    rule_checks_add_violation (rules, "ran_twice: %s starts on %s while on %s",
+    rule_checks_add_violation (rules, "ran_twice: %s starts on %s while it is on %s",
                                start->task->task_id, start->machine->name, machine->name);
   if (strcmp (machine->zone, start->machine->zone) == 0)
     start->same_zone++;
@@ -125,12 +126,13 @@
     return;
   rule_checks_add_violation (rules, "ran_cancelled: %s is still on %s", task->task_id,
                              machine->name);
-  job->cancel_confirmed_us = G_MAXINT64 / 2; /* once is enough */
+  job->cancel_confirmed_us = G_MAXINT64 / 2; /* each job is reported once */
 }
 
 /* ---- a job waits ---- */
 
-/* Tasks that need no start: on a machine, unless they must be started again. */
+/* Counts the tasks of the job on the machine that need no start now: those that have not ended, and
+   those that ended without being done and are still listed. */
 static guint
 count_placed_tasks (const Machine *machine, const WorkloadJob *job)
 {
@@ -168,7 +170,7 @@
          && rules->now_us >= machine->hung_until_us;
 }
 
-/* A task of the job could start now, whatever its other tasks do. */
+/* Returns whether a task of the job could start now, whatever its other tasks do. */
 static bool
 could_start_a_task (const RuleChecks *rules, const WorkloadJob *job)
 {
@@ -184,7 +186,8 @@
   return false;
 }
 
-/* Jobs whose zones depend on their other tasks, and services, which are spread, are left out. */
+/* Excludes jobs whose possible zones depend on their other tasks, and services, which are spread.
+ */
 static bool
 must_not_keep_waiting (const RuleChecks *rules, const WorkloadJob *job)
 {
@@ -208,7 +211,7 @@
         job->schedulable_since_us = rules->now_us;
       else if (rules->now_us - job->schedulable_since_us > MAX_SCHEDULABLE_WAIT_US)
         {
-          rule_checks_add_violation (rules, "left waiting: %s, though there is room",
+          rule_checks_add_violation (rules, "kept waiting: %s, although a machine has room",
                                      job->spec->id);
           job->schedulable_since_us = rules->now_us;
         }
--- a/tests/stand-in/rule-checks.h
+++ b/tests/stand-in/rule-checks.h
@@ -1,5 +1,5 @@
-/* The account of the rules: what must never happen, whatever the controllers decide. Most are the
-   published protocol's; those that are the project's own are marked as such. */
+/* The rules that must hold whatever the controllers decide. Most are rules of the published
+   protocol; a comment marks those that are rules of this project. */
 #pragma once
 
 #include "settings/settings.h"
@@ -7,12 +7,12 @@
 
 /**
  * RuleChecks:
- * @settings: limits that the rules speak of; not owned, and read whenever a rule is checked
- * @workload: what the jobs asked for; not owned
- * @machines: (element-type Machine): all there are; a reference is held
- * @now_us: present time; the owner moves it
- * @violations: (element-type utf8): each rule that was broken, with its time
- * @task_starts: how many tasks were started
+ * @settings: with the limits that the rules use; not owned, and read at each check
+ * @workload: the jobs; not owned
+ * @machines: (element-type Machine): all machines; a reference is held
+ * @now_us: present time; set by the owner
+ * @violations: (element-type utf8): the violations, each with its time
+ * @task_starts: number of started tasks
  */
 typedef struct
 {
@@ -24,25 +24,24 @@
   guint task_starts;
 } RuleChecks;
 
-/** rule_checks_new: Returns: (transfer full): without violations */
+/** rule_checks_new: Returns: (transfer full): checks without violations */
 RuleChecks *
 rule_checks_new (const MhSettings *settings, const Workload *workload, GPtrArray *machines);
-/** rule_checks_free: @rules: checks */
+/** rule_checks_free: Frees @rules. */
 void
 rule_checks_free (RuleChecks *rules);
-/** rule_checks_report: A rule was broken now. */
+/** rule_checks_add_violation: Records a violation at the present time. */
 void
 rule_checks_add_violation (RuleChecks *rules, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/** rule_checks_task_started: Checks what must hold at the moment at which a task gets onto a
- * machine. */
+/** rule_checks_task_started: Checks the rules for a task that was just started on a machine. */
 void
 rule_checks_task_started (RuleChecks *rules, const Machine *machine, const MachineTask *task,
                           const WorkloadJob *job);
 /**
  * rule_checks_task_running:
  *
- * Checks that a task that has not ended is not one of a job whose cancellation was confirmed too
- * long ago. A job is reported once.
+ * Checks that a task has ended within the limit after the cancellation of its job was confirmed.
+ * Records one violation per job.
  */
 void
 rule_checks_task_running (RuleChecks *rules, const Machine *machine, const MachineTask *task,
@@ -50,8 +49,10 @@
 /**
  * rule_checks_waiting_jobs:
  *
- * Checks that no array waits for long while a machine that fits has room and its team is under its
- * limit. Time breaks this rule by itself: to be called once a second, while there is no trouble.
+ * Checks that no array waits for long while a suitable machine has room and its team is within its
+ * quota. The mere passing of time can violate this rule, so that no event triggers the check: call
+ * it
+ * once per second, and only while no fault is active.
  */
 void
 rule_checks_waiting_jobs (RuleChecks *rules);
--- a/tests/stand-in/service.h
+++ b/tests/stand-in/service.h
@@ -1,4 +1,4 @@
-/* One request to a stand-in for an HTTP service, and its answer. */
+/* A request to a stand-in of an HTTP service, and the reply. */
 #pragma once
 
 #include "protocol/value.h"
@@ -6,11 +6,11 @@
 /**
  * ServiceRequest:
  * @method: HTTP method
- * @path: path with its query
+ * @path: path with query
  * @body: (nullable): decoded body
- * @token: what the caller calls the request by, if it is answered later
+ * @token: by which the caller identifies the request if it is answered later
  *
- * Nothing of it is taken over.
+ * The receiver takes ownership of nothing.
  */
 typedef struct
 {
@@ -22,7 +22,7 @@
 /**
  * ServiceReply:
  * @status: HTTP status
- * @body: (nullable): the caller's to unref
+ * @body: (nullable): the caller must unref it
  */
 typedef struct
 {
--- a/tests/stand-in/simulation-settings.h
+++ b/tests/stand-in/simulation-settings.h
@@ -3,6 +3,6 @@
 
 #include "settings/settings.h"
 
-/** simulation_settings_new: Returns: (transfer full): of the node with that index */
+/** simulation_settings_new: Returns: (transfer full): the settings of the node with that index */
 MhSettings *
 simulation_settings_new (guint index);
--- a/tests/stand-in/simulation.c
+++ b/tests/stand-in/simulation.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 #define START_US MH_SECOND_US
-/* The environment changes by itself too, in steps small against everything else. */
+/* The environment also changes between events. It is advanced at least this often, which is short
+   against all other periods. */
 #define MAX_STEP_US 20000
 
 Simulation *
@@ -158,11 +159,11 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       ControllerNode *node = &simulation->nodes[i];
-      /* One that stands still does nothing, whatever its memory says. */
+      /* A frozen controller sends nothing, even if its state says that it leads. */
       if (node->controller == NULL || controller_node_is_frozen (node)
           || !controller_node_leads (node))
         continue;
-      /* Never two at once, whatever has happened. */
+      /* Two valid leader leases must never exist, whatever faults occurred. */
       g_assert_null (leader);
       leader = node;
     }
@@ -177,7 +178,8 @@
   return environment_running_tasks (simulation->environment, job_id);
 }
 
-/* Its user knows how it ended, and nothing of it runs; or all of it runs and never ends. */
+/* The job can never run, or its user knows its outcome (and no task of a cancelled job runs), or it
+   is a job without end, not to be cancelled, of which all tasks run. */
 static bool
 has_settled (const Simulation *simulation, const User *user)
 {
@@ -229,6 +231,6 @@
 {
   const GPtrArray *violations = simulation->rules->violations;
   for (guint i = 0; i < violations->len; i++)
-    g_printerr ("rule: %s\n", (char *)g_ptr_array_index (violations, i));
+    g_printerr ("violated rule: %s\n", (char *)g_ptr_array_index (violations, i));
   g_assert_cmpuint (violations->len, ==, 0);
 }
--- a/tests/stand-in/simulation.h
+++ b/tests/stand-in/simulation.h
@@ -1,5 +1,6 @@
-/* Several controllers, everything outside them, workers and users on one fake clock. Every delay
-   and every fault comes from a seed or from the test: the same seed is the same run. */
+/* A simulation: several controllers, their environment, workers and users on one fake clock. Every
+   delay and every fault comes from a seed or from the test, so that the same seed gives the same
+   run. */
 #pragma once
 
 #include "stand-in/controller-node.h"
@@ -14,20 +15,20 @@
 
 /**
  * Simulation:
- * @settings: of the services and the workers; the nodes have their own
- * @clock: the time, and what happens next
- * @random: source of all chance
- * @environment: everything outside of the controllers
- * @store: the environment's
- * @cloud: the environment's
- * @rules: the environment's
- * @network: how unreliable it is
- * @nodes: where the controllers run
- * @workers: (element-type Worker): one a machine, in the order of the cloud's machines
+ * @settings: of the environment and the workers; each node has its own
+ * @clock: the simulated time and the queue of events
+ * @random: the only source of randomness
+ * @environment: everything outside the controllers
+ * @store: owned by @environment
+ * @cloud: owned by @environment
+ * @rules: owned by @environment
+ * @network: its probabilities of faults, and the messages that it holds
+ * @nodes: on which the controllers run
+ * @workers: (element-type Worker): one for each machine, in the order of the cloud's machines
  * @users: (element-type User): in the order of submission
- * @cancel_at_end_probability: that a job is cancelled at the moment at which it ends
+ * @cancel_at_end_probability: that a user cancels its job when its last task ends
  * @log_lines: (element-type utf8): of all controllers
- * @digest: (nullable): takes in what leaves the controllers; not owned
+ * @digest: (nullable): hashes every action of the controllers; not owned
  */
 struct Simulation
 {
@@ -47,61 +48,67 @@
   GChecksum *digest;
 };
 
-/** SimulationCondition: Returns: whether it holds now */
+/** SimulationCondition: Returns: whether the condition holds now */
 typedef bool (*SimulationCondition) (Simulation *simulation, gpointer data);
 
-/** simulation_new: Returns: (transfer full): with all controllers started, and no machine yet */
+/** simulation_new: Returns: (transfer full): a simulation in which all controllers run and no
+ * machine exists */
 Simulation *
 simulation_new (guint32 seed);
-/** simulation_free: @simulation: with all its parts */
+/** simulation_free: Frees @simulation with all its parts. */
 void
 simulation_free (Simulation *simulation);
-/** simulation_limit: What the store takes, and what all controllers are told; those start again. */
+/** simulation_set_store_limits: Sets the limits of the store on values and transactions, also in
+ * the settings of all controllers, which are restarted. */
 void
 simulation_set_store_limits (Simulation *simulation, guint value_bytes, guint txn_ops);
-/** simulation_run: Lets so many seconds pass. */
+/** simulation_run: Runs for that many seconds of simulated time. */
 void
 simulation_run (Simulation *simulation, double seconds);
-/** simulation_until: Runs until @condition holds. Returns: false when @seconds have passed */
+/** simulation_run_until: Runs until @condition holds. Returns: false if it does not hold after
+ * @seconds */
 bool
 simulation_run_until (Simulation *simulation, double seconds, SimulationCondition condition,
                       gpointer data);
-/** simulation_stop_node: Its process ends. */
+/** simulation_stop_node: Ends the node's process. */
 void
 simulation_stop_node (Simulation *simulation, guint node);
-/** simulation_start_node: Does nothing if it is up. */
+/** simulation_start_node: Starts the node's process. Does nothing if it runs. */
 void
 simulation_start_node (Simulation *simulation, guint node);
-/** simulation_restart_node: It ends, and is back after @seconds with that version. */
+/** simulation_restart_node: Stops the node, and starts it after @seconds with that version. */
 void
 simulation_restart_node (Simulation *simulation, guint node, ControllerVersion version,
                          double seconds);
-/** simulation_freeze_node: It stands still for @seconds, while its clocks run on. */
+/** simulation_freeze_node: Freezes the node for @seconds: it executes nothing while its clocks run
+ * on. */
 void
 simulation_freeze_node (Simulation *simulation, guint node, double seconds);
-/** simulation_node_named: Returns: (nullable): the node of that name */
+/** simulation_node_named: Returns: (nullable): the node with that name */
 ControllerNode *
 simulation_node_named (Simulation *simulation, const char *name);
-/** simulation_leader: Returns: (nullable): whose lease is valid; asserts that there is at most one
- */
+/** simulation_leader: Returns: (nullable): the node whose leader lease is valid. Asserts that there
+ * is at most one. */
 ControllerNode *
 simulation_leader (Simulation *simulation);
-/** simulation_running_tasks: Returns: how many tasks of the job have not ended on any machine */
+/** simulation_running_tasks: Returns: how many tasks of the job are on machines and have not ended
+ */
 guint
 simulation_running_tasks (const Simulation *simulation, const char *job_id);
-/** simulation_all_settled: A SimulationCondition: every job has come to its end, or runs for ever.
- */
+/** simulation_all_settled: A SimulationCondition: the outcome of every job is known to its user, or
+ * the job runs completely and never ends. */
 bool
 simulation_all_settled (Simulation *simulation, gpointer unused);
-/** simulation_log: A controller logs a line. */
+/** simulation_log: Records a log line of a controller. */
 void
 simulation_log (Simulation *simulation, const char *node, const char *text);
-/** simulation_logged: Returns: whether a log line has that part */
+/** simulation_has_logged: Returns: whether a log line contains @part */
 bool
 simulation_has_logged (const Simulation *simulation, const char *part);
-/** simulation_prints_log: Returns: whether the environment (SIMULATION_LOG) asks for the log */
+/** simulation_prints_log: Returns: whether the environment variable SIMULATION_LOG asks for the log
+ * on standard output */
 bool
 simulation_prints_log (void);
-/** simulation_assert_rules: No rule was broken so far. */
+/** simulation_assert_rules: Asserts that no rule was violated so far, and prints the violations. */
 void
 simulation_assert_rules (const Simulation *simulation);
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -45,7 +45,7 @@
 static void
 report_violation (const User *user, const char *rule, const MhUserAnswer *answer)
 {
-  rule_checks_add_violation (user->simulation->rules, "%s: %s got %u, state %u", rule,
+  rule_checks_add_violation (user->simulation->rules, "%s: %s got status %u, state %u", rule,
                              user->job->spec->id, answer->status, answer->state);
 }
 
@@ -58,7 +58,7 @@
              answer->status, answer->state, answer->done);
 }
 
-/* What was told once stays true, and only what happened is told. */
+/* An outcome that was reported must not change, and only what has happened may be reported. */
 static void
 check_reported_state (User *user, const MhUserAnswer *answer)
 {
@@ -103,10 +103,10 @@
     return;
   user->last_answer_us = now_us;
   if (user->infeasible)
-    report_violation (user, "accepted though it can't run", answer);
+    report_violation (user, "accepted although it is infeasible", answer);
   if (request->verb == MH_USER_SUBMIT)
     user->job->accepted = true;
-  /* An answer to what was asked before the user knew more may be older. */
+  /* A request that was sent before the final answer may have an older answer. */
   if (request->sent_us < user->final_answer_us)
     return;
   if (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED)
@@ -131,7 +131,7 @@
 {
   GRand *random = user->simulation->random;
   bool settled = user_is_settled (user);
-  /* What was carried out is now and then asked for again. */
+  /* Requests that were carried out are repeated with some probability. */
   double repeat_probability
       = settled ? SETTLED_REPEAT_PROBABILITY : user->simulation->network->duplicate_probability;
   bool again = g_rand_double (random) < repeat_probability;
@@ -147,7 +147,7 @@
 {
   const MhJobSpec *spec = user->job->spec;
   if (node->controller == NULL || controller_node_is_frozen (node))
-    return; /* the user gives up soon */
+    return; /* the request would time out */
   MhUserVerb verb = draw_verb (user);
   PendingRequest *request
       = new_request (verb, spec->id, verb == MH_USER_SUBMIT ? job_spec_copy (spec) : NULL);
@@ -176,7 +176,7 @@
 {
   User *user = data;
   FakeClock *clock = user->simulation->clock;
-  /* Even settled jobs are asked about now and then: their answer must never change. */
+  /* Users also ask about settled jobs, because the answer must not change. */
   gint64 interval_us = user_is_settled (user) ? SETTLED_ASK_INTERVAL_US : ASK_INTERVAL_US;
   fake_clock_add (clock, clock->now_us + interval_us, on_ask_timer, user, NULL);
   ask_any_node (user);
--- a/tests/stand-in/user.h
+++ b/tests/stand-in/user.h
@@ -1,5 +1,5 @@
-/* Users: each has submitted one job, asks any node about it again and again, and checks that no
-   answer contradicts an earlier one. */
+/* Users: each submits one job, sends requests about it to random nodes at regular intervals, and
+   checks that no answer contradicts an earlier one. */
 #pragma once
 
 #include "stand-in/controller-node.h"
@@ -8,15 +8,16 @@
 /**
  * User:
  * @simulation: that it is part of
- * @job: what was submitted
- * @wants_cancel: the user asks for the cancellation
- * @told_done: an answer said that the job is done
- * @told_cancelled: an answer said that the job is cancelled
- * @infeasible: the job can never run: it must not be accepted
- * @finished: its last task has ended
+ * @job: that it submits
+ * @wants_cancel: it requests the cancellation of the job
+ * @reported_done: an answer has reported the job as done
+ * @reported_cancelled: an answer has reported the job as cancelled
+ * @infeasible: the job can never run, and must not be accepted
+ * @job_end_seen: the last task has ended, and users_cancel_at_job_end() has decided whether to
+ *   cancel
  * @last_status: HTTP status of the last answer
- * @final_answer_us: when the last answer came that the job is done or cancelled
- * @last_answer_us: when the last request was answered with success
+ * @final_answer_us: when an answer last reported the job as done or cancelled
+ * @last_answer_us: when a request was last answered with success
  */
 typedef struct
 {
@@ -31,42 +32,45 @@
   gint64 last_answer_us;
 } User;
 
-/** job_spec_new: Returns: (transfer full): a plain job, "j-" and the number, of a team by the
- * number */
+/** job_spec_new: Returns: (transfer full): a plain job with the id "j-NUMBER"; its team and its
+ * image depend on @number */
 MhJobSpec *
 job_spec_new (guint number, MhShape shape, guint tasks, double cpus);
 /**
  * simulation_submit:
  * @spec: (transfer full): the job
- * @run_s: how long each task really runs, in seconds; 0: for ever
+ * @run_s: how long each task takes, in seconds; 0: it never ends
  *
- * Returns: its user, who begins to ask now
+ * Returns: the user of the job, who sends the first request now
  */
 User *
 simulation_submit (Simulation *simulation, MhJobSpec *spec, double run_s);
-/** user_cancel: From now on the user asks for the cancellation. */
+/** user_cancel: Makes the user request the cancellation from now on. */
 void
 user_cancel (User *user);
-/** user_is_settled: Returns: whether the user was told how the job ended */
+/** user_is_settled: Returns: whether an answer has reported the job as done or cancelled */
 bool
 user_is_settled (const User *user);
-/** simulation_ask_all: The user asks every node at once, for what he would ask next. */
+/** simulation_request_from_all_nodes: Sends a request of the user, as on its timer, to each node
+ * now. */
 void
 simulation_request_from_all_nodes (Simulation *simulation, User *user);
 /**
- * simulation_ask_later:
+ * simulation_send_request:
  * @spec: (transfer full) (nullable): of a submission
- * @answer: filled when an answer comes; must outlive that
+ * @answer: filled when an answer comes; must exist until then
  *
- * One request of its own, to one node.
+ * Sends a single request, of no user, to one node.
  */
 void
 simulation_send_request (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
                          MhJobSpec *spec, MhUserAnswer *answer);
-/** simulation_ask: The same, and waits for the answer. Returns: its HTTP status */
+/** simulation_request_and_wait: Sends a single request as simulation_send_request() does, and waits
+ * for the answer. Returns: its HTTP status */
 guint
 simulation_request_and_wait (Simulation *simulation, guint node, MhUserVerb verb,
                              const char *job_id, MhJobSpec *spec, MhUserAnswer *answer);
-/** users_cancel_finished: Some cancel just when their last task ends, before anybody was told. */
+/** users_cancel_at_job_end: Lets users, with @cancel_at_end_probability, cancel their job when its
+ * last task has just ended, before a controller can have reported that. */
 void
 users_cancel_at_job_end (Simulation *simulation);
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -87,11 +87,11 @@
 }
 
 void
-worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 session,
+worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 incarnation,
                                     const MhValue *body)
 {
   guint64 token;
-  if (!machine->running || session != machine->incarnation
+  if (!machine->running || incarnation != machine->incarnation
       || !mh_value_get_uint (body, "epoch", &token) || token < machine->fencing_token)
     return;
   machine->fencing_token = token;
@@ -102,11 +102,12 @@
 guint
 worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **reply)
 {
-  guint64 token, session;
+  guint64 token, incarnation;
   *reply = NULL;
-  if (!mh_value_get_uint (body, "epoch", &token) || !mh_value_get_uint (body, "tenure", &session))
+  if (!mh_value_get_uint (body, "epoch", &token)
+      || !mh_value_get_uint (body, "tenure", &incarnation))
     return 400;
-  bool current = token >= machine->fencing_token && session == machine->incarnation;
+  bool current = token >= machine->fencing_token && incarnation == machine->incarnation;
   if (current)
     {
       machine->fencing_token = token;
--- a/tests/stand-in/worker-protocol.h
+++ b/tests/stand-in/worker-protocol.h
@@ -1,31 +1,36 @@
-/* The published protocol between controllers and workers, as a worker speaks it. The words of the
-   protocol are mapped to those of machine.h here. */
+/* The worker's side of the published protocol between controllers and workers. Maps the protocol's
+   words to those of machine.h. */
 #pragma once
 
 #include "protocol/value.h"
 #include "stand-in/worker-runtime.h"
 
-/** worker_protocol_report: Returns: (transfer full): a new report; its number rises */
+/** worker_protocol_heartbeat: Returns: (transfer full): a new heartbeat with the next sequence
+ * number */
 MhValue *
 worker_protocol_heartbeat (Machine *machine);
 /**
- * worker_protocol_response:
- * @sent_us: when the report was sent that this answers
- * @session: incarnation of the worker that sent it
+ * worker_protocol_heartbeat_response:
+ * @sent_us: when the heartbeat was sent that is answered
+ * @incarnation: incarnation of the worker that sent the heartbeat
  * @body: of the response
  *
- * Renews the lease, and carries out the commands that come with it. A response to an earlier
- * incarnation, or with a lower fencing token, changes nothing.
+ * Renews the lease and carries out the commands of the response. Does nothing if the heartbeat is
+ * of
+ * an earlier incarnation, or if the response has a lower fencing token than the machine knows.
  */
 void
-worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 session,
+worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 incarnation,
                                     const MhValue *body);
 /**
  * worker_protocol_commands:
  * @body: of a direct call
- * @reply: (out) (transfer full) (nullable): a report
+ * @reply: (out) (transfer full) (nullable): a heartbeat
  *
- * Returns: HTTP status: 409 if the token or the session is an earlier one
+ * Carries out the commands of a direct call.
+ *
+ * Returns: HTTP status; 409 if the fencing token is lower than the machine knows or the incarnation
+ * is another one
  */
 guint
 worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **reply);
--- a/tests/stand-in/worker-runtime.c
+++ b/tests/stand-in/worker-runtime.c
@@ -30,7 +30,8 @@
 
 /* ---- commands ---- */
 
-/* An earlier attempt that has ended stays listed beside a later one until it is cleared. */
+/* Returns whether the machine lists the attempt. An earlier attempt that has ended stays listed
+   beside a later one until a command clears it. */
 static bool
 has_attempt (const Machine *machine, const char *task_id, guint64 attempt, bool *other_runs)
 {
@@ -98,7 +99,8 @@
                               machine_task (machine, machine->tasks->len - 1), job);
 }
 
-/* A running task of a gang that has checkpoints saves, when it is given the time. */
+/* Returns whether the task saves a checkpoint before it ends. A running task of a gang with
+   checkpoints does so if the grace period is long enough. */
 static bool
 begin_save (const WorkerRuntime *runtime, MachineTask *task, double grace_s)
 {
@@ -126,7 +128,7 @@
 
 /* ---- time ---- */
 
-/* Returns whether its worker acts now. */
+/* Returns whether the worker executes now. */
 static bool
 advance_machine_power (const WorkerRuntime *runtime, Machine *machine)
 {
@@ -147,7 +149,7 @@
   return runtime->now_us >= machine->hung_until_us;
 }
 
-/* A worker whose lease has expired stops all tasks and begins a new incarnation. */
+/* A worker whose lease has expired stops all its tasks and begins a new incarnation. */
 static void
 advance_lease (const WorkerRuntime *runtime, Machine *machine)
 {
--- a/tests/stand-in/worker.c
+++ b/tests/stand-in/worker.c
@@ -9,17 +9,18 @@
 #define RETRY_DELAY_US MH_SECOND_US
 #define REDIRECT_DELAY_US 10000
 #define STATUS_OTHER_LEADER 421
-/* A change is reported at once, unless a report was just sent or the worker backs off for long. */
+/* A change of state is sent at once if the last heartbeat was sent more than MIN_CHANGE_INTERVAL_US
+   ago and the next one is due within MAX_SHORTENED_DELAY_US. */
 #define MIN_CHANGE_INTERVAL_US (MH_SECOND_US / 2)
 #define MAX_SHORTENED_DELAY_US (3 * MH_SECOND_US)
 
-/* A report on its way, and then the response to it. */
+/* A heartbeat in flight, and then the response to it. */
 typedef struct
 {
   Worker *worker;
   guint node;
-  guint number;    /* 0: nobody waits for the response */
-  guint64 session; /* of the worker when it sent the report */
+  guint number;        /* 0: a duplicate, whose response is ignored */
+  guint64 incarnation; /* incarnation of the worker that sent it */
   gint64 sent_us;
   MhValue *body;
   guint status;
@@ -41,7 +42,7 @@
 
 /* ---- which node ---- */
 
-/* The one node that the worker can reach; -1: any. */
+/* Returns the index of the only node that the worker can reach now; -1: it can reach all. */
 static gint
 sole_reachable_node (const Worker *worker)
 {
@@ -92,7 +93,7 @@
          && now_us_of (worker) <= heartbeat->sent_us + HEARTBEAT_TIMEOUT_US;
 }
 
-/* Otherwise the response is dropped: too late when the worker goes on. */
+/* If it cannot receive, the response is lost: once the fault ends, it comes too late. */
 static bool
 can_receive (const Worker *worker)
 {
@@ -113,8 +114,8 @@
   const ControllerNode *node = leader ? simulation_node_named (simulation, leader) : NULL;
   if (heartbeat->status == 200)
     {
-      worker_protocol_heartbeat_response (worker->machine, heartbeat->sent_us, heartbeat->session,
-                                          heartbeat->body);
+      worker_protocol_heartbeat_response (worker->machine, heartbeat->sent_us,
+                                          heartbeat->incarnation, heartbeat->body);
       schedule_heartbeat (worker, (gint64)((double)simulation->settings->report_interval_us
                                            * g_rand_double_range (simulation->random, 0.75, 1.25)));
     }
@@ -185,7 +186,7 @@
                            heartbeat, sent_heartbeat_free);
 }
 
-/* To any node, and nobody waits for its response. */
+/* Sends a copy to a random node. Its response is ignored. */
 static void
 send_duplicate (const SentHeartbeat *heartbeat)
 {
@@ -223,7 +224,7 @@
   heartbeat->worker = worker;
   heartbeat->node = worker->target_node;
   heartbeat->number = worker->heartbeat_number;
-  heartbeat->session = worker->machine->incarnation;
+  heartbeat->incarnation = worker->machine->incarnation;
   heartbeat->sent_us = now_us;
   heartbeat->body = worker_protocol_heartbeat (worker->machine);
   worker->last_sent_state_hash = hash_state (worker->machine);
--- a/tests/stand-in/worker.h
+++ b/tests/stand-in/worker.h
@@ -1,5 +1,5 @@
-/* The heartbeats of a machine's worker: when it reports, to which node, and the faults that a test
-   gives its connections. */
+/* The heartbeats of a machine's worker: when they are sent, to which node, and the faults that a
+   test gives the worker's connections. */
 #pragma once
 
 #include "stand-in/controller-node.h"
@@ -9,17 +9,21 @@
  * Worker:
  * @simulation: that it is part of
  * @machine: that it runs on
- * @node: index of the node that it reports to next
- * @next_report_us: when its next report is due
- * @report_sent_us: when it sent the last one
- * @report_in_flight: it waits for a response to that
- * @report_number: of the last report
- * @reported_state: hash of what the last report said
- * @cut_until_us: without network until then
- * @reports_lost_until_us: sends no report until then
- * @answers_lost_until_us: its reports arrive, but no answer or command reaches it until then
- * @only_node: reports to this node alone; -1: to any
- * @only_until_us: ... and no other's commands reach it until then
+ * @target_node: index of the node that gets its next heartbeat
+ * @next_heartbeat_us: when its next heartbeat is due
+ * @heartbeat_sent_us: when it sent the last heartbeat
+ * @heartbeat_in_flight: it waits for the response to the last heartbeat
+ * @heartbeat_number: number of the last heartbeat
+ * @last_sent_state_hash: hash of the state that the last heartbeat reported
+ * @cut_until_us: partitioned from all nodes until then: heartbeats and commands arrive when the
+ *   partition ends, and responses are lost
+ * @heartbeats_lost_until_us: sends no heartbeat until then
+ * @answers_lost_until_us: until then its heartbeats arrive, but no response or command reaches it
+ * @sole_node: index of the node that the worker does not leave when a response is missing; -1: none
+ * @sole_node_until_us: until then an answer of @sole_node does not make the worker leave it either,
+ *   and commands of other nodes do not reach the worker; afterwards @sole_node has no effect. 0:
+ * only
+ *   a missing response is ignored, without end
  */
 typedef struct
 {
@@ -38,16 +42,18 @@
   gint64 sole_node_until_us;
 } Worker;
 
-/** workers_adopt_machines: Machines that are new get a worker. */
+/** workers_adopt_machines: Adds a worker for each machine that has none. */
 void
 workers_adopt_machines (Simulation *simulation);
-/** worker_by_endpoint: Returns: (nullable): the worker that is called at that endpoint */
+/** worker_by_endpoint: Returns: (nullable): the worker with that endpoint */
 Worker *
 worker_by_endpoint (Simulation *simulation, const char *endpoint);
-/** worker_unreachable_until: Returns: until when no command of the node reaches it; may be past */
+/** worker_unreachable_until: Returns: when the last fault ends that keeps the node's commands from
+ * the worker; may be in the past */
 gint64
 worker_unreachable_until (const Worker *worker, const ControllerNode *node);
-/** workers_deliver_late_report: Hands a report to a node, as if it had been on its way for long. */
+/** workers_deliver_late_heartbeat: Delivers an old heartbeat to a node, as if the network had
+ * delayed it. */
 void
 workers_deliver_late_heartbeat (Simulation *simulation, ControllerNode *node,
                                 const MhValue *heartbeat);
--- a/tests/stand-in/workload.c
+++ b/tests/stand-in/workload.c
@@ -15,7 +15,7 @@
 workload_new (void)
 {
   Workload *workload = g_new0 (Workload, 1);
-  /* The keys are the ids in the specs. */
+  /* The keys are owned by the specs. */
   workload->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
   return workload;
 }
--- a/tests/stand-in/workload.h
+++ b/tests/stand-in/workload.h
@@ -1,5 +1,5 @@
-/* What the submitted jobs really do: how long a task runs, whether it fails, and what is done. The
-   controllers know nothing of this but what workers report. */
+/* The real behaviour of the submitted jobs: run times, failures and which tasks are done. The
+   controllers learn of it only through heartbeats. */
 #pragma once
 
 #include "protocol/job-spec.h"
@@ -7,21 +7,23 @@
 /**
  * WorkloadJob:
  * @spec: as submitted; owned
- * @run_us: what a task really takes; 0: it runs for ever
- * @stagger_us: each task takes so much longer than the one before it
- * @cancelled_us: when the user was told of the cancellation; 0: not
- * @accepted: a user was told that the job is accepted
- * @fails: on every machine: it was submitted with a mistake
+ * @run_us: how long a task takes; 0: it never ends
+ * @stagger_us: by how much each task takes longer than the one before it
+ * @cancel_confirmed_us: when an answer first reported the job as cancelled; 0: not yet
+ * @accepted: an answer has accepted the job
+ * @always_fails: its tasks fail on every machine, because of a mistake in the submission
  * @running_attempt: of a gang: the attempt whose tasks run; 0: none
- * @saved_progress_us: of a gang: the progress of its last checkpoint
+ * @saved_progress_us: of a gang: the progress that its last checkpoint holds
  * @running_since_us: of a gang: when @running_attempt began to run
- * @incomplete_since_us: of a gang: since when it lacks a task; 0: it does not
- * @stop_requested_us: of a gang: when the first of its tasks was told to save and stop; 0: none
- * @orderly_stops: of a gang: how often all of it saved and stopped
- * @schedulable_since_us: since when it waits although there is room for a task of it; 0: it does
- * not
+ * @incomplete_since_us: of a gang: since when a task of the running attempt is missing; 0: none is
+ * @stop_requested_us: of a gang: when the first of its tasks was commanded to save and stop; 0:
+ *   none
+ * @orderly_stops: of a gang: how often all its tasks saved a checkpoint and stopped
+ * @schedulable_since_us: since when the job waits although a machine has room for a task; 0: it
+ *   does
+ *   not
  * @task_done: by task: 1 when it has run to its end
- * @done_count: how many of @task_done are 1
+ * @done_count: number of tasks with @task_done
  */
 typedef struct
 {
@@ -44,37 +46,37 @@
 
 /**
  * Workload:
- * @jobs: job's id -> WorkloadJob
+ * @jobs: id of the job -> WorkloadJob
  */
 typedef struct
 {
   GHashTable *jobs;
 } Workload;
 
-/** workload_new: Returns: (transfer full): without jobs */
+/** workload_new: Returns: (transfer full): a workload without jobs */
 Workload *
 workload_new (void);
-/** workload_free: @workload: with all its jobs */
+/** workload_free: Frees @workload with all its jobs. */
 void
 workload_free (Workload *workload);
 /**
  * workload_add:
- * @spec: (transfer full): its id must be new
- * @run_us: what a task takes; 0: it runs for ever
+ * @spec: (transfer full): with a new id
+ * @run_us: how long a task takes; 0: it never ends
  *
  * Returns: the job, which the workload owns
  */
 WorkloadJob *
 workload_add (Workload *workload, MhJobSpec *spec, gint64 run_us);
-/** workload_find: Returns: (nullable): the job of that id */
+/** workload_find: Returns: (nullable): the job with that id */
 WorkloadJob *
 workload_find (const Workload *workload, const char *job_id);
-/** workload_job_is_gang: Returns: whether its tasks run together or not at all */
+/** workload_job_is_gang: Returns: whether the tasks of the job run all together or not at all */
 bool
 workload_job_is_gang (const WorkloadJob *job);
-/** workload_job_finish_task: A task has run to its end, be it for the first time or again. */
+/** workload_job_finish_task: Marks a task as done. It may be done already. */
 void
 workload_job_finish_task (WorkloadJob *job, guint task_index);
-/** workload_describe: Appends a line a job to @out, in the order of their ids. */
+/** workload_describe: Appends a line for each job to @out, in the order of their ids. */
 void
 workload_describe (const Workload *workload, GString *out);
--- a/tests/steps.c
+++ b/tests/steps.c
@@ -157,7 +157,7 @@
   simulation_free (simulation);
 }
 
-/* What every scenario runs in. */
+/* The data of a GTest case. */
 typedef struct
 {
   guint32 seed;
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -1,88 +1,96 @@
-/* What scenarios wait for and begin with, and the fixture that they run in. */
+/* Shared steps of the scenarios: conditions to wait for, starting points, and the fixture that
+   every scenario runs in. */
 #pragma once
 
 #include "stand-in/simulation.h"
 
-/** SimulationTest: A scenario: @simulation is new; afterwards its rules are checked, and it is
- * freed. */
+/** SimulationTest: A scenario. @simulation is new. The fixture checks its rules and frees it when
+ * the scenario returns. */
 typedef void (*SimulationTest) (Simulation *simulation);
 
-/** simulation_test_add: Adds the GTest case of that path, which runs @test with a seed of its own.
- */
+/** simulation_test_add: Adds the GTest case @path, which runs @test on a simulation with @seed. */
 void
 simulation_test_add (const char *path, guint32 seed, SimulationTest test);
 
-/** WAIT: Runs the simulation until the condition holds, and fails when @seconds have passed. */
+/** WAIT: Runs the simulation until the condition @what holds for @data. Fails after @seconds. */
 #define WAIT(simulation, seconds, what, data)                                                      \
   g_assert_true (simulation_run_until (simulation, seconds, what, data))
 
 /* ---- conditions for WAIT ---- */
 
-/** told_done: @data: a User, who was told that the job is done */
+/** is_reported_done: @data: a User; an answer has reported its job as done */
 bool
 is_reported_done (Simulation *simulation, gpointer data);
-/** told_cancelled: @data: a User, who was told that the job is cancelled */
+/** is_reported_cancelled: @data: a User; an answer has reported its job as cancelled */
 bool
 is_reported_cancelled (Simulation *simulation, gpointer data);
-/** all_run: @data: a User; all tasks of the job are on machines */
+/** all_tasks_running: @data: a User; every task of its job is on a machine and has not ended */
 bool
 all_tasks_running (Simulation *simulation, gpointer data);
-/** all_done: @data: a User; all tasks of the job have ended, whoever knows it */
+/** all_tasks_done: @data: a User; every task of its job has run to its end, whether or not a
+ * controller knows */
 bool
 all_tasks_done (Simulation *simulation, gpointer data);
-/** accepted: @data: a User, who was told that the job is accepted */
+/** is_accepted: @data: a User; an answer has accepted its job */
 bool
 is_accepted (Simulation *simulation, gpointer data);
-/** gang_runs: @data: a User; the gang runs as a whole */
+/** is_gang_running: @data: a User; an attempt of its gang runs with all its tasks */
 bool
 is_gang_running (Simulation *simulation, gpointer data);
-/** has_leader: @data: unused; a controller's lease is valid */
+/** has_leader: @data: unused; a controller holds a valid leader lease */
 bool
 has_leader (Simulation *simulation, gpointer data);
-/** is_gone: @data: a Machine, which the cloud has again */
+/** is_removed: @data: a Machine, which was released or preempted */
 bool
 is_removed (Simulation *simulation, gpointer data);
 
 /* ---- what scenarios begin with ---- */
 
-/** simulation_worker: Returns: the worker of the machine that was rented as number @index */
+/** worker_by_index: Returns: the worker of the machine that was created as number @index, from 0 */
 Worker *
 worker_by_index (Simulation *simulation, guint index);
-/** worker_of: Returns: (nullable): the worker that holds the task, "JOB/INDEX" */
+/** worker_with_task: Returns: (nullable): a worker whose machine lists the task "JOB/INDEX" */
 Worker *
 worker_with_task (Simulation *simulation, const char *task_id);
-/** add_small_machines: Machines of four cpus, all in zone a. */
+/** add_small_machines: Adds on-demand machines with 4 CPUs each in zone a. */
 void
 add_small_machines (Simulation *simulation, guint count);
-/** running_service: Returns: the user of a service, all of whose tasks are on machines */
+/** start_service: Submits a service and waits until all its tasks are on machines. Returns: its
+ * user */
 User *
 start_service (Simulation *simulation, guint number, guint tasks);
 /**
- * running_array: Returns: the user of a job array, all of whose tasks are on machines
+ * start_array: Submits an array and waits until all its tasks are on machines.
+ *
+ * The estimated run time of the job is 300 s, so that no task is left to wait until another one has
+ * ended.
  *
- * It is expected to run for long, so that none of its tasks waits for another.
+ * Returns: its user
  */
 User *
 start_array (Simulation *simulation, guint number, guint tasks, double run_s);
-/** use_small_machines: The job runs on machines of that type alone. */
+/** require_small_machines: Allows the job on machines of the type "small" only. */
 void
 require_small_machines (MhJobSpec *spec);
-/** gang_spec: Returns: (transfer full): a gang in one zone that saves its progress */
+/** gang_spec_new: Returns: (transfer full): a gang that runs in a single zone and saves checkpoints
+ */
 MhJobSpec *
 gang_spec_new (guint number, guint tasks, double cpus);
-/** running_gang: Returns: the user of a gang that runs */
+/** start_gang: Submits a gang and waits until it runs. Returns: its user */
 User *
 start_gang (Simulation *simulation, guint number, guint tasks, double cpus, double run_s);
-/** gang_on_small_machines: A gang of four tasks, two to a machine; no other machine can be rented.
- */
+/** submit_gang_on_small_machines: Submits a gang of 4 tasks of 2 CPUs, two to a machine, and adds
+ * @machines small machines. No other machine can be created. Returns: its user */
 User *
 submit_gang_on_small_machines (Simulation *simulation, guint machines, double run_s);
 
 /* ---- the end ---- */
 
-/** wait_all: Until every job is settled; none may wait beside free room meanwhile. */
+/** wait_until_all_settled: Runs until every job is settled, and checks each second that no job
+ * waits although a machine has room. Fails after @seconds. */
 void
 wait_until_all_settled (Simulation *simulation, double seconds);
-/** finish: No rule was broken; frees the simulation. For scenarios that make their own. */
+/** simulation_check_and_free: Asserts that no rule was violated, and frees the simulation. For
+ * scenarios that create their own. */
 void
 simulation_check_and_free (Simulation *simulation);
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -1,6 +1,6 @@
-/* Thousands of machines: takeover, a zone that falls silent, a rolling change of leader, a swarm.
-   What is asserted are counts, so that the verdict does not depend on the machine that runs the
-   test. */
+/* Thousands of machines: a leader takes over, many small jobs are submitted at once, a zone falls
+   silent, and the leader changes repeatedly. The assertions are on counts, so that the result does
+   not depend on the speed of the machine that runs the test. */
 #include "election/election.h"
 #include "steps.h"
 
@@ -44,8 +44,8 @@
   return simulation;
 }
 
-/* No worker's lease has run out, and no machine was given back, but for the few that were already
-   being probed as their zone fell silent. */
+/* Asserts that no worker lease has expired and that no machine was released, except for the few
+   that were already being probed when their zone fell silent. */
 static void
 assert_fleet_kept (const Simulation *simulation, guint machines)
 {
@@ -59,7 +59,8 @@
   g_assert_cmpuint (removed, <=, machines / MACHINES_PER_LOSS);
 }
 
-/* By the leadership that their tokens belong to. */
+/* Counts the machines whose fencing token belongs to the latest leadership that any machine knows.
+ */
 static guint
 count_machines_with_latest_token (Simulation *simulation)
 {
@@ -112,12 +113,13 @@
   for (guint i = 0; i < BURST_JOBS; i++)
     g_assert_true (users[i]->reported_done);
 
-  /* Lists leave three quarters of the calls to the cloud, about ten calls in ten seconds here. */
+  /* Reading the list of machines may use a quarter of the rate limit of the cloud, so that three
+     quarters are left for other calls: about ten calls in ten seconds here. */
   guint lists = simulation->cloud->list_requests;
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->cloud->list_requests - lists, <=, 20);
 
-  /* A zone falls silent for half a lease: it is kept. */
+  /* A zone falls silent for half a worker lease: its machines must be kept. */
   for (guint i = 0; i < simulation->workers->len; i++)
     {
       Worker *worker = g_ptr_array_index (simulation->workers, i);
@@ -127,7 +129,7 @@
   simulation_run (simulation, 24);
   assert_fleet_kept (simulation, machines);
 
-  /* Each controller in turn is restarted, and every worker finds the next leader in time. */
+  /* Each controller in turn is restarted, and every worker must find the next leader in time. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation_restart_node (simulation, i, CONTROLLER_CURRENT, 3);
