--- a/tests/stand-in/cloud.c
+++ b/tests/stand-in/cloud.c
@@ -91,7 +91,7 @@
   return body;
 }
 
-/* ---- rentals ---- */
+/* ---- create requests ---- */
 
 static guint
 count_existing (const Cloud *cloud)
@@ -164,7 +164,7 @@
     }
 }
 
-/* ---- the list ---- */
+/* ---- list of machines ---- */
 
 static MhValue *
 encode_machine (const Machine *machine, gint64 as_of_us)
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -104,10 +104,10 @@
 }
 
 void
-controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *report)
+controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *heartbeat)
 {
   MhNow now = controller_node_now (node);
-  controller_heartbeat (node->controller, &now, add_pending_request (node, request), report);
+  controller_heartbeat (node->controller, &now, add_pending_request (node, request), heartbeat);
   controller_node_drain (node);
 }
 
--- a/tests/stand-in/controller-node.h
+++ b/tests/stand-in/controller-node.h
@@ -93,8 +93,12 @@
   gint64 freeze_before_acting_us;
 };
 
-/** controller_node_init: Initializes a node that is down, with its own clock drift. @settings:
- * (transfer full): */
+/**
+ * controller_node_init:
+ * @settings: (transfer full): of its controller
+ *
+ * Initializes a node that is down, and draws its clock drift.
+ */
 void
 controller_node_init (ControllerNode *node, Simulation *simulation, guint index,
                       MhSettings *settings);
@@ -123,10 +127,14 @@
  */
 void
 controller_node_user_request (ControllerNode *node, PendingRequest *request, bool forwarded);
-/** controller_node_heartbeat: Delivers a heartbeat. @request: (transfer full): waits for the
- * response */
+/**
+ * controller_node_heartbeat:
+ * @request: (transfer full): waits for the response
+ *
+ * Delivers a heartbeat.
+ */
 void
-controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *report);
+controller_node_heartbeat (ControllerNode *node, PendingRequest *request, const MhValue *heartbeat);
 /** controller_node_leads: Returns: whether its controller leads now; the controller must run */
 bool
 controller_node_leads (ControllerNode *node);
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -13,7 +13,7 @@
                                */
 };
 
-/* ---- settings, as the platform's file ---- */
+/* ---- settings, written as platform settings ---- */
 
 static void
 write_members (GString *text, const MhSettings *settings)
@@ -227,9 +227,9 @@
 {
   if (self->core)
     {
-      g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value, NULL);
-      g_assert_nonnull (report);
-      mh_core_report (self->core, now, id, report);
+      g_autoptr (MhHeartbeat) heartbeat = mh_heartbeat_decode (value, NULL);
+      g_assert_nonnull (heartbeat);
+      mh_core_report (self->core, now, id, heartbeat);
       return;
     }
   ProductionNow production_now = to_production (now);
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -29,7 +29,8 @@
 controller_user_request (Controller *controller, const MhNow *now, const MhUserRequest *request);
 /** controller_heartbeat: A heartbeat arrives. @id: that the response gets */
 void
-controller_heartbeat (Controller *controller, const MhNow *now, guint64 id, const MhValue *report);
+controller_heartbeat (Controller *controller, const MhNow *now, guint64 id,
+                      const MhValue *heartbeat);
 /** controller_call_finished: The call @id of the controller is over. @status: HTTP status; 0: no
  * answer came */
 void
--- a/tests/stand-in/key-value-requests.c
+++ b/tests/stand-in/key-value-requests.c
@@ -94,7 +94,8 @@
 
 /* ---- transactions ---- */
 
-/* Takes tokens for a transaction. It costs them even if its conditions fail. */
+/* Takes tokens of the write rate limit, one for each change, and returns false if too few are left.
+   Transactions whose conditions fail count as well. */
 static bool
 take_write_tokens (KeyValueStore *store, gsize changes)
 {
@@ -282,7 +283,7 @@
   return body;
 }
 
-/* ---- all requests ---- */
+/* ---- dispatch ---- */
 
 bool
 key_value_store_serve (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply)
--- a/tests/stand-in/key-value-store-private.h
+++ b/tests/stand-in/key-value-store-private.h
@@ -52,6 +52,6 @@
 bool
 key_value_store_has_lease (const KeyValueStore *store, guint64 lease);
 /** key_value_store_changes_for_watch: Returns: (nullable): the body that answers the watch; %NULL:
- * it goes on waiting */
+ * it continues to wait */
 MhValue *
 key_value_store_changes_for_watch (const KeyValueStore *store, const Watch *watch);
--- a/tests/stand-in/machine.h
+++ b/tests/stand-in/machine.h
@@ -66,7 +66,7 @@
  * @incarnation: of its worker; rises when the lease has expired
  * @heartbeat_sequence: number of the last heartbeat in this incarnation
  * @fencing_token: highest fencing token seen
- * @lease_start_us: when the heartbeat was sent that last renewed the lease
+ * @lease_start_us: when its lease began: when the heartbeat was sent that last renewed it
  * @tasks: (element-type MachineTask):
  * @cached_images: set of the images that it has fetched
  * @runtime: runs its tasks; not owned
--- a/tests/stand-in/network.h
+++ b/tests/stand-in/network.h
@@ -32,8 +32,8 @@
   GPtrArray *kept_requests;
 } Network;
 
-/** network_new: @call_unref: frees held and kept calls. Returns: (transfer full): a reliable
- * network */
+/** network_new: @call_unref: frees held and kept calls. Returns: (transfer full): a network without
+ * faults */
 Network *
 network_new (GRand *random, GDestroyNotify call_unref);
 /** network_free: Frees @network with the calls that are held or kept. */
--- a/tests/stand-in/outgoing-call.c
+++ b/tests/stand-in/outgoing-call.c
@@ -245,7 +245,7 @@
   outgoing_call_unref (call);
 }
 
-/* ---- what a test holds or keeps ---- */
+/* ---- held and kept calls ---- */
 
 void
 outgoing_calls_release_commands (Simulation *simulation)
--- a/tests/stand-in/outgoing-call.h
+++ b/tests/stand-in/outgoing-call.h
@@ -26,9 +26,8 @@
 outgoing_calls_release_commands (Simulation *simulation);
 /**
  * outgoing_calls_release_write:
- * @arrives: whether the first of the held transactions is delivered; otherwise it is lost, and
- *   times
- *   out at its sender now
+ * @arrives: whether the first held transaction is delivered; otherwise it is lost and its call
+ *   times out now
  */
 void
 outgoing_calls_release_write (Simulation *simulation, bool arrives);
--- a/tests/stand-in/random-day.c
+++ b/tests/stand-in/random-day.c
@@ -29,7 +29,7 @@
   guint job_count;
 } RandomDay;
 
-/* ---- the beginning ---- */
+/* ---- start of a day ---- */
 
 /* Starts all controllers with the version in production. On days with odd seeds the settings
    announce the next limits, which the store applies from NEXT_LIMITS_START_TURN on. */
@@ -78,7 +78,7 @@
     simulation->cancel_at_end_probability = 0.4;
 }
 
-/* ---- what happens ---- */
+/* ---- turns ---- */
 
 static void
 draw_gang (GRand *random, MhJobSpec *spec)
@@ -176,7 +176,7 @@
   simulation_leader (simulation); /* asserts that there is at most one leader */
 }
 
-/* ---- the end ---- */
+/* ---- end of a day ---- */
 
 static void
 end_network_faults (Simulation *simulation)
--- a/tests/stand-in/random-day.h
+++ b/tests/stand-in/random-day.h
@@ -5,8 +5,7 @@
 
 #include <glib.h>
 
-/** RANDOM_DAY_MIXED_VERSIONS_SEEDS: On days with seeds above this the controllers change versions.
- */
+/** RANDOM_DAY_MIXED_VERSIONS_SEEDS: Controllers change versions on days with seeds above this. */
 #define RANDOM_DAY_MIXED_VERSIONS_SEEDS 10000u
 
 /**
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -186,8 +186,8 @@
   return false;
 }
 
-/* Excludes jobs whose possible zones depend on their other tasks, and services, which are spread.
- */
+/* Returns whether the job waits although it could run. Excludes jobs whose possible zones depend on
+   their other tasks, and services, which are spread. */
 static bool
 must_not_keep_waiting (const RuleChecks *rules, const WorkloadJob *job)
 {
--- a/tests/stand-in/rule-checks.h
+++ b/tests/stand-in/rule-checks.h
@@ -50,9 +50,8 @@
  * rule_checks_waiting_jobs:
  *
  * Checks that no array waits for long while a suitable machine has room and its team is within its
- * quota. The mere passing of time can violate this rule, so that no event triggers the check: call
- * it
- * once per second, and only while no fault is active.
+ * quota. The mere passing of time can violate this rule, so that no event triggers the check. It is
+ * to be called once per second, and only while no fault is active.
  */
 void
 rule_checks_waiting_jobs (RuleChecks *rules);
--- a/tests/stand-in/simulation.c
+++ b/tests/stand-in/simulation.c
@@ -170,7 +170,7 @@
   return leader;
 }
 
-/* ---- what can be seen ---- */
+/* ---- observations ---- */
 
 guint
 simulation_running_tasks (const Simulation *simulation, const char *job_id)
@@ -178,8 +178,9 @@
   return environment_running_tasks (simulation->environment, job_id);
 }
 
-/* The job can never run, or its user knows its outcome (and no task of a cancelled job runs), or it
-   is a job without end, not to be cancelled, of which all tasks run. */
+/* Returns whether the job can never run; or its user knows that it is done; or its user knows that
+   it is cancelled, and none of its tasks run; or the job has no end, is not to be cancelled, and
+   all its tasks run. */
 static bool
 has_settled (const Simulation *simulation, const User *user)
 {
--- a/tests/stand-in/simulation.h
+++ b/tests/stand-in/simulation.h
@@ -95,8 +95,8 @@
  */
 guint
 simulation_running_tasks (const Simulation *simulation, const char *job_id);
-/** simulation_all_settled: A SimulationCondition: the outcome of every job is known to its user, or
- * the job runs completely and never ends. */
+/** simulation_all_settled: A SimulationCondition: for every job, its user knows the outcome, or the
+ * job has no end and all its tasks run. */
 bool
 simulation_all_settled (Simulation *simulation, gpointer unused);
 /** simulation_log: Records a log line of a controller. */
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -114,7 +114,7 @@
   check_reported_state (user, answer);
 }
 
-/* ---- questions ---- */
+/* ---- requests ---- */
 
 static PendingRequest *
 new_request (MhUserVerb verb, const char *job_id, MhJobSpec *spec)
@@ -210,7 +210,7 @@
     }
 }
 
-/* ---- single questions of a test ---- */
+/* ---- single requests of a test ---- */
 
 static void
 on_test_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -26,23 +26,23 @@
 MhValue *
 worker_protocol_heartbeat (Machine *machine)
 {
-  MhValue *report = mh_value_map (), *tasks = mh_value_list ();
+  MhValue *heartbeat = mh_value_map (), *tasks = mh_value_list ();
   machine->heartbeat_sequence++;
-  mh_value_set_text (report, "box", machine->name);
-  mh_value_set_text (report, "endpoint", machine->endpoint);
-  mh_value_set_text (report, "rack", machine->type);
-  mh_value_set_text (report, "hall", machine->zone);
-  mh_value_set_bool (report, "standby", machine->spot);
-  mh_value_set_uint (report, "tenure", machine->incarnation);
-  mh_value_set_uint (report, "tick", machine->heartbeat_sequence);
-  mh_value_set_uint (report, "epoch", machine->fencing_token);
+  mh_value_set_text (heartbeat, "box", machine->name);
+  mh_value_set_text (heartbeat, "endpoint", machine->endpoint);
+  mh_value_set_text (heartbeat, "rack", machine->type);
+  mh_value_set_text (heartbeat, "hall", machine->zone);
+  mh_value_set_bool (heartbeat, "standby", machine->spot);
+  mh_value_set_uint (heartbeat, "tenure", machine->incarnation);
+  mh_value_set_uint (heartbeat, "tick", machine->heartbeat_sequence);
+  mh_value_set_uint (heartbeat, "epoch", machine->fencing_token);
   if (machine->preempted_at_us)
-    mh_value_set_number (report, "warning_s",
+    mh_value_set_number (heartbeat, "warning_s",
                          (double)(machine->preempted_at_us - machine->runtime->now_us) / 1e6);
   for (guint i = 0; i < machine->tasks->len; i++)
     mh_value_push (tasks, encode_task (machine_task (machine, i)));
-  mh_value_set (report, "legs", tasks);
-  return report;
+  mh_value_set (heartbeat, "legs", tasks);
+  return heartbeat;
 }
 
 static void
--- a/tests/stand-in/worker-protocol.h
+++ b/tests/stand-in/worker-protocol.h
@@ -12,12 +12,11 @@
 /**
  * worker_protocol_heartbeat_response:
  * @sent_us: when the heartbeat was sent that is answered
- * @incarnation: incarnation of the worker that sent the heartbeat
+ * @incarnation: of the worker when it sent the heartbeat
  * @body: of the response
  *
  * Renews the lease and carries out the commands of the response. Does nothing if the heartbeat is
- * of
- * an earlier incarnation, or if the response has a lower fencing token than the machine knows.
+ * of an earlier incarnation, or if the response has a lower fencing token than the machine knows.
  */
 void
 worker_protocol_heartbeat_response (Machine *machine, gint64 sent_us, guint64 incarnation,
--- a/tests/stand-in/worker-runtime.h
+++ b/tests/stand-in/worker-runtime.h
@@ -31,8 +31,7 @@
  * @task_id: "JOB/INDEX"
  *
  * Starts an attempt. Does nothing if the machine lists the attempt already. If the start is
- * refused,
- * the machine lists an ended task with the cause.
+ * refused, the machine lists an ended task with the cause.
  */
 void
 worker_runtime_start_task (WorkerRuntime *runtime, Machine *machine, const char *task_id,
--- a/tests/stand-in/worker.c
+++ b/tests/stand-in/worker.c
@@ -40,7 +40,7 @@
   return worker->simulation->clock->now_us;
 }
 
-/* ---- which node ---- */
+/* ---- target node ---- */
 
 /* Returns the index of the only node that the worker can reach now; -1: it can reach all. */
 static gint
@@ -93,7 +93,8 @@
          && now_us_of (worker) <= heartbeat->sent_us + HEARTBEAT_TIMEOUT_US;
 }
 
-/* If it cannot receive, the response is lost: once the fault ends, it comes too late. */
+/* Returns whether a response that arrives now reaches the worker. Otherwise it is lost, because it
+   would come too late when the fault ends. */
 static bool
 can_receive (const Worker *worker)
 {
@@ -147,7 +148,7 @@
                   response, sent_heartbeat_free);
 }
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
 static void
 on_heartbeat_arrival (gpointer data)
--- a/tests/stand-in/worker.h
+++ b/tests/stand-in/worker.h
@@ -20,10 +20,9 @@
  * @heartbeats_lost_until_us: sends no heartbeat until then
  * @answers_lost_until_us: until then its heartbeats arrive, but no response or command reaches it
  * @sole_node: index of the node that the worker does not leave when a response is missing; -1: none
- * @sole_node_until_us: until then an answer of @sole_node does not make the worker leave it either,
- *   and commands of other nodes do not reach the worker; afterwards @sole_node has no effect. 0:
- * only
- *   a missing response is ignored, without end
+ * @sole_node_until_us: until then no answer makes the worker leave @sole_node either, and commands
+ *   of other nodes do not reach it; afterwards @sole_node has no effect. 0: @sole_node applies to
+ *   missing responses alone, for ever
  */
 typedef struct
 {
--- a/tests/stand-in/workload.h
+++ b/tests/stand-in/workload.h
@@ -16,12 +16,9 @@
  * @saved_progress_us: of a gang: the progress that its last checkpoint holds
  * @running_since_us: of a gang: when @running_attempt began to run
  * @incomplete_since_us: of a gang: since when a task of the running attempt is missing; 0: none is
- * @stop_requested_us: of a gang: when the first of its tasks was commanded to save and stop; 0:
- *   none
+ * @stop_requested_us: of a gang: when the first of its tasks was commanded to save and stop; 0: not
  * @orderly_stops: of a gang: how often all its tasks saved a checkpoint and stopped
- * @schedulable_since_us: since when the job waits although a machine has room for a task; 0: it
- *   does
- *   not
+ * @schedulable_since_us: since when the job waits although a machine has room; 0: it does not
  * @task_done: by task: 1 when it has run to its end
  * @done_count: number of tasks with @task_done
  */
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -12,9 +12,9 @@
 void
 simulation_test_add (const char *path, guint32 seed, SimulationTest test);
 
-/** WAIT: Runs the simulation until the condition @what holds for @data. Fails after @seconds. */
-#define WAIT(simulation, seconds, what, data)                                                      \
-  g_assert_true (simulation_run_until (simulation, seconds, what, data))
+/** WAIT: Runs the simulation until the @condition holds for @data. Fails after @seconds. */
+#define WAIT(simulation, seconds, condition, data)                                                 \
+  g_assert_true (simulation_run_until (simulation, seconds, condition, data))
 
 /* ---- conditions for WAIT ---- */
 
@@ -44,12 +44,13 @@
 bool
 is_removed (Simulation *simulation, gpointer data);
 
-/* ---- what scenarios begin with ---- */
+/* ---- starting points ---- */
 
 /** worker_by_index: Returns: the worker of the machine that was created as number @index, from 0 */
 Worker *
 worker_by_index (Simulation *simulation, guint index);
-/** worker_with_task: Returns: (nullable): a worker whose machine lists the task "JOB/INDEX" */
+/** worker_with_task: Returns: (nullable): the first worker whose machine lists the task "JOB/INDEX"
+ */
 Worker *
 worker_with_task (Simulation *simulation, const char *task_id);
 /** add_small_machines: Adds on-demand machines with 4 CPUs each in zone a. */
@@ -84,7 +85,7 @@
 User *
 submit_gang_on_small_machines (Simulation *simulation, guint machines, double run_s);
 
-/* ---- the end ---- */
+/* ---- end of a scenario ---- */
 
 /** wait_until_all_settled: Runs until every job is settled, and checks each second that no job
  * waits although a machine has room. Fails after @seconds. */
