--- a/tests/stand-in/environment.h
+++ b/tests/stand-in/environment.h
@@ -49,7 +49,7 @@
  */
 guint
 environment_running_tasks (const Environment *environment, const char *job_id);
-/** environment_describe: Appends the state of the environment to @out in a fixed order: keys,
- * machines, create requests, jobs and violations. */
+/** environment_describe: Appends the state of the environment to @out in a fixed order: counters,
+ * keys, machines, create requests, jobs and violations. */
 void
 environment_describe (const Environment *environment, GString *out);
--- a/tests/stand-in/gang-runtime.c
+++ b/tests/stand-in/gang-runtime.c
@@ -7,8 +7,8 @@
 /* The tasks of a gang that have not ended, on running machines that do not hang. */
 typedef struct
 {
-  GPtrArray *started; /* MachineTask: running or saving a checkpoint */
-  guint gathered, saved;
+  GPtrArray *started_tasks; /* MachineTask: running or saving a checkpoint */
+  guint waiting_count, saved_count;
   guint64 attempt;
 } GangState;
 
@@ -19,11 +19,11 @@
   if (strcmp (task->job_id, spec->id) != 0 || task->phase == MH_TASK_PHASE_ENDED)
     return;
   state->attempt = task->attempt;
-  state->gathered += task->phase == MH_TASK_PHASE_WAITING_FOR_GANG;
-  state->saved += task->phase == MH_TASK_PHASE_CHECKPOINTING
-                  && runtime->now_us >= task->stop_requested_us + spec->checkpoint_save_us;
+  state->waiting_count += task->phase == MH_TASK_PHASE_WAITING_FOR_GANG;
+  state->saved_count += task->phase == MH_TASK_PHASE_CHECKPOINTING
+                        && runtime->now_us >= task->stop_requested_us + spec->checkpoint_save_us;
   if (task->phase >= MH_TASK_PHASE_RUNNING)
-    g_ptr_array_add (state->started, task);
+    g_ptr_array_add (state->started_tasks, task);
 }
 
 static void
@@ -61,13 +61,13 @@
 }
 
 static void
-end_gang (WorkloadJob *job, const GPtrArray *tasks, const char *cause)
+end_gang (WorkloadJob *job, const GPtrArray *tasks, const char *end_cause)
 {
   for (guint i = 0; i < tasks->len; i++)
     {
       MachineTask *task = g_ptr_array_index (tasks, i);
       task->phase = MH_TASK_PHASE_ENDED;
-      task->cause = cause;
+      task->end_cause = end_cause;
     }
   job->running_attempt = 0;
   job->incomplete_since_us = job->stop_requested_us = 0;
@@ -92,25 +92,25 @@
   const MhJobSpec *spec = job->spec;
   gint64 until_us = job->stop_requested_us ? job->stop_requested_us : runtime->now_us;
   gint64 progress_us = job->saved_progress_us + until_us - job->running_since_us;
-  if (state->started->len < spec->tasks && job->incomplete_since_us == 0)
+  if (state->started_tasks->len < spec->tasks && job->incomplete_since_us == 0)
     job->incomplete_since_us = runtime->now_us;
   bool undisturbed = job->stop_requested_us == 0 && job->incomplete_since_us == 0;
-  if (state->saved == spec->tasks)
+  if (state->saved_count == spec->tasks)
     {
       job->saved_progress_us = progress_us;
       job->orderly_stops++;
-      end_gang (job, state->started, "stopped");
+      end_gang (job, state->started_tasks, "stopped");
     }
   else if (should_give_up (runtime, job))
     {
       if (spec->checkpoint_interval_us)
         job->saved_progress_us
             = progress_us / spec->checkpoint_interval_us * spec->checkpoint_interval_us;
-      end_gang (job, state->started, "peers");
+      end_gang (job, state->started_tasks, "peers");
     }
   else if (job->run_us && progress_us >= job->run_us && undisturbed)
     {
-      end_gang (job, state->started, "done");
+      end_gang (job, state->started_tasks, "done");
       memset (job->task_done, 1, spec->tasks);
       job->done_count = spec->tasks;
     }
@@ -119,11 +119,11 @@
 void
 worker_runtime_advance_gang (WorkerRuntime *runtime, const GPtrArray *machines, WorkloadJob *job)
 {
-  g_autoptr (GPtrArray) started = g_ptr_array_new ();
-  GangState state = { .started = started };
+  g_autoptr (GPtrArray) started_tasks = g_ptr_array_new ();
+  GangState state = { .started_tasks = started_tasks };
   collect_tasks (runtime, machines, job->spec, &state);
-  if (state.gathered == job->spec->tasks)
+  if (state.waiting_count == job->spec->tasks)
     begin_running (runtime, machines, job, state.attempt);
-  else if (job->running_attempt != 0 && started->len > 0)
+  else if (job->running_attempt != 0 && started_tasks->len > 0)
     advance_running (runtime, job, &state);
 }
--- a/tests/stand-in/machine.h
+++ b/tests/stand-in/machine.h
@@ -29,7 +29,7 @@
  * @index: of the task in its job
  * @attempt: number that the controllers gave the attempt
  * @phase: as heartbeats report it
- * @cause: (nullable): why an ended task has ended, in the protocol's words
+ * @end_cause: (nullable): why an ended task has ended, as the protocol spells it
  * @ready_us: when its image is fetched
  * @end_us: when it has run to its end; 0: never
  * @stop_requested_us: when a task of a gang was commanded to save and stop; 0: not yet
@@ -42,7 +42,7 @@
   guint index;
   guint64 attempt;
   MhTaskPhase phase;
-  const char *cause;
+  const char *end_cause;
   gint64 ready_us, end_us;
   gint64 stop_requested_us;
 } MachineTask;
--- a/tests/stand-in/rule-checks.c
+++ b/tests/stand-in/rule-checks.c
@@ -51,7 +51,7 @@
   const MachineTask *task;
   const WorkloadJob *job;
   double team_cpus;
-  guint same_zone, other_zones; /* number of other tasks of the job */
+  guint same_zone_tasks, other_zone_tasks; /* number of other tasks of the job */
 } TaskStart;
 
 static void
@@ -68,9 +68,9 @@
     rule_checks_add_violation (rules, "ran_twice: %s starts on %s while it is on %s",
                                start->task->task_id, start->machine->name, machine->name);
   if (strcmp (machine->zone, start->machine->zone) == 0)
-    start->same_zone++;
+    start->same_zone_tasks++;
   else
-    start->other_zones++;
+    start->other_zone_tasks++;
 }
 
 static void
@@ -94,9 +94,9 @@
   const MhJobSpec *spec = start->job->spec;
   if (!machine_allowed (start->machine, spec))
     return false;
-  if (spec->single_zone && start->other_zones)
+  if (spec->single_zone && start->other_zone_tasks)
     return false;
-  return !spec->spread_over_zones || start->same_zone + 1 <= (spec->tasks + 1) / 2;
+  return !spec->spread_over_zones || start->same_zone_tasks + 1 <= (spec->tasks + 1) / 2;
 }
 
 void
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -19,7 +19,7 @@
   mh_value_set_uint (item, "try", task->attempt);
   mh_value_set_text (item, "status", phase_words[task->phase]);
   if (task->phase == MH_TASK_PHASE_ENDED)
-    mh_value_set_text (item, "cause", task->cause);
+    mh_value_set_text (item, "cause", task->end_cause);
   return item;
 }
 
--- a/tests/stand-in/worker-runtime.c
+++ b/tests/stand-in/worker-runtime.c
@@ -22,10 +22,10 @@
 }
 
 static void
-end_task (MachineTask *task, const char *cause)
+end_task (MachineTask *task, const char *end_cause)
 {
   task->phase = MH_TASK_PHASE_ENDED;
-  task->cause = cause;
+  task->end_cause = end_cause;
 }
 
 /* ---- commands ---- */
--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -71,7 +71,7 @@
                   || strcmp (task->job_id, "j-000001") != 0)
                 continue;
               task->phase = MH_TASK_PHASE_ENDED;
-              task->cause = "error";
+              task->end_cause = "error";
             }
         }
       simulation_run (simulation, 1);
