--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -8,11 +8,12 @@
 
 struct Controller
 {
-  MhCore *core;               /* this version's; NULL: it is the other */
-  ProductionCore *production; /* the other's */
+  MhCore *core;               /* of this version; NULL: the controller has the other version */
+  ProductionCore *production; /* of the version in production; NULL: the controller has this version
+                               */
 };
 
-/* ---- settings, as the platform's file ---- */
+/* ---- settings, written as platform settings ---- */
 
 static void
 write_members (GString *text, const MhSettings *settings)
@@ -206,7 +207,7 @@
 }
 
 void
-controller_user (Controller *self, const MhNow *now, const MhUserRequest *request)
+controller_user_request (Controller *self, const MhNow *now, const MhUserRequest *request)
 {
   if (self->core)
     {
@@ -222,13 +223,13 @@
 }
 
 void
-controller_report (Controller *self, const MhNow *now, guint64 id, const MhValue *value)
+controller_heartbeat (Controller *self, const MhNow *now, guint64 id, const MhValue *value)
 {
   if (self->core)
     {
-      g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value, NULL);
-      g_assert_nonnull (report);
-      mh_core_receive_heartbeat (self->core, now, id, report);
+      g_autoptr (MhHeartbeat) heartbeat = mh_heartbeat_decode (value, NULL);
+      g_assert_nonnull (heartbeat);
+      mh_core_receive_heartbeat (self->core, now, id, heartbeat);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -237,7 +238,8 @@
 }
 
 void
-controller_reply (Controller *self, const MhNow *now, guint64 id, guint status, const MhValue *body)
+controller_call_finished (Controller *self, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body)
 {
   if (self->core)
     {
@@ -250,7 +252,8 @@
 }
 
 void
-controller_forwarded (Controller *self, const MhNow *now, guint64 id, const MhUserResponse *answer)
+controller_forward_finished (Controller *self, const MhNow *now, guint64 id,
+                             const MhUserResponse *answer)
 {
   if (self->core)
     {
@@ -279,7 +282,7 @@
 }
 
 MhAction *
-controller_pop (Controller *self, gint64 mono_us)
+controller_next_action (Controller *self, gint64 mono_us)
 {
   ProductionAction popped;
   if (self->core)
--- a/tests/stand-in/random-fault.c
+++ b/tests/stand-in/random-fault.c
@@ -1,13 +1,13 @@
 #include "stand-in/random-fault.h"
 
-#define FIRST_ODD_JOB 900000u
+#define FIRST_ODD_JOB_NUMBER 900000u
 
-/* Whom it meets, and how long it lasts. */
+/* What the fault affects, and until when. */
 typedef struct
 {
   Simulation *simulation;
   ControllerNode *node;
-  Worker *worker; /* NULL: there is none yet */
+  Worker *worker; /* NULL: no machine exists yet */
   gint64 until_us;
 } Fault;
 
@@ -28,7 +28,8 @@
     simulation_stop_node (fault->simulation, i);
 }
 
-/* Back at once, whatever it was doing: perhaps in the middle of an election. */
+/* Restarts the node within 0.4 s, whatever it was doing, for example in the middle of an election.
+ */
 static void
 restart_node (const Fault *fault)
 {
@@ -44,7 +45,7 @@
   simulation_freeze_node (fault->simulation, fault->node->index, seconds);
 }
 
-/* Between deciding and sending. */
+/* Freezes the node between its decision and the sending of the messages. */
 static void
 freeze_before_acting (const Fault *fault)
 {
@@ -72,7 +73,7 @@
   fault->node->workers_cut_until_us = fault->until_us;
 }
 
-/* It keeps its workers alone. */
+/* The node can reach only its workers. */
 static void
 cut_store_and_peers (const Fault *fault)
 {
@@ -80,11 +81,12 @@
   cut_peers (fault);
 }
 
-/* Refused alone, and a moment later everybody is. */
+/* The store rejects the requests of this node. In half of the cases an outage of the store for all
+   nodes begins at the same time, and lasts 30 s longer. */
 static void
-store_refuses (const Fault *fault)
+reject_at_store (const Fault *fault)
 {
-  fault->node->store_refuses_until_us = fault->until_us;
+  fault->node->store_rejects_until_us = fault->until_us;
   if (g_rand_boolean (fault->simulation->random))
     fault->simulation->store->outage_until_us = fault->until_us + 30 * MH_SECOND_US;
 }
@@ -96,21 +98,21 @@
 }
 
 static void
-lose_reports_to_node (const Fault *fault)
+lose_heartbeats_to_node (const Fault *fault)
 {
-  fault->node->reports_lost_until_us = fault->until_us;
+  fault->node->heartbeats_lost_until_us = fault->until_us;
 }
 
 /* ---- services ---- */
 
 static void
-store_outage (const Fault *fault)
+begin_store_outage (const Fault *fault)
 {
   fault->simulation->store->outage_until_us = fault->until_us;
 }
 
 static void
-cloud_outage (const Fault *fault)
+begin_cloud_outage (const Fault *fault)
 {
   fault->simulation->cloud->outage_until_us = fault->until_us;
 }
@@ -139,28 +141,29 @@
 }
 
 static void
-lose_answers_to_worker (const Fault *fault)
+lose_messages_to_worker (const Fault *fault)
 {
   if (fault->worker)
     fault->worker->answers_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
 }
 
-/* Reports reach nobody, commands arrive. */
+/* No heartbeat reaches a controller, but commands reach the worker. */
 static void
-lose_reports_of_worker (const Fault *fault)
+lose_heartbeats_of_worker (const Fault *fault)
 {
   if (fault->worker)
-    fault->worker->reports_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
+    fault->worker->heartbeats_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
 }
 
 /* ---- users ---- */
 
-/* A job that can never run, and cancellations of what is over. */
+/* Submits a job that can never run, and cancels the jobs that are done. */
 static void
-odd_requests (const Fault *fault)
+send_odd_requests (const Fault *fault)
 {
   Simulation *simulation = fault->simulation;
-  MhJobSpec *spec = job_spec_new (FIRST_ODD_JOB + simulation->users->len, MH_SHAPE_ARRAY, 1, 1);
+  MhJobSpec *spec
+      = job_spec_new (FIRST_ODD_JOB_NUMBER + simulation->users->len, MH_SHAPE_ARRAY, 1, 1);
   if (g_rand_boolean (simulation->random))
     spec->mem_gb = 1000;
   else
@@ -171,13 +174,13 @@
   for (guint i = 0; i < simulation->users->len; i++)
     {
       User *user = g_ptr_array_index (simulation->users, i);
-      if (user->told_done)
+      if (user->reported_done)
         user_cancel (user);
     }
   simulation_submit (simulation, spec, 1)->infeasible = true;
 }
 
-/* Their order is part of every day. */
+/* The order must not change: a random day draws its faults by index. */
 static const FaultFunc faults[] = {
   stop_node,
   stop_node,
@@ -185,20 +188,20 @@
   cut_store,
   cut_peers,
   cut_workers,
-  store_outage,
-  cloud_outage,
+  begin_store_outage,
+  begin_cloud_outage,
   hang_machine,
   cut_worker,
   restart_node,
   cut_store_and_peers,
   freeze_node,
   freeze_before_acting,
-  lose_answers_to_worker,
-  lose_reports_of_worker,
-  store_refuses,
-  lose_reports_to_node,
+  lose_messages_to_worker,
+  lose_heartbeats_of_worker,
+  reject_at_store,
+  lose_heartbeats_to_node,
   lose_key_lists,
-  odd_requests,
+  send_odd_requests,
   fail_machine,
 };
 
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -138,7 +138,7 @@
   advance_environment ();
   g_autoptr (MhValue) body = get_request_body (message);
   guint status
-      = worker->machine->up ? worker_protocol_commands (worker->machine, body, &reply) : 503;
+      = worker->machine->running ? worker_protocol_commands (worker->machine, body, &reply) : 503;
   respond (message, status, reply);
 }
 
@@ -159,7 +159,7 @@
   worker->heartbeat_pending = false;
   advance_environment ();
   if (status == 200)
-    worker_protocol_response (worker->machine, worker->sent_us, worker->session, body);
+    worker_protocol_heartbeat_response (worker->machine, worker->sent_us, worker->session, body);
   else if (status == 421 && node)
     worker->node = (guint)(node[strlen (node) - 1] - '0') % NODES;
   else
@@ -171,15 +171,15 @@
 send_heartbeat_if_due (Worker *worker)
 {
   gint64 now_us = g_get_monotonic_time ();
-  if (!worker->machine->up || worker->machine->gone || worker->heartbeat_pending
+  if (!worker->machine->running || worker->machine->removed || worker->heartbeat_pending
       || now_us < worker->next_us)
     return;
   worker->heartbeat_pending = true;
   worker->sent_us = now_us;
-  worker->session = worker->machine->session;
+  worker->session = worker->machine->incarnation;
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", cluster.front[worker->node]);
   g_autoptr (SoupMessage) message = soup_message_new ("POST", url);
-  g_autoptr (MhValue) heartbeat = worker_protocol_report (worker->machine);
+  g_autoptr (MhValue) heartbeat = worker_protocol_heartbeat (worker->machine);
   g_autoptr (GBytes) bytes = mh_value_serialize (heartbeat);
   soup_message_set_request_body_from_bytes (message, "application/cbor", bytes);
   soup_session_send_and_read_async (cluster.session, message, G_PRIORITY_DEFAULT, NULL,
