--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -1,12 +1,13 @@
-/* Transactions, reports and requests that come late, twice or malformed, and records that are not
-   understood or have to be re-chunked. docs/meetings.md has a row for each. */
+/* Tests transactions, heartbeats and users' requests that arrive late or repeatedly or that cannot
+   be fulfilled, and records that cannot be read or have to be re-chunked. docs/meetings.md has a
+   row for each test. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A part of the transactions gets no answer and is carried out after newer ones of the same
-   controller, while jobs come and end and leaders change. Without conditions on versions they would
-   bring old records back. */
+/* Some transactions get no reply and reach the store after newer ones of the same controller, while
+   jobs are submitted and end and leaders change. Without conditions on versions, they would replace
+   records by older ones. */
 static void
 test_late_writes (void)
 {
@@ -36,23 +37,23 @@
     }
 }
 
-/* A submission that is repeated long after its job was over meets the final record in a transaction
-   of which a copy is on its way. A leader that took this for another's write would step down. */
+/* A user submits a job again after it has ended. The first request of the transaction gets no
+   reply, and the second one conflicts with the final record. If the leader treated the conflict as
+   a write by another controller, or the outcome as unknown, it would step down. */
 static void
-test_late_write_meets_a_final_record (Simulation *simulation)
+test_late_write_conflicts_with_final_record (Simulation *simulation)
 {
   MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, user);
   simulation_run (simulation, 5);
-  simulation_stop_node (
-      simulation,
-      simulation_leader (simulation)->index); /* the next one knows it from the record alone */
+  /* The next leader knows the job only from its final record. */
+  simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 3);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us
-      = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first copy gets no answer */
+      = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first request gets no reply */
   for (guint i = 0; i < 3; i++)
     if (simulation_ask (simulation, leader->index, MH_USER_SUBMIT, "j-000001",
                         job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer)
@@ -63,10 +64,11 @@
   g_assert_false (simulation_logged (simulation, "reason=write_outcome_unknown"));
 }
 
-/* The same, and while its write waits the user asks, and submits once more: what the question found
-   in the final record holds. The second submission once was answered as a job that waits. */
+/* The same, and while the write gets no reply the user requests the job's status and submits it
+   again. Each answer must be the final state, which the status request has read from the final
+   record. In an earlier version the second submission was answered with a pending job. */
 static void
-test_question_between_repeated_submissions (Simulation *simulation)
+test_status_between_repeated_submissions (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, told_done, user);
@@ -90,33 +92,33 @@
     g_assert_true (answers[i].status == 200 && answers[i].state == MH_JOB_DONE);
 }
 
-/* A report of an earlier session comes after one of the next. Believed, what it shows would be
-   taken to run there. */
+/* A heartbeat of an earlier incarnation of a worker arrives after one of the next incarnation. If
+   the leader used it, it would assume that the tasks in it still run on that machine. */
 static void
-test_report_of_an_earlier_session (Simulation *simulation)
+test_heartbeat_of_earlier_incarnation (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 1);
   Worker *worker = worker_of (simulation, "j-000001/0");
-  worker->machine->sequence += 100; /* the next session counts from the beginning */
-  g_autoptr (MhValue) old = worker_protocol_report (worker->machine);
+  worker->machine->sequence += 100; /* the next incarnation starts from 0 again */
+  g_autoptr (MhValue) earlier_heartbeat = worker_protocol_report (worker->machine);
   worker->reports_lost_until_us
-      = simulation->clock->now_us + 22 * MH_SECOND_US; /* its lease ends */
+      = simulation->clock->now_us + 22 * MH_SECOND_US; /* its lease expires */
   simulation_run (simulation, 24);
   WAIT (simulation, 30, all_run, user);
   guint starts = simulation->rules->task_starts;
   for (guint i = 0; i < 3; i++)
     {
-      workers_deliver_late_report (simulation, simulation_leader (simulation), old);
+      workers_deliver_late_report (simulation, simulation_leader (simulation), earlier_heartbeat);
       simulation_run (simulation, 6);
     }
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
 }
 
-/* A cancellation, a question and a repeated submission at the very end of a job's last task would
-   be answered in ways that contradict one another. */
+/* Users cancel a job, request its status or submit it again at the moment at which its last task
+   ends, and some requests arrive twice. The answers must not contradict one another. */
 static void
-test_cancel_at_the_end (Simulation *simulation)
+test_cancel_as_job_ends (Simulation *simulation)
 {
   simulation->cancel_at_end_probability = 1;
   simulation->network->duplicate_probability = 0.2;
@@ -129,15 +131,16 @@
   wait_all (simulation, 200);
 }
 
-/* A report is held back until a new leader has acted. As proof that its start is gone, which was
-   sent meanwhile, it would have the task started twice. */
+/* A heartbeat that was sent before a failover arrives after the new leader has sent a start to the
+   same machine. The heartbeat does not list that attempt. If this counted as proof that the attempt
+   is gone, the task would be started twice. */
 static void
-test_report_held_until_a_new_leader_acted (Simulation *simulation)
+test_heartbeat_delayed_past_failover (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   Worker *worker = worker_of (simulation, "j-000001/0");
   simulation_run (simulation, 8);
-  g_autoptr (MhValue) held = worker_protocol_report (worker->machine);
+  g_autoptr (MhValue) delayed_heartbeat = worker_protocol_report (worker->machine);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
@@ -145,17 +148,17 @@
   simulation_run (simulation, 1);
   for (guint i = 0; i < 3; i++)
     {
-      workers_deliver_late_report (simulation, simulation_leader (simulation), held);
+      workers_deliver_late_report (simulation, simulation_leader (simulation), delayed_heartbeat);
       simulation_run (simulation, 4);
     }
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
-/* Repeated submissions of what is not over, cancellations of what is done, and jobs that can't run:
-   without an answer as the protocol says, also while no controller leads, their users would ask for
-   ever. */
+/* A running job is submitted again, a job that is done is cancelled, and a job that can never run
+   is submitted. All must get the answers that the protocol defines, also while no controller leads.
+   Otherwise their users would retry for ever. */
 static void
-test_odd_requests (Simulation *simulation)
+test_redundant_or_impossible_requests (Simulation *simulation)
 {
   MhUserResponse answer;
   User *user = running_service (simulation, 1, 1), *done;
@@ -170,8 +173,8 @@
                         ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
     }
-  /* Two of three nodes end, the leader among them, and the third cannot be elected: what can be
-     told from the settings and the records is told, the rest is not. */
+  /* Two of three nodes end, the leader among them, and the third cannot be elected. It answers what
+     the settings and the records determine, and any other request with 503. */
   ControllerNode *last
       = &simulation->nodes[(simulation_leader (simulation)->index + 1) % SIMULATION_NODES];
   last->writes_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
@@ -194,10 +197,10 @@
   g_assert_false (user->told_done || user->told_cancelled);
 }
 
-/* A record that is not understood, as another version may write it: its job would be told as
-   unknown, or what runs of it would be stopped or started again. */
+/* A record cannot be read, for example because another version wrote it. Its job must not be
+   answered as unknown, and its tasks must be neither stopped nor started again. */
 static void
-test_record_not_understood (Simulation *simulation)
+test_unreadable_record (Simulation *simulation)
 {
   MhUserResponse answer;
   running_service (simulation, 1, 1);
@@ -215,11 +218,11 @@
                         ==, 503);
 }
 
-/* Jobs written in large records go on under limits that take only small ones. Left as they are they
-   could not be written any more; re-chunked in part, when leaders end in the midst of it, tasks
-   would run again or be lost. */
+/* A job is stored in large records when the store's limits are lowered. Without re-chunking, its
+   records could not be written any more. If a leader ends while it re-chunks the job, tasks must be
+   neither run again nor lost. */
 static void
-test_rechunked (void)
+test_rechunk (void)
 {
   for (guint step = 0; step < 12; step++)
     {
@@ -257,17 +260,18 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/late-messages/late-writes", test_late_writes);
-  g_test_add_func ("/late-messages/rechunked", test_rechunked);
-  simulation_test_add ("/late-messages/late-write-meets-a-final-record", 75,
-                       test_late_write_meets_a_final_record);
-  simulation_test_add ("/late-messages/question-between-repeated-submissions", 86,
-                       test_question_between_repeated_submissions);
-  simulation_test_add ("/late-messages/report-of-an-earlier-session", 77,
-                       test_report_of_an_earlier_session);
-  simulation_test_add ("/late-messages/cancel-at-the-end", 79, test_cancel_at_the_end);
-  simulation_test_add ("/late-messages/report-held-until-a-new-leader-acted", 81,
-                       test_report_held_until_a_new_leader_acted);
-  simulation_test_add ("/late-messages/odd-requests", 84, test_odd_requests);
-  simulation_test_add ("/late-messages/record-not-understood", 85, test_record_not_understood);
+  g_test_add_func ("/late-messages/rechunk", test_rechunk);
+  simulation_test_add ("/late-messages/late-write-conflicts-with-final-record", 75,
+                       test_late_write_conflicts_with_final_record);
+  simulation_test_add ("/late-messages/status-between-repeated-submissions", 86,
+                       test_status_between_repeated_submissions);
+  simulation_test_add ("/late-messages/heartbeat-of-earlier-incarnation", 77,
+                       test_heartbeat_of_earlier_incarnation);
+  simulation_test_add ("/late-messages/cancel-as-job-ends", 79, test_cancel_as_job_ends);
+  simulation_test_add ("/late-messages/heartbeat-delayed-past-failover", 81,
+                       test_heartbeat_delayed_past_failover);
+  simulation_test_add ("/late-messages/redundant-or-impossible-requests", 84,
+                       test_redundant_or_impossible_requests);
+  simulation_test_add ("/late-messages/unreadable-record", 85, test_unreadable_record);
   return g_test_run ();
 }
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -1,4 +1,5 @@
-/* The record writer and its transactions, with scripted replies of the key-value store. */
+/* Tests the record writer, its transactions and the loader, with scripted replies of the key-value
+   store. */
 #include "storage/load.h"
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
@@ -15,7 +16,7 @@
 #define OTHER_JOB "j-000002"
 #define WAITER 41u
 
-/* ---- a writer between a runtime and a script ---- */
+/* ---- a writer with scripted replies ---- */
 
 typedef struct
 {
@@ -25,11 +26,11 @@
   MhCallQueue *calls;
   GHashTable *jobs;
   MhRecordWriter *writer;
-  GQueue requests; /* MhAction that are calls, not replied to */
+  GQueue requests; /* MhAction: requests without a reply, the oldest first */
   MhUserResponse answer;
-  guint n_answers, n_accepted, n_over, n_recorded, n_rechunked;
+  guint n_answers, n_accepted, n_ended, n_recorded, n_rechunked;
   MhLossReason lost_reason;
-  char *critical_line; /* the last one */
+  char *critical_line; /* the last critical log line */
 } Fixture;
 
 static void
@@ -40,11 +41,11 @@
 }
 
 static void
-on_job_over (gpointer owner, const MhJob *job, const MhUserResponse *answer)
+on_job_ended (gpointer owner, const MhJob *job, const MhUserResponse *answer)
 {
   (void)job;
   g_assert_cmpuint (answer->status, ==, 200);
-  ((Fixture *)owner)->n_over++;
+  ((Fixture *)owner)->n_ended++;
 }
 
 static void
@@ -75,15 +76,15 @@
   return "vm-000231";
 }
 
-static const MhRecordWriterCallbacks callbacks = { .job_accepted = on_job_accepted,
-                                                   .job_ended = on_job_over,
-                                                   .attempts_recorded = on_attempts_recorded,
-                                                   .job_rechunked = on_job_rechunked,
-                                                   .leadership_lost = on_leadership_lost,
-                                                   .machine_name = machine_name };
+static const MhRecordWriterCallbacks writer_callbacks = { .job_accepted = on_job_accepted,
+                                                          .job_ended = on_job_ended,
+                                                          .attempts_recorded = on_attempts_recorded,
+                                                          .job_rechunked = on_job_rechunked,
+                                                          .leadership_lost = on_leadership_lost,
+                                                          .machine_name = machine_name };
 
 static void
-set_up (Fixture *fixture, gconstpointer unused)
+fixture_set_up (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhSettings *settings = fixture->settings = mh_settings_new ();
@@ -95,14 +96,14 @@
   fixture->calls = mh_call_queue_new (fixture->runtime);
   fixture->jobs
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
-  fixture->writer
-      = mh_record_writer_new (fixture->runtime, fixture->calls, fixture->jobs, &callbacks, fixture);
+  fixture->writer = mh_record_writer_new (fixture->runtime, fixture->calls, fixture->jobs,
+                                          &writer_callbacks, fixture);
   mh_record_writer_begin (fixture->writer, EPOCH, LEADER_VERSION);
   g_queue_init (&fixture->requests);
 }
 
 static void
-tear_down (Fixture *fixture, gconstpointer unused)
+fixture_tear_down (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   g_queue_clear_full (&fixture->requests, (GDestroyNotify)mh_action_free);
@@ -115,7 +116,7 @@
 }
 
 static void
-take_actions (Fixture *fixture)
+collect_actions (Fixture *fixture)
 {
   for (MhAction *action; (action = mh_runtime_pop_action (fixture->runtime));)
     {
@@ -138,7 +139,7 @@
     }
 }
 
-/* A step, some time later. */
+/* Advances the clock by the delay and runs one step of the writer. */
 static void
 step_after (Fixture *fixture, gint64 delay_us)
 {
@@ -147,10 +148,10 @@
   mh_runtime_reset_wake_up (fixture->runtime);
   mh_record_writer_step (fixture->writer);
   mh_call_queue_flush (fixture->calls);
-  take_actions (fixture);
+  collect_actions (fixture);
 }
 
-/* To the oldest request; then a step a second later. */
+/* Replies to the oldest request, and runs one step a second later. */
 static void
 reply (Fixture *fixture, guint status, MhValue *body)
 {
@@ -159,12 +160,12 @@
   mh_call_queue_complete (fixture->calls, action->id, &(MhReply){ .status = status, .body = body });
   mh_action_free (action);
   mh_value_unref (body);
-  take_actions (fixture);
+  collect_actions (fixture);
   step_after (fixture, MH_SECOND_US);
 }
 
 static MhValue *
-revision (guint64 version)
+revision_body (guint64 version)
 {
   MhValue *body = mh_value_new_map ();
   mh_value_set_uint (body, "ledger", version);
@@ -172,7 +173,7 @@
 }
 
 static MhValue *
-failed (const char *key)
+conflict_body (const char *key)
 {
   const char *keys[] = { key, NULL };
   MhValue *body = mh_value_new_map ();
@@ -181,7 +182,7 @@
 }
 
 static MhValue *
-entry (const char *key, MhValue *value, guint64 version)
+entry_body (const char *key, MhValue *value, guint64 version)
 {
   MhValue *body = mh_value_new_map ();
   mh_value_set_text (body, "key", key);
@@ -191,7 +192,7 @@
 }
 
 static MhValue *
-final_value (void)
+final_record (void)
 {
   MhValue *value = mh_value_new_map ();
   mh_value_set_uint (value, "state", MH_JOB_DONE);
@@ -231,12 +232,12 @@
 {
   MhJob *job = submit (fixture, id);
   step_after (fixture, 0);
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   g_assert_true (job->accepted);
   return job;
 }
 
-/* ---- what a request holds ---- */
+/* ---- contents of the next request ---- */
 
 static const MhRequest *
 next_request (const Fixture *fixture)
@@ -283,7 +284,7 @@
 }
 
 static void
-assert_reads (const Fixture *fixture, const char *path)
+assert_read_request (const Fixture *fixture, const char *path)
 {
   g_assert_cmpstr (next_request (fixture)->method, ==, "GET");
   g_assert_cmpstr (next_request (fixture)->path, ==, path);
@@ -291,8 +292,8 @@
 
 /* ---- states ---- */
 
-/* A transition that is missing would lose a write; one too many would let a record be written twice
-   at once, under conditions that both cannot hold. */
+/* A missing transition would lose a write. An excess one would allow two writes of the same record
+   at once, whose conditions cannot both hold. */
 static void
 test_transitions (void)
 {
@@ -339,7 +340,7 @@
     { MH_RECORD_IN_DOUBT, MH_RECORD_CONFLICTED, MH_RECORD_IN_DOUBT },
     { MH_RECORD_IN_DOUBT, MH_RECORD_DISCARDED, MH_RECORD_IN_DOUBT },
   };
-  guint possible = 0;
+  guint n_allowed = 0;
   for (guint state = 0; state < MH_RECORD_STATES; state++)
     for (guint event = 0; event < MH_RECORD_EVENTS; event++)
       {
@@ -351,14 +352,15 @@
         bool expected = i < G_N_ELEMENTS (allowed);
         g_assert_cmpint (mh_record_state_next (state, event, &next), ==, expected);
         g_assert_cmpint (next, ==, expected ? allowed[i].next : MH_RECORD_STATES);
-        possible += expected;
+        n_allowed += expected;
       }
-  g_assert_cmpuint (possible, ==, G_N_ELEMENTS (allowed));
+  g_assert_cmpuint (n_allowed, ==, G_N_ELEMENTS (allowed));
 }
 
-/* A record that waits in no queue, or in two, would never be written or be written for ever. */
+/* A record that is in no queue though it must be written would never be written, and one that is in
+   two would be written for ever. */
 static void
-test_state_kinds (void)
+test_queued_and_writing_states (void)
 {
   static const bool queued[MH_RECORD_STATES] = {
     [MH_RECORD_QUEUED] = true, [MH_RECORD_REFUSED] = true, [MH_RECORD_WRITING_QUEUED] = true
@@ -374,8 +376,8 @@
     }
 }
 
-/* A 200 that is not understood, taken as applied, would give records a version that they do not
-   have. */
+/* If a 200 whose body cannot be decoded counted as applied, records would get a version that they
+   do not have in the store. */
 static void
 test_outcomes (void)
 {
@@ -387,7 +389,7 @@
                    { 409, MH_TRANSACTION_CONFLICT }, { 429, MH_TRANSACTION_THROTTLED },
                    { 500, MH_TRANSACTION_UNKNOWN },  { 503, MH_TRANSACTION_UNAVAILABLE },
                    { 200, MH_TRANSACTION_UNKNOWN } };
-  g_autoptr (MhValue) empty = mh_value_new_map (), applied = revision (7);
+  g_autoptr (MhValue) empty = mh_value_new_map (), applied = revision_body (7);
   guint64 version = 0;
   for (guint i = 0; i < G_N_ELEMENTS (expected); i++)
     {
@@ -401,7 +403,8 @@
 
 /* ---- writing ---- */
 
-/* A user who is told too early may be told something else by the next leader. */
+/* If a submission were confirmed before its record is durable, the next leader might not know the
+   job, and answer the user differently. */
 static void
 test_accepted_when_durable (Fixture *fixture, gconstpointer unused)
 {
@@ -417,7 +420,7 @@
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
   g_assert_cmpuint (fixture->n_answers, ==, 0);
 
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   g_assert_cmpuint (fixture->n_answers, ==, 1);
   g_assert_cmpuint (fixture->answer.status, ==, 201);
   g_assert_cmpuint (fixture->n_accepted, ==, 1);
@@ -426,7 +429,8 @@
   g_assert_true (mh_record_is_durable (&job->records[0], mh_record_revision (&job->records[0])));
 }
 
-/* A change that comes during a write is not in it, and would be lost. */
+/* A change made while the record is being written is not part of that write. It must be written
+   afterwards, or it would be lost. */
 static void
 test_change_while_writing (Fixture *fixture, gconstpointer unused)
 {
@@ -438,15 +442,16 @@
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1);
 
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   g_assert_true (mh_record_has_unwritten_changes (&job->records[0]));
   assert_condition (fixture, 1, "j/" JOB, 20);
-  reply (fixture, 200, revision (21));
+  reply (fixture, 200, revision_body (21));
   g_assert_false (mh_record_has_unwritten_changes (&job->records[0]));
   g_assert_cmpuint (fixture->n_accepted, ==, 1);
 }
 
-/* Progress of many tasks would hold up what a user waits for. */
+/* Without an order by urgency, the progress of many tasks would delay the records that users wait
+   for. */
 static void
 test_urgent_first (Fixture *fixture, gconstpointer unused)
 {
@@ -461,25 +466,25 @@
   assert_change (fixture, 1, "put", "j/" JOB);
 }
 
-/* Records of a job that is over, left behind, would start it again under the next leader. */
+/* If records of an ended job remained, the next leader would start the job again. */
 static void
-test_final_removes_records (Fixture *fixture, gconstpointer unused)
+test_final_record_deletes_others (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJob *job = add_job (fixture, JOB, 100);
   for (guint i = 0; i < job->n_records; i++)
     mh_record_writer_mark_changed (fixture->writer, &job->records[i], MH_URGENCY_START);
   step_after (fixture, 0);
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   mh_record_writer_mark_changed (fixture->writer, &job->records[1], MH_URGENCY_START);
   step_after (fixture, 0);
   job->n_done = 100;
   job->completion = MH_COMPLETION_UNWRITTEN;
   mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, MH_SECOND_US);
-  g_assert_cmpuint (fixture->requests.length, ==, 1); /* waits for the record that is on its way */
+  g_assert_cmpuint (fixture->requests.length, ==, 1); /* the final record waits for this write */
   assert_change (fixture, 0, "put", "t/" JOB "/00001");
-  reply (fixture, 200, revision (21));
+  reply (fixture, 200, revision_body (21));
 
   assert_condition (fixture, 1, "j/" JOB, 20);
   assert_condition (fixture, 2, "f/" JOB, 0);
@@ -487,15 +492,16 @@
   assert_change (fixture, 1, "drop", "j/" JOB);
   assert_change (fixture, 2, "drop", "t/" JOB "/00001");
   g_assert_cmpuint (count_changes (fixture), ==, 1 + job->n_records);
-  reply (fixture, 200, revision (22));
-  g_assert_cmpuint (fixture->n_over, ==, 1);
+  reply (fixture, 200, revision_body (22));
+  g_assert_cmpuint (fixture->n_ended, ==, 1);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_cmpuint (fixture->requests.length, ==, 0);
 }
 
-/* Each later leader would have to be refused to find the lower rate out. */
+/* A lower write rate is stored, and only once. If it were not stored, each later leader would have
+   to be throttled first to learn it. */
 static void
-test_limits_are_stored_once (Fixture *fixture, gconstpointer unused)
+test_limits_written_once (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   fixture->settings->next_write_rps = 50;
@@ -504,7 +510,7 @@
   step_after (fixture, MH_SECOND_US);
   assert_change (fixture, 0, "put", "limits");
   assert_change (fixture, 1, "put", "j/" JOB);
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   submit (fixture, OTHER_JOB);
   step_after (fixture, 0);
   g_assert_cmpuint (count_changes (fixture), ==, 1);
@@ -512,57 +518,62 @@
 
 /* ---- unknown outcomes ---- */
 
-/* The copy without an answer was applied: taken for a conflict, it would end the leadership. */
+/* The unanswered request was applied, and the second request conflicts with it. If this counted as
+   a conflict with another writer, the leadership would end. */
 static void
-test_unanswered_copy_applied (Fixture *fixture, gconstpointer unused)
+test_unanswered_request_applied (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
   g_autofree char *tag = sent_tag (fixture);
   reply (fixture, 0, NULL);
-  g_autofree char *copy_tag = sent_tag (fixture);
-  g_assert_cmpstr (copy_tag, ==, tag);
-  reply (fixture, 409, failed ("j/" JOB));
-  assert_reads (fixture, "/kv/j/" JOB);
+  g_autofree char *second_tag = sent_tag (fixture);
+  g_assert_cmpstr (second_tag, ==, tag);
+  reply (fixture, 409, conflict_body ("j/" JOB));
+  assert_read_request (fixture, "/kv/j/" JOB);
   reply (fixture, 503, NULL);
-  assert_reads (fixture, "/kv/j/" JOB);
-  reply (fixture, 200, entry ("j/" JOB, mh_record_write (&job->records[0], tag, machine_name), 30));
+  assert_read_request (fixture, "/kv/j/" JOB);
+  reply (fixture, 200,
+         entry_body ("j/" JOB, mh_record_write (&job->records[0], tag, machine_name), 30));
   g_assert_true (job->accepted);
   g_assert_cmpuint (job->records[0].version, ==, 30);
   g_assert_cmpuint (fixture->answer.status, ==, 201);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
-/* Somebody else's record, or none, under the key: what was written is not known. */
+/* The key holds a record with another tag, or none, so that it cannot be determined whether the
+   unanswered request was applied: the leadership must end. */
 static void
-test_unanswered_copy_unaccounted (Fixture *fixture, gconstpointer status)
+test_outcome_cannot_be_determined (Fixture *fixture, gconstpointer status)
 {
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
   reply (fixture, 0, NULL);
-  reply (fixture, 409, failed ("j/" JOB));
-  MhValue *body = entry ("j/" JOB, mh_record_write (&job->records[0], "9.9", machine_name), 30);
+  reply (fixture, 409, conflict_body ("j/" JOB));
+  MhValue *body
+      = entry_body ("j/" JOB, mh_record_write (&job->records[0], "9.9", machine_name), 30);
   reply (fixture, GPOINTER_TO_UINT (status), body);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
   g_assert_false (job->accepted);
   g_assert_cmpuint (fixture->n_answers, ==, 0);
 }
 
-/* What was certainly not executed needs no read of the tag. */
+/* A request that the store refused as throttled or unavailable was certainly not applied, so that a
+   later conflict needs no read of the tag. */
 static void
-test_throttled_is_not_unknown (Fixture *fixture, gconstpointer status)
+test_refused_request_not_applied (Fixture *fixture, gconstpointer status)
 {
   submit (fixture, JOB);
   step_after (fixture, 0);
   reply (fixture, GPOINTER_TO_UINT (status), NULL);
-  reply (fixture, 409, failed ("j/" JOB));
-  assert_reads (fixture, "/kv/f/" JOB);
+  reply (fixture, 409, conflict_body ("j/" JOB));
+  assert_read_request (fixture, "/kv/f/" JOB);
 }
 
 /* ---- conflicts ---- */
 
-/* A user who repeats a submission of a job that is over is told its end, and nothing runs again. */
+/* A user who submits an ended job again gets its final state. Otherwise the job would run twice. */
 static void
 test_repeated_submission (Fixture *fixture, gconstpointer unused)
 {
@@ -570,64 +581,67 @@
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
   reply (fixture, 0, NULL);
-  reply (fixture, 409, failed ("f/" JOB));
-  assert_reads (fixture, "/kv/f/" JOB);
+  reply (fixture, 409, conflict_body ("f/" JOB));
+  assert_read_request (fixture, "/kv/f/" JOB);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_IN_DOUBT);
   reply (fixture, 0, NULL);
-  assert_reads (fixture, "/kv/f/" JOB);
-  reply (fixture, 200, entry ("f/" JOB, final_value (), 5));
+  assert_read_request (fixture, "/kv/f/" JOB);
+  reply (fixture, 200, entry_body ("f/" JOB, final_record (), 5));
   g_assert_cmpuint (fixture->answer.status, ==, 200);
   g_assert_cmpuint (fixture->answer.done, ==, 3);
-  g_assert_cmpuint (fixture->n_over, ==, 1);
+  g_assert_cmpuint (fixture->n_ended, ==, 1);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
-/* A conflict that no final record explains: somebody else writes. */
+/* A submission conflicts, and there is no final record: another controller has written, and this
+   one must step down. */
 static void
-test_submission_without_final (Fixture *fixture, gconstpointer unused)
+test_conflict_without_final_record (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   submit (fixture, JOB);
   step_after (fixture, 0);
-  reply (fixture, 409, failed ("j/" JOB));
+  reply (fixture, 409, conflict_body ("j/" JOB));
   reply (fixture, 404, NULL);
   g_assert_cmpuint (fixture->answer.status, ==, 503);
-  g_assert_cmpuint (fixture->n_over, ==, 0);
+  g_assert_cmpuint (fixture->n_ended, ==, 0);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_DIFFERS);
 }
 
-/* Two leaders would write the same records in turn. */
+/* The condition on the leader's key fails. If the leadership did not end, two leaders would write
+   the same records in turn. */
 static void
-test_other_leader (Fixture *fixture, gconstpointer unused)
+test_conflict_with_another_leader (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   submit (fixture, JOB);
   step_after (fixture, 0);
   reply (fixture, 0, NULL);
-  reply (fixture, 409, failed ("leader"));
+  reply (fixture, 409, conflict_body ("leader"));
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_ANOTHER_LEADER);
   g_assert_cmpuint (fixture->n_answers, ==, 0);
 }
 
-/* Nobody but the leader changes the record of an accepted job. */
+/* Only the leader changes the record of an accepted job, so that a conflict on it must end the
+   leadership. */
 static void
-test_changed_by_somebody_else (Fixture *fixture, gconstpointer unused)
+test_conflict_on_accepted_job (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJob *job = submit_accepted (fixture, JOB);
   mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, 0);
-  reply (fixture, 409, failed ("j/" JOB));
+  reply (fixture, 409, conflict_body ("j/" JOB));
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_CHANGED);
 }
 
 /* ---- malformed ---- */
 
-/* One record that is too large must not hold up those that were sent with it. */
+/* A record that is too large must not block the records that were sent in the same transaction. */
 static void
-test_malformed_is_tried_alone (Fixture *fixture, gconstpointer unused)
+test_malformed_written_alone (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   submit (fixture, JOB);
@@ -641,14 +655,15 @@
   g_assert_cmpuint (fixture->answer.status, ==, 503);
   g_assert_cmpuint (fixture->answer.retry_after_s, ==, 30);
   g_assert_null (g_hash_table_lookup (fixture->jobs, JOB));
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   g_assert_true (other->accepted);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
-/* A record that is refused again and again must neither end the leadership nor be sent at once. */
+/* A record that the store refuses repeatedly must not end the leadership, and must not be sent
+   again at once. */
 static void
-test_refused_waits (Fixture *fixture, gconstpointer unused)
+test_refused_record_waits (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJob *job = submit_accepted (fixture, JOB);
@@ -662,14 +677,15 @@
   g_assert_cmpuint (fixture->requests.length, ==, 0);
   step_after (fixture, 2 * MH_SECOND_US);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
-  reply (fixture, 200, revision (21));
+  reply (fixture, 200, revision_body (21));
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_CLEAN);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
-/* An earlier copy may have been applied: its user may have a job that must not be forgotten. */
+/* An earlier, unanswered request of the transaction may have been applied, so that the job may be
+   stored. It must stay in memory. */
 static void
-test_malformed_after_unknown_copy (Fixture *fixture, gconstpointer unused)
+test_malformed_after_unknown_outcome (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJob *job = submit (fixture, JOB);
@@ -683,8 +699,9 @@
 
 /* ---- re-chunking ---- */
 
-/* The first record tells of the new layout only when all of it is stored: a leader that ended in
-   between would leave tasks that nobody knows of. */
+/* The first record may describe the new layout only when all other new records are stored
+   or are written in the same transaction. Otherwise the next leader would not find some tasks if
+   this one ended in between. */
 static void
 test_rechunk_order (Fixture *fixture, gconstpointer unused)
 {
@@ -701,7 +718,7 @@
   step_after (fixture, 0);
   g_assert_cmpuint (count_changes (fixture), ==, 1);
   assert_change (fixture, 0, "put", "t/" JOB "/00002");
-  reply (fixture, 200, revision (20));
+  reply (fixture, 200, revision_body (20));
   g_assert_cmpuint (job->records[2].durable_revision, ==, 0);
 
   g_assert_cmpuint (count_changes (fixture), ==, 2);
@@ -709,16 +726,16 @@
   assert_change (fixture, 1, "put", "t/" JOB "/00001");
   g_assert_cmpint (job->records[1].state, ==, MH_RECORD_WRITING_QUEUED);
   g_assert_cmpuint (fixture->n_rechunked, ==, 0);
-  reply (fixture, 200, revision (21));
+  reply (fixture, 200, revision_body (21));
   g_assert_cmpuint (fixture->n_rechunked, ==, 1);
   g_assert_cmpuint (job->n_old_layout_records, ==, 0);
   g_assert_cmpuint (job->records[2].durable_revision, >, 0);
 }
 
-/* ---- what cannot be read ---- */
+/* ---- unreadable records ---- */
 
 static void
-set_nothing (MhValue *map)
+set_no_fields (MhValue *map)
 {
   (void)map;
 }
@@ -730,16 +747,16 @@
 }
 
 static void
-set_no_chunk (MhValue *map)
+set_time_and_zero_chunk (MhValue *map)
 {
   set_time (map);
   mh_value_set_uint (map, "c", 0);
 }
 
-/* An operator must see which field of which record another version, or damage, has made unreadable.
- */
+/* Another version of the service, or damage, can make a record unreadable. The error must name the
+   field, so that an operator can find it. */
 static void
-test_unreadable_job (Fixture *fixture, gconstpointer unused)
+test_read_unreadable_job (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   static const struct
@@ -748,8 +765,8 @@
     void (*set) (MhValue *map);
     MhStorageError code;
     const char *field;
-  } cases[] = { { JOB, set_nothing, MH_STORAGE_ERROR_MISSING_FIELD, "'at'" },
-                { JOB, set_no_chunk, MH_STORAGE_ERROR_INVALID_FIELD, "'c'" },
+  } cases[] = { { JOB, set_no_fields, MH_STORAGE_ERROR_MISSING_FIELD, "'at'" },
+                { JOB, set_time_and_zero_chunk, MH_STORAGE_ERROR_INVALID_FIELD, "'c'" },
                 { OTHER_JOB, set_time, MH_STORAGE_ERROR_WRONG_JOB, "'s'" } };
   MhJob *job = add_job (fixture, JOB, 1);
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -777,10 +794,10 @@
 
 static const MhRecordLoaderCallbacks loader_callbacks = {};
 
-/* A job whose record is damaged must be neither forgotten nor started anew, and the log names the
- * field. */
+/* A job with a damaged record must neither count as unknown nor be started again. The log must name
+   the record and the field. */
 static void
-test_unreadable_job_is_left_alone (Fixture *fixture, gconstpointer unused)
+test_load_unreadable_job (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   g_autoptr (MhRecordLoader) loader = mh_record_loader_new (
@@ -789,7 +806,7 @@
   MhValue *value = mh_value_new_map (), *entries = mh_value_new_list (),
           *page = mh_value_new_map ();
   mh_value_set (value, "s", mh_submission_encode (job->spec));
-  mh_value_push (entries, entry ("j/" OTHER_JOB, value, 7));
+  mh_value_push (entries, entry_body ("j/" OTHER_JOB, value, 7));
   mh_value_set (page, "entries", entries);
   mh_value_set_uint (page, "ledger", 7);
   mh_record_writer_remove_job (fixture->writer, job);
@@ -805,36 +822,39 @@
   g_assert_false (mh_record_loader_is_unreadable (loader, OTHER_JOB));
 }
 
-#define ADD(path, data, test) g_test_add (path, Fixture, data, set_up, test, tear_down)
+#define ADD(path, data, test)                                                                      \
+  g_test_add (path, Fixture, data, fixture_set_up, test, fixture_tear_down)
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/storage/record-state/transitions", test_transitions);
-  g_test_add_func ("/storage/record-state/kinds", test_state_kinds);
+  g_test_add_func ("/storage/record-state/queued-and-writing", test_queued_and_writing_states);
   g_test_add_func ("/storage/transaction/outcomes", test_outcomes);
   ADD ("/storage/writer/accepted-when-durable", NULL, test_accepted_when_durable);
   ADD ("/storage/writer/change-while-writing", NULL, test_change_while_writing);
   ADD ("/storage/writer/urgent-first", NULL, test_urgent_first);
-  ADD ("/storage/writer/final-removes-records", NULL, test_final_removes_records);
-  ADD ("/storage/writer/limits-are-stored-once", NULL, test_limits_are_stored_once);
-  ADD ("/storage/unknown/applied", NULL, test_unanswered_copy_applied);
-  ADD ("/storage/unknown/other-tag", GUINT_TO_POINTER (200), test_unanswered_copy_unaccounted);
-  ADD ("/storage/unknown/no-record", GUINT_TO_POINTER (404), test_unanswered_copy_unaccounted);
-  ADD ("/storage/unknown/throttled-is-known", GUINT_TO_POINTER (429),
-       test_throttled_is_not_unknown);
-  ADD ("/storage/unknown/unavailable-is-known", GUINT_TO_POINTER (503),
-       test_throttled_is_not_unknown);
+  ADD ("/storage/writer/final-record-deletes-others", NULL, test_final_record_deletes_others);
+  ADD ("/storage/writer/limits-written-once", NULL, test_limits_written_once);
+  ADD ("/storage/unknown-outcome/applied", NULL, test_unanswered_request_applied);
+  ADD ("/storage/unknown-outcome/other-tag", GUINT_TO_POINTER (200),
+       test_outcome_cannot_be_determined);
+  ADD ("/storage/unknown-outcome/no-record", GUINT_TO_POINTER (404),
+       test_outcome_cannot_be_determined);
+  ADD ("/storage/unknown-outcome/throttled-not-applied", GUINT_TO_POINTER (429),
+       test_refused_request_not_applied);
+  ADD ("/storage/unknown-outcome/unavailable-not-applied", GUINT_TO_POINTER (503),
+       test_refused_request_not_applied);
   ADD ("/storage/conflict/repeated-submission", NULL, test_repeated_submission);
-  ADD ("/storage/conflict/submission-without-final", NULL, test_submission_without_final);
-  ADD ("/storage/conflict/other-leader", NULL, test_other_leader);
-  ADD ("/storage/conflict/changed-by-somebody-else", NULL, test_changed_by_somebody_else);
-  ADD ("/storage/malformed/tried-alone", NULL, test_malformed_is_tried_alone);
-  ADD ("/storage/malformed/refused-waits", NULL, test_refused_waits);
-  ADD ("/storage/malformed/after-unknown-copy", NULL, test_malformed_after_unknown_copy);
+  ADD ("/storage/conflict/no-final-record", NULL, test_conflict_without_final_record);
+  ADD ("/storage/conflict/another-leader", NULL, test_conflict_with_another_leader);
+  ADD ("/storage/conflict/record-changed", NULL, test_conflict_on_accepted_job);
+  ADD ("/storage/malformed/written-alone", NULL, test_malformed_written_alone);
+  ADD ("/storage/malformed/refused-record-waits", NULL, test_refused_record_waits);
+  ADD ("/storage/malformed/after-unknown-outcome", NULL, test_malformed_after_unknown_outcome);
   ADD ("/storage/rechunk/order", NULL, test_rechunk_order);
-  ADD ("/storage/record/unreadable-job", NULL, test_unreadable_job);
-  ADD ("/storage/load/unreadable-job-is-left-alone", NULL, test_unreadable_job_is_left_alone);
+  ADD ("/storage/record/unreadable-job", NULL, test_read_unreadable_job);
+  ADD ("/storage/load/unreadable-job", NULL, test_load_unreadable_job);
   return g_test_run ();
 }
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -1,16 +1,19 @@
-/* Outages of the key-value store, controllers that are cut off or end, and how long a leader that
-   cannot renew its lease may extend the workers' leases. docs/meetings.md has a row for each. */
+/* Tests outages of the key-value store, controllers that are cut off or end, and how long a leader
+   that cannot renew its lease may keep tasks alive by responding to heartbeats. docs/meetings.md
+   has a row for each test. */
 #include "steps.h"
 
 #include <string.h>
 
-/* The first leader loses the state service and its peers, and keeps its worker, which nobody else
-   can ask; the second confirms a cancellation, and loses the state service with everybody else
-   `outage_s` later, before or after the first gives the worker up. The worker's task is gone within
-   cancel_s all the same. Without stops in what such a leader answers, the second kept the task
-   alive in its turn. */
+/* The first leader cannot use the key-value store, which refuses its requests alone (`refused`) or
+   which it is cut off from. With `isolated` it is cut off from its peers too. The workers still
+   send their heartbeats to it, and no other controller can send them commands. The second leader
+   confirms a cancellation. `outage_s` later the store becomes unavailable for all, before or after
+   the first leader starts to reject heartbeats, and the workers turn to the second one. The task
+   must be gone within cancel_s all the same. Without stops in heartbeat responses, the second
+   leader kept the task alive after the first one had. */
 static void
-extend_across_leaders (guint seed, bool refused, bool isolated, double outage_s)
+keep_alive_across_leaders (guint seed, bool refused, bool isolated, double outage_s)
 {
   Simulation *simulation = simulation_new (seed);
   User *user = running_service (simulation, 1, 2);
@@ -24,33 +27,33 @@
     old->peers_cut_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us
-      = simulation->clock->now_us + 300 * MH_SECOND_US; /* no machine is released */
+      = simulation->clock->now_us + 300 * MH_SECOND_US; /* no machine can be released */
   user_cancel (user);
   WAIT (simulation, 20, told_cancelled, user);
   g_assert_true (simulation_leader (simulation) != old);
   simulation_run (simulation, outage_s);
   simulation->store->outage_until_us = simulation->clock->now_us + 70 * MH_SECOND_US;
-  simulation_run (simulation, 120); /* the world checks cancel_s */
+  simulation_run (simulation, 120); /* the rule checks of the simulation enforce cancel_s */
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
   finish (simulation);
 }
 
 static void
-test_lease_extension (void)
+test_keep_alive_across_leaders (void)
 {
   for (guint i = 0; i < 12; i++)
     {
-      extend_across_leaders (100 + i, true, false, 0.5 + 2 * i);
-      extend_across_leaders (200 + i, true, true, 0.5 + 2 * i);
-      extend_across_leaders (300 + i, false, true, 0.5 + 2 * i);
+      keep_alive_across_leaders (100 + i, true, false, 0.5 + 2 * i);
+      keep_alive_across_leaders (200 + i, true, true, 0.5 + 2 * i);
+      keep_alive_across_leaders (300 + i, false, true, 0.5 + 2 * i);
     }
 }
 
-/* A cancellation is confirmed, and its leader ends before any worker hears of it. The next one can
-   renew its lease, but does not get to see the records for long: it would keep alive what it cannot
-   know to be cancelled. */
+/* A leader confirms a cancellation and ends before any worker gets the stop. The next leader can
+   renew its lease, but its lists of keys get no reply for a minute. If it responded to heartbeats
+   before it has loaded the records, it would keep cancelled tasks alive. */
 static void
-test_cancel_before_a_slow_load (Simulation *simulation)
+test_cancel_before_slow_load (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 2);
   simulation_run (simulation, 10);
@@ -69,10 +72,11 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* Settings that leave no room beside the workers' lease: were anything kept alive without the
-   key-value store, what is cancelled would not be gone in time. Silence is noticed as ever. */
+/* cancel_s is so close to the workers' lease that a leader may keep no task alive without the
+   key-value store. If it did, the tasks of cancelled jobs would not be gone within cancel_s. Silent
+   machines must be detected as with other settings. */
 static void
-test_no_room_for_lease_extension (Simulation *simulation)
+test_no_time_for_keep_alive (Simulation *simulation)
 {
   simulation->settings->cancel_limit_us = 18 * MH_SECOND_US;
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -82,7 +86,8 @@
       simulation_start_node (simulation, i);
     }
   User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 3, 1);
-  g_assert_true (simulation_logged (simulation, "leaves no room"));
+  g_assert_true (
+      simulation_logged (simulation, "cancel_s is too short in relation to the workers' lease_s"));
   simulation_run (simulation, 10);
   Machine *machine = worker_of (simulation, "j-000003/0")->machine;
   machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
@@ -101,9 +106,10 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* The key-value store is away for longer than the old leader may keep anything alive: the tasks end
-   with the workers' leases, and start again on the very machines once it is back. That nothing was
-   heard while all reports were refused once had the whole fleet given back. */
+/* The key-value store is unavailable for longer than the leader may keep tasks alive. The tasks end
+   when the workers' leases expire, and must start again on the same machines when the store is
+   back. An earlier version counted the time in which the leader rejected all heartbeats as silence
+   of the workers, and released the whole fleet. */
 static void
 test_long_outage (Simulation *simulation)
 {
@@ -117,10 +123,11 @@
     g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->gone);
 }
 
-/* A leader keeps its workers and users alone, and jobs are cancelled through the new one: users of
-   the first would be told something older, and what is cancelled would not be gone in time. */
+/* The old leader is cut off from the key-value store and its peers, but not from its workers and
+   users, and a job is cancelled through the new leader. The old one must not answer users with an
+   older state of the job, and the job's tasks must be gone within cancel_s. */
 static void
-test_cancel_beside_a_cut_leader (Simulation *simulation)
+test_cancel_with_isolated_leader (Simulation *simulation)
 {
   MhUserResponse answer;
   User *user = running_service (simulation, 1, 2), *other = running_service (simulation, 2, 2);
@@ -129,7 +136,7 @@
   for (guint i = 0; i < simulation->workers->len; i++)
     simulation_worker (simulation, i)->node = old->index;
   old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
-  simulation->network->hold_commands = true; /* no worker tells the old one of the new */
+  simulation->network->hold_commands = true; /* no worker sends the old leader the new token */
   simulation_run (simulation, 3);
   user_cancel (user);
   WAIT (simulation, 20, told_cancelled, user);
@@ -141,8 +148,8 @@
   WAIT (simulation, 60, all_run, other);
 }
 
-/* Ten leaders in two minutes, some of them inside an outage, while users submit and cancel: what
-   one leader leaves half done would be lost. */
+/* The leader is stopped ten times in two minutes, also during an outage of the key-value store,
+   while users submit and cancel jobs. Nothing that one leader leaves unfinished may be lost. */
 static void
 test_ten_leaders (Simulation *simulation)
 {
@@ -167,12 +174,13 @@
   g_assert_true (user->told_cancelled);
 }
 
-/* A team is at its limit when the leader changes; a machine that runs its tasks can't be asked, and
-   cancels fall into that. Did what may still run there not count, more would be started. */
+/* A team has reached its quota when the leader changes, one machine that runs its tasks is
+   unreachable, and the job of these tasks is cancelled. Tasks that may still run on that machine
+   must count towards the quota. Otherwise more tasks than it allows would be started. */
 static void
-test_limit_across_leaders (Simulation *simulation)
+test_quota_across_leaders (Simulation *simulation)
 {
-  User *user = running_array (simulation, 2, 16, 200); /* 16 cpus are blue's limit */
+  User *user = running_array (simulation, 2, 16, 200); /* the quota of team blue is 16 cpus */
   MhJobSpec *spec = job_spec_new (4, MH_SHAPE_ARRAY, 16, 1);
   spec->estimated_run_us = 300 * MH_SECOND_US;
   User *more = simulation_submit (simulation, spec, 5);
@@ -183,13 +191,13 @@
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   user_cancel (user);
   WAIT (simulation, 20, told_cancelled, user);
-  WAIT (simulation, 200, told_done, more); /* the world checks the limit at each start */
+  WAIT (simulation, 200, told_done, more); /* the rule checks enforce the quota at each start */
 }
 
-/* No controller for longer than the workers' lease: whatever ran is gone, and would not run again
-   if it were taken for running. */
+/* No controller runs for longer than the workers' lease, so that all tasks end. If the next leader
+   assumed that they still run, they would not be started again. */
 static void
-test_all_away_for_a_lease (Simulation *simulation)
+test_no_controller_for_a_worker_lease (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 3);
   User *array = running_array (simulation, 2, 6, 20);
@@ -203,10 +211,11 @@
   WAIT (simulation, 60, told_done, array);
 }
 
-/* Controllers transfer leadership and get it back; then all end, and one is back within a moment,
-   alone: it would wait for the lease of its earlier life, or for others. */
+/* Leaders that receive no heartbeats transfer leadership several times. Then all controllers end,
+   and one starts again at once, alone. It must lead within 10 s, and not wait for the lease of its
+   earlier process or for the other controllers. */
 static void
-test_back_and_forth (Simulation *simulation)
+test_repeated_transfers (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 3);
   running_service (simulation, 3, 1);
@@ -231,17 +240,16 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/store-outages/lease-extension", test_lease_extension);
-  simulation_test_add ("/store-outages/cancel-before-a-slow-load", 50,
-                       test_cancel_before_a_slow_load);
-  simulation_test_add ("/store-outages/no-room-for-lease-extension", 54,
-                       test_no_room_for_lease_extension);
+  g_test_add_func ("/store-outages/keep-alive-across-leaders", test_keep_alive_across_leaders);
+  simulation_test_add ("/store-outages/cancel-before-slow-load", 50, test_cancel_before_slow_load);
+  simulation_test_add ("/store-outages/no-time-for-keep-alive", 54, test_no_time_for_keep_alive);
   simulation_test_add ("/store-outages/long-outage", 51, test_long_outage);
-  simulation_test_add ("/store-outages/cancel-beside-a-cut-leader", 61,
-                       test_cancel_beside_a_cut_leader);
+  simulation_test_add ("/store-outages/cancel-with-isolated-leader", 61,
+                       test_cancel_with_isolated_leader);
   simulation_test_add ("/store-outages/ten-leaders", 63, test_ten_leaders);
-  simulation_test_add ("/store-outages/limit-across-leaders", 64, test_limit_across_leaders);
-  simulation_test_add ("/store-outages/all-away-for-a-lease", 76, test_all_away_for_a_lease);
-  simulation_test_add ("/store-outages/back-and-forth", 82, test_back_and_forth);
+  simulation_test_add ("/store-outages/quota-across-leaders", 64, test_quota_across_leaders);
+  simulation_test_add ("/store-outages/no-controller-for-a-worker-lease", 76,
+                       test_no_controller_for_a_worker_lease);
+  simulation_test_add ("/store-outages/repeated-transfers", 82, test_repeated_transfers);
   return g_test_run ();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,6 @@
-/* Beside the version in production: what it writes is read, and what is written here is the same to
-   the byte as long as no gang is in it. */
+/* Tests compatibility with earlier versions in production: records and peer messages that they
+   wrote are read correctly, and this version writes the same bytes, so that versions can run side
+   by side and be rolled back. */
 #include "election/leader-record.h"
 #include "controller/core-private.h"
 #include "cluster/attempt.h"
@@ -14,22 +15,22 @@
 #include <string.h>
 
 static MhValue *
-load (const guint8 *data, gsize size)
+parse_value (const guint8 *data, gsize size)
 {
   MhValue *value = mh_value_parse (data, size, NULL);
   g_assert_nonnull (value);
   return value;
 }
-#define LOAD(fixture) load ((fixture), sizeof (fixture))
+#define PARSE(fixture) parse_value ((fixture), sizeof (fixture))
 
 static void
-assert_written (MhValue *written, const guint8 *data, gsize size)
+assert_serialized (MhValue *written, const guint8 *data, gsize size)
 {
   g_autoptr (MhValue) value = written;
   g_autoptr (GBytes) bytes = mh_value_serialize (value);
   g_assert_cmpmem (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes), data, size);
 }
-#define ASSERT_WRITTEN(value, fixture) assert_written ((value), (fixture), sizeof (fixture))
+#define ASSERT_SERIALIZED(value, fixture) assert_serialized ((value), (fixture), sizeof (fixture))
 
 static const char *
 machine_name (const MhAttempt *attempt)
@@ -38,7 +39,7 @@
 }
 
 static void
-count_task (gpointer data, guint index, guint32 attempt, const char *machine)
+check_and_count_task (gpointer data, guint index, guint32 attempt, const char *machine)
 {
   guint *counts = data;
   if (machine == NULL)
@@ -60,14 +61,15 @@
     }
 }
 
-/* A record of the version in production that is not understood would leave its job alone. */
+/* If a record of the version in production could not be read, its job would not be scheduled any
+   more. */
 static void
 test_records_are_read (void)
 {
   guint counts[3] = {};
   g_auto (MhStoredJob) stored = {};
   g_autoptr (GError) error = NULL;
-  g_autoptr (MhValue) job = LOAD (production_job), tasks = LOAD (production_tasks);
+  g_autoptr (MhValue) job = PARSE (production_job), tasks = PARSE (production_tasks);
   g_assert_true (mh_record_read_job (job, "j-000412", &stored, &error));
   g_assert_no_error (error);
   g_assert_nonnull (stored.spec);
@@ -75,8 +77,8 @@
   g_assert_cmpint (stored.spec->deadline_us, ==, 900 * MH_SECOND_US);
   g_assert_cmpuint (stored.chunk, ==, 32);
   g_assert_true (stored.cancelled);
-  g_assert_true (mh_record_read_tasks (job, count_task, counts, &error));
-  g_assert_true (mh_record_read_tasks (tasks, count_task, counts, &error));
+  g_assert_true (mh_record_read_tasks (job, check_and_count_task, counts, &error));
+  g_assert_true (mh_record_read_tasks (tasks, check_and_count_task, counts, &error));
   g_assert_cmpuint (counts[0], ==, 1);
   g_assert_cmpuint (counts[1], ==, 1);
   g_assert_cmpuint (counts[2], ==, 3);
@@ -84,8 +86,8 @@
   MhUserResponse answer;
   guint64 epoch, lease_id;
   g_autofree char *node = NULL;
-  g_autoptr (MhValue) final = LOAD (production_final), leader = LOAD (production_leader);
-  g_autoptr (MhValue) last = LOAD (production_epoch), release = LOAD (production_release);
+  g_autoptr (MhValue) final = PARSE (production_final), leader = PARSE (production_leader);
+  g_autoptr (MhValue) last = PARSE (production_epoch), release = PARSE (production_release);
   g_assert_true (mh_record_read_final (final, &answer, &error));
   g_assert_cmpint (answer.state, ==, MH_JOB_CANCELLED);
   g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
@@ -96,9 +98,9 @@
   g_assert_cmpuint (g_strv_length (names), ==, 2);
 }
 
-/* The version in production would not understand, after a roll-back, what this one has written. */
+/* After a roll-back, the version in production must be able to read the records of this version. */
 static void
-test_records_are_the_same (void)
+test_records_are_identical (void)
 {
   g_auto (MhStoredJob) read = {};
   g_autoptr (MhSettings) settings = mh_settings_new ();
@@ -107,7 +109,7 @@
   settings->cancel_limit_us = 60 * MH_SECOND_US;
   MhNow now = { .mono_us = 1000 * MH_SECOND_US, .wall_us = 1700000000 * MH_SECOND_US };
   g_autoptr (MhCore) core = mh_core_new (settings, &now);
-  g_autoptr (MhValue) stored = LOAD (production_job);
+  g_autoptr (MhValue) stored = PARSE (production_job);
   g_assert_true (mh_record_read_job (stored, "j-000412", &read, NULL));
   MhJob *job = mh_job_new (g_steal_pointer (&read.spec), read.chunk, settings->value_bytes,
                            read.submitted_wall_us, &now);
@@ -118,13 +120,13 @@
   job->tasks[33] = (MhTask){ .attempt = 7, .state = MH_TASK_PENDING };
   job->cancellation = MH_CANCELLATION_REQUESTED;
   job->n_done = 1;
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "5.17", machine_name), production_job);
-  ASSERT_WRITTEN (mh_record_write (&job->records[1], "5.17", machine_name), production_tasks);
-  ASSERT_WRITTEN (mh_record_write_final (job, "5.18"), production_final);
-  ASSERT_WRITTEN (mh_leader_record_write ("worker-1", 1000001, 7), production_leader);
-  ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_epoch);
+  ASSERT_SERIALIZED (mh_record_write (&job->records[0], "5.17", machine_name), production_job);
+  ASSERT_SERIALIZED (mh_record_write (&job->records[1], "5.17", machine_name), production_tasks);
+  ASSERT_SERIALIZED (mh_record_write_final (job, "5.18"), production_final);
+  ASSERT_SERIALIZED (mh_leader_record_write ("worker-1", 1000001, 7), production_leader);
+  ASSERT_SERIALIZED (mh_epoch_record_write (2000000), production_epoch);
   const char *names[] = { "vm-000231", "vm-000232", NULL };
-  ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_release);
+  ASSERT_SERIALIZED (mh_record_write_release ((char **)names), production_release);
   for (guint i = 0; i < 3; i++)
     mh_attempt_discard (core->cluster, job->tasks[(gsize)i * 15].live);
   mh_job_free (job);
@@ -140,9 +142,9 @@
   g_byte_array_unref (written);
 }
 
-/* Controllers of the two versions would not pass users on to each other. */
+/* Controllers of the two versions must be able to forward users' requests to each other. */
 static void
-test_messages_are_the_same (void)
+test_messages_are_identical (void)
 {
   MhControllerMessage message = {};
   const MhUserResponse answer
@@ -162,7 +164,7 @@
   mh_controller_message_clear (&message);
 }
 
-/* ---- with gangs, and under the limits that come next ---- */
+/* ---- gangs, and a limit of 2 KiB on values ---- */
 
 typedef struct
 {
@@ -196,9 +198,9 @@
   mh_settings_free (fixture->settings);
 }
 
-/* The job as a leader of this version takes it over. */
+/* Creates the job from its first stored record, as a new leader of this version does. */
 static MhJob *
-fixture_job (const Fixture *fixture, MhValue *stored, const char *id, bool *cancelled)
+load_job (const Fixture *fixture, MhValue *stored, const char *id, bool *cancelled)
 {
   g_auto (MhStoredJob) read = {};
   g_assert_true (mh_record_read_job (stored, id, &read, NULL));
@@ -213,17 +215,17 @@
 {
   Fixture *fixture;
   MhJob *job;
-} Loading;
+} TaskReader;
 
 static void
-load_stored_task (gpointer data, guint index, guint32 attempt, const char *machine)
+load_task (gpointer data, guint index, guint32 attempt, const char *machine)
 {
-  Loading *loading = data;
-  MhTask *task = &loading->job->tasks[index];
+  TaskReader *reader = data;
+  MhTask *task = &reader->job->tasks[index];
   if (machine && strcmp (machine, "?") != 0)
     {
-      MhMachine *found = mh_cluster_find_machine (loading->fixture->core->cluster, machine);
-      mh_attempt_new (loading->fixture->core->cluster, loading->job, index, attempt, found);
+      MhMachine *found = mh_cluster_find_machine (reader->fixture->core->cluster, machine);
+      mh_attempt_new (reader->fixture->core->cluster, reader->job, index, attempt, found);
     }
   else
     *task = (MhTask){ .attempt = attempt, .state = machine ? MH_TASK_PENDING : MH_TASK_DONE };
@@ -232,12 +234,12 @@
 static void
 load_tasks (Fixture *fixture, MhJob *job, const MhValue *stored)
 {
-  Loading loading = { .fixture = fixture, .job = job };
-  g_assert_true (mh_record_read_tasks (stored, load_stored_task, &loading, NULL));
+  TaskReader reader = { .fixture = fixture, .job = job };
+  g_assert_true (mh_record_read_tasks (stored, load_task, &reader, NULL));
 }
 
 static void
-forget_job (Fixture *fixture, MhJob *job)
+discard_job (Fixture *fixture, MhJob *job)
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
@@ -245,16 +247,16 @@
   mh_job_free (job);
 }
 
-/* An attempt of a gang that is read wrongly would run twice, or never end. */
+/* If an attempt of a gang were read wrongly, it would run twice or never end. */
 static void
 test_gang_record (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   bool cancelled;
   MhUserResponse answer;
-  g_autoptr (MhValue) stored = LOAD (production_gang), done = LOAD (production_gang_done);
-  g_autoptr (MhValue) final = LOAD (production_gang_final);
-  MhJob *job = fixture_job (fixture, stored, "j-000500", &cancelled);
+  g_autoptr (MhValue) stored = PARSE (production_gang), done = PARSE (production_gang_done);
+  g_autoptr (MhValue) final = PARSE (production_gang_final);
+  MhJob *job = load_job (fixture, stored, "j-000500", &cancelled);
   g_assert_false (cancelled);
   g_assert_cmpint (job->spec->shape, ==, MH_SHAPE_GANG);
   g_assert_true (job->spec->single_zone);
@@ -263,7 +265,8 @@
   g_assert_cmpuint (job->n_live, ==, 4);
   g_assert_cmpuint (job->tasks[3].attempt, ==, 3);
   g_assert_true (job->tasks[3].live->machine == fixture->machines[1]);
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.40", machine_name), production_gang);
+  ASSERT_SERIALIZED (mh_record_write (&job->records[0], "1000001.40", machine_name),
+                     production_gang);
 
   for (guint i = 0; i < 4; i++)
     mh_attempt_discard (fixture->core->cluster, job->tasks[i].live);
@@ -271,23 +274,25 @@
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (job->tasks[i].state, ==, MH_TASK_DONE);
   job->n_done = 4;
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.41", machine_name),
-                  production_gang_done);
-  ASSERT_WRITTEN (mh_record_write_final (job, "1000001.42"), production_gang_final);
+  ASSERT_SERIALIZED (mh_record_write (&job->records[0], "1000001.41", machine_name),
+                     production_gang_done);
+  ASSERT_SERIALIZED (mh_record_write_final (job, "1000001.42"), production_gang_final);
   g_assert_true (mh_record_read_final (final, &answer, NULL));
   g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
   g_assert_cmpuint (answer.done, ==, 4);
-  forget_job (fixture, job);
+  discard_job (fixture, job);
 }
 
-/* Tasks in further records would be lost when the other version takes over. */
+/* If a version could not read the records after the first one, their tasks would be lost when it
+   takes over. */
 static void
 test_rechunked_records (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   bool cancelled;
-  g_autoptr (MhValue) first = LOAD (production_rechunked_0), second = LOAD (production_rechunked_1);
-  MhJob *job = fixture_job (fixture, first, "j-000501", &cancelled);
+  g_autoptr (MhValue) first = PARSE (production_rechunked_0),
+                      second = PARSE (production_rechunked_1);
+  MhJob *job = load_job (fixture, first, "j-000501", &cancelled);
   g_assert_cmpuint (job->n_records, ==, 2);
   load_tasks (fixture, job, first);
   load_tasks (fixture, job, second);
@@ -295,31 +300,33 @@
   g_assert_nonnull (job->tasks[59].live);
   g_assert_cmpuint (job->tasks[30].attempt, ==, 5);
   g_assert_cmpuint (job->tasks[31].state, ==, MH_TASK_DONE);
-  ASSERT_WRITTEN (mh_record_write (&job->records[0], "1000001.43", machine_name),
-                  production_rechunked_0);
-  ASSERT_WRITTEN (mh_record_write (&job->records[1], "1000001.43", machine_name),
-                  production_rechunked_1);
+  ASSERT_SERIALIZED (mh_record_write (&job->records[0], "1000001.43", machine_name),
+                     production_rechunked_0);
+  ASSERT_SERIALIZED (mh_record_write (&job->records[1], "1000001.43", machine_name),
+                     production_rechunked_1);
   g_autofree char *key = mh_record_key ("j-000501", 1);
   g_assert_cmpstr (key, ==, "t/j-000501/00001");
-  forget_job (fixture, job);
+  discard_job (fixture, job);
 }
 
-/* Two leaders of different versions would not see each other. */
+/* The versions must write the same records of the leader, the epoch and machines being released.
+   Otherwise two leaders of different versions would not detect each other. */
 static void
 test_gang_leadership (void)
 {
   guint64 epoch, lease_id;
   g_autofree char *node = NULL;
   const char *names[] = { "vm-000233", NULL };
-  g_autoptr (MhValue) leader = LOAD (production_gang_leader);
-  ASSERT_WRITTEN (mh_leader_record_write ("worker-2", 1000001, 9), production_gang_leader);
-  ASSERT_WRITTEN (mh_epoch_record_write (2000000), production_gang_epoch);
-  ASSERT_WRITTEN (mh_record_write_release ((char **)names), production_gang_release);
+  g_autoptr (MhValue) leader = PARSE (production_gang_leader);
+  ASSERT_SERIALIZED (mh_leader_record_write ("worker-2", 1000001, 9), production_gang_leader);
+  ASSERT_SERIALIZED (mh_epoch_record_write (2000000), production_gang_epoch);
+  ASSERT_SERIALIZED (mh_record_write_release ((char **)names), production_gang_release);
   g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpuint (lease_id, ==, 9);
 }
 
-/* A gang could not be submitted, asked about or cancelled at a controller of the other version. */
+/* It must be possible to submit, query and cancel a gang at a controller of the other version,
+   which forwards the request. */
 static void
 test_gang_messages (void)
 {
@@ -348,10 +355,11 @@
   mh_controller_message_clear (&message);
 }
 
-/* Controllers that write large records and such that write small ones lead in turn, in any order,
-   until only those are left; then the state service takes no more. */
+/* Controllers with a large limit on values and controllers with a small one lead in turn, in
+   several orders. At the end all of them, and the key-value store, have the small limit. Tasks must
+   be neither lost nor run twice. */
 static void
-test_versions_change_places (void)
+test_mixed_value_limits (void)
 {
   for (guint seed = 1; seed <= 6; seed++)
     {
@@ -363,15 +371,15 @@
       User *user = simulation_submit (simulation, spec, 70),
            *service = running_service (simulation, 3, 2);
       WAIT (simulation, 60, all_run, user);
-      for (guint turn = 0; turn < 6; turn++)
+      for (guint round = 0; round < 6; round++)
         {
-          guint index = (turn + seed) % SIMULATION_NODES;
-          bool small = turn % 2 == 0 || turn > 3;
+          guint index = (round + seed) % SIMULATION_NODES;
+          bool small = round % 2 == 0 || round > 3;
           simulation_stop_node (simulation, index);
           simulation->nodes[index].settings->value_bytes = small ? 2048 : 8192;
           simulation->nodes[index].settings->txn_ops = simulation->nodes[index].settings->max_batch
               = small ? 5 : 16;
-          simulation_run (simulation, 0.3 * turn);
+          simulation_run (simulation, 0.3 * round);
           simulation_start_node (simulation, index);
           ControllerNode *leader = simulation_leader (simulation);
           if (leader && leader->index != index)
@@ -396,9 +404,9 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/upgrade/records-are-read", test_records_are_read);
-  g_test_add_func ("/upgrade/records-are-the-same", test_records_are_the_same);
-  g_test_add_func ("/upgrade/messages-are-the-same", test_messages_are_the_same);
-  g_test_add_func ("/upgrade/versions-change-places", test_versions_change_places);
+  g_test_add_func ("/upgrade/records-are-identical", test_records_are_identical);
+  g_test_add_func ("/upgrade/messages-are-identical", test_messages_are_identical);
+  g_test_add_func ("/upgrade/mixed-value-limits", test_mixed_value_limits);
   g_test_add ("/upgrade/gang-record", Fixture, NULL, fixture_set_up, test_gang_record,
               fixture_tear_down);
   g_test_add ("/upgrade/rechunked-records", Fixture, NULL, fixture_set_up, test_rechunked_records,
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -1,22 +1,24 @@
-/* This version and the one in production, side by side and on each other's data, on a fake clock:
-   the leader changes from either to the other at every step of a gang's life and of re-chunking a
-   job. */
+/* Tests this version and the one in production side by side, on a fake clock. A leader of either
+   version is replaced by one of the other at each stage of a gang and at each step of re-chunking a
+   job. The new leader then works with records, commands and worker state of the old one; a
+   difference between the versions would lose tasks or run them twice. */
 #include "steps.h"
 
 #include <string.h>
 
-/* From the version that leads first to the one that takes over. */
+/* The version that leads first, and the one that takes over. */
 typedef struct
 {
   ControllerVersion from, to;
-} Change;
+} VersionChange;
 
-static const Change changes[] = { { CONTROLLER_PRODUCTION, CONTROLLER_CURRENT },
-                                  { CONTROLLER_CURRENT, CONTROLLER_PRODUCTION } };
+static const VersionChange version_changes[] = { { CONTROLLER_PRODUCTION, CONTROLLER_CURRENT },
+                                                 { CONTROLLER_CURRENT, CONTROLLER_PRODUCTION } };
 
-/* The leader has the first version, the two others, one of which will succeed it, the second. */
+/* Node 0 leads with the version `from`. The other two, one of which becomes the next leader, have
+   the version `to`. */
 static Simulation *
-mixed_sim (guint32 seed, const Change *change)
+new_mixed_simulation (guint32 seed, const VersionChange *change)
 {
   Simulation *simulation = simulation_new (seed);
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -30,13 +32,14 @@
   return simulation;
 }
 
-/* The leader ends, and comes back later with the other version. */
+/* Stops node 0, which leads, waits for the next leader, and starts node 0 again with the version
+ * `to`. */
 static void
-change_leader (Simulation *simulation, const Change *change, double away_s)
+replace_leader (Simulation *simulation, const VersionChange *change, double downtime_s)
 {
   simulation_stop_node (simulation, 0);
   WAIT (simulation, 10, has_leader, NULL);
-  simulation_run (simulation, away_s);
+  simulation_run (simulation, downtime_s);
   simulation->nodes[0].version = change->to;
   simulation_start_node (simulation, 0);
 }
@@ -46,16 +49,16 @@
 typedef enum
 {
   PLACED,     /* in memory, not on record */
-  ON_RECORD,  /* and the leader does not know yet that it is */
-  START_SENT, /* and on its way */
-  GATHERING,
+  ON_RECORD,  /* but the leader has no reply to the write yet */
+  START_SENT, /* the start commands are in flight */
+  WAITING_FOR_GANG,
   RUNNING,
-  STOPPING,
-  ONE_DONE,   /* the leader knows of one task, nothing is on record */
-  CANCELLING, /* on its way to the record */
+  CHECKPOINTING,
+  ONE_DONE,   /* all tasks are done; the leader knows of one, and none is on record as done */
+  CANCELLING, /* the write of the cancellation is in flight */
   CANCELLED,
-  N_MOMENTS
-} Moment;
+  N_GANG_STAGES
+} GangStage;
 
 #define GANG_TASKS 4u
 
@@ -63,10 +66,10 @@
 {
   Simulation *simulation;
   User *gang, *urgent;
-} Scene;
+} Scenario;
 
 static MhJobSpec *
-two_version_gang_spec (void)
+small_machine_gang_spec (void)
 {
   MhJobSpec *spec = gang_spec (1, GANG_TASKS, 4);
   use_small_machines (spec);
@@ -74,7 +77,8 @@
   return spec;
 }
 
-/* Twice as many as it needs: there is room for a second attempt beside the first. */
+/* Adds twice as many machines as the gang needs, so that a second attempt could run beside the
+ * first. */
 static void
 add_machines (Simulation *simulation)
 {
@@ -83,7 +87,7 @@
 }
 
 static bool
-in_phase (const Simulation *simulation, MhTaskPhase phase)
+has_task_in_phase (const Simulation *simulation, MhTaskPhase phase)
 {
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
@@ -96,106 +100,109 @@
 }
 
 static bool
-gathers (Simulation *simulation, gpointer unused)
+has_waiting_gang_task (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return in_phase (simulation, MH_TASK_PHASE_WAITING_FOR_GANG);
+  return has_task_in_phase (simulation, MH_TASK_PHASE_WAITING_FOR_GANG);
 }
 
 static bool
-saves (Simulation *simulation, gpointer unused)
+has_checkpointing_task (Simulation *simulation, gpointer unused)
 {
   (void)unused;
-  return in_phase (simulation, MH_TASK_PHASE_CHECKPOINTING);
+  return has_task_in_phase (simulation, MH_TASK_PHASE_CHECKPOINTING);
 }
 
 static bool
-write_held (Simulation *simulation, gpointer unused)
+has_held_write (Simulation *simulation, gpointer unused)
 {
   (void)unused;
   return simulation->network->held_writes->len > 0;
 }
 
 static bool
-command_held (Simulation *simulation, gpointer unused)
+has_held_command (Simulation *simulation, gpointer unused)
 {
   (void)unused;
   return simulation->network->held_commands->len > 0;
 }
 
-/* Its machines come up while the leader's writes are held. */
+/* The machines come up while the leader's writes are held, so that the gang is placed but not on
+   record. */
 static void
-until_placed (Scene *scene)
+wait_until_placed (Scenario *scenario)
 {
-  scene->simulation->nodes[0].hold_writes = true;
-  add_machines (scene->simulation);
-  WAIT (scene->simulation, 20, write_held, NULL);
+  scenario->simulation->nodes[0].hold_writes = true;
+  add_machines (scenario->simulation);
+  WAIT (scenario->simulation, 20, has_held_write, NULL);
 }
 
 static void
-until_running (Scene *scene)
+wait_until_running (Scenario *scenario)
 {
-  add_machines (scene->simulation);
-  WAIT (scene->simulation, 60, gang_runs, scene->gang);
+  add_machines (scenario->simulation);
+  WAIT (scenario->simulation, 60, gang_runs, scenario->gang);
 }
 
 static bool
-fetches (Simulation *simulation, gpointer leg)
+is_on_worker (Simulation *simulation, gpointer task_id)
 {
-  return worker_of (simulation, leg) != NULL;
+  return worker_of (simulation, task_id) != NULL;
 }
 
-/* The image of one task comes later than the others'. */
+/* Delays the image of one task, so that the others wait for the gang. */
 static void
-until_gathering (Scene *scene)
+wait_until_waiting_for_gang (Scenario *scenario)
 {
-  char leg[] = "j-000001/3";
-  add_machines (scene->simulation);
-  WAIT (scene->simulation, 20, fetches, leg);
-  Machine *machine = worker_of (scene->simulation, leg)->machine;
+  char task_id[] = "j-000001/3";
+  add_machines (scenario->simulation);
+  WAIT (scenario->simulation, 20, is_on_worker, task_id);
+  Machine *machine = worker_of (scenario->simulation, task_id)->machine;
   g_array_index (machine->tasks, MachineTask, 0).ready_us += 4 * MH_SECOND_US;
-  WAIT (scene->simulation, 20, gathers, NULL);
+  WAIT (scenario->simulation, 20, has_waiting_gang_task, NULL);
 }
 
+/* The idle machines fail, so that an urgent service preempts the gang. */
 static void
-until_stopping (Scene *scene)
+wait_until_checkpointing (Scenario *scenario)
 {
-  until_running (scene);
-  for (guint i = 0; i < scene->simulation->cloud->machines->len; i++)
+  wait_until_running (scenario);
+  for (guint i = 0; i < scenario->simulation->cloud->machines->len; i++)
     {
-      Machine *machine = g_ptr_array_index (scene->simulation->cloud->machines, i);
+      Machine *machine = g_ptr_array_index (scenario->simulation->cloud->machines, i);
       if (machine->tasks->len == 0)
         machine_fail (machine);
     }
-  simulation_run (scene->simulation, 6);
-  scene->urgent
-      = simulation_submit (scene->simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
-  WAIT (scene->simulation, 20, saves, NULL);
+  simulation_run (scenario->simulation, 6);
+  scenario->urgent
+      = simulation_submit (scenario->simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
+  WAIT (scenario->simulation, 20, has_checkpointing_task, NULL);
 }
 
+/* Only the first worker's heartbeats arrive, and the write that follows is held. */
 static void
-until_one_done (Scene *scene)
+wait_until_one_done (Scenario *scenario)
 {
-  until_running (scene);
-  for (guint i = 1; i < scene->simulation->workers->len; i++)
-    ((Worker *)g_ptr_array_index (scene->simulation->workers, i))->reports_lost_until_us
-        = scene->simulation->clock->now_us + 20 * MH_SECOND_US;
-  scene->simulation->nodes[0].hold_writes = true;
-  WAIT (scene->simulation, 30, write_held, NULL);
-  g_assert_cmpuint (scene->gang->job->done_count, ==, GANG_TASKS);
+  wait_until_running (scenario);
+  for (guint i = 1; i < scenario->simulation->workers->len; i++)
+    ((Worker *)g_ptr_array_index (scenario->simulation->workers, i))->reports_lost_until_us
+        = scenario->simulation->clock->now_us + 20 * MH_SECOND_US;
+  scenario->simulation->nodes[0].hold_writes = true;
+  WAIT (scenario->simulation, 30, has_held_write, NULL);
+  g_assert_cmpuint (scenario->gang->job->done_count, ==, GANG_TASKS);
 }
 
 static void
-bring_about (Scene *scene, Moment moment)
+reach_stage (Scenario *scenario, GangStage stage)
 {
-  Simulation *simulation = scene->simulation;
-  switch (moment)
+  Simulation *simulation = scenario->simulation;
+  switch (stage)
     {
     case PLACED:
-      until_placed (scene);
+      wait_until_placed (scenario);
       break;
     case ON_RECORD:
-      until_placed (scene);
+      wait_until_placed (scenario);
       simulation->nodes[0].write_answers_lost_until_us
           = simulation->clock->now_us + 20 * MH_SECOND_US;
       outgoing_calls_release_write (simulation, true);
@@ -204,39 +211,39 @@
     case START_SENT:
       simulation->network->hold_commands = true;
       add_machines (simulation);
-      WAIT (simulation, 20, command_held, NULL);
+      WAIT (simulation, 20, has_held_command, NULL);
       break;
-    case GATHERING:
-      until_gathering (scene);
+    case WAITING_FOR_GANG:
+      wait_until_waiting_for_gang (scenario);
       break;
     case RUNNING:
-      until_running (scene);
+      wait_until_running (scenario);
       break;
-    case STOPPING:
-      until_stopping (scene);
+    case CHECKPOINTING:
+      wait_until_checkpointing (scenario);
       break;
     case ONE_DONE:
-      until_one_done (scene);
+      wait_until_one_done (scenario);
       break;
     case CANCELLING:
-      until_running (scene);
+      wait_until_running (scenario);
       simulation->nodes[0].hold_writes = true;
-      user_cancel (scene->gang);
-      WAIT (simulation, 10, write_held, NULL);
+      user_cancel (scenario->gang);
+      WAIT (simulation, 10, has_held_write, NULL);
       break;
     case CANCELLED:
-      until_running (scene);
-      user_cancel (scene->gang);
-      WAIT (simulation, 10, told_cancelled, scene->gang);
+      wait_until_running (scenario);
+      user_cancel (scenario->gang);
+      WAIT (simulation, 10, told_cancelled, scenario->gang);
       break;
     default:
       g_assert_not_reached ();
     }
 }
 
-/* What the earlier leader had sent arrives after its successor has begun. */
+/* Delivers the held requests of the first leader. */
 static void
-deliver_late (Simulation *simulation)
+deliver_held_requests (Simulation *simulation)
 {
   simulation->nodes[0].hold_writes = false;
   while (simulation->network->held_writes->len)
@@ -246,43 +253,46 @@
     outgoing_calls_release_commands (simulation);
 }
 
+/* The leader is replaced by one of the other version at one stage of a gang. The requests that it
+   sent arrive either before or after the new leader has taken over. */
 static void
-test_gang (gconstpointer data)
+test_gang_stage (gconstpointer data)
 {
-  Moment moment = (Moment)(GPOINTER_TO_UINT (data) / G_N_ELEMENTS (changes));
-  const Change *change = &changes[GPOINTER_TO_UINT (data) % G_N_ELEMENTS (changes)];
+  GangStage stage = (GangStage)(GPOINTER_TO_UINT (data) / G_N_ELEMENTS (version_changes));
+  const VersionChange *change
+      = &version_changes[GPOINTER_TO_UINT (data) % G_N_ELEMENTS (version_changes)];
   for (guint late = 0; late < 2; late++)
     {
-      Scene scene = { .simulation = mixed_sim (100 + 10 * moment + late, change) };
-      Simulation *simulation = scene.simulation;
+      Scenario scenario = { .simulation = new_mixed_simulation (100 + 10 * stage + late, change) };
+      Simulation *simulation = scenario.simulation;
       simulation->cloud->capacity = 0;
-      scene.gang = simulation_submit (simulation, two_version_gang_spec (), 12);
-      WAIT (simulation, 10, accepted, scene.gang);
-      bring_about (&scene, moment);
+      scenario.gang = simulation_submit (simulation, small_machine_gang_spec (), 12);
+      WAIT (simulation, 10, accepted, scenario.gang);
+      reach_stage (&scenario, stage);
       if (late)
         {
-          change_leader (simulation, change, 2);
-          deliver_late (simulation);
+          replace_leader (simulation, change, 2);
+          deliver_held_requests (simulation);
         }
       else
         {
-          deliver_late (simulation);
-          change_leader (simulation, change, 2);
+          deliver_held_requests (simulation);
+          replace_leader (simulation, change, 2);
         }
-      if (scene.urgent)
+      if (scenario.urgent)
         {
-          WAIT (simulation, 60, all_run, scene.urgent);
-          user_cancel (scene.urgent);
+          WAIT (simulation, 60, all_run, scenario.urgent);
+          user_cancel (scenario.urgent);
         }
-      if (moment == CANCELLING || moment == CANCELLED)
+      if (stage == CANCELLING || stage == CANCELLED)
         {
-          WAIT (simulation, 30, told_cancelled, scene.gang);
+          WAIT (simulation, 30, told_cancelled, scenario.gang);
           simulation_run (simulation, 45);
-          g_assert_cmpuint (simulation_running_tasks (simulation, scene.gang->job->spec->id), ==,
+          g_assert_cmpuint (simulation_running_tasks (simulation, scenario.gang->job->spec->id), ==,
                             0);
         }
       else
-        WAIT (simulation, 200, told_done, scene.gang);
+        WAIT (simulation, 200, told_done, scenario.gang);
       finish (simulation);
     }
 }
@@ -311,18 +321,20 @@
 }
 
 static bool
-rechunked (Simulation *simulation, gpointer unused)
+is_rechunked (Simulation *simulation, gpointer unused)
 {
   (void)unused;
   return simulation_logged (simulation, "job re-chunked")
          || simulation_logged (simulation, "laid out anew");
 }
 
-/* A job of more records than a transaction takes changes, or of fewer. The leaders of both versions
-   believe in the smaller limits from now on; the one that re-chunks the job ends after so many of
-   its writes, and one of the other version goes on. Returns whether it ended in the midst of it. */
+/* Stores a job in more records than a transaction can change (`many_records`) or in fewer, and
+   lowers the limit on values in the settings of all controllers, so that the next leader re-chunks
+   the job. That leader ends after `n_writes` writes, and one of the other version takes
+   over. Returns whether the first one ended while the re-chunking was partly written. */
 static bool
-rechunk_across (const Change *change, guint value_bytes, bool many, guint writes)
+rechunk_across_versions (const VersionChange *change, guint value_bytes, bool many_records,
+                         guint n_writes)
 {
   Simulation *simulation = simulation_new (7);
   simulation_limit (simulation, value_bytes, TXN_OPS);
@@ -332,7 +344,7 @@
   spec->estimated_run_us = 600 * MH_SECOND_US;
   User *job = simulation_submit (simulation, spec, 45);
   WAIT (simulation, 60, all_run, job);
-  if (many)
+  if (many_records)
     g_assert_cmpuint (count_records (simulation), >, TXN_OPS);
   else
     g_assert_cmpuint (count_records (simulation), <=, TXN_OPS);
@@ -346,19 +358,19 @@
     }
   simulation->nodes[0].hold_writes = true;
   simulation_start_node (simulation, 0);
-  /* The first one makes it the leader. */
-  WAIT (simulation, 10, write_held, NULL);
+  /* The first write is that of the election. */
+  WAIT (simulation, 10, has_held_write, NULL);
   outgoing_calls_release_write (simulation, true);
-  for (guint i = 0; i < writes && simulation_until (simulation, 2, write_held, NULL); i++)
+  for (guint i = 0; i < n_writes && simulation_until (simulation, 2, has_held_write, NULL); i++)
     outgoing_calls_release_write (simulation, true);
   simulation_run (simulation, 0.05);
   simulation_stop_node (simulation, 0);
   simulation->nodes[0].hold_writes = false;
   g_ptr_array_set_size (simulation->network->held_writes, 0);
-  bool midway = count_records (simulation) > records && !rechunked (simulation, NULL);
+  bool midway = count_records (simulation) > records && !is_rechunked (simulation, NULL);
   for (guint i = 1; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
-  WAIT (simulation, 30, rechunked, NULL);
+  WAIT (simulation, 30, is_rechunked, NULL);
   simulation->nodes[0].version = change->to;
   simulation_start_node (simulation, 0);
 
@@ -371,12 +383,12 @@
 static void
 test_rechunk (gconstpointer data)
 {
-  const Change *change = data;
+  const VersionChange *change = data;
   guint many_midway = 0, few_midway = 0;
-  for (guint writes = 0; writes <= 8; writes++)
+  for (guint n_writes = 0; n_writes <= 8; n_writes++)
     {
-      many_midway += rechunk_across (change, 1700, true, writes);
-      few_midway += rechunk_across (change, 5120, false, writes);
+      many_midway += rechunk_across_versions (change, 1700, true, n_writes);
+      few_midway += rechunk_across_versions (change, 5120, false, n_writes);
     }
   g_assert_cmpuint (many_midway, >, 1);
   g_assert_cmpuint (few_midway, >, 1);
@@ -385,22 +397,22 @@
 int
 main (int argc, char **argv)
 {
-  static const char *const moments[N_MOMENTS]
-      = { "placed",   "on-record", "start-sent", "gathering", "running",
-          "stopping", "one-done",  "cancelling", "cancelled" };
-  static const char *const directions[] = { "forward", "back" };
+  static const char *const stage_names[N_GANG_STAGES]
+      = { "placed",        "on-record", "start-sent", "waiting-for-gang", "running",
+          "checkpointing", "one-done",  "cancelling", "cancelled" };
+  static const char *const direction_names[] = { "upgrade", "rollback" };
   g_test_init (&argc, &argv, NULL);
-  for (guint i = 0; i < N_MOMENTS * G_N_ELEMENTS (changes); i++)
+  for (guint i = 0; i < N_GANG_STAGES * G_N_ELEMENTS (version_changes); i++)
     {
-      g_autofree char *path
-          = g_strdup_printf ("/versions/gang/%s-%s", moments[i / G_N_ELEMENTS (changes)],
-                             directions[i % G_N_ELEMENTS (changes)]);
-      g_test_add_data_func (path, GUINT_TO_POINTER (i), test_gang);
+      g_autofree char *path = g_strdup_printf ("/versions/gang/%s-%s",
+                                               stage_names[i / G_N_ELEMENTS (version_changes)],
+                                               direction_names[i % G_N_ELEMENTS (version_changes)]);
+      g_test_add_data_func (path, GUINT_TO_POINTER (i), test_gang_stage);
     }
-  for (guint i = 0; i < G_N_ELEMENTS (changes); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (version_changes); i++)
     {
-      g_autofree char *path = g_strdup_printf ("/versions/rechunk/%s", directions[i]);
-      g_test_add_data_func (path, &changes[i], test_rechunk);
+      g_autofree char *path = g_strdup_printf ("/versions/rechunk/%s", direction_names[i]);
+      g_test_add_data_func (path, &version_changes[i], test_rechunk);
     }
   return g_test_run ();
 }
