--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -1,18 +1,18 @@
-/* Compound failures: two or three things go wrong at once. Those that the operators named first are
-   in test-store-outages.c, test-partitions.c and test-late-messages.c; docs/meetings.md has a row
-   for each. */
+/* Compound failures: two or three faults at the same time. The combinations that the operators
+   named first are in test-store-outages.c, test-partitions.c and test-late-messages.c;
+   docs/meetings.md has a row for each. */
 #include "steps.h"
 
 #include <string.h>
 
-#define CANCEL_S 41 /* of the settings */
+#define CANCEL_LIMIT_S 41 /* cancel_limit_us of the simulation's settings, in seconds */
 
-/* Every node is asked within milliseconds. */
+/* Lets the user ask every node every 3 ms for that time. */
 static void
-ask_closely (Simulation *simulation, User *user, double seconds)
+ask_in_quick_succession (Simulation *simulation, User *user, double seconds)
 {
-  gint64 end = simulation->clock->now_us + (gint64)(seconds * MH_SECOND_US);
-  while (simulation->clock->now_us < end)
+  gint64 end_us = simulation->clock->now_us + (gint64)(seconds * MH_SECOND_US);
+  while (simulation->clock->now_us < end_us)
     {
       simulation_ask_all (simulation, user);
       simulation_run (simulation, 0.003);
@@ -20,18 +20,18 @@
 }
 
 static bool
-cancel_asked (Simulation *simulation, gpointer data)
+has_final_answer (Simulation *simulation, gpointer data)
 {
   (void)simulation;
   const User *user = data;
   return user->told_cancelled || user->told_done;
 }
 
-/* Users ask at all nodes, again and again, right after a job was accepted, ended or cancelled: a
-   node that answers by what it remembers would give an answer older than one before (the stand-in
-   user checks each). */
+/* A user asks all nodes in quick succession, right after its job was accepted, ended or cancelled.
+   A node that answers from memory that is out of date would contradict an earlier answer of another
+   node; the stand-in user checks each answer. */
 static void
-test_close_looks (void)
+test_answers_in_quick_succession (void)
 {
   for (guint round = 0; round < 8; round++)
     {
@@ -44,31 +44,31 @@
         simulation->nodes[(simulation_leader (simulation)->index + 1) % SIMULATION_NODES]
             .peers_cut_until_us
             = simulation->clock->now_us + 20 * MH_SECOND_US;
-      ask_closely (simulation, user, 0.3);
+      ask_in_quick_succession (simulation, user, 0.3);
       guint leader = simulation_leader (simulation)->index;
-      if (cancels && leader_ends) /* and what it knows of that goes with it */
+      if (cancels && leader_ends) /* what the leader knows of the cancellation is lost with it */
         simulation->nodes[leader].writes_lost_until_us = simulation->clock->now_us + MH_SECOND_US;
       if (cancels)
         {
           user_cancel (user);
-          ask_closely (simulation, user, 0.1);
+          ask_in_quick_succession (simulation, user, 0.1);
         }
       if (leader_ends)
         simulation_stop_node (simulation, leader);
-      for (guint i = 0; i < 200 && !cancel_asked (simulation, user); i++)
-        ask_closely (simulation, user, 0.05);
-      g_assert_true (cancel_asked (simulation, user));
+      for (guint i = 0; i < 200 && !has_final_answer (simulation, user); i++)
+        ask_in_quick_succession (simulation, user, 0.05);
+      g_assert_true (has_final_answer (simulation, user));
       simulation_start_node (simulation, leader);
-      ask_closely (simulation, user, 1.5);
+      ask_in_quick_succession (simulation, user, 1.5);
       finish (simulation);
     }
 }
 
-/* A start of a leader that has been deposed arrives after its successor has acted, once the job was
-   placed again, and once it was cancelled. Without a fencing token it would run beside the new
-   attempt. */
+/* A start of a former leader arrives after its successor has acted: in the first round the job has
+   been placed again, in the second it has been cancelled. Without a fencing token, the start would
+   run beside the new attempt, or after the cancellation. */
 static void
-test_command_of_a_deposed_leader (void)
+test_command_of_former_leader (void)
 {
   for (guint cancels = 0; cancels < 2; cancels++)
     {
@@ -79,11 +79,11 @@
       WAIT (simulation, 10, accepted, user);
       simulation_run (simulation, 0.2);
       g_assert_cmpuint (simulation->network->held_commands->len, >, 0);
-      ControllerNode *old = simulation_leader (simulation);
-      old->store_cut_until_us = old->peers_cut_until_us
+      ControllerNode *former_leader = simulation_leader (simulation);
+      former_leader->store_cut_until_us = former_leader->peers_cut_until_us
           = simulation->clock->now_us + 30 * MH_SECOND_US;
-      old->workers_cut_until_us = old->store_cut_until_us;
-      simulation->network->hold_commands = false; /* those of its successor arrive */
+      former_leader->workers_cut_until_us = former_leader->store_cut_until_us;
+      simulation->network->hold_commands = false; /* commands of its successor arrive */
       simulation_run (simulation, 3);
       if (cancels)
         {
@@ -93,7 +93,7 @@
       simulation_run (simulation, 10);
       guint starts = simulation->rules->task_starts;
       outgoing_calls_release_commands (simulation);
-      simulation_run (simulation, CANCEL_S + 1); /* the cut is over too */
+      simulation_run (simulation, CANCEL_LIMIT_S + 1); /* the partition has ended too */
       g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
       g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==,
                         cancels ? 0 : 2);
@@ -102,15 +102,15 @@
     }
 }
 
-/* Jobs are cancelled in the seconds in which leadership changes, one at every tenth of a second,
-   and what the leader sends straight to the workers comes late. A cancellation that was lost
-   between two leaders would leave its job running. */
+/* Jobs are cancelled, one every tenth of a second, while leadership changes, and direct commands
+   reach the workers late. A cancellation that is lost between two leaders would leave its job
+   running. */
 static void
-test_cancelled_while_the_leader_changes (void)
+test_cancelled_during_failover (void)
 {
-  for (guint returns = 0; returns < 2; returns++)
+  for (guint leader_returns = 0; leader_returns < 2; leader_returns++)
     {
-      Simulation *simulation = simulation_new (320 + returns);
+      Simulation *simulation = simulation_new (320 + leader_returns);
       User *users[20];
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
         {
@@ -126,7 +126,7 @@
         {
           if (i == 3)
             simulation_stop_node (simulation, leader);
-          if (i == 3 + 2 && returns) /* within a fraction of a second */
+          if (i == 3 + 2 && leader_returns) /* restarts after 0.2 s */
             simulation_start_node (simulation, leader);
           user_cancel (users[i]);
           simulation_ask_all (simulation, users[i]);
@@ -134,7 +134,7 @@
         }
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
         WAIT (simulation, 20, told_cancelled, users[i]);
-      simulation_run (simulation, CANCEL_S + 1);
+      simulation_run (simulation, CANCEL_LIMIT_S + 1);
       outgoing_calls_release_commands (simulation);
       simulation_run (simulation, 1);
       for (guint i = 0; i < G_N_ELEMENTS (users); i++)
@@ -144,8 +144,9 @@
     }
 }
 
-/* Four jobs of one task a second for two minutes, a quarter of them cancelled, and the leader ends
-   twice: one that is not on record in time would be left behind. */
+/* For two minutes, four jobs of one task each are submitted per second, up to a quarter of them are
+   cancelled, and the leader stops twice. A job whose record is not durable in time would be lost
+   and never reach its end. */
 static void
 test_many_small_jobs (Simulation *simulation)
 {
@@ -169,29 +170,30 @@
   WAIT (simulation, 90, simulation_all_settled, NULL);
 }
 
-/* The leader's transactions are carried out, their answers are lost, and other nodes read what they
-   wrote, also such as have just begun and do not know yet that somebody leads: one of them would
-   tell a user what the leader may still contradict. */
+/* The leader's transactions are carried out, but the responses are lost. Other nodes read the
+   written records, among them nodes that have just started and do not know yet that there is a
+   leader. They must not give a user an answer that the leader, which does not know the outcome of
+   its transactions, may still contradict. */
 static void
-test_answers_of_writes_lost (void)
+test_responses_to_writes_lost (void)
 {
   for (guint round = 0; round < 6; round++)
     {
       bool leader_ends = round % 2;
       Simulation *simulation = simulation_new (340 + round);
-      User *ends
+      User *ending
           = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 4 + 0.5 * round);
       User *cancelled = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 1), 100);
-      WAIT (simulation, 60, all_run, ends);
+      WAIT (simulation, 60, all_run, ending);
       WAIT (simulation, 60, all_run, cancelled);
       ControllerNode *leader = simulation_leader (simulation);
       guint other = (leader->index + 1) % SIMULATION_NODES;
       leader->write_answers_lost_until_us = simulation->clock->now_us + 8 * MH_SECOND_US;
       leader->peers_cut_until_us
-          = leader->write_answers_lost_until_us; /* the others read by themselves */
+          = leader->write_answers_lost_until_us; /* the others read the records themselves */
       user_cancel (cancelled);
       User *submitted = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 2);
-      User *const users[] = { ends, cancelled, submitted };
+      User *const users[] = { ending, cancelled, submitted };
       for (guint i = 0; i < 300; i++)
         {
           if (i == 150 && leader_ends)
@@ -206,8 +208,9 @@
     }
 }
 
-/* Machines are up within a second and get work at once, while writes are carried out late, and one
-   leader after the other ends: starts that are not on record would run twice. */
+/* Machines boot within a second and get tasks at once, while some transactions are carried out
+   late, and one leader after the other stops. Guards against starts that are sent before their
+   records are durable: their tasks would run twice. */
 static void
 test_fast_machines_slow_writes (void)
 {
@@ -221,11 +224,11 @@
           MhJobSpec *spec = job_spec_new (1 + turn, MH_SHAPE_ARRAY, 6, 1);
           simulation_submit (simulation, spec, 3);
           simulation_run (simulation, g_rand_double_range (simulation->random, 0.5, 2.5));
-          guint ends = simulation_leader (simulation) ? simulation_leader (simulation)->index
-                                                      : turn % SIMULATION_NODES;
-          simulation_stop_node (simulation, ends);
+          guint stopped = simulation_leader (simulation) ? simulation_leader (simulation)->index
+                                                         : turn % SIMULATION_NODES;
+          simulation_stop_node (simulation, stopped);
           simulation_run (simulation, g_rand_double_range (simulation->random, 0.05, 2));
-          simulation_start_node (simulation, ends);
+          simulation_start_node (simulation, stopped);
         }
       simulation->network->late_write_probability = 0;
       WAIT (simulation, 200, simulation_all_settled, NULL);
@@ -233,10 +236,11 @@
     }
 }
 
-/* Old reports, of tasks that have ended since and of sessions that are over, reach every controller
-   just as a new leader begins, which would take them for the present state. */
+/* Late copies of heartbeats reach every controller just as a new leader begins. They list tasks
+   that have ended since, and in the second round they are from earlier incarnations. Guards against
+   a new leader that takes them for the present state of the workers. */
 static void
-test_old_reports_at_an_election (void)
+test_late_heartbeats_during_election (void)
 {
   for (guint round = 0; round < 2; round++)
     {
@@ -244,16 +248,18 @@
       User *service = running_service (simulation, 1, 2);
       User *array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 6, 1), 4);
       WAIT (simulation, 60, all_run, array);
-      g_autoptr (GPtrArray) old = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
+      g_autoptr (GPtrArray) late_heartbeats
+          = g_ptr_array_new_with_free_func ((GDestroyNotify)mh_value_unref);
       for (guint i = 0; i < simulation->workers->len; i++)
-        g_ptr_array_add (old, worker_protocol_report (
-                                  ((Worker *)g_ptr_array_index (simulation->workers, i))->machine));
+        g_ptr_array_add (late_heartbeats,
+                         worker_protocol_report (
+                             ((Worker *)g_ptr_array_index (simulation->workers, i))->machine));
       WAIT (simulation, 60, told_done, array);
       User *second = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 6, 1), 30);
       WAIT (simulation, 60, all_run, second);
       guint starts = simulation->rules->task_starts;
       guint leader = simulation_leader (simulation)->index;
-      if (round) /* all sessions end, and the old reports are of earlier ones */
+      if (round) /* all leases expire, so that the late heartbeats are from earlier incarnations */
         for (guint i = 0; i < SIMULATION_NODES; i++)
           simulation_stop_node (simulation, i);
       simulation_stop_node (simulation, leader);
@@ -263,9 +269,9 @@
       for (guint step = 0; step < 60; step++)
         {
           for (guint i = 0; i < SIMULATION_NODES; i++)
-            for (guint k = 0; k < old->len; k++)
+            for (guint k = 0; k < late_heartbeats->len; k++)
               workers_deliver_late_report (simulation, &simulation->nodes[i],
-                                           g_ptr_array_index (old, k));
+                                           g_ptr_array_index (late_heartbeats, k));
           simulation_run (simulation, 0.05);
         }
       WAIT (simulation, 120, told_done, second);
@@ -276,11 +282,12 @@
     }
 }
 
-/* Both teams are at their limit; jobs of both are cancelled whose machines are cut off or hang,
-   more work of both waits, and the leader changes. Were what may still run not counted, a team
-   would exceed its quota; were it counted for ever, the rest would wait. */
+/* Both teams have used up their quotas, and more jobs of both wait. Every second machine is cut off
+   or hangs, a running job of each team is cancelled, and the leader changes. If attempts that may
+   still run were not counted, a team would exceed its quota; if they were counted for ever, the
+   other jobs would wait for ever. */
 static void
-test_limits_cut_machines_and_a_new_leader (void)
+test_quotas_with_lost_machines_and_failover (void)
 {
   for (guint hangs = 0; hangs < 2; hangs++)
     {
@@ -297,18 +304,18 @@
       for (guint i = 0; i < G_N_ELEMENTS (waiting); i++)
         waiting[i] = simulation_submit (simulation, job_spec_new (11 + i, MH_SHAPE_ARRAY, 8, 1), 3);
       simulation_run (simulation, 3);
-      guint silent = 0;
+      guint affected = 0;
       for (guint i = 0; i < simulation->workers->len; i += 2)
         {
           Worker *worker = g_ptr_array_index (simulation->workers, i);
-          gint64 until = simulation->clock->now_us + 25 * MH_SECOND_US;
+          gint64 until_us = simulation->clock->now_us + 25 * MH_SECOND_US;
           if (hangs)
-            worker->machine->hung_until_us = until;
+            worker->machine->hung_until_us = until_us;
           else
-            worker->cut_until_us = until;
-          silent++;
+            worker->cut_until_us = until_us;
+          affected++;
         }
-      g_assert_cmpuint (silent, >, 0);
+      g_assert_cmpuint (affected, >, 0);
       user_cancel (running[0]);
       user_cancel (running[1]);
       simulation_run (simulation, 0.5);
@@ -328,16 +335,16 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/compound-failure/close-looks", test_close_looks);
-  g_test_add_func ("/compound-failure/command-of-a-deposed-leader",
-                   test_command_of_a_deposed_leader);
-  g_test_add_func ("/compound-failure/cancelled-while-the-leader-changes",
-                   test_cancelled_while_the_leader_changes);
-  g_test_add_func ("/compound-failure/answers-of-writes-lost", test_answers_of_writes_lost);
+  g_test_add_func ("/compound-failure/answers-in-quick-succession",
+                   test_answers_in_quick_succession);
+  g_test_add_func ("/compound-failure/command-of-former-leader", test_command_of_former_leader);
+  g_test_add_func ("/compound-failure/cancelled-during-failover", test_cancelled_during_failover);
+  g_test_add_func ("/compound-failure/responses-to-writes-lost", test_responses_to_writes_lost);
   g_test_add_func ("/compound-failure/fast-machines-slow-writes", test_fast_machines_slow_writes);
-  g_test_add_func ("/compound-failure/old-reports-at-an-election", test_old_reports_at_an_election);
-  g_test_add_func ("/compound-failure/limits-cut-machines-and-a-new-leader",
-                   test_limits_cut_machines_and_a_new_leader);
+  g_test_add_func ("/compound-failure/late-heartbeats-during-election",
+                   test_late_heartbeats_during_election);
+  g_test_add_func ("/compound-failure/quotas-with-lost-machines-and-failover",
+                   test_quotas_with_lost_machines_and_failover);
   simulation_test_add ("/compound-failure/many-small-jobs", 330, test_many_small_jobs);
   return g_test_run ();
 }
--- a/tests/test-machine.c
+++ b/tests/test-machine.c
@@ -1,9 +1,9 @@
-/* A machine by itself: the account of its cached images, and the direct starts that are not fenced.
- */
+/* A single machine as the leader knows it: the list of its cached images, and its direct starts
+   that are not fenced yet. */
 #include "cluster/fencing.h"
 
 static MhMachine *
-machine_with_cache (const MhMachineType *type)
+machine_new_with_cache (const MhMachineType *type)
 {
   MhMachine *machine = mh_machine_new ("vm-1", 0);
   machine->type = type;
@@ -24,12 +24,13 @@
   return mh_machine_has_image (machine, image);
 }
 
-/* Without this tasks would be placed for an image that the worker has dropped. */
+/* If the list did not follow the worker's evictions, tasks would be placed on the machine for an
+   image that it has evicted. */
 static void
-test_least_recently_used_image_is_dropped (void)
+test_least_recently_used_image_is_evicted (void)
 {
   const MhMachineType type = { .cache_gb = 10 };
-  MhMachine *machine = machine_with_cache (&type);
+  MhMachine *machine = machine_new_with_cache (&type);
   add_image (machine, "first", 4);
   add_image (machine, "second", 4);
   add_image (machine, "third", 4);
@@ -39,12 +40,13 @@
   mh_machine_free (machine);
 }
 
-/* Without this an image that is in use all the time would be taken for dropped. */
+/* Each use of an image makes it the most recently used one. Otherwise an image that is in constant
+   use would count as evicted although the worker still has it. */
 static void
-test_image_used_again_is_kept (void)
+test_recently_used_image_is_kept (void)
 {
   const MhMachineType type = { .cache_gb = 10 };
-  MhMachine *machine = machine_with_cache (&type);
+  MhMachine *machine = machine_new_with_cache (&type);
   add_image (machine, "first", 4);
   add_image (machine, "second", 4);
   add_image (machine, "first", 4);
@@ -69,8 +71,9 @@
   return mh_fencing_find_start (machine, "j-000001", index, 1) != NULL;
 }
 
-/* Without this an ended attempt would be cleared while a late copy of its start can still run it.
- */
+/* A start is fenced by a higher token or by a later incarnation of the worker. If it were forgotten
+   before that, its ended attempt would be cleared at the worker while a late copy of the start can
+   still run the task again. */
 static void
 test_start_is_kept_until_fenced (void)
 {
@@ -91,9 +94,10 @@
   mh_machine_free (machine);
 }
 
-/* Without this a refused start would hold up the clear of another. */
+/* The worker carries out no copy of a start that it refused. If that start were kept, it would hold
+   back the clear of an attempt that another start began. */
 static void
-test_refused_start_alone_is_removed (void)
+test_only_refused_start_is_removed (void)
 {
   MhMachine *machine = mh_machine_new ("vm-1", 0);
   add_start (machine, 0, 7);
@@ -111,10 +115,10 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/machine/least-recently-used-image-is-dropped",
-                   test_least_recently_used_image_is_dropped);
-  g_test_add_func ("/machine/image-used-again-is-kept", test_image_used_again_is_kept);
+  g_test_add_func ("/machine/least-recently-used-image-is-evicted",
+                   test_least_recently_used_image_is_evicted);
+  g_test_add_func ("/machine/recently-used-image-is-kept", test_recently_used_image_is_kept);
   g_test_add_func ("/machine/start-is-kept-until-fenced", test_start_is_kept_until_fenced);
-  g_test_add_func ("/machine/refused-start-alone-is-removed", test_refused_start_alone_is_removed);
+  g_test_add_func ("/machine/only-refused-start-is-removed", test_only_refused_start_is_removed);
   return g_test_run ();
 }
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -1,11 +1,11 @@
-/* Machines that hang, fail, fall silent or are given back, and late copies of commands and reports.
-   On a fake clock, with scripted peers. */
+/* Machines that hang, fail, become silent or are released, and late copies of commands and
+   heartbeats. The peers are scripted, and the clock is simulated. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A hung machine may go on: a task that ran elsewhere before it is confirmed released would run
-   twice. */
+/* A hung machine may resume. If its task were started elsewhere before the cloud confirms the
+   release of the machine, the task would run twice. */
 static void
 test_hung_machine (Simulation *simulation)
 {
@@ -14,14 +14,14 @@
   machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 30 * MH_SECOND_US;
   simulation_run (simulation, 25);
-  g_assert_cmpuint (simulation->rules->task_starts, ==, 1); /* no proof, no start */
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 1); /* not started again without proof */
   WAIT (simulation, 60, is_gone, machine);
   WAIT (simulation, 60, all_run, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
-/* A new leader knows nothing of a machine that hangs but its name in a record. Without a release it
-   would wait for ever, or start the task a second time. */
+/* Of a machine that hangs, a new leader knows only the name, from the record of an attempt. If it
+   did not release the machine, it would wait for it for ever, or start the task a second time. */
 static void
 test_hung_machine_new_leader (Simulation *simulation)
 {
@@ -35,20 +35,21 @@
   WAIT (simulation, 60, all_run, user);
 }
 
-/* An unanswered command is carried out late. Were the attempt cleared or moved meanwhile, its task
-   would run again. */
+/* A direct start that has no answer yet is carried out late. If its attempt were cleared at the
+   worker or moved before that, the task would run again. */
 static void
 test_late_command (Simulation *simulation)
 {
-  running_service (simulation, 1, 1); /* a machine that is up, with the image */
+  running_service (simulation, 1, 1); /* a machine that is up and has the image cached */
   Worker *worker = worker_of (simulation, "j-000001/0");
   simulation->network->hold_commands = true;
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 1, 1), 0.2);
   worker->next_report_us = simulation->clock->now_us + MH_SECOND_US / 2;
-  /* The start comes with a report's response, the task ends, and the direct start is still on its
-     way. Until a new epoch fences it the ended attempt stays on the machine. */
+  /* The start arrives with the response to a heartbeat, and the task ends while the direct start is
+     still in flight. Until a higher token fences the direct start, the ended attempt is not cleared
+     at the worker. */
   WAIT (simulation, 30, all_done, user);
-  /* Reports enough for a clear that should not be sent. */
+  /* Enough heartbeats for a response to carry the clear, which must not be sent. */
   for (guint i = 0; i < 4; i++)
     {
       worker->next_report_us = simulation->clock->now_us;
@@ -61,8 +62,8 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
 }
 
-/* A start that is still under way when its task is over would run it again, without a higher token
-   that fences it. */
+/* A direct start is still in flight when its task has ended. Without a higher token that fences it,
+   it would run the task again. */
 static void
 test_late_command_is_fenced (Simulation *simulation)
 {
@@ -73,14 +74,13 @@
   simulation_run (simulation, 40);
   g_assert_true (simulation_logged (simulation, "token raised"));
   guint starts = simulation->rules->task_starts;
-  outgoing_calls_release_commands (
-      simulation); /* now the attempt is cleared, and the command too old */
+  outgoing_calls_release_commands (simulation); /* by now fenced, and the attempt is cleared */
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
 }
 
-/* Copies of commands that were carried out come once more, when the attempts that they started have
-   been cleared: cleared without a higher token, a cancelled service once ran again. */
+/* Copies of all requests arrive again, among them starts whose attempts have been cleared since.
+   When attempts were cleared without a higher token, a cancelled service ran again. */
 static void
 test_repeated_requests (Simulation *simulation)
 {
@@ -91,23 +91,24 @@
   WAIT (simulation, 30, told_done, array);
   user_cancel (user);
   WAIT (simulation, 10, told_cancelled, user);
-  simulation_run (simulation, 45); /* cleared by now */
-  guint starts = simulation->rules->task_starts, rented = (guint)simulation->cloud->machines_rented;
+  simulation_run (simulation, 45); /* until the attempts are cleared */
+  guint starts = simulation->rules->task_starts,
+        machines_created = (guint)simulation->cloud->machines_rented;
   outgoing_calls_repeat_kept (simulation);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation->cloud->machines_rented, ==, machines_created);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 1);
 }
 
-/* A release is on its way, and may come late, when another leader takes over. Work that were
-   started on that machine would be lost with it. */
+/* A release is in flight to the cloud, and may be carried out late, when another leader takes over.
+   If the new leader started tasks on that machine, they would be lost with it. */
 static void
-test_release_outlives_its_leader (Simulation *simulation)
+test_release_survives_failover (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 1);
   Machine *machine = worker_of (simulation, "j-000001/0")->machine;
-  simulation_run (simulation, 60); /* paid for anyway until then */
+  simulation_run (simulation, 60); /* the minimum billed time: it is not released before */
   user_cancel (user);
   WAIT (simulation, 10, told_cancelled, user);
   simulation->cloud->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
@@ -126,10 +127,10 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 1);
 }
 
-/* A machine that does not report is asked. Without that it would be kept until its worker's lease
-   ends, or given back though it answers. */
+/* A silent machine is probed. Without probes it would be kept until its worker's lease expires, or
+   be released although the worker answers. */
 static void
-test_suspected_machine_is_probed (Simulation *simulation)
+test_silent_machine_is_probed (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   Worker *worker = worker_of (simulation, "j-000001/0");
@@ -138,18 +139,20 @@
   g_assert_false (worker->machine->gone);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
   worker->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
-  gint64 hung = simulation->clock->now_us;
+  gint64 hung_since_us = simulation->clock->now_us;
   WAIT (simulation, 60, is_gone, worker->machine);
-  g_assert_cmpint (simulation->clock->now_us - hung, <, simulation->settings->worker_lease_us / 2);
+  g_assert_cmpint (simulation->clock->now_us - hung_since_us, <,
+                   simulation->settings->worker_lease_us / 2);
 }
 
-/* What was proven gone is on record: a new leader would look for it again, and keep its place. */
+/* That an attempt is proven gone must become durable. Otherwise a new leader would wait for the
+   machine again, and count the resources of the attempt as in use. */
 static void
-test_proof_is_kept (Simulation *simulation)
+test_proven_end_is_durable (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   Worker *worker = worker_of (simulation, "j-000001/0");
-  simulation->cloud->capacity = 0; /* the task has nowhere else to go */
+  simulation->cloud->capacity = 0; /* no other machine can be created for the task */
   worker->machine->hung_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   WAIT (simulation, 60, is_gone, worker->machine);
   simulation_run (simulation, 2);
@@ -160,12 +163,12 @@
 }
 
 static guint
-joined_count (const Simulation *simulation)
+count_joins (const Simulation *simulation)
 {
-  guint joined = 0;
+  guint joins = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
-    joined += strstr (g_ptr_array_index (simulation->log_lines, i), "machine joined") != NULL;
-  return joined;
+    joins += strstr (g_ptr_array_index (simulation->log_lines, i), "machine joined") != NULL;
+  return joins;
 }
 
 static bool
@@ -174,52 +177,52 @@
   return has_leader (simulation, data) && simulation_logged (simulation, "unfinished_jobs=1");
 }
 
-/* A report that was sent before a start was carried out reaches a new leader late. Taken as proof
-   that the attempt is gone, it would have the task run twice: the worker has not seen the token
-   that fences the start. */
+/* A heartbeat that was sent before a start was carried out reaches a new leader late. If the leader
+   took it as proof that the attempt is gone, the task would run twice: the worker has not seen a
+   token that fences the start. */
 static void
-test_late_report_proves_nothing (Simulation *simulation)
+test_late_heartbeat_proves_nothing (Simulation *simulation)
 {
   for (guint i = 0; i < 2; i++)
     cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation_run (simulation, 10);
   Machine *first = g_ptr_array_index (simulation->cloud->machines, 0);
   Machine *second = g_ptr_array_index (simulation->cloud->machines, 1);
-  g_autoptr (MhValue) of_first = worker_protocol_report (first);
-  g_autoptr (MhValue) of_second = worker_protocol_report (second);
+  g_autoptr (MhValue) first_heartbeat = worker_protocol_report (first);
+  g_autoptr (MhValue) second_heartbeat = worker_protocol_report (second);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 30, all_run, user);
-  guint joined = joined_count (simulation);
+  guint joins = count_joins (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
     simulation_worker (simulation, i)->reports_lost_until_us
         = simulation->clock->now_us + 8 * MH_SECOND_US;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader_with_job, NULL);
   ControllerNode *leader = simulation_leader (simulation);
-  /* It has read the record of the attempt, and has not heard the machines: to a leader that they
-     have answered, the late reports are merely old. */
-  g_assert_cmpuint (joined_count (simulation), ==, joined);
-  workers_deliver_late_report (simulation, leader, of_first);
-  workers_deliver_late_report (simulation, leader, of_second);
-  g_assert_cmpuint (joined_count (simulation), ==, joined); /* at most they tell where to ask */
-  /* The workers go on with the new leader. One that first tried the node that is stopped would get
-     its next answer when its lease is over, and rightly kill the task. */
+  /* The leader has loaded the record of the attempt, and no machine has joined since. A leader that
+     has newer messages of the workers would ignore the late heartbeats anyway. */
+  g_assert_cmpuint (count_joins (simulation), ==, joins);
+  workers_deliver_late_report (simulation, leader, first_heartbeat);
+  workers_deliver_late_report (simulation, leader, second_heartbeat);
+  g_assert_cmpuint (count_joins (simulation), ==, joins); /* at most they give addresses to probe */
+  /* From here on, the workers report to the new leader. A worker that tried the stopped node first
+     would get its next response after its lease has expired, and would rightly stop the task. */
   for (guint i = 0; i < simulation->workers->len; i++)
     {
       Worker *worker = simulation_worker (simulation, i);
       worker->node = leader->index;
       worker->only_node = (gint)leader->index;
     }
-  simulation_run (simulation, 30); /* the world checks that nothing runs twice */
+  simulation_run (simulation, 30); /* the rule checks fail if a task runs twice */
   g_assert_cmpuint (simulation->rules->task_starts, ==, 1);
-  g_assert_cmpuint (joined_count (simulation), ==, joined + 2);
+  g_assert_cmpuint (count_joins (simulation), ==, joins + 2);
   g_assert_false (simulation_logged (simulation, "attempt proven gone"));
 }
 
-/* A worker whose lease expired has a new session, which is proof by itself: without it its tasks
-   would wait for the machine's release. */
+/* A worker whose lease has expired begins a new incarnation, which proves that its earlier attempts
+   are gone. Without this proof, their tasks would wait for the release of the machine. */
 static void
-test_new_session (Simulation *simulation)
+test_new_incarnation (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 1);
   Machine *machine = worker_of (simulation, "j-000001/0")->machine;
@@ -230,9 +233,10 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 2);
 }
 
-/* A machine on which every task fails would eat up all work that is sent there. */
+/* Every task fails on a faulty machine. If it were not released, all tasks that are placed there
+   would fail. */
 static void
-test_sick_machine (Simulation *simulation)
+test_faulty_machine (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   Machine *machine = worker_of (simulation, "j-000001/0")->machine;
@@ -244,38 +248,40 @@
   g_assert_true (machine->gone);
 }
 
-/* The reports of a machine arrive, but nothing reaches it. It looks alive, and reports on time;
-   what it holds would never run elsewhere if it were not given back. */
+/* The heartbeats of a machine arrive on time, so that it looks alive, but no response or command
+   reaches it. If it were not released, its tasks would never run elsewhere. */
 static void
-test_answers_ignored (Simulation *simulation)
+test_responses_ignored (Simulation *simulation)
 {
-  /* So long that the worker's next try, after it has given up on an answer, is not even late. */
+  /* Long enough that the worker's next heartbeat, which it sends after it has given up on a
+     response, is not overdue. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation->nodes[i].settings->report_interval_us = 5 * MH_SECOND_US;
   User *user = running_service (simulation, 1, 1);
   Worker *worker = worker_of (simulation, "j-000001/0");
   worker->only_node = (gint)simulation_leader (simulation)->index;
   worker->answers_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
-  gint64 from = simulation->clock->now_us;
-  /* One more task for it, which it never shows. */
+  gint64 since_us = simulation->clock->now_us;
+  /* Tasks of this array may be placed on the machine, and never show in its heartbeats. */
   User *array = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 2, 1), 2);
   WAIT (simulation, 40, is_gone, worker->machine);
-  g_assert_cmpint (simulation->clock->now_us - from, <, simulation->settings->worker_lease_us);
+  g_assert_cmpint (simulation->clock->now_us - since_us, <, simulation->settings->worker_lease_us);
   WAIT (simulation, 30, all_run, user);
   WAIT (simulation, 30, told_done, array);
 }
 
-/* A copy of a report comes late to a leader that has heard nothing newer, of a machine that was
-   given back long ago. Believed, it would bring the machine back, and work would be lost there. */
+/* A late copy of a heartbeat, from a machine that was released long ago, reaches a leader that has
+   no newer message of that machine. If the leader accepted it, it would add the machine again, and
+   tasks that are placed there would be lost. */
 static void
-test_late_copy_of_returned_machine (Simulation *simulation)
+test_late_heartbeat_of_released_machine (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 1);
   WAIT (simulation, 60, told_done, user);
   Machine *machine = g_ptr_array_index (simulation->cloud->machines, 0);
   g_autoptr (MhValue) copy = worker_protocol_report (machine);
   WAIT (simulation, 200, is_gone, machine);
-  guint lease_lengths = simulation->cloud->machines->len;
+  guint machines_before = simulation->cloud->machines->len;
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 1);
@@ -283,16 +289,16 @@
   workers_deliver_late_report (simulation, simulation_leader (simulation), copy);
   User *next = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 1);
   WAIT (simulation, 25, told_done, next);
-  g_assert_cmpuint (simulation->cloud->machines->len, >, lease_lengths);
+  g_assert_cmpuint (simulation->cloud->machines->len, >, machines_before);
   g_autofree char *line = g_strdup_printf ("machine joined machine=%s ", machine->name);
-  guint reported = 0;
+  guint joins = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
-    reported += strstr (g_ptr_array_index (simulation->log_lines, i), line) != NULL;
-  g_assert_cmpuint (reported, ==, 1); /* to the first leader */
+    joins += strstr (g_ptr_array_index (simulation->log_lines, i), line) != NULL;
+  g_assert_cmpuint (joins, ==, 1); /* under the first leader */
 }
 
-/* A zone is cut off as a whole, for less than the workers' lease. Taken one by one for failed, its
-   machines would be given back, and others rented there. */
+/* A whole zone is cut off for less than the workers' lease. If each of its machines were considered
+   failed, they would be released, and others would be created in the same zone. */
 static void
 test_partitioned_zone (Simulation *simulation)
 {
@@ -308,9 +314,9 @@
         worker->cut_until_us = simulation->clock->now_us + 13 * MH_SECOND_US;
     }
   simulation_run (simulation, 4);
-  guint before = simulation->cloud->machines->len;
+  guint machines_before = simulation->cloud->machines->len;
   MhJobSpec *spec
-      = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than is free in the other zone */
+      = job_spec_new (4, MH_SHAPE_ARRAY, 8, 2); /* more than the free capacity of the other zone */
   spec->estimated_run_us = 60 * MH_SECOND_US;
   simulation_submit (simulation, spec, 60);
   simulation_run (simulation, 8);
@@ -320,19 +326,19 @@
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       g_assert_false (machine->gone);
-      g_assert_true (i < before || strcmp (machine->zone, "a") == 0);
+      g_assert_true (i < machines_before || strcmp (machine->zone, "a") == 0);
     }
   simulation_run (simulation, 10);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 4);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000002"), ==, 4);
-  g_assert_cmpuint (simulation->rules->task_starts, <=, 16); /* nothing twice */
+  g_assert_cmpuint (simulation->rules->task_starts, <=, 16); /* no task was started twice */
 }
 
-/* A machine is back within a moment, and its worker counts from the beginning: it has forgotten
-   which tokens it has seen, and a late command of an earlier leader would be carried out if it were
-   kept. */
+/* A worker restarts quickly, and its incarnation and sequence numbers begin again. It has lost the
+   highest token that it had seen: if its machine were kept, the worker would carry out a late
+   command of an earlier leader. */
 static void
-test_worker_begins_anew (Simulation *simulation)
+test_worker_restarts (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 1);
   Machine *machine = worker_of (simulation, "j-000001/0")->machine;
@@ -346,10 +352,10 @@
   WAIT (simulation, 15, all_run, user);
 }
 
-/* All machines hang: the questions to them would take all connections, and those that had to wait
-   would never be put. */
+/* All machines hang. Guards against probes that take all connections while they wait for an answer,
+   and against queued probes that are never sent. */
 static void
-test_calls_at_once (Simulation *simulation)
+test_concurrent_worker_calls_are_limited (Simulation *simulation)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -382,19 +388,19 @@
   simulation_test_add ("/machines/late-command", 7, test_late_command);
   simulation_test_add ("/machines/late-command-fenced", 8, test_late_command_is_fenced);
   simulation_test_add ("/machines/repeated-requests", 41, test_repeated_requests);
-  simulation_test_add ("/machines/release-outlives-its-leader", 45,
-                       test_release_outlives_its_leader);
-  simulation_test_add ("/machines/suspected-machine-is-probed", 23,
-                       test_suspected_machine_is_probed);
-  simulation_test_add ("/machines/proof-is-kept", 24, test_proof_is_kept);
-  simulation_test_add ("/machines/late-report-proves-nothing", 28, test_late_report_proves_nothing);
-  simulation_test_add ("/machines/new-session", 11, test_new_session);
-  simulation_test_add ("/machines/sick-machine", 18, test_sick_machine);
-  simulation_test_add ("/machines/calls-at-once", 48, test_calls_at_once);
-  simulation_test_add ("/machines/answers-ignored", 30, test_answers_ignored);
-  simulation_test_add ("/machines/late-copy-of-returned-machine", 31,
-                       test_late_copy_of_returned_machine);
+  simulation_test_add ("/machines/release-survives-failover", 45, test_release_survives_failover);
+  simulation_test_add ("/machines/silent-machine-is-probed", 23, test_silent_machine_is_probed);
+  simulation_test_add ("/machines/proven-end-is-durable", 24, test_proven_end_is_durable);
+  simulation_test_add ("/machines/late-heartbeat-proves-nothing", 28,
+                       test_late_heartbeat_proves_nothing);
+  simulation_test_add ("/machines/new-incarnation", 11, test_new_incarnation);
+  simulation_test_add ("/machines/faulty-machine", 18, test_faulty_machine);
+  simulation_test_add ("/machines/concurrent-worker-calls-are-limited", 48,
+                       test_concurrent_worker_calls_are_limited);
+  simulation_test_add ("/machines/responses-ignored", 30, test_responses_ignored);
+  simulation_test_add ("/machines/late-heartbeat-of-released-machine", 31,
+                       test_late_heartbeat_of_released_machine);
   simulation_test_add ("/machines/partitioned-zone", 41, test_partitioned_zone);
-  simulation_test_add ("/machines/worker-begins-anew", 47, test_worker_begins_anew);
+  simulation_test_add ("/machines/worker-restarts", 47, test_worker_restarts);
   return g_test_run ();
 }
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -1,29 +1,29 @@
-/* Machines and zones that are cut off in one direction or both, while leaders change.
-   docs/meetings.md has a row for each. */
+/* Workers and zones that are partitioned in one direction or both, lost machines and scarce
+   capacity, while leaders change. docs/meetings.md has a row for each case. */
 #include "steps.h"
 
 #include <string.h>
 
-/* The lease of a machine whose heartbeats are lost runs out, again and again, and with it whatever
-   is started there: it takes no work and is given back, and what ran there runs elsewhere; a whole
-   zone of them would stop the rest. */
+/* The heartbeats of a worker are lost, although it answers probes and direct commands. Its lease
+   expires again and again, and each time all tasks on it end. The machine must get no new tasks and
+   must be released, and its tasks must run elsewhere. Otherwise a whole zone of these machines
+   would stop the rest of the work too. */
 static void
-test_reports_lost (Simulation *simulation)
+test_heartbeats_lost (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 4);
-  Worker *silent = worker_of (simulation, "j-000001/0");
-  silent->reports_lost_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
-  simulation_run (simulation,
-                  9); /* its report is overdue: it gets nothing new, whatever room it has */
-  guint before = silent->machine->tasks->len;
+  Worker *worker = worker_of (simulation, "j-000001/0");
+  worker->reports_lost_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
+  simulation_run (simulation, 9); /* heartbeat overdue: no new tasks despite free capacity */
+  guint tasks_before = worker->machine->tasks->len;
   User *next = simulation_submit (simulation, job_spec_new (5, MH_SHAPE_SERVICE, 2, 0.5), 0);
   WAIT (simulation, 20, all_run, next);
-  g_assert_cmpuint (silent->machine->tasks->len, <=, before);
-  WAIT (simulation, 40, is_gone, silent->machine);
+  g_assert_cmpuint (worker->machine->tasks->len, <=, tasks_before);
+  WAIT (simulation, 40, is_gone, worker->machine);
   WAIT (simulation, 10, all_run, user);
   User *array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
   WAIT (simulation, 60, told_done, array);
-  /* And one that is cancelled meanwhile is gone in time. */
+  /* A job that is cancelled while the heartbeats of one of its workers are lost ends in time. */
   User *third = running_service (simulation, 3, 2);
   worker_of (simulation, "j-000003/0")->reports_lost_until_us
       = simulation->clock->now_us + 200 * MH_SECOND_US;
@@ -33,25 +33,26 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000003"), ==, 0);
 }
 
-/* No heartbeat comes to this leader alone, though the workers answer its questions: their leases
-   would run out if no other led. */
+/* No heartbeat reaches the leader, although the workers answer its probes; heartbeats do reach the
+   other controllers. The leader must transfer leadership, or the workers' leases would expire. */
 static void
-test_reports_to_the_leader_lost (Simulation *simulation)
+test_heartbeats_to_leader_lost (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 4);
   running_service (simulation, 2, 4);
   simulation_run (simulation, 10);
-  ControllerNode *old = simulation_leader (simulation);
-  old->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  ControllerNode *former_leader = simulation_leader (simulation);
+  former_leader->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 20);
-  g_assert_true (simulation_leader (simulation) != old);
+  g_assert_true (simulation_leader (simulation) != former_leader);
   WAIT (simulation, 30, all_run, user);
 }
 
-/* More work than room, urgent and not, over links on which a part of everything comes late: urgent
-   work would come last, or work would wait beside free room. */
+/* There is more work than capacity, at two priorities, while a share of all messages is late or
+   lost. Guards against urgent work that starts last, and against work that waits although there is
+   free capacity for it. */
 static void
-test_more_work_than_room (Simulation *simulation)
+test_more_work_than_capacity (Simulation *simulation)
 {
   simulation->cloud->capacity = 4;
   simulation->network->delay_probability = 0.1;
@@ -66,33 +67,34 @@
   wait_all (simulation, 400);
 }
 
-/* The workers of a zone can reach only the leader, which is cut off with them for longer than their
-   lease: what runs there would run twice if it ran elsewhere before the machines are gone. */
+/* The workers of a zone can reach only the leader, which is cut off from the key-value store and
+   the other controllers for longer than the workers' lease. If a new leader started their tasks
+   elsewhere before the machines are released, the tasks would run twice. */
 static void
-test_zone_cut_with_its_leader (Simulation *simulation)
+test_zone_partitioned_with_leader (Simulation *simulation)
 {
   User *user = running_service (simulation, 1, 4);
   User *array = running_array (simulation, 2, 8, 20);
   simulation_run (simulation, 10);
-  ControllerNode *old = simulation_leader (simulation);
-  gint64 until = simulation->clock->now_us + 40 * MH_SECOND_US;
-  old->store_cut_until_us = old->peers_cut_until_us = until;
+  ControllerNode *former_leader = simulation_leader (simulation);
+  gint64 until_us = simulation->clock->now_us + 40 * MH_SECOND_US;
+  former_leader->store_cut_until_us = former_leader->peers_cut_until_us = until_us;
   for (guint i = 0; i < simulation->workers->len; i++)
     {
       Worker *worker = simulation_worker (simulation, i);
       bool inside = strcmp (worker->machine->zone, "a") == 0;
-      worker->node = inside ? old->index : (old->index + 1) % SIMULATION_NODES;
-      worker->only_node = inside ? (gint)old->index : -1;
-      worker->only_until_us = inside ? until : 0;
+      worker->node = inside ? former_leader->index : (former_leader->index + 1) % SIMULATION_NODES;
+      worker->only_node = inside ? (gint)former_leader->index : -1;
+      worker->only_until_us = inside ? until_us : 0;
     }
   WAIT (simulation, 200, told_done, array);
   WAIT (simulation, 60, all_run, user);
 }
 
-/* Jobs of two or three tasks that end far apart, each with a change of leader between: tasks that
-   have ended would run again. */
+/* The tasks of each job end 12 s apart, and leadership changes in between. A new leader that did
+   not know which tasks have ended would run them again. */
 static void
-test_ends_far_apart (Simulation *simulation)
+test_failover_between_task_ends (Simulation *simulation)
 {
   User *users[6];
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
@@ -111,43 +113,45 @@
       simulation_start_node (simulation, stopped);
     }
   wait_all (simulation, 120);
-  g_assert_cmpuint (simulation->rules->task_starts, ==, 15); /* none ran again */
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 15); /* no task was started twice */
 }
 
-/* An array bound to one zone by its first tasks loses machines there: its other tasks would be
-   placed, or machines be rented for it, in the emptier one. */
+/* An array must run in a single zone, which its first tasks determine, and machines fail there.
+   Guards against placing its other tasks, or creating machines for them, in the other zone, where
+   more capacity is free. */
 static void
-test_one_zone_loses_machines (Simulation *simulation)
+test_single_zone_array_loses_machines (Simulation *simulation)
 {
   MhJobSpec *spec = job_spec_new (2, MH_SHAPE_ARRAY, 12, 1);
   spec->single_zone = true;
   spec->estimated_run_us = 300 * MH_SECOND_US;
   User *user = simulation_submit (simulation, spec, 300);
   WAIT (simulation, 60, all_run, user);
-  Worker *kept = worker_of (simulation, "j-000002/0");
+  Worker *remaining = worker_of (simulation, "j-000002/0");
   guint failed = 0;
   for (guint i = 0; i < simulation->workers->len; i++)
     {
       Machine *machine = simulation_worker (simulation, i)->machine;
-      if (machine == kept->machine || machine->tasks->len == 0)
+      if (machine == remaining->machine || machine->tasks->len == 0)
         continue;
       machine_fail (machine);
       failed++;
     }
   g_assert_cmpuint (failed, >, 0);
-  guint known = simulation->cloud->machines->len;
+  guint machines_before = simulation->cloud->machines->len;
   WAIT (simulation, 60, all_run, user);
-  for (guint i = known; i < simulation->cloud->machines->len; i++)
+  for (guint i = machines_before; i < simulation->cloud->machines->len; i++)
     g_assert_cmpstr (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->zone, ==,
-                     kept->machine->zone);
-  g_assert_true (strcmp (kept->machine->zone, worker_of (simulation, "j-000002/11")->machine->zone)
-                 == 0);
+                     remaining->machine->zone);
+  g_assert_true (
+      strcmp (remaining->machine->zone, worker_of (simulation, "j-000002/11")->machine->zone) == 0);
 }
 
-/* A leader ends while machines with long tasks don't hear its successor, or can't be reached: what
-   they ran would run elsewhere before they are given back, or never. */
+/* The leader stops while nothing that its successor sends reaches one machine with long tasks, and
+   another one is cut off in both directions. Guards against tasks that run elsewhere before these
+   machines are released, and against tasks that never run elsewhere. */
 static void
-test_answers_of_a_new_leader_lost (Simulation *simulation)
+test_responses_of_new_leader_lost (Simulation *simulation)
 {
   running_array (simulation, 2, 12, 90);
   simulation_run (simulation, 10);
@@ -163,14 +167,16 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/partitions/reports-lost", 52, test_reports_lost);
-  simulation_test_add ("/partitions/reports-to-the-leader-lost", 53,
-                       test_reports_to_the_leader_lost);
-  simulation_test_add ("/partitions/more-work-than-room", 60, test_more_work_than_room);
-  simulation_test_add ("/partitions/zone-cut-with-its-leader", 62, test_zone_cut_with_its_leader);
-  simulation_test_add ("/partitions/ends-far-apart", 78, test_ends_far_apart);
-  simulation_test_add ("/partitions/one-zone-loses-machines", 80, test_one_zone_loses_machines);
-  simulation_test_add ("/partitions/answers-of-a-new-leader-lost", 83,
-                       test_answers_of_a_new_leader_lost);
+  simulation_test_add ("/partitions/heartbeats-lost", 52, test_heartbeats_lost);
+  simulation_test_add ("/partitions/heartbeats-to-leader-lost", 53, test_heartbeats_to_leader_lost);
+  simulation_test_add ("/partitions/more-work-than-capacity", 60, test_more_work_than_capacity);
+  simulation_test_add ("/partitions/zone-partitioned-with-leader", 62,
+                       test_zone_partitioned_with_leader);
+  simulation_test_add ("/partitions/failover-between-task-ends", 78,
+                       test_failover_between_task_ends);
+  simulation_test_add ("/partitions/single-zone-array-loses-machines", 80,
+                       test_single_zone_array_loses_machines);
+  simulation_test_add ("/partitions/responses-of-new-leader-lost", 83,
+                       test_responses_of_new_leader_lost);
   return g_test_run ();
 }
--- a/tests/test-task-failure.c
+++ b/tests/test-task-failure.c
@@ -1,32 +1,34 @@
-/* Jobs that fail on every machine beside jobs that do not: no machine is blamed, other work goes
-   on, and tries become rare. */
+/* Jobs that fail on every machine, beside jobs that do not. No machine may be released for their
+   failures, other jobs must make progress, and the retries must become rare. */
 #include "steps.h"
 
 #include <string.h>
 
 static User *
-failing_array (Simulation *simulation, guint number, guint tasks)
+submit_failing_array (Simulation *simulation, guint number, guint tasks)
 {
   User *user = simulation_submit (simulation, job_spec_new (number, MH_SHAPE_ARRAY, tasks, 1), 30);
   user->job->fails = true;
   return user;
 }
 
-/* How often the tasks of a job have been started, by the attempts that its machines have seen. */
+/* Runs the simulation for that time. Returns how many tasks, of all jobs, workers started in it. */
 static guint
-starts_within (Simulation *simulation, double seconds)
+count_starts_within (Simulation *simulation, double seconds)
 {
   guint before = simulation->rules->task_starts;
   simulation_run (simulation, seconds);
   return simulation->rules->task_starts - before;
 }
 
-/* Two such jobs in a row on one machine, or four tasks of one, once had the machine given back. */
+/* The failures count against the jobs. When they counted against the machine, it was released after
+   two failing jobs in a row, or after four failed tasks of one job. */
 static void
-test_no_machine_is_blamed (Simulation *simulation)
+test_failing_jobs_release_no_machine (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
-  User *first = failing_array (simulation, 2, 4), *second = failing_array (simulation, 3, 4);
+  User *first = submit_failing_array (simulation, 2, 4),
+       *second = submit_failing_array (simulation, 3, 4);
   User *good = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 4, 1), 5);
   WAIT (simulation, 120, told_done, good);
   simulation_run (simulation, 60);
@@ -39,44 +41,47 @@
   WAIT (simulation, 10, told_cancelled, second);
 }
 
-/* All tasks of a large array once were tried at each turn, and machines rented for them. */
+/* Without the back-off, all tasks of a large failing array were started in each placement pass, and
+   machines were created for them. */
 static void
-test_tries_are_few (Simulation *simulation)
+test_retries_back_off (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
-  User *user = failing_array (simulation, 2, 200);
+  User *user = submit_failing_array (simulation, 2, 200);
   WAIT (simulation, 60, accepted, user);
   simulation_run (simulation, 40);
-  guint64 rented = simulation->cloud->machines_rented;
-  /* At most one task after 16 and 32 s, and half of that less by chance. */
-  g_assert_cmpuint (starts_within (simulation, 60), <=, 4);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  guint64 machines_created = simulation->cloud->machines_rented;
+  /* One task at a time is retried, after waits of 16 s and 32 s, which the jitter shortens by up to
+     a quarter. */
+  g_assert_cmpuint (count_starts_within (simulation, 60), <=, 4);
+  g_assert_cmpuint (simulation->cloud->machines_rented, ==, machines_created);
   user_cancel (user);
   WAIT (simulation, 10, told_cancelled, user);
 }
 
-/* A new leader goes on with the back-off: it once began anew with all tasks of all such jobs. */
+/* A new leader continues the back-off. Without its level in the records, a new leader started all
+   tasks of all failing jobs. */
 static void
-test_back_off_survives_the_leader (Simulation *simulation)
+test_back_off_survives_failover (Simulation *simulation)
 {
   add_small_machines (simulation, 4);
-  User *user = failing_array (simulation, 2, 100);
+  User *user = submit_failing_array (simulation, 2, 100);
   WAIT (simulation, 60, accepted, user);
   simulation_run (simulation, 50);
   simulation_restart_node (simulation, simulation_leader (simulation)->index, CONTROLLER_CURRENT,
                            3);
-  g_assert_cmpuint (starts_within (simulation, 20), <=, 2);
+  g_assert_cmpuint (count_starts_within (simulation, 20), <=, 2);
   user_cancel (user);
   WAIT (simulation, 20, told_cancelled, user);
 }
 
-/* What made it fail is gone, for example a missing file: with a back-off that went on for all its
-   tasks it would run them one by one. */
+/* The cause of the failures, for example a missing file, is removed. The first task that completes
+   must end the back-off of the whole job; otherwise its tasks would run one at a time. */
 static void
-test_runs_after_all (Simulation *simulation)
+test_back_off_ends_with_success (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
-  User *user = failing_array (simulation, 2, 8);
+  User *user = submit_failing_array (simulation, 2, 8);
   WAIT (simulation, 60, accepted, user);
   simulation_run (simulation, 20);
   user->job->fails = false;
@@ -84,12 +89,13 @@
   g_assert_true (simulation_logged (simulation, "job runs after back-off"));
 }
 
-/* A faulty machine is still told from such jobs by what runs elsewhere. */
+/* A faulty machine is released although another job fails everywhere: the array whose tasks fail on
+   this machine runs on others, so that the failures count against the machine. */
 static void
 test_faulty_machine_beside_failing_job (Simulation *simulation)
 {
   add_small_machines (simulation, 4);
-  failing_array (simulation, 2, 2);
+  submit_failing_array (simulation, 2, 2);
   User *array = running_array (simulation, 3, 8, 20);
   simulation_run (simulation, 6);
   Machine *machine = worker_of (simulation, "j-000003/0")->machine;
@@ -102,11 +108,13 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/task-failure/no-machine-is-blamed", 41, test_no_machine_is_blamed);
-  simulation_test_add ("/task-failure/tries-are-few", 42, test_tries_are_few);
-  simulation_test_add ("/task-failure/back-off-survives-the-leader", 43,
-                       test_back_off_survives_the_leader);
-  simulation_test_add ("/task-failure/runs-after-all", 44, test_runs_after_all);
+  simulation_test_add ("/task-failure/failing-jobs-release-no-machine", 41,
+                       test_failing_jobs_release_no_machine);
+  simulation_test_add ("/task-failure/retries-back-off", 42, test_retries_back_off);
+  simulation_test_add ("/task-failure/back-off-survives-failover", 43,
+                       test_back_off_survives_failover);
+  simulation_test_add ("/task-failure/back-off-ends-with-success", 44,
+                       test_back_off_ends_with_success);
   simulation_test_add ("/task-failure/faulty-machine-beside-failing-job", 45,
                        test_faulty_machine_beside_failing_job);
   return g_test_run ();
