--- a/tests/test-placement-order.c
+++ b/tests/test-placement-order.c
@@ -1,6 +1,6 @@
-/* What a placement pass chooses on a random cluster, against a plain walk over all machines for
-   every task: the lists and short cuts of src/placement must not change what first fit, the skew
-   rule and the documented order of candidates decide. */
+/* Compares what a placement pass chooses on a random cluster with an exhaustive search, which
+   examines all machines for every task. The lists and optimizations of src/placement must not
+   change the result of first fit, topology spread and the documented order of candidates. */
 #include "controller/core-private.h"
 #include "cluster/attempt.h"
 #include "cluster/image-wait.h"
@@ -14,7 +14,7 @@
 #define JOBS 60
 #define ZONES 4
 #define TYPES 3
-/* Keys by which candidates are compared, the most important first. */
+/* Keys by which candidates are compared, the most significant first. */
 #define KEYS 6
 #define KEY_COST 0
 #define KEY_ABOVE_PRICE_CAP 1
@@ -29,17 +29,17 @@
   MhCore *core;
   guint jobs;
   MhMachine *machines[MACHINES];
-  GArray *live_zones; /* of the job at hand: zone of each live task */
+  GArray *live_zones; /* zones of the live tasks of the current job, one entry a task */
 } Fixture;
 
-/* What the plain walk knows of the job at hand. */
+/* State of the exhaustive search for one job. */
 typedef struct
 {
   MhJob *job;
-  bool admits[MACHINES]; /* type, spot and zone */
+  bool is_admitted[MACHINES]; /* by all that does not change during the search: type, spot, zone */
   double keys[MACHINES][KEYS];
   double lowest_price;
-} PlainWalk;
+} ExhaustiveSearch;
 
 static const char *const zones[ZONES] = { "a", "b", "c", "d" };
 static const double type_cpus[TYPES] = { 4, 16, 32 }, type_mem_gb[TYPES] = { 8, 128, 64 };
@@ -47,31 +47,31 @@
 /* ---- a random cluster ---- */
 
 static guint
-random_below (Fixture *fixture, guint limit)
+draw_below (Fixture *fixture, guint limit)
 {
   return (guint)g_rand_int_range (fixture->random, 0, (gint)limit);
 }
 
 static MhJobSpec *
-random_spec (Fixture *fixture)
+draw_spec (Fixture *fixture)
 {
   MhJobSpec *spec = g_new0 (MhJobSpec, 1);
-  bool service = random_below (fixture, 2);
+  bool service = draw_below (fixture, 2);
   spec->id = g_strdup_printf ("j-%06u", ++fixture->jobs);
   spec->class_name = g_strdup (service ? "live" : "batch");
   spec->team = g_strdup ("red");
-  spec->image = g_strdup_printf ("img-%u", random_below (fixture, 6));
-  spec->image_gb = 1 + random_below (fixture, 4);
+  spec->image = g_strdup_printf ("img-%u", draw_below (fixture, 6));
+  spec->image_gb = 1 + draw_below (fixture, 4);
   spec->shape = service ? MH_SHAPE_SERVICE : MH_SHAPE_ARRAY;
   spec->priority = service ? MH_PRIORITY_HIGH : MH_PRIORITY_NORMAL;
-  spec->tasks = 1 + random_below (fixture, service ? 5 : 16); /* all in one pass */
-  spec->cpus = 1 + random_below (fixture, 3);
-  spec->mem_gb = 1 + random_below (fixture, 5);
+  spec->tasks = 1 + draw_below (fixture, service ? 5 : 16); /* few enough for one pass */
+  spec->cpus = 1 + draw_below (fixture, 3);
+  spec->mem_gb = 1 + draw_below (fixture, 5);
   spec->spot = !service;
-  spec->zone = random_below (fixture, 5) ? NULL : g_strdup (zones[random_below (fixture, ZONES)]);
-  spec->single_zone = !service && random_below (fixture, 6) == 0;
-  spec->spread_over_zones = random_below (fixture, 6) == 0;
-  spec->estimated_run_us = service ? 0 : (gint64)(5 + random_below (fixture, 60)) * MH_SECOND_US;
+  spec->zone = draw_below (fixture, 5) ? NULL : g_strdup (zones[draw_below (fixture, ZONES)]);
+  spec->single_zone = !service && draw_below (fixture, 6) == 0;
+  spec->spread_over_zones = draw_below (fixture, 6) == 0;
+  spec->estimated_run_us = service ? 0 : (gint64)(5 + draw_below (fixture, 60)) * MH_SECOND_US;
   spec->deadline_us = -1;
   return spec;
 }
@@ -80,8 +80,8 @@
 add_job (Fixture *fixture)
 {
   const MhNow *now = mh_runtime_now (fixture->core->runtime);
-  MhJobSpec *spec = random_spec (fixture);
-  gint64 age_us = (gint64)random_below (fixture, 9) * MH_SECOND_US;
+  MhJobSpec *spec = draw_spec (fixture);
+  gint64 age_us = (gint64)draw_below (fixture, 9) * MH_SECOND_US;
   MhJob *job = mh_job_new (spec, 0, 32768, now->wall_us - age_us, now);
   job->accepted = true;
   g_hash_table_insert (fixture->core->jobs, spec->id, job);
@@ -125,21 +125,21 @@
 add_machine (Fixture *fixture, guint index)
 {
   g_autofree char *name = g_strdup_printf ("vm-%03u", index);
-  g_autofree char *type = g_strdup_printf ("type-%u", random_below (fixture, TYPES));
-  const char *zone = zones[random_below (fixture, ZONES)];
+  g_autofree char *type = g_strdup_printf ("type-%u", draw_below (fixture, TYPES));
+  const char *zone = zones[draw_below (fixture, ZONES)];
   MhMachine *machine = mh_cluster_add_machine (fixture->core->cluster, name, type, zone,
-                                               random_below (fixture, 3) == 0);
-  machine->heartbeat.reported = random_below (fixture, 10) > 0;
+                                               draw_below (fixture, 3) == 0);
+  machine->heartbeat.reported = draw_below (fixture, 10) > 0;
   if (machine->heartbeat.reported)
     mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
-  machine->boot.created_us = 0; /* none that is about to come */
-  if (random_below (fixture, 12) == 0 && machine->heartbeat.reported)
+  machine->boot.created_us = 0; /* so long ago that no task waits for its boot */
+  if (draw_below (fixture, 12) == 0 && machine->heartbeat.reported)
     mh_machine_change_state (machine, MH_MACHINE_EVENT_DRAIN_STARTED);
-  if (random_below (fixture, 12) == 0)
+  if (draw_below (fixture, 12) == 0)
     machine->notice_deadline_us = mh_runtime_now_us (fixture->core->runtime) + MH_SECOND_US;
-  for (guint i = random_below (fixture, 4); i > 0; i--)
+  for (guint i = draw_below (fixture, 4); i > 0; i--)
     {
-      g_autofree char *image = g_strdup_printf ("img-%u", random_below (fixture, 6));
+      g_autofree char *image = g_strdup_printf ("img-%u", draw_below (fixture, 6));
       g_autoptr (GRefString) interned = g_ref_string_new_intern (image);
       mh_machine_add_image (machine, interned, 2);
     }
@@ -153,14 +153,14 @@
          && machine->usage.mem_gb + spec->mem_gb <= machine->type->mem_gb;
 }
 
-/* Some tasks of the job run somewhere. */
+/* Marks some tasks of the job as running, on random machines. */
 static void
-run_some_tasks (Fixture *fixture, MhJob *job)
+add_running_tasks (Fixture *fixture, MhJob *job)
 {
   for (guint i = 0; i < job->spec->tasks; i++)
     {
-      MhMachine *machine = fixture->machines[random_below (fixture, MACHINES)];
-      if (has_room (machine, job->spec) && random_below (fixture, 3))
+      MhMachine *machine = fixture->machines[draw_below (fixture, MACHINES)];
+      if (has_room (machine, job->spec) && draw_below (fixture, 3))
         mh_attempt_new (fixture->core->cluster, job, i, 1, machine)->phase = MH_TASK_PHASE_RUNNING;
     }
 }
@@ -177,7 +177,7 @@
   for (guint i = 0; i < MACHINES; i++)
     fixture->machines[i] = add_machine (fixture, i);
   for (guint i = 0; i < JOBS / 3; i++)
-    run_some_tasks (fixture, add_job (fixture));
+    add_running_tasks (fixture, add_job (fixture));
   while (fixture->jobs < JOBS)
     add_job (fixture);
 }
@@ -191,12 +191,12 @@
   g_array_unref (fixture->live_zones);
 }
 
-/* ---- the plain walk ---- */
+/* ---- exhaustive search ---- */
 
 static double
-cost_of (const MhJobSpec *spec, double wait_us, double cpu_price)
+compute_cost (const MhJobSpec *spec, double wait_us, double cpu_price)
 {
-  /* Within a quota and without an objective: soon. */
+  /* Slack of a start within its team's quota, without an objective for quotas in the settings. */
   double slack_us = 3e6;
   if (spec->shape != MH_SHAPE_SERVICE)
     return cpu_price * (wait_us + (double)spec->estimated_run_us + 1e6)
@@ -206,32 +206,32 @@
   return wait_us <= slack_us ? 1 : 2 + floor (wait_us / 10000000);
 }
 
-/* The documented order, worked out afresh. */
+/* Computes the keys of the documented order from the present state of the machine. */
 static void
-work_out_keys (const Fixture *fixture, PlainWalk *walk, guint index)
+compute_keys (const Fixture *fixture, ExhaustiveSearch *search, guint index)
 {
   const MhMachine *machine = fixture->machines[index];
-  const MhJobSpec *spec = walk->job->spec;
-  double *keys = walk->keys[index];
+  const MhJobSpec *spec = search->job->spec;
+  double *keys = search->keys[index];
   double wait_us = (double)mh_machine_image_wait_us (fixture->core->cluster, machine,
-                                                     walk->job->image, spec->image_gb);
+                                                     search->job->image, spec->image_gb);
   double cpu_price = mh_machine_hourly_price (machine) / machine->type->cpus;
   memset (keys, 0, KEYS * sizeof *keys);
-  keys[KEY_COST] = cost_of (spec, wait_us, cpu_price);
+  keys[KEY_COST] = compute_cost (spec, wait_us, cpu_price);
   if (spec->shape == MH_SHAPE_SERVICE)
     {
-      guint most = MAX (1, mh_cluster_service_replicas (fixture->core->cluster) / 24);
+      guint max_replicas = MAX (1, mh_cluster_service_replicas (fixture->core->cluster) / 24);
       guint replicas = machine->usage.replicas;
-      keys[KEY_ABOVE_PRICE_CAP] = mh_machine_hourly_price (machine) > 2 * walk->lowest_price;
-      keys[KEY_REPLICAS] = replicas < most ? most - replicas : replicas + 1;
+      keys[KEY_ABOVE_PRICE_CAP] = mh_machine_hourly_price (machine) > 2 * search->lowest_price;
+      keys[KEY_REPLICAS] = replicas < max_replicas ? max_replicas - replicas : replicas + 1;
     }
   keys[KEY_CPU_PRICE] = cpu_price;
   keys[KEY_UNUSED_CPUS] = machine->type->cpus - machine->usage.cpus;
 }
 
-/* The only zone in which the next task may run; NULL: any. */
+/* Returns the only zone in which the next task may run; NULL: any zone. */
 static const char *
-only_zone (const Fixture *fixture, const MhJobSpec *spec)
+find_required_zone (const Fixture *fixture, const MhJobSpec *spec)
 {
   if (spec->single_zone && fixture->live_zones->len)
     return g_array_index (fixture->live_zones, const char *, 0);
@@ -239,13 +239,13 @@
 }
 
 static bool
-zone_is (const char *only, const char *zone)
+matches_zone (const char *required_zone, const char *zone)
 {
-  return only == NULL || strcmp (only, zone) == 0;
+  return required_zone == NULL || strcmp (required_zone, zone) == 0;
 }
 
 static guint
-tasks_in (const Fixture *fixture, const char *zone)
+count_tasks_in (const Fixture *fixture, const char *zone)
 {
   guint count = 0;
   for (guint i = 0; i < fixture->live_zones->len; i++)
@@ -253,11 +253,11 @@
   return count;
 }
 
-/* A zone counts when a machine there is live and the job may run in it. */
+/* A zone is counted if a machine there is live and the job may run in the zone. */
 static bool
-zone_counts (const Fixture *fixture, const char *only, const char *zone)
+is_zone_counted (const Fixture *fixture, const char *required_zone, const char *zone)
 {
-  if (!zone_is (only, zone))
+  if (!matches_zone (required_zone, zone))
     return false;
   for (guint i = 0; i < MACHINES; i++)
     if (fixture->machines[i]->heartbeat.reported && strcmp (fixture->machines[i]->zone, zone) == 0)
@@ -266,34 +266,34 @@
 }
 
 static bool
-zone_allows (const Fixture *fixture, const MhJobSpec *spec, const char *zone)
+is_zone_allowed (const Fixture *fixture, const MhJobSpec *spec, const char *zone)
 {
-  const char *only = only_zone (fixture, spec);
-  guint here = tasks_in (fixture, zone), least = G_MAXUINT;
-  if (!zone_counts (fixture, only, zone))
+  const char *required_zone = find_required_zone (fixture, spec);
+  guint count = count_tasks_in (fixture, zone), min = G_MAXUINT;
+  if (!is_zone_counted (fixture, required_zone, zone))
     return false;
   for (guint i = 0; i < ZONES; i++)
-    if (zone_counts (fixture, only, zones[i]))
-      least = MIN (least, tasks_in (fixture, zones[i]));
-  if (spec->spread_over_zones && here + 1 > (spec->tasks + 1) / 2)
+    if (is_zone_counted (fixture, required_zone, zones[i]))
+      min = MIN (min, count_tasks_in (fixture, zones[i]));
+  if (spec->spread_over_zones && count + 1 > (spec->tasks + 1) / 2)
     return false;
-  return spec->shape != MH_SHAPE_SERVICE || here < least + 1;
+  return spec->shape != MH_SHAPE_SERVICE || count < min + 1;
 }
 
 static bool
-admits (const Fixture *fixture, const MhJobSpec *spec, const MhMachine *machine)
+is_machine_admitted (const Fixture *fixture, const MhJobSpec *spec, const MhMachine *machine)
 {
   bool usable = machine->heartbeat.reported && !mh_machine_is_draining (machine)
                 && machine->notice_deadline_us < 0;
   return usable && (!machine->spot || spec->spot) && spec->cpus <= machine->type->cpus
          && spec->mem_gb <= machine->type->mem_gb
-         && zone_is (only_zone (fixture, spec), machine->zone);
+         && matches_zone (find_required_zone (fixture, spec), machine->zone);
 }
 
 static void
-begin_walk (Fixture *fixture, PlainWalk *walk, MhJob *job)
+begin_search (Fixture *fixture, ExhaustiveSearch *search, MhJob *job)
 {
-  *walk = (PlainWalk){ .job = job, .lowest_price = G_MAXDOUBLE };
+  *search = (ExhaustiveSearch){ .job = job, .lowest_price = G_MAXDOUBLE };
   g_array_set_size (fixture->live_zones, 0);
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
@@ -301,81 +301,82 @@
   for (guint i = 0; i < MACHINES; i++)
     {
       const MhMachine *machine = fixture->machines[i];
-      walk->admits[i] = admits (fixture, job->spec, machine);
-      if (walk->admits[i])
-        walk->lowest_price = MIN (walk->lowest_price, mh_machine_hourly_price (machine));
+      search->is_admitted[i] = is_machine_admitted (fixture, job->spec, machine);
+      if (search->is_admitted[i])
+        search->lowest_price = MIN (search->lowest_price, mh_machine_hourly_price (machine));
     }
   for (guint i = 0; i < MACHINES; i++)
-    work_out_keys (fixture, walk, i);
+    compute_keys (fixture, search, i);
 }
 
 static bool
-comes_before (const Fixture *fixture, const PlainWalk *walk, guint left, guint right)
+ranks_before (const Fixture *fixture, const ExhaustiveSearch *search, guint left, guint right)
 {
   for (guint i = 0; i < KEYS; i++)
-    if (walk->keys[left][i] != walk->keys[right][i])
-      return walk->keys[left][i] < walk->keys[right][i];
+    if (search->keys[left][i] != search->keys[right][i])
+      return search->keys[left][i] < search->keys[right][i];
   return strcmp (fixture->machines[left]->name, fixture->machines[right]->name) < 0;
 }
 
-/* The index of the best machine for the next task; MACHINES: there is none. */
+/* Returns the index of the best machine for the next task; MACHINES: there is none. */
 static guint
-best_machine (const Fixture *fixture, const PlainWalk *walk)
+find_best_machine (const Fixture *fixture, const ExhaustiveSearch *search)
 {
-  const MhJobSpec *spec = walk->job->spec;
+  const MhJobSpec *spec = search->job->spec;
   guint best = MACHINES;
   for (guint i = 0; i < MACHINES; i++)
     {
       const MhMachine *machine = fixture->machines[i];
-      if (!walk->admits[i] || !has_room (machine, spec)
-          || !zone_allows (fixture, spec, machine->zone))
+      if (!search->is_admitted[i] || !has_room (machine, spec)
+          || !is_zone_allowed (fixture, spec, machine->zone))
         continue;
-      if (best == MACHINES || comes_before (fixture, walk, i, best))
+      if (best == MACHINES || ranks_before (fixture, search, i, best))
         best = i;
     }
   return best;
 }
 
 static char *
-placed (const MhJob *job, guint task, const MhMachine *machine)
+describe_placement (const MhJob *job, guint task, const MhMachine *machine)
 {
   return g_strdup_printf ("%s/%u on %s", job->spec->id, task, machine->name);
 }
 
-/* A service's own start is seen by its next task; nothing else has changed meanwhile. */
+/* Updates the keys that a service's start changes for its next task. For an array the pass does not
+   compute any key again after a start. */
 static void
-update_keys (const Fixture *fixture, PlainWalk *walk, guint index)
+update_keys (const Fixture *fixture, ExhaustiveSearch *search, guint index)
 {
-  PlainWalk afresh = *walk;
-  if (walk->job->spec->shape != MH_SHAPE_SERVICE)
+  ExhaustiveSearch current = *search;
+  if (search->job->spec->shape != MH_SHAPE_SERVICE)
     return;
-  work_out_keys (fixture, &afresh, index);
-  walk->keys[index][KEY_REPLICAS] = afresh.keys[index][KEY_REPLICAS];
-  walk->keys[index][KEY_UNUSED_CPUS] = afresh.keys[index][KEY_UNUSED_CPUS];
+  compute_keys (fixture, &current, index);
+  search->keys[index][KEY_REPLICAS] = current.keys[index][KEY_REPLICAS];
+  search->keys[index][KEY_UNUSED_CPUS] = current.keys[index][KEY_UNUSED_CPUS];
 }
 
 static void
-place_plainly (Fixture *fixture, MhJob *job, GPtrArray *expected)
+place_by_search (Fixture *fixture, MhJob *job, GPtrArray *expected)
 {
-  PlainWalk walk;
-  begin_walk (fixture, &walk, job);
+  ExhaustiveSearch search;
+  begin_search (fixture, &search, job);
   for (guint i = 0; i < job->spec->tasks; i++)
     {
       if (job->tasks[i].state != MH_TASK_PENDING)
         continue;
-      guint best = best_machine (fixture, &walk);
+      guint best = find_best_machine (fixture, &search);
       if (best == MACHINES)
         return;
       MhMachine *machine = fixture->machines[best];
       mh_attempt_new (fixture->core->cluster, job, i, 1, machine);
-      update_keys (fixture, &walk, best);
+      update_keys (fixture, &search, best);
       g_array_append_val (fixture->live_zones, machine->zone);
-      g_ptr_array_add (expected, placed (job, i, machine));
+      g_ptr_array_add (expected, describe_placement (job, i, machine));
     }
 }
 
 static GPtrArray *
-place_all_plainly (Fixture *fixture)
+place_all_by_search (Fixture *fixture)
 {
   MhCore *core = fixture->core;
   GPtrArray *expected = g_ptr_array_new_with_free_func (g_free);
@@ -385,14 +386,14 @@
   for (guint i = 0; i < queue->len; i++)
     {
       MhJob *job = g_ptr_array_index (queue, i);
-      /* A job with a task on a machine that has not reported waits: its counts are not known. */
+      /* The counts of a job with a task on an unreported machine are unknown, and it waits. */
       if (job->n_unreported == 0)
-        place_plainly (fixture, job, expected);
+        place_by_search (fixture, job, expected);
     }
   return expected;
 }
 
-/* ---- the pass ---- */
+/* ---- placement pass ---- */
 
 /* Calls `func` for each live attempt. */
 static void
@@ -419,7 +420,7 @@
 typedef struct
 {
   GHashTable *before;
-  GPtrArray *placed;
+  GPtrArray *placements;
 } NewAttempts;
 
 static void
@@ -428,21 +429,23 @@
   const MhAttempt *attempt = data;
   const NewAttempts *attempts = user_data;
   if (!g_hash_table_contains (attempts->before, attempt))
-    g_ptr_array_add (attempts->placed, placed (attempt->job, attempt->index, attempt->machine));
+    g_ptr_array_add (attempts->placements,
+                     describe_placement (attempt->job, attempt->index, attempt->machine));
 }
 
 static GPtrArray *
 run_pass (Fixture *fixture)
 {
   g_autoptr (GHashTable) before = g_hash_table_new (NULL, NULL);
-  NewAttempts attempts = { .before = before, .placed = g_ptr_array_new_with_free_func (g_free) };
+  NewAttempts attempts
+      = { .before = before, .placements = g_ptr_array_new_with_free_func (g_free) };
   for_each_attempt (fixture, add_to_set, before);
   mh_placement_run (fixture->core->placement, mh_recovery_is_complete (fixture->core->recovery));
   for_each_attempt (fixture, add_if_new, &attempts);
-  return attempts.placed;
+  return attempts.placements;
 }
 
-/* ---- both ---- */
+/* ---- comparison ---- */
 
 static gint
 compare_text (gconstpointer left, gconstpointer right)
@@ -450,14 +453,15 @@
   return strcmp (*(char *const *)left, *(char *const *)right);
 }
 
-/* A short cut of the pass would start tasks on other machines than the documentation says. */
+/* Guards against an optimization of the placement pass that starts a task on another machine than
+   the documented order says, or starts more or fewer tasks. */
 static void
-test_against_plain_walk (gconstpointer data)
+test_against_exhaustive_search (gconstpointer data)
 {
-  Fixture fixture, plain; /* alike */
+  Fixture fixture, reference; /* with the same random cluster */
   set_up (&fixture, GPOINTER_TO_UINT (data));
-  set_up (&plain, GPOINTER_TO_UINT (data));
-  g_autoptr (GPtrArray) expected = place_all_plainly (&plain);
+  set_up (&reference, GPOINTER_TO_UINT (data));
+  g_autoptr (GPtrArray) expected = place_all_by_search (&reference);
   g_autoptr (GPtrArray) actual = run_pass (&fixture);
   g_ptr_array_sort (expected, compare_text);
   g_ptr_array_sort (actual, compare_text);
@@ -466,7 +470,7 @@
   g_assert_cmpuint (actual->len, ==, expected->len);
   g_assert_cmpuint (actual->len, >, 0);
   tear_down (&fixture);
-  tear_down (&plain);
+  tear_down (&reference);
 }
 
 int
@@ -475,8 +479,8 @@
   g_test_init (&argc, &argv, NULL);
   for (guint seed = 1; seed <= 30; seed++)
     {
-      g_autofree char *path = g_strdup_printf ("/placement/order/plain-walk/%u", seed);
-      g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_against_plain_walk);
+      g_autofree char *path = g_strdup_printf ("/placement/order/exhaustive-search/%u", seed);
+      g_test_add_data_func (path, GUINT_TO_POINTER (seed), test_against_exhaustive_search);
     }
   return g_test_run ();
 }
--- a/tests/test-placement-steps.c
+++ b/tests/test-placement-steps.c
@@ -1,5 +1,5 @@
-/* The steps of placement, each by itself: filters, scores, quota, victims, and what is remembered.
- */
+/* Unit tests of the steps of placement: filters, scores, infeasible requests, quotas, victims of
+   preemption and slots. */
 #include "cluster/attempt.h"
 #include "placement/filter.h"
 #include "placement/quota.h"
@@ -7,7 +7,7 @@
 #include "placement/score.h"
 #include "placement/victim.h"
 
-/* A job with one machine to look at, in the second of two zones. */
+/* A job and one machine, which is in the second of two zones. */
 typedef struct
 {
   MhJobSpec spec;
@@ -46,7 +46,7 @@
 }
 
 static void
-set_counts (Fixture *fixture, guint first, guint second)
+set_zone_counts (Fixture *fixture, guint first, guint second)
 {
   g_array_index (fixture->cycle.zones, MhZoneCount, 0).count = first;
   g_array_index (fixture->cycle.zones, MhZoneCount, 1).count = second;
@@ -54,7 +54,7 @@
 
 /* ---- filters ---- */
 
-/* A task would be sent to a machine that cannot hold it, even when empty. */
+/* Without this filter, a task would be sent to a machine that cannot hold it even when empty. */
 static void
 test_filter_type (Fixture *fixture, gconstpointer unused)
 {
@@ -65,7 +65,8 @@
   g_assert_false (mh_filter_machine (&fixture->cycle, &fixture->machine));
 }
 
-/* A job that must not be interrupted would be put on a spot machine. */
+/* Without this filter, a job that does not accept spot machines would be placed on one, and could
+   be interrupted. */
 static void
 test_filter_spot (Fixture *fixture, gconstpointer unused)
 {
@@ -77,7 +78,7 @@
   g_assert_true (mh_filter_machine (&fixture->cycle, &fixture->machine));
 }
 
-/* A job would leave the zone that it asks for. */
+/* Without this filter, a task would be placed outside the zone that its job asks for. */
 static void
 test_filter_counted_zone (Fixture *fixture, gconstpointer unused)
 {
@@ -88,7 +89,8 @@
   g_assert_false (mh_filter_machine (&fixture->cycle, &fixture->machine));
 }
 
-/* A worker would refuse the task, or what is reserved for another would be taken. */
+/* Without this filter, the worker would refuse the task for want of resources, or the task would
+   take resources that are reserved for another one. */
 static void
 test_filter_resources (Fixture *fixture, gconstpointer unused)
 {
@@ -105,12 +107,12 @@
   g_assert_false (mh_filter_resources (&fixture->machine, &fixture->spec));
 }
 
-/* More than half of a scattered job would be lost with a zone. */
+/* Without this filter, more than half of a scattered job could be lost with one zone. */
 static void
 test_filter_scatter (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
-  set_counts (fixture, 0, 2);
+  set_zone_counts (fixture, 0, 2);
   g_assert_true (mh_filter_scatter (&fixture->cycle, 1));
   fixture->spec.spread_over_zones = true;
   g_assert_false (mh_filter_scatter (&fixture->cycle, 1));
@@ -118,24 +120,25 @@
   g_assert_false (mh_filter_admits (&fixture->cycle, &fixture->machine));
 }
 
-/* Tasks that belong together would run in two zones. */
+/* Without this filter, tasks that must run in a single zone would run in two zones. */
 static void
 test_filter_one_zone (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
-  set_counts (fixture, 1, 0);
+  set_zone_counts (fixture, 1, 0);
   g_assert_true (mh_filter_one_zone (&fixture->cycle, 1));
   fixture->spec.single_zone = true;
   g_assert_false (mh_filter_one_zone (&fixture->cycle, 1));
   g_assert_true (mh_filter_one_zone (&fixture->cycle, 0));
 }
 
-/* KEP-895 holds for services alone, and under the soft rule refuses nothing. */
+/* Topology spread (KEP-895) applies to services only, and a soft constraint refuses no zone.
+   Otherwise tasks would wait although they may start. */
 static void
 test_filter_topology_spread (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
-  set_counts (fixture, 0, 1);
+  set_zone_counts (fixture, 0, 1);
   g_assert_true (mh_filter_topology_spread (&fixture->cycle, 1));
   fixture->cycle.is_service = true;
   g_assert_false (mh_filter_topology_spread (&fixture->cycle, 1));
@@ -144,7 +147,8 @@
   g_assert_true (mh_filter_topology_spread (&fixture->cycle, 1));
 }
 
-/* A further task would go to another zone than the tasks that are live. */
+/* Without this filter, a further task of a single-zone job would be placed in another zone than its
+   live tasks. */
 static void
 test_filter_required_zone (Fixture *fixture, gconstpointer unused)
 {
@@ -163,7 +167,8 @@
 
 /* ---- scores ---- */
 
-/* An array would pay more for a cpu than it has to, or miss the objective for its start. */
+/* If this cost were wrong, an array would run on a more expensive machine than it has to, or miss
+   the objective for its start. */
 static void
 test_score_cost_of_array (Fixture *fixture, gconstpointer unused)
 {
@@ -175,7 +180,7 @@
   g_assert_cmpfloat (mh_score_cost (&fixture->spec, &candidate, 0), ==, 1000 * in_time);
 }
 
-/* Replicas would wait for images while other machines have them. */
+/* If this cost were wrong, replicas would wait for their image while other machines have it. */
 static void
 test_score_cost_of_service (Fixture *fixture, gconstpointer unused)
 {
@@ -190,7 +195,8 @@
   g_assert_cmpfloat (mh_score_cost (&fixture->spec, &candidate, 0), ==, 4);
 }
 
-/* Too many replicas would be lost with one machine, or too few machines fall empty. */
+/* If this score were wrong, too many replicas would be lost with one machine, or too few machines
+   would become empty. */
 static void
 test_score_replicas (void)
 {
@@ -202,7 +208,8 @@
   g_assert_true (mh_score_is_above_price_cap (2.1, 1));
 }
 
-/* Each key decides only where all before it are equal. */
+/* A key decides only if all keys before it are equal. In another order, tasks would start on other
+   machines than documented. */
 static void
 test_score_order (Fixture *fixture, gconstpointer unused)
 {
@@ -214,9 +221,9 @@
   g_assert_cmpint (mh_score_compare_candidates (&left, &right), <, 0);
   other.usage.cpus = 1;
   g_assert_cmpint (mh_score_compare_candidates (&left, &right), >, 0);
-  MhMachineType dear = fixture->type;
-  dear.price = 1;
-  other.type = &dear;
+  MhMachineType expensive_type = fixture->type;
+  expensive_type.price = 1;
+  other.type = &expensive_type;
   g_assert_cmpint (mh_score_compare_candidates (&left, &right), <, 0);
   left.replicas_on_machine = 1;
   g_assert_cmpint (mh_score_compare_candidates (&left, &right), >, 0);
@@ -228,9 +235,10 @@
   g_assert_cmpint (mh_score_compare_candidates (&left, &right), <, 0);
 }
 
-/* ---- what is remembered ---- */
+/* ---- infeasible requests ---- */
 
-/* A job would be passed over though a machine could take it. */
+/* If a request were wrongly known as infeasible, a job would be skipped although a machine could
+   take it. */
 static void
 test_infeasible (Fixture *fixture, gconstpointer unused)
 {
@@ -253,7 +261,7 @@
 
 /* ---- quota ---- */
 
-/* A team would use more than its quota, or less than it may. */
+/* If quotas were computed wrongly, a team could use more than its quota, or not all of it. */
 static void
 test_quota (Fixture *fixture, gconstpointer unused)
 {
@@ -278,7 +286,9 @@
 
 /* ---- victims ---- */
 
-/* Two jobs would stop each other in turn, or a starved job's only task would be stopped at once. */
+/* If tasks of jobs that are not further back in the queue were eligible, two jobs would stop each
+   other in turn. The only task of a starved job must not be stopped as soon as it is placed, and a
+   gang not for a quota alone. */
 static void
 test_victim_is_eligible (Fixture *fixture, gconstpointer unused)
 {
@@ -288,14 +298,14 @@
   MhAttempt attempt = { .job = &fixture->job };
   fixture->spec.priority = MH_PRIORITY_NORMAL;
   g_assert_true (mh_victim_is_eligible (&urgent, &attempt));
-  g_assert_false (mh_victim_is_eligible (&fixture->job, &attempt)); /* its own */
+  g_assert_false (mh_victim_is_eligible (&fixture->job, &attempt)); /* its own task */
   attempt.state = MH_ATTEMPT_STOPPING;
   g_assert_false (mh_victim_is_eligible (&urgent, &attempt));
   attempt.state = MH_ATTEMPT_RUNNING;
 
   MhJobSpec normal_spec = { .id = "j-3", .team = "blue", .priority = MH_PRIORITY_NORMAL };
   MhJob normal = { .spec = &normal_spec };
-  g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* no further back */
+  g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* not behind it in the queue */
   normal.placement.guaranteed = true;
   g_assert_true (mh_victim_is_eligible (&normal, &attempt));
   attempt.job_was_starved = true;
@@ -303,13 +313,14 @@
   g_assert_true (mh_victim_is_eligible (&urgent, &attempt));
   attempt.job_was_starved = false;
   fixture->spec.shape = MH_SHAPE_GANG;
-  g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* for a quota alone */
+  g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* not for a quota alone */
   fixture->spec.shape = MH_SHAPE_ARRAY;
   normal_spec.team = "red";
-  g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* of its own team */
+  g_assert_false (mh_victim_is_eligible (&normal, &attempt)); /* of the same team */
 }
 
-/* Gangs that have just begun would be stopped first, and gather in vain time and again. */
+/* The loss of a gang includes the time to gather again. Without it, gangs that have just begun
+   would be stopped first, and would gather in vain repeatedly. */
 static void
 test_victim_loss (Fixture *fixture, gconstpointer unused)
 {
@@ -322,7 +333,7 @@
   g_assert_cmpfloat (mh_victim_loss (&attempt, 5 * MH_SECOND_US), ==, 3 * 2 * 34 * 4);
 }
 
-/* A gang would count on room that is not there. */
+/* If too many slots were counted, a gang would be placed on capacity that does not exist. */
 static void
 test_resource_slots (Fixture *fixture, gconstpointer unused)
 {
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -1,10 +1,11 @@
-/* Placement: the rule of KEP-895, quotas and guarantees, preemption, images, renting. On a fake
-   clock, with scripted peers. */
+/* Placement in simulations on a fake clock: topology spread (KEP-895), quotas and guarantees,
+   preemption, image waits, and the creation of machines. */
 #include "steps.h"
 
 #include <string.h>
 
-/* What an unreachable machine may still run counts: quota that silence freed would be used twice.
+/* Tasks on an unreachable machine may still run, so they count against the quota of their team. If
+   the silence of the machine freed their quota, other jobs of the team would use it a second time.
  */
 static void
 test_quota_unreachable (Simulation *simulation)
@@ -13,7 +14,7 @@
   Machine *machine = worker_of (simulation, "j-000001/0")->machine;
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 4);
   simulation->cloud->outage_until_us
-      = simulation->clock->now_us + 40 * MH_SECOND_US; /* no release, no proof */
+      = simulation->clock->now_us + 40 * MH_SECOND_US; /* cannot confirm a release */
   machine->hung_until_us = simulation->clock->now_us + 200 * MH_SECOND_US;
   simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 16, 1), 200);
   simulation_run (simulation, 100);
@@ -21,8 +22,8 @@
   simulation_run (simulation, 60);
 }
 
-/* The tasks of a service that were not spread over zones, within MaxSkew, would fall with one of
-   them. */
+/* The replicas of a service are spread over the zones, within MaxSkew. Without this, all of them
+   could be lost with one zone. */
 static void
 test_spread (Simulation *simulation)
 {
@@ -39,22 +40,22 @@
   g_assert_cmpuint (MAX (in_a, in_b) - MIN (in_a, in_b), ==, 1);
 }
 
-/* A team that another has borrowed from would wait for its guarantee until that one's work ends by
-   itself. */
+/* A team uses capacity that is guaranteed to another team. Work within the other team's guarantee
+   preempts tasks of the first one; otherwise it would wait until these tasks are done. */
 static void
 test_guarantee (Simulation *simulation)
 {
   simulation->cloud->capacity = 1;
   cloud_add_machine (simulation->cloud, "large", "a", false);
-  User *borrows = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 16, 1), 60);
-  WAIT (simulation, 30, all_run, borrows);
+  User *borrower = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 16, 1), 60);
+  WAIT (simulation, 30, all_run, borrower);
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 5);
   WAIT (simulation, 6, all_run, user);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 8);
 }
 
-/* Urgent work beyond its guarantee and normal work within one would stop each other in turn, for
-   ever. */
+/* Urgent work beyond its team's guarantee and normal work within one must not both be allowed to
+   preempt the other: they would stop each other in turn, for ever. */
 static void
 test_no_preemption_cycle (Simulation *simulation)
 {
@@ -68,10 +69,10 @@
   simulation_run (simulation, 20);
   simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 2, 4), 30);
   simulation_run (simulation, 60);
-  guint stops = 0;
+  guint preemptions = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
-    stops += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
-  g_assert_cmpuint (stops, <=, 15);
+    preemptions += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
+  g_assert_cmpuint (preemptions, <=, 15);
 }
 
 static void
@@ -91,51 +92,53 @@
     }
 }
 
-/* Four zones. Were a full one left out of the minimum, the fourth replica would be placed unevenly;
-   were one without live machines counted, it would wait for ever. */
+/* A service of four replicas in four zones, of which one is full. If the minimum of topology spread
+   left out the full zone, the fourth replica would be placed in violation of MaxSkew. If the
+   minimum included the zone after its only machine is gone, the fourth replica would wait for ever.
+ */
 static void
 test_spread_four_zones (Simulation *simulation)
 {
   guint counts[4];
   simulation->cloud->zones = 4;
   simulation->cloud->capacity = 4;
-  Machine *last = NULL;
+  Machine *full_machine = NULL;
   for (guint i = 0; i < 4; i++)
     {
       const char zone[] = { (char)('a' + i), '\0' };
-      last = cloud_add_machine (simulation->cloud, "large", zone, false);
+      full_machine = cloud_add_machine (simulation->cloud, "large", zone, false);
     }
   simulation_run (simulation, 10);
   for (guint i = 1; i <= 4; i += 3)
     {
       MhJobSpec *filler = job_spec_new (i, MH_SHAPE_SERVICE, 1, 8);
       filler->zone = g_strdup ("d");
-      User *filled = simulation_submit (simulation, filler, 0);
-      WAIT (simulation, 30, all_run, filled);
+      User *filler_user = simulation_submit (simulation, filler, 0);
+      WAIT (simulation, 30, all_run, filler_user);
     }
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 4, 1), 0);
   simulation_run (simulation, 20);
   count_by_zone (simulation, "j-000002", counts, 4);
   for (guint i = 0; i < 4; i++)
     g_assert_cmpuint (counts[i], ==, i < 3 ? 1 : 0);
-  last->hung_until_us = simulation->clock->now_us + 1000 * MH_SECOND_US;
-  WAIT (simulation, 60, is_gone, last);
-  simulation->cloud->capacity = 3; /* no other in its place */
+  full_machine->hung_until_us = simulation->clock->now_us + 1000 * MH_SECOND_US;
+  WAIT (simulation, 60, is_gone, full_machine);
+  simulation->cloud->capacity = 3; /* allows no replacement */
   WAIT (simulation, 30, all_run, user);
 }
 
-/* Replicas with different images would crowd onto the first machine that is up, where their fetches
-   share its rate, while others are about to be; and a task that was passed over so would be
-   forgotten. */
+/* Replicas with different images wait for machines that are booting. Otherwise all of them would
+   start on the only machine that is up, where their fetches share its rate. A replica that is
+   deferred for this reason must still be started later, not skipped for ever. */
 static void
-test_images_apart (Simulation *simulation)
+test_images_on_separate_machines (Simulation *simulation)
 {
   User *users[4];
   cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation->cloud->boot_us = 7 * MH_SECOND_US;
   for (guint i = 0; i < 3; i++)
     cloud_add_machine (simulation->cloud, "large", "a", false);
-  simulation_run (simulation, 6); /* the cloud lists them */
+  simulation_run (simulation, 6); /* until the cloud lists them */
   for (guint i = 0; i < 4; i++)
     {
       MhJobSpec *spec = job_spec_new (1 + i, MH_SHAPE_SERVICE, 1, 2);
@@ -146,25 +149,27 @@
     }
   for (guint i = 8; i < 10; i++)
     {
-      MhJobSpec *lesser = job_spec_new (i, MH_SHAPE_ARRAY, 7, 1);
-      lesser->priority = MH_PRIORITY_LOW;
-      lesser->estimated_run_us = 300 * MH_SECOND_US;
-      simulation_submit (simulation, lesser, 300);
+      MhJobSpec *low_priority_spec = job_spec_new (i, MH_SHAPE_ARRAY, 7, 1);
+      low_priority_spec->priority = MH_PRIORITY_LOW;
+      low_priority_spec->estimated_run_us = 300 * MH_SECOND_US;
+      simulation_submit (simulation, low_priority_spec, 300);
     }
   for (guint i = 0; i < 4; i++)
     WAIT (simulation, 60, all_run, users[i]);
-  /* Nor is anything stopped for them on the machine that is full by now. */
+  /* The first machine is full by now. Nothing may be preempted there for the replicas. */
   g_assert_false (simulation_logged (simulation, "task preempted"));
-  guint used = 0;
+  guint used_machines = 0;
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
-    used += ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->tasks->len > 0;
-  g_assert_cmpuint (used, ==, 4);
+    used_machines
+        += ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->tasks->len > 0;
+  g_assert_cmpuint (used_machines, ==, 4);
 }
 
-/* A replica for which a task is stopped, where its image is, would start elsewhere meanwhile, and
+/* A task is preempted so that a replica can start on the machine that has its image. While the task
+   is stopping, other placement passes run. If one of them started the replica on another machine,
    the task would have been stopped for nothing. */
 static void
-test_room_is_made_once (Simulation *simulation)
+test_single_preemption_for_replica (Simulation *simulation)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
@@ -176,10 +181,10 @@
     }
   cloud_add_machine (simulation->cloud, "small", "a", false);
   simulation_run (simulation, 8);
-  User *first = running_service (simulation, 3, 1); /* its image is there now */
-  MhJobSpec *lesser = job_spec_new (4, MH_SHAPE_ARRAY, 3, 1);
-  lesser->priority = MH_PRIORITY_LOW;
-  User *array = simulation_submit (simulation, lesser, 200);
+  User *first = running_service (simulation, 3, 1); /* the small machine has its image now */
+  MhJobSpec *low_priority_spec = job_spec_new (4, MH_SHAPE_ARRAY, 3, 1);
+  low_priority_spec->priority = MH_PRIORITY_LOW;
+  User *array = simulation_submit (simulation, low_priority_spec, 200);
   WAIT (simulation, 30, all_run, array);
   cloud_add_machine (simulation->cloud, "large", "a", false);
   simulation_run (simulation, 8);
@@ -187,33 +192,35 @@
   g_free (spec->image);
   spec->image = g_strdup (first->job->spec->image);
   spec->image_gb = 20;
-  simulation->network->hold_commands = true; /* the stop goes with the next report */
+  /* The stop reaches the worker only with the response to its next heartbeat. */
+  simulation->network->hold_commands = true;
   User *user = simulation_submit (simulation, spec, 0);
   for (guint i = 0; i < 20; i++)
     {
-      /* Others, with another image, keep the passes coming. */
+      /* Small jobs with another image cause further placement passes. */
       simulation_submit (simulation, job_spec_new (20 + 6 * i, MH_SHAPE_ARRAY, 1, 0.1), 0.1);
       simulation_run (simulation, 0.06);
     }
   WAIT (simulation, 12, all_run, user);
   g_assert_true (worker_of (simulation, "j-000005/0") == worker_of (simulation, "j-000003/0"));
-  guint stops = 0;
+  guint preemptions = 0;
   for (guint i = 0; i < simulation->log_lines->len; i++)
-    stops += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
-  g_assert_cmpuint (stops, ==, 1);
+    preemptions += strstr (g_ptr_array_index (simulation->log_lines, i), "task preempted") != NULL;
+  g_assert_cmpuint (preemptions, ==, 1);
 }
 
 static bool
-gives_back_silent (Simulation *simulation, gpointer data)
+is_release_of_silent_machine_logged (Simulation *simulation, gpointer data)
 {
   (void)data;
   return simulation_logged (simulation, "releasing machine reason=silent");
 }
 
-/* Half of the machines fail while there is always as much to do as nearly all can. Room for what
-   ran there would be rented too late, since nothing that waits could still be in time. */
+/* Half of the machines hang while the load needs nearly all of them. No pending task can still
+   meet its deadline on a new machine, so pending tasks alone are no reason to create one. Unless
+   machines are created for the lost capacity as well, they come too late. */
 static void
-test_lost_room_is_rented (Simulation *simulation)
+test_lost_capacity_is_replaced (Simulation *simulation)
 {
   for (guint i = 0; i < SIMULATION_NODES; i++)
     for (guint k = 0; k < 2; k++)
@@ -222,50 +229,50 @@
     cloud_add_machine (simulation->cloud, "small", "a", false);
   simulation->cloud->capacity = 4;
   simulation_run (simulation, 10);
-  guint number = 0;
-  for (guint turn = 0; turn < 40 && !gives_back_silent (simulation, NULL); turn++)
+  guint job_number = 0;
+  for (guint step = 0; step < 40 && !is_release_of_silent_machine_logged (simulation, NULL); step++)
     {
       for (guint i = 0; i < 2; i++)
         {
-          MhJobSpec *spec = job_spec_new (++number, MH_SHAPE_ARRAY, 3, 1);
+          MhJobSpec *spec = job_spec_new (++job_number, MH_SHAPE_ARRAY, 3, 1);
           spec->image_gb = 0.01;
           spec->estimated_run_us = 2 * MH_SECOND_US;
           spec->deadline_us = MH_SECOND_US / 2;
           simulation_submit (simulation, spec, 2);
         }
-      if (turn == 12)
+      if (step == 12)
         {
           simulation->cloud->capacity = 20;
           for (guint i = 0; i < 2; i++)
             ((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->hung_until_us
                 = simulation->clock->now_us + 300 * MH_SECOND_US;
         }
-      simulation_until (simulation, 1, gives_back_silent, NULL);
+      simulation_until (simulation, 1, is_release_of_silent_machine_logged, NULL);
     }
-  g_assert_true (gives_back_silent (simulation, NULL));
-  guint64 rented = simulation->cloud->machines_rented;
+  g_assert_true (is_release_of_silent_machine_logged (simulation, NULL));
+  guint64 created_before = simulation->cloud->machines_rented;
   simulation_run (simulation, 1.5);
-  g_assert_cmpuint (simulation->cloud->machines_rented, >, rented);
+  g_assert_cmpuint (simulation->cloud->machines_rented, >, created_before);
 }
 
-/* A job that is still being written down would rent machines beside free room, where it will be
-   placed. */
+/* A job is placed only after its submission is durable. Before that no machines may be created for
+   it, since it fits on a machine that exists and has room. */
 static void
-test_no_rental_while_being_written (Simulation *simulation)
+test_no_machine_for_undurable_job (Simulation *simulation)
 {
   running_service (simulation, 1, 1);
   simulation_run (simulation, 5);
-  guint64 rented = simulation->cloud->machines_rented;
+  guint64 created_before = simulation->cloud->machines_rented;
   ControllerNode *leader = simulation_leader (simulation);
   leader->hold_writes = true;
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 4, 1), 2);
   simulation_run (simulation, 3);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation->cloud->machines_rented, ==, created_before);
   while (simulation->network->held_writes->len)
     outgoing_calls_release_write (simulation, true);
   leader->hold_writes = false;
   WAIT (simulation, 60, told_done, user);
-  g_assert_cmpuint (simulation->cloud->machines_rented, ==, rented);
+  g_assert_cmpuint (simulation->cloud->machines_rented, ==, created_before);
 }
 
 int
@@ -277,10 +284,12 @@
   simulation_test_add ("/placement/spread-four-zones", 36, test_spread_four_zones);
   simulation_test_add ("/placement/guarantee", 20, test_guarantee);
   simulation_test_add ("/placement/no-preemption-cycle", 21, test_no_preemption_cycle);
-  simulation_test_add ("/placement/images-apart", 37, test_images_apart);
-  simulation_test_add ("/placement/room-is-made-once", 43, test_room_is_made_once);
-  simulation_test_add ("/placement/lost-room-is-rented", 46, test_lost_room_is_rented);
-  simulation_test_add ("/placement/no-rental-while-being-written", 81,
-                       test_no_rental_while_being_written);
+  simulation_test_add ("/placement/images-on-separate-machines", 37,
+                       test_images_on_separate_machines);
+  simulation_test_add ("/placement/single-preemption-for-replica", 43,
+                       test_single_preemption_for_replica);
+  simulation_test_add ("/placement/lost-capacity-is-replaced", 46, test_lost_capacity_is_replaced);
+  simulation_test_add ("/placement/no-machine-for-undurable-job", 81,
+                       test_no_machine_for_undurable_job);
   return g_test_run ();
 }
--- a/tests/test-topology-spread.c
+++ b/tests/test-topology-spread.c
@@ -1,18 +1,19 @@
-/* The numeric examples of KEP-895, "MaxSkew". */
+/* The numeric examples of KEP-895, "MaxSkew", for the hard and the soft constraint. */
 #include "placement/topology-spread.h"
 
 #define ZONES 3
 
-/* "infeasible" zones are those whose machines cannot take the task; under the hard rule they still
-   enter the minimum, and placing there fails for want of a machine. */
+/* A zone is infeasible if none of its machines can take the task. The hard constraint still
+   includes it in the minimum, although no task can be placed there. The soft constraint leaves it
+   out. */
 typedef struct
 {
   const char *name;
   guint counts[ZONES];
   bool feasible[ZONES];
   guint max_skew;
-  const char *hard; /* zones that pass, of "012" */
-  const char *soft; /* feasible zones that rank first */
+  const char *allowed_zones; /* feasible zones that pass the hard constraint, of "012" */
+  const char *best_zones;    /* feasible zones that rank first under the soft constraint */
 } Example;
 
 static const Example examples[] = {
@@ -27,15 +28,16 @@
   { "0/0/0", { 0, 0, 0 }, { true, true, true }, 1, "012", "012" },
 };
 
-/* Replicas would pile up in one zone, or not start though the constraint allows it. */
+/* If a result differed, replicas would accumulate in one zone, or would not start although the
+   constraint allows it. */
 static void
 test_example (gconstpointer data)
 {
   const Example *example = data;
   MhZoneCount zones[ZONES];
-  g_autoptr (GString) hard = g_string_new (NULL);
-  g_autoptr (GString) soft = g_string_new (NULL);
-  gint best = G_MAXINT;
+  g_autoptr (GString) allowed_zones = g_string_new (NULL);
+  g_autoptr (GString) best_zones = g_string_new (NULL);
+  gint best_score = G_MAXINT;
   for (guint i = 0; i < ZONES; i++)
     zones[i] = (MhZoneCount){ .name = "z",
                               .count = example->counts[i],
@@ -44,18 +46,20 @@
     if (example->feasible[i])
       {
         if (mh_topology_spread_allows_zone (zones, ZONES, i, example->max_skew))
-          g_string_append_printf (hard, "%u", i);
-        best = MIN (best, mh_topology_spread_score_zone (zones, ZONES, i, example->max_skew));
+          g_string_append_printf (allowed_zones, "%u", i);
+        best_score
+            = MIN (best_score, mh_topology_spread_score_zone (zones, ZONES, i, example->max_skew));
       }
   for (guint i = 0; i < ZONES; i++)
     if (example->feasible[i]
-        && mh_topology_spread_score_zone (zones, ZONES, i, example->max_skew) == best)
-      g_string_append_printf (soft, "%u", i);
-  g_assert_cmpstr (hard->str, ==, example->hard);
-  g_assert_cmpstr (soft->str, ==, example->soft);
+        && mh_topology_spread_score_zone (zones, ZONES, i, example->max_skew) == best_score)
+      g_string_append_printf (best_zones, "%u", i);
+  g_assert_cmpstr (allowed_zones->str, ==, example->allowed_zones);
+  g_assert_cmpstr (best_zones->str, ==, example->best_zones);
 }
 
-/* The score is count - minimum - MaxSkew, of which others than the order may depend. */
+/* The score is count - minimum - MaxSkew. The value is checked too, not only the order of zones,
+   since other code may depend on it. */
 static void
 test_score (void)
 {
