--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -1,31 +1,32 @@
-/* Gangs whose machines, tasks, messages or leaders fail; on a fake clock. */
+/* Failures of the machines, tasks, messages and leaders of gangs, on a fake clock. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A machine is lost, hangs, is cut off, sends no reports or gets no answers: an attempt that began
-   before the whole of the old one is proven gone would run beside it. */
+/* One machine of a gang fails, hangs, is partitioned, sends no heartbeats or receives no responses.
+   If the next attempt began before every task of the old one is proven gone, both would run at the
+   same time. */
 static void
-test_machine_lost (void)
+test_machine_faults (void)
 {
-  for (guint how = 0; how < 5; how++)
+  for (guint fault = 0; fault < 5; fault++)
     {
-      Simulation *simulation = simulation_new (6 + how);
+      Simulation *simulation = simulation_new (6 + fault);
       add_small_machines (simulation, 6);
       MhJobSpec *spec = gang_spec (1, 6, 2);
       use_small_machines (spec);
       User *user = simulation_submit (simulation, spec, 25);
       WAIT (simulation, 60, gang_runs, user);
       Worker *worker = worker_of (simulation, "j-000001/0");
-      if (how == 0)
+      if (fault == 0)
         {
           machine_fail (worker->machine);
         }
-      else if (how == 1)
+      else if (fault == 1)
         worker->machine->hung_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
-      else if (how == 2)
+      else if (fault == 2)
         worker->cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
-      else if (how == 3)
+      else if (fault == 3)
         worker->reports_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       else
         worker->answers_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
@@ -34,31 +35,33 @@
     }
 }
 
-/* Its workers give up before its last image is there. Were that no end like others, the gang would
-   never be started again. */
+/* The workers of a gang give up before the last image is fetched, and report its tasks as
+   incomplete. If the leader did not handle this as the end of the attempt, the gang would never
+   start again. */
 static void
 test_incomplete (Simulation *simulation)
 {
-  simulation->settings->gang_wait_us = 4 * MH_SECOND_US; /* the workers', not the controllers' */
+  /* The limit of the workers. The controllers expect them to wait longer. */
+  simulation->settings->gang_wait_us = 4 * MH_SECOND_US;
   User *user = gang_on_small_machines (simulation, 2, 5);
   for (guint i = 0; i < 400 && worker_of (simulation, "j-000001/3") == NULL; i++)
     simulation_run (simulation, 0.05);
-  Machine *late = worker_of (simulation, "j-000001/3")->machine;
-  for (guint i = 0; i < late->tasks->len; i++)
-    g_array_index (late->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
+  Machine *late_machine = worker_of (simulation, "j-000001/3")->machine;
+  for (guint i = 0; i < late_machine->tasks->len; i++)
+    g_array_index (late_machine->tasks, MachineTask, i).ready_us += 8 * MH_SECOND_US;
   WAIT (simulation, 60, told_done, user);
   g_assert_true (simulation_logged (simulation, "incomplete_in_time"));
 }
 
-/* It fails on every machine. Without back-off its attempts would take all writes and machines from
-   other work, and it could not be cancelled between them. */
+/* A gang fails on every machine. Without back-off its attempts would take all writes and machines
+   from other jobs. It must be possible to cancel the gang between two attempts. */
 static void
 test_fails_everywhere (Simulation *simulation)
 {
   User *user = gang_on_small_machines (simulation, 4, 20);
   User *other = running_service (simulation, 2, 1);
   WAIT (simulation, 60, accepted, user);
-  guint starts = simulation->rules->task_starts;
+  guint starts_before = simulation->rules->task_starts;
   for (guint second = 0; second < 60; second++)
     {
       for (guint i = 0; i < simulation->cloud->machines->len; i++)
@@ -77,7 +80,7 @@
       simulation_run (simulation, 1);
     }
   g_assert_true (simulation_logged (simulation, "next_start_s="));
-  g_assert_cmpuint (simulation->rules->task_starts - starts, <=, 32); /* eight attempts */
+  g_assert_cmpuint (simulation->rules->task_starts - starts_before, <=, 32); /* eight attempts */
   g_assert_cmpuint (simulation_running_tasks (simulation, other->job->spec->id), ==, 1);
   user_cancel (user);
   WAIT (simulation, 10, told_cancelled, user);
@@ -85,10 +88,10 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* Direct starts of an attempt that was given up arrive while the next one runs. Carried out, on a
-   machine that has room for them, they would be a second attempt beside it. */
+/* Late copies of the direct starts of an ended attempt arrive while the next attempt runs. If a
+   worker with room for them executed them, two attempts would run at the same time. */
 static void
-test_late_start_of_an_old_attempt (Simulation *simulation)
+test_late_start_of_ended_attempt (Simulation *simulation)
 {
   simulation->network->keep_requests = true;
   simulation->cloud->capacity = 0;
@@ -115,17 +118,18 @@
   WAIT (simulation, 60, told_done, user);
 }
 
-/* A report from the time of an attempt that was given up comes while the next one runs, also to a
-   leader that has just begun. Believed, it would end the new attempt, or bring the old one back. */
+/* A heartbeat that was sent during an ended attempt arrives while the next attempt runs, also at a
+   leader that was just elected. If the leader relied on it, it would end the new attempt, or
+   restore the old one. */
 static void
-test_late_report_of_an_old_attempt (void)
+test_late_heartbeat_of_ended_attempt (void)
 {
   for (guint new_leader = 0; new_leader < 2; new_leader++)
     {
       Simulation *simulation = simulation_new (17 + new_leader);
       User *user = gang_on_small_machines (simulation, 5, 25);
       WAIT (simulation, 60, gang_runs, user);
-      g_autoptr (MhValue) old
+      g_autoptr (MhValue) late_heartbeat
           = worker_protocol_report (worker_of (simulation, "j-000001/3")->machine);
       machine_fail (worker_of (simulation, "j-000001/0")->machine);
       for (guint i = 0; i < 600 && user->job->running_attempt != 2; i++)
@@ -138,7 +142,7 @@
         }
       for (guint i = 0; i < SIMULATION_NODES; i++)
         if (simulation->nodes[i].controller)
-          workers_deliver_late_report (simulation, &simulation->nodes[i], old);
+          workers_deliver_late_report (simulation, &simulation->nodes[i], late_heartbeat);
       simulation_run (simulation, 3);
       g_assert_cmpuint (user->job->running_attempt, ==, 2);
       WAIT (simulation, 60, told_done, user);
@@ -146,8 +150,8 @@
     }
 }
 
-/* A task fails on a faulty machine: without a new attempt on others the gang would never be done.
- */
+/* A task fails because its machine is faulty. Without a new attempt on other machines the gang
+   would never be done. */
 static void
 test_task_fails (Simulation *simulation)
 {
@@ -160,10 +164,10 @@
   WAIT (simulation, 300, told_done, user);
 }
 
-/* Controllers change at every step of a gang's life: a leader that did not take the attempt over
-   would start a second one, or none. */
+/* The leader is stopped at each step of a gang's life cycle. If the new leader did not take over
+   the attempt, it would start a second one beside it, or none. */
 static void
-test_leaders_change (void)
+test_failover (void)
 {
   for (guint step = 0; step < 24; step++)
     {
@@ -181,8 +185,8 @@
     }
 }
 
-/* One machine does not get the image in time: the gang is taken back before its workers give up,
-   and put elsewhere. */
+/* One machine does not fetch the image in time. The leader must stop the gang before its workers
+   give up, and place it on other machines; otherwise the tasks would only begin to wait again. */
 static void
 test_late_image (Simulation *simulation)
 {
@@ -199,8 +203,8 @@
   g_assert_false (simulation_logged (simulation, "incomplete_in_time"));
 }
 
-/* The gang is done, and one of its machines fails before it has told so. If the others' word were
-   not enough, all of it would run again. */
+/* A gang is done, and one of its machines fails before it reports that. If the reports of the other
+   machines were not enough, the whole gang would run again. */
 static void
 test_done_together (Simulation *simulation)
 {
@@ -223,15 +227,15 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/gang-scheduling/machine-lost", test_machine_lost);
+  g_test_add_func ("/gang-scheduling/machine-faults", test_machine_faults);
   simulation_test_add ("/gang-scheduling/incomplete", 14, test_incomplete);
   simulation_test_add ("/gang-scheduling/fails-everywhere", 15, test_fails_everywhere);
-  simulation_test_add ("/gang-scheduling/late-start-of-an-old-attempt", 16,
-                       test_late_start_of_an_old_attempt);
-  g_test_add_func ("/gang-scheduling/late-report-of-an-old-attempt",
-                   test_late_report_of_an_old_attempt);
+  simulation_test_add ("/gang-scheduling/late-start-of-ended-attempt", 16,
+                       test_late_start_of_ended_attempt);
+  g_test_add_func ("/gang-scheduling/late-heartbeat-of-ended-attempt",
+                   test_late_heartbeat_of_ended_attempt);
   simulation_test_add ("/gang-scheduling/task-fails", 12, test_task_fails);
-  g_test_add_func ("/gang-scheduling/leaders-change", test_leaders_change);
+  g_test_add_func ("/gang-scheduling/failover", test_failover);
   simulation_test_add ("/gang-scheduling/late-image", 81, test_late_image);
   simulation_test_add ("/gang-scheduling/done-together", 13, test_done_together);
   return g_test_run ();
--- a/tests/test-gang-preemption.c
+++ b/tests/test-gang-preemption.c
@@ -1,18 +1,18 @@
-/* Gangs that are stopped: for urgent work, by their users, or because the cloud takes a machine
-   back; on a fake clock. */
+/* Gangs that are stopped for urgent work, by their users or because of a preemption notice, on a
+   fake clock. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A gang is stopped while one of its machines cannot be told: the log says why progress is given
-   up. */
+/* A gang is stopped while one of its machines cannot receive the stop. Its tasks then cannot save
+   together, and work since the last checkpoint is lost. The log must show why. */
 static void
-test_stopped_while_one_cannot_be_told (Simulation *simulation)
+test_stop_with_unreachable_machine (Simulation *simulation)
 {
   User *user = gang_on_small_machines (simulation, 2, 40);
   WAIT (simulation, 60, gang_runs, user);
-  Worker *cut = worker_of (simulation, "j-000001/0");
-  cut->cut_until_us = simulation->clock->now_us + 7 * MH_SECOND_US;
+  Worker *unreachable_worker = worker_of (simulation, "j-000001/0");
+  unreachable_worker->cut_until_us = simulation->clock->now_us + 7 * MH_SECOND_US;
   simulation_run (simulation, 5);
   User *urgent = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_SERVICE, 1, 4), 0);
   simulation_run (simulation, 1);
@@ -23,8 +23,8 @@
   WAIT (simulation, 120, told_done, user);
 }
 
-/* Cancelled in each phase: without stops to every task, or with a start that is still under way, it
-   would run on past the limit. */
+/* A gang is cancelled at each step of its life cycle. If a task got no stop, or a start in flight
+   were executed after the cancellation, tasks would run beyond the time limit for cancellations. */
 static void
 test_cancel (void)
 {
@@ -42,8 +42,8 @@
     }
 }
 
-/* Urgent work takes the room of a running gang: all its tasks are told together, and it goes on
-   from what it saved. */
+/* Urgent work preempts a running gang. All its tasks must be stopped together, so that they save a
+   common checkpoint; otherwise the gang would lose its progress instead of resuming from there. */
 static void
 test_orderly_stop (Simulation *simulation)
 {
@@ -61,19 +61,20 @@
   WAIT (simulation, 90, told_done, user);
 }
 
-/* Room for urgent work is made by the end of single tasks, as long as that does: one task of a gang
-   would cost the whole of it. */
+/* Urgent work preempts tasks of an array rather than of a gang if that makes enough room. Stopping
+   one task of a gang stops all of them. */
 static void
 test_order_of_victims (Simulation *simulation)
 {
   simulation->cloud->capacity = 1;
-  MhJobSpec *single = job_spec_new (2, MH_SHAPE_ARRAY, 8, 1);
-  single->estimated_run_us = 300 * MH_SECOND_US;
-  single->spot = false;
-  single->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
-  User *array = simulation_submit (simulation, single, 90);
+  MhJobSpec *array_spec = job_spec_new (2, MH_SHAPE_ARRAY, 8, 1);
+  array_spec->estimated_run_us = 300 * MH_SECOND_US;
+  array_spec->spot = false;
+  array_spec->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
+  User *array = simulation_submit (simulation, array_spec, 90);
   WAIT (simulation, 60, all_run, array);
-  simulation_run (simulation, 10); /* so that each of them has run for longer than the gang */
+  /* Each task of the array has then run for longer than the gang. */
+  simulation_run (simulation, 10);
   MhJobSpec *spec = gang_spec (1, 4, 2);
   spec->types = g_strdupv ((char **)(const char *[]){ "large", NULL });
   User *user = simulation_submit (simulation, spec, 20);
@@ -85,8 +86,9 @@
   WAIT (simulation, 60, told_done, user);
 }
 
-/* A gang runs beyond its team's guarantee, and another team's work within one wants its room: one
-   task would cost the whole gang. It ends by itself, and then the other has its turn. */
+/* A gang runs beyond its team's guarantee, and work of another team within that team's guarantee
+   needs room. Preempting one task would stop the whole gang. The gang must run to its end instead,
+   and the other work starts after that. */
 static void
 test_not_stopped_for_a_guarantee_alone (Simulation *simulation)
 {
@@ -105,14 +107,16 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 8);
 }
 
-/* The cloud takes one of its machines back: with enough notice the gang saves together before that,
-   and goes on elsewhere; with too little it is left to run, and loses what it has not saved. */
+/* One machine of a gang gets a preemption notice. If the notice leaves enough time, the gang must
+   be stopped to save a common checkpoint, and resumes elsewhere; otherwise it would lose its
+   progress. If there is too little time, it keeps running, and loses the work since its last
+   checkpoint. */
 static void
-test_notice (void)
+test_preemption_notice (void)
 {
-  for (guint enough = 0; enough < 2; enough++)
+  for (guint enough_time = 0; enough_time < 2; enough_time++)
     {
-      Simulation *simulation = simulation_new (83 + enough);
+      Simulation *simulation = simulation_new (83 + enough_time);
       add_small_machines (simulation, 3);
       MhJobSpec *spec = gang_spec (1, 4, 2);
       use_small_machines (spec);
@@ -120,9 +124,9 @@
       WAIT (simulation, 60, gang_runs, user);
       simulation_run (simulation, 8);
       Machine *machine = worker_of (simulation, "j-000001/0")->machine;
-      machine->preempted_at_us = simulation->clock->now_us + (enough ? 12 : 2) * MH_SECOND_US;
+      machine->preempted_at_us = simulation->clock->now_us + (enough_time ? 12 : 2) * MH_SECOND_US;
       WAIT (simulation, 20, is_gone, machine);
-      g_assert_cmpuint (user->job->orderly_stops, ==, enough);
+      g_assert_cmpuint (user->job->orderly_stops, ==, enough_time);
       WAIT (simulation, 120, told_done, user);
       finish (simulation);
     }
@@ -132,13 +136,13 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/gang-scheduling/stopped-while-one-cannot-be-told", 19,
-                       test_stopped_while_one_cannot_be_told);
+  simulation_test_add ("/gang-scheduling/stop-with-unreachable-machine", 19,
+                       test_stop_with_unreachable_machine);
   g_test_add_func ("/gang-scheduling/cancel", test_cancel);
   simulation_test_add ("/gang-scheduling/orderly-stop", 80, test_orderly_stop);
   simulation_test_add ("/gang-scheduling/order-of-victims", 85, test_order_of_victims);
   simulation_test_add ("/gang-scheduling/not-stopped-for-a-guarantee-alone", 87,
                        test_not_stopped_for_a_guarantee_alone);
-  g_test_add_func ("/gang-scheduling/notice", test_notice);
+  g_test_add_func ("/gang-scheduling/preemption-notice", test_preemption_notice);
   return g_test_run ();
 }
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -1,27 +1,27 @@
-/* Gangs: all tasks at the same time or none; on a fake clock. */
+/* Gang scheduling, on a fake clock: all tasks of a gang run at the same time, or none does. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A gang whose tasks were placed one by one would be spread over zones, or run under several
-   attempt numbers. */
+/* All tasks of a gang are placed together. If they were placed one by one, a gang would be spread
+   over several zones, or run with several attempt numbers. */
 static void
-test_life (Simulation *simulation)
+test_lifecycle (Simulation *simulation)
 {
   User *user = running_gang (simulation, 1, 6, 2, 10);
-  const Machine *first = worker_of (simulation, "j-000001/0")->machine;
+  const Machine *first_machine = worker_of (simulation, "j-000001/0")->machine;
   for (guint i = 1; i < 6; i++)
     {
-      g_autofree char *leg = g_strdup_printf ("j-000001/%u", i);
-      const Machine *machine = worker_of (simulation, leg)->machine;
-      g_assert_cmpstr (machine->zone, ==, first->zone);
+      g_autofree char *task_id = g_strdup_printf ("j-000001/%u", i);
+      const Machine *machine = worker_of (simulation, task_id)->machine;
+      g_assert_cmpstr (machine->zone, ==, first_machine->zone);
       g_assert_cmpuint (g_array_index (machine->tasks, MachineTask, 0).attempt, ==, 1);
     }
   WAIT (simulation, 40, told_done, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
 }
 
-/* A gang that can never run as a whole would wait for ever, were it accepted. */
+/* A gang that can never run as a whole is refused. If it were accepted, it would wait for ever. */
 static void
 test_refusals (Simulation *simulation)
 {
@@ -29,9 +29,9 @@
   simulation_run (simulation, 5);
   g_assert_cmpuint (
       simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer), ==,
-      422); /* of 16 */
+      422); /* 17 cpus; the quota is 16 */
   MhJobSpec *spec = gang_spec (2, 2, 1);
-  spec->spread_over_zones = true; /* and in one zone */
+  spec->spread_over_zones = true; /* contradicts single_zone */
   g_assert_cmpuint (simulation_ask (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
                     422);
   spec = gang_spec (3, 4, 1);
@@ -51,43 +51,43 @@
   WAIT (simulation, 60, told_done, user);
 }
 
-/* With room for a part only, tasks that start alone would hold it for nothing; and smaller work
-   would keep the gang from its room for ever. */
+/* There is capacity for only a part of the gang. Tasks that started without the others would occupy
+   it in vain. If smaller jobs took all capacity that becomes free, the gang would never start. */
 static void
 test_all_or_none (Simulation *simulation)
 {
   simulation->cloud->capacity = 2;
   simulation->cloud->zones = 1;
-  MhJobSpec *spec = gang_spec (1, 4, 2); /* two whole small machines */
+  MhJobSpec *spec = gang_spec (1, 4, 2); /* fills two small machines */
   use_small_machines (spec);
   spec->spot = true;
-  User *small[6];
-  for (guint i = 0; i < G_N_ELEMENTS (small); i++)
+  User *array_users[6];
+  for (guint i = 0; i < G_N_ELEMENTS (array_users); i++)
     {
-      MhJobSpec *other = job_spec_new (10 + i, MH_SHAPE_ARRAY, 4, 1);
-      use_small_machines (other);
-      other->priority = MH_PRIORITY_LOW;
-      small[i] = simulation_submit (simulation, other, 4 + i);
+      MhJobSpec *array_spec = job_spec_new (10 + i, MH_SHAPE_ARRAY, 4, 1);
+      use_small_machines (array_spec);
+      array_spec->priority = MH_PRIORITY_LOW;
+      array_users[i] = simulation_submit (simulation, array_spec, 4 + i);
     }
   simulation_run (simulation, 10);
   User *user = simulation_submit (simulation, spec, 5);
-  guint parts = 0;
+  guint partial_samples = 0;
   for (guint i = 0; i < 600 && !user->told_done; i++)
     {
       guint running = simulation_running_tasks (simulation, "j-000001");
-      parts += running > 0 && running < 4 && user->job->done_count == 0;
+      partial_samples += running > 0 && running < 4 && user->job->done_count == 0;
       simulation_run (simulation, 0.1);
     }
   g_assert_true (user->told_done);
-  g_assert_cmpuint (parts, <=, 10); /* only until the commands are there: a second */
-  for (guint i = 0; i < G_N_ELEMENTS (small); i++)
-    WAIT (simulation, 120, told_done, small[i]);
+  g_assert_cmpuint (partial_samples, <=, 10); /* 1 s: until all starts have arrived */
+  for (guint i = 0; i < G_N_ELEMENTS (array_users); i++)
+    WAIT (simulation, 120, told_done, array_users[i]);
 }
 
-/* Two gangs, each of which needs most of what there is, would hold room from each other for ever if
-   each took a part. */
+/* Several gangs, each of which needs most of the capacity. If two of them occupied a part each,
+   both would wait for the rest for ever. */
 static void
-test_two_gangs (Simulation *simulation)
+test_competing_gangs (Simulation *simulation)
 {
   simulation->cloud->capacity = 2;
   simulation->cloud->zones = 1;
@@ -100,13 +100,14 @@
     }
   for (guint i = 0; i < G_N_ELEMENTS (users); i++)
     WAIT (simulation, 200, told_done, users[i]);
-  g_assert_cmpuint (simulation->rules->task_starts, ==, 12); /* each once */
+  g_assert_cmpuint (simulation->rules->task_starts, ==, 12); /* each task once */
 }
 
-/* A start that leaves before all places are on record would be unknown to a new leader, and would
-   run beside the next attempt. */
+/* The starts of a gang are sent only when the records of all its tasks are durable. A new leader
+   would not know of a start that was sent before, and the task would run beside the next attempt.
+ */
 static void
-test_on_record_first (Simulation *simulation)
+test_starts_after_durable_record (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, gang_spec (1, 4, 1), 20);
   WAIT (simulation, 30, accepted, user);
@@ -118,10 +119,11 @@
   WAIT (simulation, 60, told_done, user);
 }
 
-/* All its tasks have ended, and nothing of that is on record. A user who were told that it is done
-   would be told otherwise by the next leader. */
+/* All tasks of the gang are done, but no record of that is durable, since the leader's transactions
+   are lost. If the leader reported the gang as done, the answer of the next leader could contradict
+   this. */
 static void
-test_done_only_on_record (Simulation *simulation)
+test_done_after_durable_record (Simulation *simulation)
 {
   User *user = gang_on_small_machines (simulation, 2, 8);
   WAIT (simulation, 60, gang_runs, user);
@@ -135,32 +137,34 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
 }
 
-/* What can never run is refused without a leader too, or its user would wait for one; what cannot
-   be decided must not be refused. */
+/* A gang that can never run is refused even without a leader; otherwise its user would wait for
+   one. A gang that may be able to run must not be refused: its user is asked to retry (503). */
 static void
 test_refusals_without_a_leader (Simulation *simulation)
 {
   MhUserResponse answer;
   simulation_run (simulation, 5);
-  guint last = (simulation_leader (simulation)->index + 1) % SIMULATION_NODES;
-  simulation->nodes[last].writes_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  guint remaining_node = (simulation_leader (simulation)->index + 1) % SIMULATION_NODES;
+  simulation->nodes[remaining_node].writes_lost_until_us
+      = simulation->clock->now_us + 60 * MH_SECOND_US;
   for (guint i = 0; i < SIMULATION_NODES; i++)
-    if (i != last)
+    if (i != remaining_node)
       simulation_stop_node (simulation, i);
   simulation_run (simulation, 3);
   g_assert_null (simulation_leader (simulation));
-  g_assert_cmpuint (
-      simulation_ask (simulation, last, MH_USER_SUBMIT, "j-000001", gang_spec (1, 17, 1), &answer),
-      ==, 422);
-  g_assert_cmpuint (
-      simulation_ask (simulation, last, MH_USER_SUBMIT, "j-000002", gang_spec (2, 16, 1), &answer),
-      ==, 503);
+  g_assert_cmpuint (simulation_ask (simulation, remaining_node, MH_USER_SUBMIT, "j-000001",
+                                    gang_spec (1, 17, 1), &answer),
+                    ==, 422);
+  g_assert_cmpuint (simulation_ask (simulation, remaining_node, MH_USER_SUBMIT, "j-000002",
+                                    gang_spec (2, 16, 1), &answer),
+                    ==, 503);
 }
 
-/* Nothing is there: as many machines as the whole gang needs are rented in one zone, and it starts
-   when the last of them is up. */
+/* No machine exists. As many as the whole gang needs are created in one zone, and the gang starts
+   when the last of them is up. With fewer machines, or with machines in several zones, it would
+   wait for ever. */
 static void
-test_rented_whole (Simulation *simulation)
+test_machines_for_whole_gang (Simulation *simulation)
 {
   MhJobSpec *spec = gang_spec (1, 6, 2);
   use_small_machines (spec);
@@ -176,7 +180,9 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
 }
 
-/* A gang of more tasks than one record holds, under the limits that come next. */
+/* A gang with more tasks than one record holds, under lower limits of the key-value store, which
+   are to come next: 2048 bytes a value and 5 operations a transaction. If its records exceeded the
+   limits, the gang would not start, or a new leader could not restore it. */
 static void
 test_small_records (Simulation *simulation)
 {
@@ -194,15 +200,18 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/gang-scheduling/life", 1, test_life);
+  simulation_test_add ("/gang-scheduling/lifecycle", 1, test_lifecycle);
   simulation_test_add ("/gang-scheduling/refusals", 2, test_refusals);
   simulation_test_add ("/gang-scheduling/all-or-none", 3, test_all_or_none);
-  simulation_test_add ("/gang-scheduling/two-gangs", 4, test_two_gangs);
-  simulation_test_add ("/gang-scheduling/on-record-first", 5, test_on_record_first);
-  simulation_test_add ("/gang-scheduling/done-only-on-record", 20, test_done_only_on_record);
+  simulation_test_add ("/gang-scheduling/competing-gangs", 4, test_competing_gangs);
+  simulation_test_add ("/gang-scheduling/starts-after-durable-record", 5,
+                       test_starts_after_durable_record);
+  simulation_test_add ("/gang-scheduling/done-after-durable-record", 20,
+                       test_done_after_durable_record);
   simulation_test_add ("/gang-scheduling/refusals-without-a-leader", 21,
                        test_refusals_without_a_leader);
-  simulation_test_add ("/gang-scheduling/rented-whole", 86, test_rented_whole);
+  simulation_test_add ("/gang-scheduling/machines-for-whole-gang", 86,
+                       test_machines_for_whole_gang);
   simulation_test_add ("/gang-scheduling/small-records", 82, test_small_records);
   return g_test_run ();
 }
