--- a/src/cluster/attempt-state.h
+++ b/src/cluster/attempt-state.h
@@ -29,11 +29,13 @@
  * @MH_ATTEMPT_EVENT_START_SENT: a start is sent, for the first time or again
  * @MH_ATTEMPT_EVENT_START_REFUSED: the worker refused the only start, and will refuse each copy of
  *   it
- * @MH_ATTEMPT_EVENT_REPORTED_WAITING: the worker reports it before it runs
- * @MH_ATTEMPT_EVENT_REPORTED_RUNNING: the worker reports it running or saving a checkpoint
+ * @MH_ATTEMPT_EVENT_REPORTED_WAITING: the worker reports that it waits for its image or for its
+ *   gang
+ * @MH_ATTEMPT_EVENT_REPORTED_RUNNING: the worker reports that it runs or saves a checkpoint
  * @MH_ATTEMPT_EVENT_STOP_REQUESTED: it is to be stopped; if a stop was requested before, with a
  *   shorter grace period
- * @MH_ATTEMPT_EVENT_PROVEN_ENDED: there is proof that it can no longer run
+ * @MH_ATTEMPT_EVENT_PROVEN_ENDED: there is proof that it can no longer run, or this leader discards
+ *   it, see mh_attempt_discard()
  */
 typedef enum
 {
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -79,7 +79,7 @@
   return attempt;
 }
 
-/* ---- starts and worker reports ---- */
+/* ---- starts and messages of the worker ---- */
 
 void
 mh_attempt_note_start_sent (MhAttempt *attempt, bool in_heartbeat_response)
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -40,7 +40,8 @@
  * @in_newest_message: the message that is being processed reports it
  * @job_was_starved: its job was starved when it was placed, see #MhJobPlacement
  * @grace_us: time to save a checkpoint when it is stopped, in microseconds
- * @stop_sent_us: monotonic time of the last stop, in microseconds; 0: none was sent
+ * @stop_sent_us: monotonic time at which the requested stop was first sent, in microseconds; 0: it
+ *   was not sent, or the direct command that carried it failed
  * @phase: the phase in which the worker last reported it
  * @placed_us: monotonic time at which it was placed or loaded from its record
  * @running_since_us: monotonic time since which it is known to run; 0: it does not run
@@ -199,8 +200,8 @@
  * @done: it ended with a result
  *
  * Releases its share of the machine and of the quota, and makes its task done or pending. The
- * task's record is written also without a result: otherwise a new leader would need to prove the
- * end of the attempt again, on a machine that may be gone by then.
+ * task's record is written also without a result, unless the job is cancelled: otherwise a new
+ * leader would need to prove the end of the attempt again, on a machine that may be gone by then.
  */
 void
 mh_attempt_note_ended (MhCluster *cluster, MhAttempt *attempt, bool done);
--- a/src/cluster/boot-time.c
+++ b/src/cluster/boot-time.c
@@ -9,8 +9,8 @@
 /* The first boot of a type sets the deviation to its duration divided by this. */
 #define FIRST_DEVIATION_DIVISOR 4
 /* Boots usually take 0.6 to 1.5 times the boot time that the type states; some take several times
-   as long. The estimate from observed boots is limited to these multiples of the stated time;
-   without observed boots it is the third multiple. */
+   as long. The estimate from observed boots is limited to MIN_BOOT_FACTOR to MAX_BOOT_FACTOR times
+   the stated time; without observed boots it is DEFAULT_BOOT_FACTOR times the stated time. */
 #define MIN_BOOT_FACTOR 1.5
 #define MAX_BOOT_FACTOR 4.0
 #define DEFAULT_BOOT_FACTOR 2
--- a/src/cluster/boot-time.h
+++ b/src/cluster/boot-time.h
@@ -25,8 +25,8 @@
  * @machine: a machine that has not joined
  *
  * Marks the machine as late when it has exceeded the expected boot time: it no longer counts as
- * coming, so that another one can be created in its place. Releases it if it does not join for much
- * longer.
+ * coming, so that another one can be created in its place. Releases it if it has still not
+ * joined at twice that age, once a running worker has had time to report to this leader.
  */
 void
 mh_boot_time_check_machine (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -12,9 +12,9 @@
 
 /**
  * MhClusterOptions:
- * @runtime: time, wake-ups, the log and answers to heartbeats
+ * @runtime: time, wake-ups, the log and responses to heartbeats
  * @calls: calls to workers
- * @election: tells whether this controller may act as leader, and its epoch
+ * @election: whether this controller may act as leader, and its epoch
  * @jobs: (element-type utf8 MhJob): the jobs in memory, by id
  * @record_loader: knows which jobs have records that this version cannot read
  * @record_writer: writes the records of attempts
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -10,14 +10,15 @@
 #include <string.h>
 
 #define DIRECT_COMMAND_TIMEOUT_US (2 * MH_SECOND_US)
-/* Rate limit of direct commands with deferrable commands only, per second and processor core. The
-   response to the next heartbeat carries such commands at no cost; without a limit, placing a large
-   array on a hundred machines at once kept the leader from all other work for a second. */
+/* Rate limit of direct commands that carry only deferrable commands, per second and processor core.
+   Urgent direct commands take tokens too, but do not wait for them. The response to the next
+   heartbeat carries deferrable commands at no cost; without a limit, placing a large array on a
+   hundred machines at once kept the leader from all other work for a second. */
 #define MAX_DEFERRABLE_PER_CORE_S 250
 
 #define STATUS_OK 200
 #define STATUS_BAD_REQUEST 400
-#define STATUS_CONFLICT 409 /* another incarnation, or the worker has seen a higher token */
+#define STATUS_CONFLICT 409 /* the worker has another incarnation, or has seen a higher token */
 
 void
 mh_direct_command_init (MhCluster *cluster)
@@ -117,7 +118,7 @@
   gint64 heartbeat_interval_us = cluster->settings->heartbeat_interval_us;
   return cluster->settings->direct_commands && !machine->direct_commands_in_flight
          && machine->heartbeat.reported && !mh_machine_is_releasing (machine) && machine->endpoint
-         && !machine->heartbeat.ignored_answers
+         && !machine->heartbeat.ignored_responses
          && !mh_cluster_is_silent (cluster, machine, heartbeat_interval_us * 3 / 2)
          && !mh_fencing_has_lost_start (machine);
 }
--- a/src/cluster/direct-command.h
+++ b/src/cluster/direct-command.h
@@ -43,9 +43,9 @@
  * @cluster: the cluster
  * @machine: a machine
  *
- * Sends the fencing token, with the unsent commands if there are any. The worker learns of this
- * leader from it; a former leader to which the worker still sends heartbeats learns of it from
- * the next heartbeat.
+ * Sends the fencing token, with the unsent commands if there are any, if a direct command can be
+ * sent now. The worker learns of this leader from the token. If the worker still sends heartbeats
+ * to a former leader, its next one carries the token there, and the former leader steps down.
  */
 void
 mh_direct_command_send_token (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -15,20 +15,22 @@
    lost packet. */
 #define MAX_FAILED_PROBES 2u
 #define PROBE_TIMEOUT_US MH_SECOND_US
-/* Probes per second and processor core. The rate is scaled by the controller's share of a core, so
-   that probing does not exceed what that share can process. */
+/* Rate limit of first probes, per second and processor core; the second probe, after one that has
+   failed, needs no token. The rate is scaled by the controller's share of a core, so that probing
+   does not exceed what that share can process. */
 #define PROBE_RATE_PER_CORE 400
 /* A leader that receives no heartbeat for this time transfers leadership. With few machines the
-   time is longer, up to one and a half heartbeat intervals, so that LEADER_PARTITION_HEARTBEATS
-   heartbeats should have arrived in it. */
+   time is longer: that in which LEADER_PARTITION_HEARTBEATS heartbeats should arrive, but at most
+   one and a half heartbeat intervals. */
 #define LEADER_PARTITION_TIMEOUT_US (4 * MH_SECOND_US)
 #define LEADER_PARTITION_HEARTBEATS 8
-/* Time after which a worker gives up on a controller that does not answer and tries the next one.
-   A new leader that has received no heartbeat yet waits this long for each controller. */
+/* Time after which a worker tries the next controller if one does not respond: it waits 4 s for the
+   response, and 1 s before it tries the next one. A new leader that has received no heartbeat yet
+   waits this long for each controller. */
 #define WORKER_CONTROLLER_TIMEOUT_US (5 * MH_SECOND_US)
 /* After ineffective transfers the time without heartbeats is doubled, at most this many times. */
 #define MAX_TIMEOUT_DOUBLINGS 4u
-/* A worker that learns of this leader from the answer to a heartbeat sends a second heartbeat,
+/* A worker that learns of this leader from the response to a heartbeat sends a second heartbeat,
    which carries the leader's token. It is probed only if that takes longer than this. */
 #define SECOND_HEARTBEAT_GRACE_US (MH_SECOND_US * 7 / 10)
 /* A machine whose heartbeats do not arrive runs its tasks until its worker's lease expires. It is
@@ -43,8 +45,9 @@
 /* When most machines are silent at once, the leader may be partitioned: a machine is released only
    this long after its worker's lease has expired. */
 #define PARTITIONED_LEADER_MARGIN_US (5 * MH_SECOND_US)
-/* When most machines have not reported to a new leader, a former leader may still answer them: a
-   machine is released only this long after the former leader must have stopped doing so. */
+/* When most machines have not reported to a new leader, a former leader may still respond to
+   their heartbeats: a machine is released only this long after the former leader must have stopped
+   doing so. */
 #define FORMER_LEADER_MARGIN_US (10 * MH_SECOND_US)
 /* "Most machines" are more than half of them, and at least this many. */
 #define MIN_MAJORITY_MACHINES 3u
@@ -59,7 +62,7 @@
 }
 
 bool
-mh_failure_is_heartbeat_overdue (const MhCluster *cluster, const MhMachine *machine)
+mh_failure_has_missed_heartbeats (const MhCluster *cluster, const MhMachine *machine)
 {
   return mh_cluster_silence_us (cluster, machine->heartbeat.last_heartbeat_us)
          > cluster->settings->heartbeat_interval_us * 5 / 2;
@@ -85,49 +88,49 @@
 static void
 handle_probe_failure (MhCluster *cluster, MhMachine *machine)
 {
-  /* A time-out that spans a pause of this process does not count: the answer may have arrived
+  /* A time-out that spans a pause of this process does not count: the response may have arrived
      during the pause. */
   if (machine->probe.first_sent_us > mh_runtime_resumed_us (cluster->runtime)
       && ++machine->probe.failures < MAX_FAILED_PROBES)
     send_probe (cluster, machine);
 }
 
-/* The answer to a probe is newer than any message that was known when the probe was sent. If its
+/* The response to a probe is newer than any message that was known when the probe was sent. If its
    incarnation or sequence number is lower, the worker has restarted and lost its memory, including
    the highest token that it had seen: commands in flight to it are no longer fenced. */
 static bool
-has_worker_restarted (const MhMachine *machine, const MhHeartbeat *report)
+has_worker_restarted (const MhMachine *machine, const MhHeartbeat *response)
 {
   const MhMachineProbe *last_probe = &machine->probe;
   return machine->heartbeat.reported && !mh_machine_is_releasing (machine)
-         && (report->incarnation < last_probe->incarnation
-             || (report->incarnation == last_probe->incarnation
-                 && report->sequence < last_probe->sequence));
+         && (response->incarnation < last_probe->incarnation
+             || (response->incarnation == last_probe->incarnation
+                 && response->sequence < last_probe->sequence));
 }
 
 static void
-on_probe_answered (gpointer owner, gpointer data, const MhReply *reply)
+on_probe_response (gpointer owner, gpointer data, const MhReply *reply)
 {
   MhCluster *cluster = owner;
   const char *name = data;
   MhMachine *machine = mh_cluster_find_machine (cluster, name);
-  g_autoptr (MhHeartbeat) report
+  g_autoptr (MhHeartbeat) response
       = reply->status == STATUS_OK ? mh_heartbeat_decode (reply->body, NULL) : NULL;
   if (machine == NULL)
     return;
   machine->probe.in_flight = false;
-  if (report == NULL || strcmp (report->machine, machine->name) != 0)
+  if (response == NULL || strcmp (response->machine, machine->name) != 0)
     handle_probe_failure (cluster, machine);
-  else if (mh_heartbeat_receive_response (cluster, machine, report))
+  else if (mh_heartbeat_receive_response (cluster, machine, response))
     {
       /* The worker may still send heartbeats to a former leader that is partitioned. After this
          command its next heartbeat carries the new token, which makes the former leader step down.
          Without the command, workers stayed with a former leader for half a minute. */
-      if (report->fencing_token < mh_election_epoch (cluster->election)
+      if (response->fencing_token < mh_election_epoch (cluster->election)
           && mh_election_is_leader (cluster->election))
         mh_direct_command_send_token (cluster, machine);
     }
-  else if (has_worker_restarted (machine, report))
+  else if (has_worker_restarted (machine, response))
     release (cluster, machine, MH_RELEASE_REASON_WORKER_RESTARTED);
 }
 
@@ -140,7 +143,7 @@
   machine->probe.sequence = heartbeat->reported ? heartbeat->sequence : 0;
   const MhCallOptions options = { .class = MH_CALL_SAFETY,
                                   .timeout_us = PROBE_TIMEOUT_US,
-                                  .func = on_probe_answered,
+                                  .func = on_probe_response,
                                   .owner = cluster,
                                   .data = g_strdup (machine->name),
                                   .free_data = g_free };
@@ -217,16 +220,17 @@
 {
   const MhSilenceThresholds *silence = &cluster->silence;
   gint64 probe_us = machine->usage.replicas ? silence->replica_probe_us : silence->probe_us;
-  guint ignored_answers = machine->heartbeat.ignored_answers;
+  guint ignored_responses = machine->heartbeat.ignored_responses;
   if (are_heartbeats_missing (cluster, machine))
     release (cluster, machine, MH_RELEASE_REASON_HEARTBEATS_MISSING);
-  else if (is_credibly_unreachable (cluster, machine) && ignored_answers >= MH_MAX_IGNORED_ANSWERS)
+  else if (is_credibly_unreachable (cluster, machine)
+           && ignored_responses >= MH_MAX_IGNORED_RESPONSES)
     release (cluster, machine, MH_RELEASE_REASON_UNREACHABLE);
   else if (has_failed (cluster, machine))
     release (cluster, machine,
              machine->probe.failures ? MH_RELEASE_REASON_SILENT_NO_ANSWER
                                      : MH_RELEASE_REASON_SILENT);
-  else if (ignored_answers || mh_cluster_is_silent (cluster, machine, probe_us))
+  else if (ignored_responses || mh_cluster_is_silent (cluster, machine, probe_us))
     start_probing (cluster, machine);
 }
 
@@ -285,7 +289,7 @@
   MhZone *zone = mh_zone_find (cluster, machine->zone);
   if (zone)
     zone->machines++;
-  counts->silent += machine->probe.failures || heartbeat->ignored_answers
+  counts->silent += machine->probe.failures || heartbeat->ignored_responses
                     || mh_cluster_silence_us (cluster, heartbeat->last_heartbeat_us)
                            > cluster->settings->silence_limit_us;
 }
@@ -336,7 +340,7 @@
   silence.unreported_release_us = settings->silence_limit_us + LEADER_DISCOVERY_GRACE_US;
   /* When most machines are silent at once, it is more likely that this leader is partitioned than
      that all of them have failed. When most have not reported, a former leader that is cut off from
-     the key-value store alone may still answer all workers for a while. Without these longer
+     the key-value store alone may still respond to all workers for a while. Without these longer
      limits, a new leader released a whole fleet of working machines. */
   if (is_majority (counts.silent, &counts))
     {
@@ -354,7 +358,8 @@
 
 /* How long a leader may receive no heartbeat before it transfers leadership. If it has received
    none since its election, workers get time to find it: each tries one controller after the other
-   and waits for an answer. The time doubles with each transfer after which no heartbeat came. */
+   and waits for a response. The time doubles with each transfer after which no heartbeat came, at
+   most MAX_TIMEOUT_DOUBLINGS times. */
 static gint64
 leader_partition_timeout_us (const MhCluster *cluster, guint machines, bool any_heartbeat)
 {
--- a/src/cluster/failure-detection.h
+++ b/src/cluster/failure-detection.h
@@ -18,15 +18,15 @@
 mh_failure_init (MhCluster *cluster);
 
 /**
- * mh_failure_is_heartbeat_overdue:
+ * mh_failure_has_missed_heartbeats:
  * @cluster: the cluster
  * @machine: a machine
  *
  * Returns: %TRUE if no heartbeat has arrived for two and a half heartbeat intervals, whether or not
- * the worker answers probes
+ * the worker answers probes. A single heartbeat is overdue earlier, see #MhSilenceThresholds
  */
 bool
-mh_failure_is_heartbeat_overdue (const MhCluster *cluster, const MhMachine *machine);
+mh_failure_has_missed_heartbeats (const MhCluster *cluster, const MhMachine *machine);
 
 /**
  * mh_failure_is_unreachable:
--- a/src/cluster/fencing.c
+++ b/src/cluster/fencing.c
@@ -85,7 +85,7 @@
 
 /* Whether a higher token would fence a start that the present one does not. */
 static bool
-would_raise_fence_start (const MhCluster *cluster, const MhMachine *machine)
+has_start_with_current_token (const MhCluster *cluster, const MhMachine *machine)
 {
   guint64 token = mh_fencing_token (cluster, machine);
   for (guint i = 0; i < machine->fencing.unfenced_starts->len; i++)
@@ -100,7 +100,7 @@
   MhMachineFencing *fencing = &machine->fencing;
   bool needed = fencing->unfenced_starts->len > MAX_UNFENCED_STARTS
                 || is_clear_overdue (cluster, machine) || mh_fencing_has_lost_start (machine);
-  if (!needed || !would_raise_fence_start (cluster, machine))
+  if (!needed || !has_start_with_current_token (cluster, machine))
     return;
   if (fencing->token_raises + 2 >= MH_EPOCHS_PER_LEADERSHIP)
     {
--- a/src/cluster/fencing.h
+++ b/src/cluster/fencing.h
@@ -65,7 +65,7 @@
  * mh_fencing_remove_fenced:
  * @machine: a machine from whose worker a message has just come
  *
- * Removes the starts that the worker's incarnation and token fence.
+ * Removes the starts that the worker's incarnation or token fences.
  */
 void
 mh_fencing_remove_fenced (MhMachine *machine);
@@ -76,8 +76,9 @@
  * @machine: a machine
  *
  * Raises its token if a direct start may be lost, if there are many unfenced ones, or if a clear
- * has been held for long. The worker sends an extra heartbeat after each raise; delaying the raise
- * lets several clears share one. Steps down if this leadership has no higher token.
+ * has been held for half of the worker's lease. The worker sends an extra heartbeat after each
+ * raise; delaying the raise lets several clears share one. Steps down if this leadership has no
+ * higher token.
  */
 void
 mh_fencing_raise_token_if_needed (MhCluster *cluster, MhMachine *machine);
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -46,8 +46,8 @@
   mh_machine_change_state (machine, MH_MACHINE_EVENT_REPORTED);
   heartbeat->last_message_us = mh_runtime_now_us (cluster->runtime);
   if (source == MH_MESSAGE_RESPONSE)
-    heartbeat->ignored_answers = 0;
-  if (!heartbeat->ignored_answers)
+    heartbeat->ignored_responses = 0;
+  if (!heartbeat->ignored_responses)
     machine->probe.failures = 0;
   if (source == MH_MESSAGE_HEARTBEAT || first)
     heartbeat->last_heartbeat_us = mh_runtime_now_us (cluster->runtime);
@@ -146,7 +146,7 @@
 is_expected_to_appear (const MhMachine *machine, const MhAttempt *attempt)
 {
   return !attempt->reported && mh_attempt_start_was_sent (attempt)
-         && attempt->start_sequence == machine->heartbeat.answered_sequence;
+         && attempt->start_sequence == machine->heartbeat.response_sequence;
 }
 
 typedef enum
@@ -160,10 +160,10 @@
 get_response_effect (const MhMachine *machine, const MhHeartbeat *message)
 {
   const MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  if (message->fencing_token < heartbeat->answered_token
+  if (message->fencing_token < heartbeat->response_token
       || message->incarnation > heartbeat->incarnation)
     return RESPONSE_EFFECT_MISSING;
-  ResponseEffect effect = heartbeat->token < heartbeat->answered_token
+  ResponseEffect effect = heartbeat->token < heartbeat->response_token
                               ? RESPONSE_EFFECT_SEEN
                               : RESPONSE_EFFECT_NONE_EXPECTED;
   for (guint i = 0; i < machine->attempts->len; i++)
@@ -186,17 +186,17 @@
 check_response_received (MhCluster *cluster, MhMachine *machine, const MhHeartbeat *message)
 {
   MhMachineHeartbeat *heartbeat = &machine->heartbeat;
-  if (!heartbeat->answer_pending)
+  if (!heartbeat->effect_pending)
     return;
-  heartbeat->answer_pending = false;
+  heartbeat->effect_pending = false;
   switch (get_response_effect (machine, message))
     {
     case RESPONSE_EFFECT_MISSING:
-      if (++heartbeat->ignored_answers == MH_MAX_IGNORED_ANSWERS)
+      if (++heartbeat->ignored_responses == MH_MAX_IGNORED_RESPONSES)
         mh_log_info (cluster->runtime, "machine ignores responses machine=%s", machine->name);
       break;
     case RESPONSE_EFFECT_SEEN:
-      heartbeat->ignored_answers = 0;
+      heartbeat->ignored_responses = 0;
       break;
     case RESPONSE_EFFECT_NONE_EXPECTED:
       break;
@@ -228,24 +228,26 @@
       = mh_runtime_add_action (cluster->runtime, MH_ACTION_ANSWER_HEARTBEAT, request_id);
   action->status = status;
   action->body = body;
-  /* A response without commands could also be sent after the leader's lease, until the end of
-     mh_heartbeat_keep_alive_us(). The distinction has no benefit: it matters only if this process
-     was paused until then, and the worker then sends another heartbeat. */
+  /* A response without commands could also be sent after the leader lease has expired, for as long
+     as mh_heartbeat_keep_alive_us() allows. Distinguishing it has no benefit: it matters only if
+     this process is paused until the lease has expired, and the worker then sends another
+     heartbeat. */
   if (status == STATUS_OK && mh_election_is_leader (cluster->election))
     action->lease_until_us = mh_election_lease_until_us (cluster->election);
 }
 
-/* Whether the heartbeat is from a machine that was released. A token of this leadership from a
-   machine that is not known here shows that it was known and has been released. */
+/* Whether the heartbeat is from a machine that was released. A raised token of this leadership from
+   a machine that is not known here shows that it was known and has been released: unknown machines
+   are sent the first token only. */
 static bool
 is_from_released_machine (const MhCluster *cluster, const MhMachine *machine,
                           const MhHeartbeat *message)
 {
   guint64 first_token = mh_fencing_token (cluster, NULL);
-  bool had_our_token = machine == NULL && message->fencing_token > first_token
-                       && message->fencing_token < first_token + MH_EPOCHS_PER_LEADERSHIP;
+  bool has_raised_token = machine == NULL && message->fencing_token > first_token
+                          && message->fencing_token < first_token + MH_EPOCHS_PER_LEADERSHIP;
   return mh_election_has_records (cluster->election)
-         && (had_our_token || mh_cluster_was_released (cluster, message->machine));
+         && (has_raised_token || mh_cluster_was_released (cluster, message->machine));
 }
 
 /* Processes a heartbeat that was certainly sent in this leadership. Returns whether the commands to
@@ -262,9 +264,9 @@
   if (!was_leader || mh_election_is_stepping_down (cluster->election))
     return false;
   mh_worker_command_collect (cluster, machine, commands);
-  machine->heartbeat.answer_pending = true;
-  machine->heartbeat.answered_token = mh_fencing_token (cluster, machine);
-  machine->heartbeat.answered_sequence = message->sequence;
+  machine->heartbeat.effect_pending = true;
+  machine->heartbeat.response_token = mh_fencing_token (cluster, machine);
+  machine->heartbeat.response_sequence = message->sequence;
   return true;
 }
 
@@ -295,7 +297,7 @@
       machine = find_or_add_machine (cluster, machine, message);
       collected = apply_heartbeat (cluster, machine, message, commands);
     }
-  /* Each response renews the worker's lease, so that it must also stop the tasks of cancelled jobs:
+  /* Each response renews the worker's lease, so it must also stop the tasks of cancelled jobs:
      the leader may not be able to send the stops later. */
   if (!collected && machine)
     mh_worker_command_collect_cancellations (machine, commands);
--- a/src/cluster/image-wait.c
+++ b/src/cluster/image-wait.c
@@ -3,8 +3,8 @@
 #include "cluster/cluster-state.h"
 #include "protocol/worker-messages.h"
 
-/* The least fraction of an image that remains to be fetched until the worker shows that it is
-   there, even if the fetch should have ended by now. */
+/* Until the worker reports that it has an image, at least this fraction of the image is assumed to
+   remain to be fetched, even if the fetch should have ended by now. */
 #define MIN_REMAINING_FRACTION 0.1
 
 static double
--- a/src/cluster/machine-registry.h
+++ b/src/cluster/machine-registry.h
@@ -60,8 +60,9 @@
  * @cluster: the cluster
  * @last_message_us: monotonic time of the last message, in microseconds
  *
- * Returns: the time without a message, in microseconds. Time before this process last resumed after
- * a pause, or after it had refused all workers, does not count: no message could arrive then
+ * Returns: the time without a message, in microseconds. It counts from the time at which this
+ * process last resumed after a pause, or after it had refused the heartbeats of all workers, if
+ * that is later: until then no message could arrive
  */
 gint64
 mh_cluster_silence_us (const MhCluster *cluster, gint64 last_message_us);
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -9,9 +9,9 @@
 /** MhMachine: a machine as the leader knows it. */
 typedef struct MhMachine MhMachine;
 
-/** After this many consecutive heartbeat answers without a visible effect in the next heartbeat,
+/** After this many consecutive heartbeat responses without a visible effect in the next heartbeat,
    the machine is considered to receive nothing. */
-#define MH_MAX_IGNORED_ANSWERS 2u
+#define MH_MAX_IGNORED_RESPONSES 2u
 
 /**
  * MhMachineBoot:
@@ -33,7 +33,7 @@
 /**
  * MhMachineHeartbeat:
  * @reported: a message has come from its worker that certainly belongs to this leadership: a
- * heartbeat with one of its tokens, or an answer to its probe or direct command
+ * heartbeat with one of its tokens, or a response to a probe or a direct command of this leader
  * @last_message_us: when the last message of any kind came from its worker
  * @last_heartbeat_us: when the last heartbeat came, or the first message if that is later
  * @last_unverified_us: when the last heartbeat came that may have been sent before this leadership;
@@ -43,12 +43,13 @@
  * @token: the highest fencing token that the worker has seen, as of its newest message
  * @unreadable_tasks: tasks in the newest message whose jobs have records that this version cannot
  * read
- * @answer_pending: the effect of the last answer to a heartbeat must show in the next heartbeat
- * @answered_token: the token in that answer
- * @answered_sequence: the sequence number of the heartbeat that was answered
- * @ignored_answers: consecutive answers without a visible effect in the next heartbeat
+ * @effect_pending: the next heartbeat is to be checked for the effect of the last response to a
+ * heartbeat
+ * @response_token: the token in that response
+ * @response_sequence: the sequence number of the heartbeat that it responds to
+ * @ignored_responses: consecutive responses without a visible effect in the next heartbeat
  *
- * The messages of a worker and the answers to its heartbeats (PROTOCOL, "Workers"). Times are
+ * The messages of a worker and the responses to its heartbeats (PROTOCOL, "Workers"). Times are
  * monotonic, in microseconds.
  */
 typedef struct
@@ -57,9 +58,9 @@
   gint64 last_message_us, last_heartbeat_us, last_unverified_us;
   guint64 incarnation, sequence, token;
   guint unreadable_tasks;
-  bool answer_pending;
-  guint64 answered_token, answered_sequence;
-  guint ignored_answers;
+  bool effect_pending;
+  guint64 response_token, response_sequence;
+  guint ignored_responses;
 } MhMachineHeartbeat;
 
 /**
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -142,8 +142,8 @@
 static void
 process_reported_task (MhCluster *cluster, MhMachine *machine, const MhTaskStatus *status)
 {
-  /* The job's records cannot be read, so that it is not known whether the task shall run: it is
-     left alone. */
+  /* The job's records cannot be read, so it is not known whether the task should run: it is neither
+     stopped nor cleared. */
   if (mh_record_loader_is_unreadable (cluster->record_loader, status->job))
     {
       machine->heartbeat.unreadable_tasks++;
@@ -152,7 +152,8 @@
   const MhTask *task = find_task (cluster, status);
   if (task && status->attempt > task->attempt)
     {
-      /* Each attempt is written before it is sent: this memory is behind the records. */
+      /* Each attempt is recorded before its start is sent: the records are newer than this leader's
+         state. */
       mh_election_step_down (cluster->election, MH_LOSS_UNKNOWN_ATTEMPT);
       return;
     }
@@ -160,7 +161,8 @@
   bool is_ours = attempt && attempt->machine == machine && attempt->number == status->attempt;
   if (is_ours)
     process_live_attempt (cluster, attempt, status);
-  /* An attempt that has just ended is listed too: it has to be cleared at the worker. */
+  /* An attempt that has just ended is treated as orphaned too: it has to be cleared at the
+     worker. */
   if (!is_ours || status->phase == MH_TASK_PHASE_ENDED)
     add_orphan (machine, status);
 }
--- a/src/cluster/recovery.c
+++ b/src/cluster/recovery.c
@@ -2,9 +2,9 @@
 
 #include "base/time-units.h"
 
-/* The deadline leaves the machines this many heartbeat intervals, and this much time to find the
-   new leader: a worker of a failed leader waits 4 s for a response, and then tries the next
-   controllers. */
+/* The deadline gives the machines this many heartbeat intervals to report, and this much more time
+   to find the new leader: a worker of a failed leader waits 4 s for a response, and then tries the
+   next controllers. */
 #define HEARTBEATS_AWAITED 2
 #define RECONNECT_GRACE_US (2 * MH_SECOND_US)
 
--- a/src/cluster/recovery.h
+++ b/src/cluster/recovery.h
@@ -1,11 +1,11 @@
-/* Recovery after a failover. A new leader knows which tasks run only when the machines have sent it
-   heartbeats. Until then it takes no decision that rests on counts that may be too low. */
+/* Recovery after a failover. A new leader knows which tasks run only when the machines have
+   reported to it. Until then it takes no decision that rests on counts that may be too low. */
 #pragma once
 
 #include <glib.h>
 #include <stdbool.h>
 
-/** MhRecovery: whether the machines have sent heartbeats to a new leader */
+/** MhRecovery: whether the machines have reported to a new leader */
 typedef struct MhRecovery MhRecovery;
 
 /**
@@ -30,7 +30,7 @@
  * @now_us: monotonic time, in microseconds
  * @heartbeat_interval_us: time between two heartbeats of a worker, in microseconds
  *
- * Begins to wait for the machines' heartbeats, when a new leader has loaded the records.
+ * Begins to wait for the machines to report. To be called when a new leader has loaded the records.
  */
 void
 mh_recovery_begin (MhRecovery *recovery, gint64 now_us, gint64 heartbeat_interval_us);
@@ -39,8 +39,8 @@
  * mh_recovery_update:
  * @recovery: a recovery
  * @now_us: monotonic time, in microseconds
- * @all_reported: every machine that a record names, or that the cloud lists as running, has sent a
- *   heartbeat
+ * @all_reported: every machine that a record names, or that the cloud lists as running, has
+ * reported to the new leader or is unreachable
  *
  * Completes the recovery if @all_reported is %TRUE, or if the deadline has passed.
  *
--- a/src/cluster/task-failure.c
+++ b/src/cluster/task-failure.c
@@ -7,9 +7,9 @@
 
 #include <string.h>
 
-/* Number of failures, without a success, after which a job counts as failing on every machine. Of
-   failures on one machine, those within FAILED_MACHINE_HOLD_US of the last counted one are left
-   out. Also limits the machines that are remembered for a job. */
+/* Number of failures, without a success, after which a job counts as failing on every machine. A
+   failure on a machine where the job has failed before does not count within FAILED_MACHINE_HOLD_US
+   of the job's last counted failure. Also limits the machines that are remembered for a job. */
 #define FAILING_JOB_THRESHOLD 3u
 /* A machine is released after this many consecutive failures of jobs that are not faulty, or when
    this many jobs have failed on this machine only. */
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -44,7 +44,7 @@
                                attempt->required_revision);
 }
 
-/* Whether the placement of every task of the gang is durable. No start leaves before, so that a
+/* Whether the placement of every task of the gang is durable. No start is sent before, so that a
    successor never finds only a part of a gang on record that has been started. */
 static bool
 is_gang_durable (const MhJob *job)
--- a/src/cluster/worker-command.h
+++ b/src/cluster/worker-command.h
@@ -13,8 +13,8 @@
  * MhUnsentUrgency:
  * @MH_UNSENT_NONE: there are no unsent commands
  * @MH_UNSENT_DEFERRABLE: nothing waits for them: the response to the next heartbeat can carry them
- * @MH_UNSENT_URGENT: they start a replica or a gang, or stop an attempt of an unfinished job to
- * make room
+ * @MH_UNSENT_URGENT: they start a replica or a gang, or stop an attempt of a job that is not over,
+ * for example to make room for another task
  *
  * How urgent the commands are that have not been sent to a machine yet.
  */
--- a/src/cluster/zone-silence.c
+++ b/src/cluster/zone-silence.c
@@ -81,9 +81,9 @@
 static bool
 is_silent (const MhCluster *cluster, const MhZone *zone)
 {
-  gint64 report_us = cluster->settings->heartbeat_interval_us;
+  gint64 interval_us = cluster->settings->heartbeat_interval_us;
   gint64 expected_us
-      = MAX (report_us * 4 / 5, MISSED_HEARTBEATS * report_us / MAX (zone->machines, 1));
+      = MAX (interval_us * 4 / 5, MISSED_HEARTBEATS * interval_us / MAX (zone->machines, 1));
   return zone->machines >= MH_MIN_PARTITION_MACHINES
          && mh_cluster_silence_us (cluster, zone->last_message_us)
                 >= MAX (MIN_PARTITION_SILENCE_US, expected_us);
--- a/src/cluster/zone-silence.h
+++ b/src/cluster/zone-silence.h
@@ -50,7 +50,7 @@
  * mh_zone_note_message:
  * @cluster: the cluster
  * @name: an interned name
- * @is_heartbeat: the message is a heartbeat, not an answer to a probe or a direct command
+ * @is_heartbeat: the message is a heartbeat, not a response to a probe or a direct command
  *
  * Notes that a message has come from a worker in the zone, which is then not partitioned.
  */
--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -29,7 +29,7 @@
 mh_admission_check (const MhSettings *settings, const GPtrArray *types, const MhJobSpec *spec)
 {
   g_return_val_if_fail (settings && spec, MH_ADMISSION_IMPOSSIBLE);
-  /* The key-value store would reject the record at each attempt to write it, and the user, answered
+  /* The key-value store would reject the record each time it is written, and the user, who gets
      503, would retry for ever. */
   if (mh_job_tasks_per_record (spec, settings->value_bytes) == 0)
     return MH_ADMISSION_TOO_LARGE;
--- a/src/controller/cluster-callbacks.c
+++ b/src/controller/cluster-callbacks.c
@@ -23,7 +23,7 @@
 }
 
 static void
-on_gang_task_ended (gpointer owner, MhJob *job, bool done)
+on_gang_attempt_ended (gpointer owner, MhJob *job, bool done)
 {
   MhCore *core = owner;
   mh_gang_attempts_handle_task_end (core->gang_attempts, job, done);
@@ -43,7 +43,7 @@
     .release_machine = release_machine,
     .capacity_changed = on_capacity_changed,
     .gang_loaded = on_gang_loaded,
-    .gang_attempt_ended = on_gang_task_ended,
+    .gang_attempt_ended = on_gang_attempt_ended,
     .stop_gang = stop_gang,
   };
   return &callbacks;
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -41,7 +41,7 @@
   MhAutoscaler *autoscaler;
 
   GHashTable
-      *forwarded_requests; /* request id -> job id: forwarded to the leader, answer pending */
+      *forwarded_requests; /* request id -> job id: forwarded to the leader, response pending */
 };
 
 /* ---- callbacks for the layers below ---- */
@@ -84,7 +84,7 @@
  * mh_core_update_recovery:
  * @core: a controller that is the leader and has loaded the records
  *
- * Completes the recovery of a new leader if all machines have sent a heartbeat or the time for that
+ * Completes the recovery of a new leader if all machines have reported to it or the time for that
  * is over. Before that the leader does not preempt tasks, create machines or consolidate.
  */
 void
@@ -97,7 +97,7 @@
  * @core: a controller
  * @request: the request; its spec is consumed
  *
- * Answers the request now, or starts what leads to its answer: a write, a read or forwarding.
+ * Answers the request now, or starts what leads to its response: a write, a read or forwarding.
  */
 void
 mh_core_handle_user_request (MhCore *core, const MhUserRequest *request);
@@ -106,9 +106,9 @@
  * mh_core_handle_forward_reply:
  * @core: a controller
  * @id: id of the request that was forwarded
- * @answer: (nullable): the leader's answer; %NULL: none was received
+ * @response: (nullable): the leader's response; %NULL: none was received
  *
- * Passes the leader's answer to the user, or answers 503 if there is none.
+ * Passes the leader's response to the user, or answers 503 if there is none.
  */
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *answer);
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *response);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -82,13 +82,13 @@
 
 void
 mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserResponse *answer)
+                               const MhUserResponse *response)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
   if (!g_hash_table_contains (core->forwarded_requests, &id))
     return;
-  mh_core_handle_forward_reply (core, id, answer);
+  mh_core_handle_forward_reply (core, id, response);
   step (core);
 }
 
@@ -103,7 +103,7 @@
 
 /* ---- outputs ---- */
 
-/* Turns an answer into a 503; of a call only the kind and the id are still used. */
+/* Turns a response into a 503. Of a call only the kind and the id are used afterwards. */
 static void
 reject_action (MhAction *action)
 {
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -2,7 +2,7 @@
    below.
 
    Each input carries the current time and returns without blocking. The host then takes the
-   resulting actions (calls, answers, log lines) with mh_core_pop_action (). The core does no I/O,
+   resulting actions (calls, responses, log lines) with mh_core_pop_action (). The core does no I/O,
    reads no clock and starts no thread, so that tests can run it on a fake clock. */
 #pragma once
 
@@ -108,14 +108,14 @@
  * @core: a controller
  * @now: the current time
  * @id: id of the user's request that was forwarded
- * @answer: (not transferred) (nullable): the leader's answer; %NULL: none was received before the
- * time-out
+ * @response: (not transferred) (nullable): the leader's response; %NULL: none was received before
+ * the time-out
  *
- * Handles the leader's answer to a forwarded request, or its failure.
+ * Handles the leader's response to a forwarded request, or its failure.
  */
 void
 mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserResponse *answer);
+                               const MhUserResponse *response);
 
 /**
  * mh_core_receive_announcement:
@@ -135,11 +135,11 @@
 /**
  * mh_core_pop_action:
  * @core: a controller
- * @mono_us: the current steady time, in microseconds; it may be much later than the last input
+ * @mono_us: the current monotonic time, in microseconds; it may be much later than the last input
  *
  * Checks against @mono_us that the leader lease on which the action depends is still valid, because
  * the process may have been paused between the decision and this call. If the lease has expired, a
- * call is completed as unanswered and not returned, and an answer is replaced by a 503.
+ * call is completed as one without a reply and not returned, and a response is replaced by a 503.
  *
  * Returns: (transfer full) (nullable): the next action; %NULL if there is none
  */
@@ -150,7 +150,8 @@
  * mh_core_next_wake_up_us:
  * @core: a controller
  *
- * Returns: the steady time at which mh_core_tick () must be called at the latest, in microseconds
+ * Returns: the monotonic time at which mh_core_tick () must be called at the latest, in
+ * microseconds
  */
 gint64
 mh_core_next_wake_up_us (const MhCore *core);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -79,9 +79,9 @@
   return &callbacks;
 }
 
-/* Whether every machine that is running according to a record or to the cloud's list has sent a
-   heartbeat to this leader. Unreachable machines are not waited for: they answer no probe, so no
-   heartbeat is to be expected either. */
+/* Whether every machine that is running according to a record or to the cloud's list has reported
+   to this leader. Unreachable machines are not waited for: they answer no probe, so no heartbeat is
+   to be expected either. */
 static bool
 have_all_machines_reported (const MhCore *core)
 {
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -1,7 +1,7 @@
 /* Users' requests: submissions, status queries and cancellations, answered here or forwarded to the
    leader.
 
-   Answers contain durable state only. A final state never changes, so every controller may answer
+   Responses contain durable state only. A final state never changes, so every controller may answer
    with it. Any other state is answered by the leader, or from the stored records while there is no
    leader. */
 #include "controller/admission.h"
@@ -10,7 +10,7 @@
 #include "cluster/attempt.h"
 #include "cluster/machine-registry.h"
 
-/* A user gives up on an answer after 2 s, so a forwarded request must end earlier. */
+/* A user stops waiting for a response after 2 s, so a forwarded request must end earlier. */
 #define FORWARD_TIMEOUT_US (MH_SECOND_US * 3 / 2)
 #define RETRY_AFTER_S 1u
 
@@ -23,12 +23,12 @@
   STATUS_UNAVAILABLE = 503
 };
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
-answer_user (MhCore *core, guint64 id, const MhUserResponse *answer)
+answer_user (MhCore *core, guint64 id, const MhUserResponse *response)
 {
-  mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
+  mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *response;
 }
 
 static void
@@ -97,7 +97,7 @@
   const MhUserResponse *final_answer
       = mh_final_answers_find (core->final_answers, request->spec->id);
   /* The final answer comes first: a repeated submission of an ended job may be in memory as well,
-     with its write pending. In the opposite order the user was answered that the job is pending. */
+     with its write pending. In the opposite order the response said that the job is pending. */
   if (final_answer)
     answer_user (core, request->id, final_answer);
   else if (job && job->accepted)
@@ -186,7 +186,8 @@
   else if (job == NULL && final_answer)
     answer_user (core, request->id, final_answer);
   /* A job that is not accepted yet may be the repeated submission of one that ended long ago. The
-     read of its final record answers that, however long the write of the submission is delayed. */
+     lookup reads the final record and answers from it, however long the write of the submission is
+     delayed. */
   else if (job == NULL || !job->accepted)
     mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
                        MH_LOOKUP_LEADER);
@@ -211,28 +212,28 @@
 
 /* A final state never changes: later requests for the job are answered without forwarding them. */
 static void
-cache_final_answer (MhCore *core, const char *job_id, const MhUserResponse *answer)
+cache_final_answer (MhCore *core, const char *job_id, const MhUserResponse *response)
 {
-  MhUserResponse final_answer = *answer;
+  MhUserResponse final_answer = *response;
   final_answer.status = STATUS_OK;
-  if ((answer->status == STATUS_OK || answer->status == STATUS_CREATED)
-      && (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED))
+  if ((response->status == STATUS_OK || response->status == STATUS_CREATED)
+      && (response->state == MH_JOB_DONE || response->state == MH_JOB_CANCELLED))
     mh_final_answers_add (core->final_answers, job_id, &final_answer);
 }
 
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *answer)
+mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *response)
 {
   gpointer key, value;
   if (!g_hash_table_steal_extended (core->forwarded_requests, &id, &key, &value))
     return;
   g_free (key);
   g_autofree char *job_id = value;
-  if (answer)
+  if (response)
     {
       mh_election_note_forward_answered (core->election);
-      answer_user (core, id, answer);
-      cache_final_answer (core, job_id, answer);
+      answer_user (core, id, response);
+      cache_final_answer (core, job_id, response);
       return;
     }
   const char *leader = mh_election_leader_name (core->election);
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -33,9 +33,9 @@
 is_usable (const MhPlacementPass *pass, const MhMachine *machine)
 {
   return is_live (machine) && !mh_machine_is_draining (machine)
-         && !machine->heartbeat.ignored_answers && machine->notice_deadline_us < 0
+         && !machine->heartbeat.ignored_responses && machine->notice_deadline_us < 0
          && pass->now_us >= machine->no_start_before_us
-         && !mh_failure_is_heartbeat_overdue (pass->cluster, machine);
+         && !mh_failure_has_missed_heartbeats (pass->cluster, machine);
 }
 
 static void
