--- a/src/autoscaler/capacity-estimate.c
+++ b/src/autoscaler/capacity-estimate.c
@@ -9,7 +9,8 @@
 }
 
 bool
-mh_capacity_estimate_suits (const MhCapacityEstimate *estimate, const MhJob *job, const char *zone)
+mh_capacity_estimate_suits_job (const MhCapacityEstimate *estimate, const MhJob *job,
+                                const char *zone)
 {
   return (!estimate->spot || job->spec->spot) && (zone == NULL || zone == estimate->zone)
          && mh_job_spec_fits_type (job->spec, estimate->type);
@@ -19,7 +20,7 @@
 mh_capacity_estimate_count_tasks (const MhCapacityEstimate *estimate, const MhJobSpec *spec,
                                   guint tasks)
 {
-  return mh_resources_slots (&estimate->available, spec, tasks);
+  return mh_resources_count_slots (&estimate->available, spec, tasks);
 }
 
 void
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -12,10 +12,11 @@
   const MhHttpServerHandlers *handlers;
   gpointer user_data;
   SoupServer *server;
-  MhHttpListener *listener; /* NULL before it listens */
+  MhHttpListener *listener; /* NULL before mh_http_server_listen() */
 };
 
-/* Of a message's body: as announced by its header, or else as received so far. */
+/* The size of a request's body: the Content-Length if that is over the limit, plus what has been
+   received. */
 typedef struct
 {
   gsize size;
@@ -28,7 +29,7 @@
   if (body == NULL)
     return;
   gsize size;
-  g_autoptr (GBytes) bytes = mh_value_save (body);
+  g_autoptr (GBytes) bytes = mh_value_serialize (body);
   const char *data = g_bytes_get_data (bytes, &size);
   soup_server_message_set_response (message, CBOR_MEDIA_TYPE, SOUP_MEMORY_COPY, data, size);
 }
@@ -50,7 +51,7 @@
 
 void
 mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserAnswer *answer)
+                            const MhUserResponse *answer)
 {
   g_autoptr (MhValue) body = NULL;
   g_return_if_fail (self != NULL);
@@ -67,13 +68,13 @@
 }
 
 void
-mh_http_server_answer_report (MhHttpServer *self, const MhPendingRequest *request, guint status,
-                              const MhValue *body)
+mh_http_server_answer_heartbeat (MhHttpServer *self, const MhPendingRequest *request, guint status,
+                                 const MhValue *body)
 {
   g_return_if_fail (self != NULL);
   g_return_if_fail (request->message != NULL);
   respond (request->message, status, body);
-  if (mh_http_listener_is_crowded (self->listener))
+  if (mh_http_listener_is_near_connection_limit (self->listener))
     set_response_header (request->message, "Connection", "close");
   resume (request);
 }
@@ -85,11 +86,12 @@
 {
   BodySize *body = data;
   body->size += g_bytes_get_size (chunk);
-  if (body->size > MH_MAX_BODY)
+  if (body->size > MH_MAX_BODY_SIZE)
     soup_message_body_set_accumulate (soup_server_message_get_request_body (message), FALSE);
 }
 
-/* Runs when the headers are there: a body over the limit is never gathered in memory. */
+/* Runs when the headers have been received. From here on_chunk() stops libsoup from accumulating a
+   body over the limit in memory. */
 static void
 on_headers (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
             gpointer data)
@@ -101,7 +103,7 @@
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
   goffset length = soup_message_headers_get_content_length (headers);
   BodySize *body = g_new0 (BodySize, 1);
-  if (length > (goffset)MH_MAX_BODY)
+  if (length > (goffset)MH_MAX_BODY_SIZE)
     body->size = (gsize)length;
   g_object_set_data_full (G_OBJECT (message), BODY_SIZE_KEY, body, g_free);
   g_signal_connect (message, "got-chunk", G_CALLBACK (on_chunk), body);
@@ -111,7 +113,7 @@
 is_too_large (SoupServerMessage *message)
 {
   const BodySize *body = g_object_get_data (G_OBJECT (message), BODY_SIZE_KEY);
-  return body && body->size > MH_MAX_BODY;
+  return body && body->size > MH_MAX_BODY_SIZE;
 }
 
 /* ---- requests ---- */
@@ -134,7 +136,7 @@
 {
   gsize size;
   const void *data = g_bytes_get_data (bytes, &size);
-  return mh_value_load (data, size, error);
+  return mh_value_parse (data, size, error);
 }
 
 static void
@@ -158,19 +160,19 @@
 }
 
 static void
-handle_report (MhHttpServer *self, SoupServerMessage *message)
+handle_heartbeat (MhHttpServer *self, SoupServerMessage *message)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GBytes) bytes = get_body (message);
   g_autoptr (MhValue) body = decode_body (bytes, &error);
-  g_autoptr (MhHeartbeat) report = body ? mh_heartbeat_decode (body, &error) : NULL;
-  if (report == NULL)
+  g_autoptr (MhHeartbeat) heartbeat = body ? mh_heartbeat_decode (body, &error) : NULL;
+  if (heartbeat == NULL)
     {
-      g_info ("malformed report reason=%s", error->message);
+      g_info ("malformed heartbeat reason=%s", error->message);
       respond (message, SOUP_STATUS_BAD_REQUEST, NULL);
       return;
     }
-  self->handlers->report (pause_message (self, message), report, self->user_data);
+  self->handlers->heartbeat (pause_message (self, message), heartbeat, self->user_data);
 }
 
 static void
@@ -207,7 +209,7 @@
       handle_readiness (self, message);
       break;
     case MH_ROUTE_HEARTBEAT:
-      handle_report (self, message);
+      handle_heartbeat (self, message);
       break;
     case MH_ROUTE_SUBMIT:
       handle_submission (self, message);
@@ -221,7 +223,7 @@
     }
 }
 
-/* Runs when the whole request is there. */
+/* Runs when the whole request has been received. */
 static void
 on_request (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
             gpointer data)
--- a/src/storage/record-state.c
+++ b/src/storage/record-state.c
@@ -1,78 +1,78 @@
 #include "storage/record-state.h"
 
-#define REFUSED (-1)
+#define IMPOSSIBLE (-1)
 
-/* A record that is sent along keeps its place in the queue, so that it is written once more by
-   itself; MH_RECORD_WRITING_QUEUED stands for both at once. */
+/* A queued record that is sent along with the first record of its job stays in the queue
+   (MH_RECORD_WRITING_QUEUED), so that it is written again in a later transaction. */
 static const int transitions[MH_RECORD_STATES][MH_RECORD_EVENTS] = {
   [MH_RECORD_CLEAN] = { [MH_RECORD_CHANGED] = MH_RECORD_QUEUED,
                         [MH_RECORD_REQUEUED] = MH_RECORD_QUEUED,
-                        [MH_RECORD_SENT] = REFUSED,
+                        [MH_RECORD_SENT] = IMPOSSIBLE,
                         [MH_RECORD_SENT_ALONG] = MH_RECORD_WRITING,
-                        [MH_RECORD_WRITTEN] = REFUSED,
-                        [MH_RECORD_STAGED] = REFUSED,
-                        [MH_RECORD_NOT_WRITTEN] = REFUSED,
-                        [MH_RECORD_REJECTED] = REFUSED,
-                        [MH_RECORD_CONFLICTED] = REFUSED,
+                        [MH_RECORD_WRITTEN] = IMPOSSIBLE,
+                        [MH_RECORD_STAGED] = IMPOSSIBLE,
+                        [MH_RECORD_NOT_WRITTEN] = IMPOSSIBLE,
+                        [MH_RECORD_REJECTED] = IMPOSSIBLE,
+                        [MH_RECORD_CONFLICTED] = IMPOSSIBLE,
                         [MH_RECORD_DISCARDED] = MH_RECORD_CLEAN },
   [MH_RECORD_QUEUED] = { [MH_RECORD_CHANGED] = MH_RECORD_QUEUED,
                          [MH_RECORD_REQUEUED] = MH_RECORD_QUEUED,
                          [MH_RECORD_SENT] = MH_RECORD_WRITING,
                          [MH_RECORD_SENT_ALONG] = MH_RECORD_WRITING_QUEUED,
-                         [MH_RECORD_WRITTEN] = REFUSED,
-                         [MH_RECORD_STAGED] = REFUSED,
-                         [MH_RECORD_NOT_WRITTEN] = REFUSED,
-                         [MH_RECORD_REJECTED] = REFUSED,
-                         [MH_RECORD_CONFLICTED] = REFUSED,
+                         [MH_RECORD_WRITTEN] = IMPOSSIBLE,
+                         [MH_RECORD_STAGED] = IMPOSSIBLE,
+                         [MH_RECORD_NOT_WRITTEN] = IMPOSSIBLE,
+                         [MH_RECORD_REJECTED] = IMPOSSIBLE,
+                         [MH_RECORD_CONFLICTED] = IMPOSSIBLE,
                          [MH_RECORD_DISCARDED] = MH_RECORD_CLEAN },
   [MH_RECORD_REFUSED] = { [MH_RECORD_CHANGED] = MH_RECORD_REFUSED,
                           [MH_RECORD_REQUEUED] = MH_RECORD_REFUSED,
                           [MH_RECORD_SENT] = MH_RECORD_WRITING,
                           [MH_RECORD_SENT_ALONG] = MH_RECORD_WRITING_QUEUED,
-                          [MH_RECORD_WRITTEN] = REFUSED,
-                          [MH_RECORD_STAGED] = REFUSED,
-                          [MH_RECORD_NOT_WRITTEN] = REFUSED,
-                          [MH_RECORD_REJECTED] = REFUSED,
-                          [MH_RECORD_CONFLICTED] = REFUSED,
+                          [MH_RECORD_WRITTEN] = IMPOSSIBLE,
+                          [MH_RECORD_STAGED] = IMPOSSIBLE,
+                          [MH_RECORD_NOT_WRITTEN] = IMPOSSIBLE,
+                          [MH_RECORD_REJECTED] = IMPOSSIBLE,
+                          [MH_RECORD_CONFLICTED] = IMPOSSIBLE,
                           [MH_RECORD_DISCARDED] = MH_RECORD_CLEAN },
-  [MH_RECORD_WRITING] = { [MH_RECORD_CHANGED] = MH_RECORD_REWRITTEN,
-                          [MH_RECORD_REQUEUED] = REFUSED,
-                          [MH_RECORD_SENT] = REFUSED,
-                          [MH_RECORD_SENT_ALONG] = REFUSED,
+  [MH_RECORD_WRITING] = { [MH_RECORD_CHANGED] = MH_RECORD_WRITING_CHANGED,
+                          [MH_RECORD_REQUEUED] = IMPOSSIBLE,
+                          [MH_RECORD_SENT] = IMPOSSIBLE,
+                          [MH_RECORD_SENT_ALONG] = IMPOSSIBLE,
                           [MH_RECORD_WRITTEN] = MH_RECORD_CLEAN,
                           [MH_RECORD_STAGED] = MH_RECORD_CLEAN,
                           [MH_RECORD_NOT_WRITTEN] = MH_RECORD_QUEUED,
                           [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
                           [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
                           [MH_RECORD_DISCARDED] = MH_RECORD_WRITING },
-  [MH_RECORD_REWRITTEN] = { [MH_RECORD_CHANGED] = MH_RECORD_REWRITTEN,
-                            [MH_RECORD_REQUEUED] = REFUSED,
-                            [MH_RECORD_SENT] = REFUSED,
-                            [MH_RECORD_SENT_ALONG] = REFUSED,
-                            [MH_RECORD_WRITTEN] = MH_RECORD_QUEUED,
-                            [MH_RECORD_STAGED] = MH_RECORD_CLEAN,
-                            [MH_RECORD_NOT_WRITTEN] = MH_RECORD_QUEUED,
-                            [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
-                            [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
-                            [MH_RECORD_DISCARDED] = MH_RECORD_REWRITTEN },
+  [MH_RECORD_WRITING_CHANGED] = { [MH_RECORD_CHANGED] = MH_RECORD_WRITING_CHANGED,
+                                  [MH_RECORD_REQUEUED] = IMPOSSIBLE,
+                                  [MH_RECORD_SENT] = IMPOSSIBLE,
+                                  [MH_RECORD_SENT_ALONG] = IMPOSSIBLE,
+                                  [MH_RECORD_WRITTEN] = MH_RECORD_QUEUED,
+                                  [MH_RECORD_STAGED] = MH_RECORD_CLEAN,
+                                  [MH_RECORD_NOT_WRITTEN] = MH_RECORD_QUEUED,
+                                  [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
+                                  [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
+                                  [MH_RECORD_DISCARDED] = MH_RECORD_WRITING_CHANGED },
   [MH_RECORD_WRITING_QUEUED] = { [MH_RECORD_CHANGED] = MH_RECORD_WRITING_QUEUED,
-                                 [MH_RECORD_REQUEUED] = REFUSED,
-                                 [MH_RECORD_SENT] = REFUSED,
-                                 [MH_RECORD_SENT_ALONG] = REFUSED,
+                                 [MH_RECORD_REQUEUED] = IMPOSSIBLE,
+                                 [MH_RECORD_SENT] = IMPOSSIBLE,
+                                 [MH_RECORD_SENT_ALONG] = IMPOSSIBLE,
                                  [MH_RECORD_WRITTEN] = MH_RECORD_QUEUED,
-                                 [MH_RECORD_STAGED] = REFUSED,
+                                 [MH_RECORD_STAGED] = IMPOSSIBLE,
                                  [MH_RECORD_NOT_WRITTEN] = MH_RECORD_QUEUED,
                                  [MH_RECORD_REJECTED] = MH_RECORD_REFUSED,
-                                 [MH_RECORD_CONFLICTED] = REFUSED,
+                                 [MH_RECORD_CONFLICTED] = IMPOSSIBLE,
                                  [MH_RECORD_DISCARDED] = MH_RECORD_WRITING },
   [MH_RECORD_IN_DOUBT] = { [MH_RECORD_CHANGED] = MH_RECORD_IN_DOUBT,
-                           [MH_RECORD_REQUEUED] = REFUSED,
-                           [MH_RECORD_SENT] = REFUSED,
-                           [MH_RECORD_SENT_ALONG] = REFUSED,
-                           [MH_RECORD_WRITTEN] = REFUSED,
-                           [MH_RECORD_STAGED] = REFUSED,
-                           [MH_RECORD_NOT_WRITTEN] = REFUSED,
-                           [MH_RECORD_REJECTED] = REFUSED,
+                           [MH_RECORD_REQUEUED] = IMPOSSIBLE,
+                           [MH_RECORD_SENT] = IMPOSSIBLE,
+                           [MH_RECORD_SENT_ALONG] = IMPOSSIBLE,
+                           [MH_RECORD_WRITTEN] = IMPOSSIBLE,
+                           [MH_RECORD_STAGED] = IMPOSSIBLE,
+                           [MH_RECORD_NOT_WRITTEN] = IMPOSSIBLE,
+                           [MH_RECORD_REJECTED] = IMPOSSIBLE,
                            [MH_RECORD_CONFLICTED] = MH_RECORD_IN_DOUBT,
                            [MH_RECORD_DISCARDED] = MH_RECORD_IN_DOUBT },
 };
@@ -82,7 +82,7 @@
 {
   g_return_val_if_fail (state < MH_RECORD_STATES && event < MH_RECORD_EVENTS && next, false);
   int after = transitions[state][event];
-  if (after == REFUSED)
+  if (after == IMPOSSIBLE)
     return false;
   *next = (MhRecordState)after;
   return true;
@@ -98,7 +98,7 @@
 bool
 mh_record_state_is_writing (MhRecordState state)
 {
-  return state == MH_RECORD_WRITING || state == MH_RECORD_REWRITTEN
+  return state == MH_RECORD_WRITING || state == MH_RECORD_WRITING_CHANGED
          || state == MH_RECORD_WRITING_QUEUED || state == MH_RECORD_IN_DOUBT;
 }
 
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -8,11 +8,12 @@
 
 struct Controller
 {
-  MhCore *core;               /* this version's; NULL: it is the other */
-  ProductionCore *production; /* the other's */
+  MhCore *core;               /* of this version; NULL: the controller has the other version */
+  ProductionCore *production; /* of the version in production; NULL: the controller has this version
+                               */
 };
 
-/* ---- settings, as the platform's file ---- */
+/* ---- settings, written as platform settings ---- */
 
 static void
 write_members (GString *text, const MhSettings *settings)
@@ -50,7 +51,7 @@
   g_string_append_printf (text,
                           "[settings.workers]\nreport_s = %f\nlease_s = %f\ncancel_s = %f\n"
                           "gang_wait_s = %f\ngang_peer_s = %f\n",
-                          seconds (settings->report_interval_us),
+                          seconds (settings->heartbeat_interval_us),
                           seconds (settings->worker_lease_us), seconds (settings->cancel_limit_us),
                           seconds (settings->gang_wait_us), seconds (settings->gang_peer_us));
   g_string_append_printf (text,
@@ -99,7 +100,7 @@
 static GBytes *
 to_bytes (const MhValue *value)
 {
-  return value ? mh_value_save (value) : NULL;
+  return value ? mh_value_serialize (value) : NULL;
 }
 
 static MhValue *
@@ -109,17 +110,17 @@
   if (bytes == NULL)
     return NULL;
   const void *data = g_bytes_get_data (bytes, &size);
-  MhValue *value = mh_value_load (data, size, NULL);
+  MhValue *value = mh_value_parse (data, size, NULL);
   g_assert_nonnull (value);
   return value;
 }
 
 static const MhActionKind kinds[] = {
-  [PRODUCTION_CALL] = MH_ACTION_CALL,
+  [PRODUCTION_CALL] = MH_ACTION_SEND_REQUEST,
   [PRODUCTION_ANNOUNCE_LEADER] = MH_ACTION_ANNOUNCE_LEADER,
-  [PRODUCTION_FORWARD] = MH_ACTION_FORWARD,
+  [PRODUCTION_FORWARD] = MH_ACTION_FORWARD_USER_REQUEST,
   [PRODUCTION_ANSWER_USER] = MH_ACTION_ANSWER_USER,
-  [PRODUCTION_ANSWER_REPORT] = MH_ACTION_ANSWER_REPORT,
+  [PRODUCTION_ANSWER_REPORT] = MH_ACTION_ANSWER_HEARTBEAT,
   [PRODUCTION_LOG] = MH_ACTION_LOG,
 };
 static const MhTarget targets[] = {
@@ -151,12 +152,12 @@
   action->status = popped->status;
   char **text = action->kind == MH_ACTION_LOG ? &action->line : &action->node;
   *text = g_steal_pointer (&popped->text);
-  action->answer = (MhUserAnswer){ .status = popped->answer.status,
-                                   .retry_after_s = popped->answer.retry_after_s,
-                                   .state = (MhJobState)popped->answer.state,
-                                   .done = popped->answer.done,
-                                   .running = popped->answer.running };
-  if (action->kind == MH_ACTION_CALL)
+  action->answer = (MhUserResponse){ .status = popped->answer.status,
+                                     .retry_after_s = popped->answer.retry_after_s,
+                                     .state = (MhJobState)popped->answer.state,
+                                     .done = popped->answer.done,
+                                     .running = popped->answer.running };
+  if (action->kind == MH_ACTION_SEND_REQUEST)
     action->request = to_request (popped, body);
   else
     action->body = body;
@@ -206,11 +207,11 @@
 }
 
 void
-controller_user (Controller *self, const MhNow *now, const MhUserRequest *request)
+controller_user_request (Controller *self, const MhNow *now, const MhUserRequest *request)
 {
   if (self->core)
     {
-      mh_core_user (self->core, now, request);
+      mh_core_receive_user_request (self->core, now, request);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -222,13 +223,13 @@
 }
 
 void
-controller_report (Controller *self, const MhNow *now, guint64 id, const MhValue *value)
+controller_heartbeat (Controller *self, const MhNow *now, guint64 id, const MhValue *value)
 {
   if (self->core)
     {
-      g_autoptr (MhHeartbeat) report = mh_heartbeat_decode (value, NULL);
-      g_assert_nonnull (report);
-      mh_core_report (self->core, now, id, report);
+      g_autoptr (MhHeartbeat) heartbeat = mh_heartbeat_decode (value, NULL);
+      g_assert_nonnull (heartbeat);
+      mh_core_receive_heartbeat (self->core, now, id, heartbeat);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -237,11 +238,12 @@
 }
 
 void
-controller_reply (Controller *self, const MhNow *now, guint64 id, guint status, const MhValue *body)
+controller_call_finished (Controller *self, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body)
 {
   if (self->core)
     {
-      mh_core_reply (self->core, now, id, status, body);
+      mh_core_receive_reply (self->core, now, id, status, body);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -250,11 +252,12 @@
 }
 
 void
-controller_forwarded (Controller *self, const MhNow *now, guint64 id, const MhUserAnswer *answer)
+controller_forward_finished (Controller *self, const MhNow *now, guint64 id,
+                             const MhUserResponse *answer)
 {
   if (self->core)
     {
-      mh_core_forwarded (self->core, now, id, answer);
+      mh_core_receive_forward_reply (self->core, now, id, answer);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -273,34 +276,35 @@
 {
   ProductionNow production_now = to_production (now);
   if (self->core)
-    mh_core_leader_announced (self->core, now, node, epoch);
+    mh_core_receive_announcement (self->core, now, node, epoch);
   else
     production_core_leader_announced (self->production, &production_now, node, epoch);
 }
 
 MhAction *
-controller_pop (Controller *self, gint64 mono_us)
+controller_next_action (Controller *self, gint64 mono_us)
 {
   ProductionAction popped;
   if (self->core)
-    return mh_core_pop (self->core, mono_us);
+    return mh_core_pop_action (self->core, mono_us);
   return production_core_pop (self->production, mono_us, &popped) ? to_action (&popped) : NULL;
 }
 
 gint64
 controller_next_wake (const Controller *self)
 {
-  return self->core ? mh_core_next_wake (self->core) : production_core_next_wake (self->production);
+  return self->core ? mh_core_next_wake_up_us (self->core)
+                    : production_core_next_wake (self->production);
 }
 
 bool
 controller_leads (const Controller *self)
 {
-  return self->core ? mh_core_leads (self->core) : production_core_leads (self->production);
+  return self->core ? mh_core_is_leader (self->core) : production_core_leads (self->production);
 }
 
 bool
 controller_ready (const Controller *self)
 {
-  return self->core ? mh_core_ready (self->core) : production_core_ready (self->production);
+  return self->core ? mh_core_is_ready (self->core) : production_core_ready (self->production);
 }
