--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -23,8 +23,8 @@
   gint64 scaling_due_us, summary_due_us;
 };
 
-/* Makes the next step due at once, so that the machines that are still needed are
-   requested without delay. */
+/* Makes the next step due at once, so that the machines that are still needed are requested without
+   delay. */
 static void
 on_scale_out_done (gpointer owner)
 {
@@ -167,7 +167,7 @@
 /* Numbers of machines by state, their total hourly price, and their CPUs. */
 typedef struct
 {
-  guint reporting, idle, starting, releasing;
+  guint reporting, idle, booting, releasing;
   double hourly_price, cpus, cpus_in_use;
 } ClusterSummary;
 
@@ -182,7 +182,7 @@
     }
   if (!machine->heartbeat.reported)
     {
-      summary->starting++;
+      summary->booting++;
       return;
     }
   summary->reporting++;
@@ -207,7 +207,7 @@
   mh_log_info (self->context.runtime,
                "cluster summary machines=%u idle=%u coming=%u releasing=%u hourly_price=%.2f "
                "used_cpus=%.0f cpus=%.0f waiting_tasks=%u",
-               summary.reporting, summary.idle, summary.starting, summary.releasing,
+               summary.reporting, summary.idle, summary.booting, summary.releasing,
                summary.hourly_price, summary.cpus_in_use, summary.cpus,
                count_waiting_tasks (&self->context));
 }
@@ -255,7 +255,7 @@
   self->scaling_due_us = now_us + SCALING_INTERVAL_US;
   bool tasks_wait = count_waiting_tasks (&self->context) > 0;
   /* Tasks on machines that are being released become pending only when the release is confirmed.
-     Until then, no pending task does not mean that the lost capacity is no longer needed. */
+     Until then the lost capacity is still needed, although no task may be pending. */
   if (!tasks_wait && mh_scale_in_is_idle (self->scale_in))
     mh_lost_capacity_clear (self->lost_capacity);
   if (may_scale_out (self))
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -68,7 +68,7 @@
  * @machine: a machine
  * @reason: why it is released
  *
- * Starts the release of the machine; see mh_scale_in_release_machine ().
+ * Starts the release of the machine; see mh_scale_in_release_machine().
  */
 void
 mh_autoscaler_release_machine (MhAutoscaler *self, MhMachine *machine, MhReleaseReason reason);
@@ -78,7 +78,7 @@
  * @self: an autoscaler
  * @entry: a record whose key begins with MH_RECORD_RELEASES
  *
- * Continues the releases that an earlier leader recorded; see mh_scale_in_load_release ().
+ * Continues the releases that an earlier leader recorded; see mh_scale_in_load_release().
  */
 void
 mh_autoscaler_load_release (MhAutoscaler *self, const MhKvEntry *entry);
--- a/src/autoscaler/capacity-estimate.h
+++ b/src/autoscaler/capacity-estimate.h
@@ -1,4 +1,4 @@
-/* An estimate of the capacity of one machine: one that remains in service, one that is starting, or
+/* An estimate of the capacity of one machine: one that remains in service, one that is booting, or
    one that would have to be created. Consolidation and the demand plan assign tasks to estimates;
    this does not change any machine. */
 #pragma once
@@ -9,7 +9,7 @@
 
 /**
  * MhCapacityEstimate:
- * @machine: (nullable): the machine; %NULL if the estimate is for a machine that is starting or not
+ * @machine: (nullable): the machine; %NULL if the estimate is for a machine that is booting or not
  * created yet
  * @type: the machine type
  * @zone: the zone, interned, so that zones can be compared by address; borrowed from the machine or
--- a/src/autoscaler/completion-forecast.h
+++ b/src/autoscaler/completion-forecast.h
@@ -39,8 +39,6 @@
 /**
  * mh_completion_forecast_free:
  * @forecast: (transfer full) (nullable): a forecast
- *
- * Frees the forecast.
  */
 void
 mh_completion_forecast_free (MhCompletionForecast *forecast);
--- a/src/autoscaler/demand.c
+++ b/src/autoscaler/demand.c
@@ -51,7 +51,7 @@
 
 /* Adds the machines that have not reported to this leader yet and are expected to join. */
 static void
-add_starting_machines (MhDemandPlan *plan)
+add_booting_machines (MhDemandPlan *plan)
 {
   GHashTableIter iter;
   gpointer value;
@@ -71,7 +71,7 @@
 }
 
 /* Returns the shortest boot time among the machine types that fit the job, or G_MAXINT64 if none
- * does. */
+   does. */
 static gint64
 find_shortest_boot_us (const GPtrArray *types, const MhJobSpec *spec)
 {
@@ -99,7 +99,7 @@
   gint64 latest_us = job->placement.objectives_missed
                          ? now_us
                          : job->placement.latest_start_us - job->placement.expected_run_us / 2;
-  /* A new machine would join too late for such a task, so the missed start time does not justify
+  /* A machine created now would join only after the latest start, so that start does not justify
      one. Only a backlog that would still wait after twice the boot time does. */
   if (latest_us < now_us + boot_us)
     latest_us = now_us + 2 * boot_us;
@@ -180,8 +180,8 @@
 assign_tasks (MhDemandPlan *plan, const MhJob *job, guint tasks)
 {
   /* All tasks of a single-zone job go to the zone of the first machine that they are assigned to.
-     Machines created in another zone, while some of the tasks ran, could not be used by the others,
-     which kept waiting. */
+     Otherwise, while some of the tasks ran, machines were created in another zone, where the other
+     tasks could not run and kept waiting. */
   Assignment assignment
       = { .job = job, .zone = mh_filter_required_zone (job), .tasks_left = tasks };
   if (mh_job_is_gang (job) && !prepare_gang_assignment (&assignment))
@@ -272,7 +272,7 @@
   if (jobs->len == 0)
     return plan;
   update_expected_times (context);
-  add_starting_machines (plan);
+  add_booting_machines (plan);
   plan->offers = mh_machine_offers_new (context, scale_out, plan->estimates);
   mh_completion_forecast_add_running (plan->forecast, mh_cluster_machines (context->cluster),
                                       get_now_us (plan));
--- a/src/autoscaler/demand.h
+++ b/src/autoscaler/demand.h
@@ -1,7 +1,7 @@
 /* Demand: how many machines of which kind the pending tasks need in addition to those that are in
-   service or starting.
+   service or booting.
 
-   Pending tasks are assigned, in the order of the job queue, to starting machines, to CPUs that
+   Pending tasks are assigned, in the order of the job queue, to booting machines, to CPUs that
    running tasks are expected to free in time, and to machines that would have to be created. */
 #pragma once
 
@@ -33,8 +33,6 @@
 /**
  * mh_demand_plan_free:
  * @plan: (transfer full) (nullable): a plan
- *
- * Frees the plan and its estimates.
  */
 void
 mh_demand_plan_free (MhDemandPlan *plan);
@@ -45,7 +43,7 @@
  * @plan: a plan
  *
  * Returns: (transfer none) (element-type MhCapacityEstimate): the machines of the plan: first the
- * starting ones, then those that would have to be created, in the order in which tasks need them
+ * booting ones, then those that would have to be created, in the order in which tasks need them
  */
 const GArray *
 mh_demand_plan_estimates (const MhDemandPlan *plan);
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -6,7 +6,7 @@
 #define TYPES_REFRESH_INTERVAL_US (60 * MH_SECOND_US)
 /* Shortest interval between two reads of the list of machines. */
 #define MIN_LIST_REFRESH_INTERVAL_US (5 * MH_SECOND_US)
-/* Delay before the next attempt after a read has failed. */
+/* Delay before a failed read is repeated. */
 #define RETRY_INTERVAL_US MH_SECOND_US
 /* The share of the cloud's rate limit that reading the list may use. With thousands of machines the
    list has many pages, and without this limit requests to create and release machines wait behind
--- a/src/autoscaler/inventory.h
+++ b/src/autoscaler/inventory.h
@@ -16,8 +16,8 @@
 
 /**
  * mh_inventory_new:
- * @context: (not transferred): the lower layers; must outlive the object
- * @scale_in: (not transferred): releases failed machines; must outlive the object
+ * @context: (transfer none): the lower layers; must outlive the object
+ * @scale_in: (transfer none): releases failed machines; must outlive the object
  *
  * Returns: (transfer full): an inventory that has read nothing yet
  */
--- a/src/autoscaler/lost-capacity.h
+++ b/src/autoscaler/lost-capacity.h
@@ -23,8 +23,6 @@
 /**
  * mh_lost_capacity_free:
  * @lost_capacity: (transfer full) (nullable): lost capacity
- *
- * Frees the counter.
  */
 void
 mh_lost_capacity_free (MhLostCapacity *lost_capacity);
--- a/src/autoscaler/machine-offer.c
+++ b/src/autoscaler/machine-offer.c
@@ -36,7 +36,7 @@
 }
 
 static void
-count_machines (MhMachineOffers *offers, GHashTable *machines, const GArray *starting)
+count_machines (MhMachineOffers *offers, GHashTable *machines, const GArray *booting)
 {
   GHashTableIter iter;
   gpointer value;
@@ -47,8 +47,8 @@
       if (!mh_machine_is_releasing (machine) && machine->heartbeat.reported && machine->zone)
         (*get_zone_machine_count (offers, machine->zone))++;
     }
-  for (guint i = 0; i < starting->len; i++)
-    (*get_zone_machine_count (offers, g_array_index (starting, MhCapacityEstimate, i).zone))++;
+  for (guint i = 0; i < booting->len; i++)
+    (*get_zone_machine_count (offers, g_array_index (booting, MhCapacityEstimate, i).zone))++;
 }
 
 static void
@@ -73,14 +73,14 @@
 
 MhMachineOffers *
 mh_machine_offers_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-                       const GArray *starting)
+                       const GArray *booting)
 {
   const GPtrArray *types = mh_cluster_types (context->cluster);
   MhMachineOffers *offers = g_new0 (MhMachineOffers, 1);
   offers->offers = g_array_new (FALSE, FALSE, sizeof (MhMachineOffer));
   g_array_set_clear_func (offers->offers, offer_clear);
   offers->machines_by_zone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  count_machines (offers, mh_cluster_machines (context->cluster), starting);
+  count_machines (offers, mh_cluster_machines (context->cluster), booting);
   for (guint i = 0; i < types->len; i++)
     add_type_offers (offers, context, scale_out, g_ptr_array_index (types, i));
   return offers;
--- a/src/autoscaler/machine-offer.h
+++ b/src/autoscaler/machine-offer.h
@@ -12,7 +12,7 @@
  * @type: the machine type
  * @zone: (owned): the zone, interned
  * @spot: whether it is a spot machine
- * @machines_in_zone: how many machines the zone has, including starting and planned ones; shared by
+ * @machines_in_zone: how many machines the zone has, including booting and planned ones; shared by
  * the offers of the zone
  *
  * A kind of machine that can be created.
@@ -36,20 +36,18 @@
  * mh_machine_offers_new:
  * @context: the lower layers
  * @scale_out: provides the kinds that the cloud refused recently
- * @starting: (element-type MhCapacityEstimate): starting machines, which count as machines of
- * their zones
+ * @booting: (element-type MhCapacityEstimate): booting machines, which count as machines of their
+ * zones
  *
  * Returns: (transfer full): the kinds of machine that can be created at present
  */
 MhMachineOffers *
 mh_machine_offers_new (const MhAutoscalerContext *context, const MhScaleOut *scale_out,
-                       const GArray *starting);
+                       const GArray *booting);
 
 /**
  * mh_machine_offers_free:
  * @offers: (transfer full) (nullable): offers
- *
- * Frees the offers.
  */
 void
 mh_machine_offers_free (MhMachineOffers *offers);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -19,8 +19,8 @@
 /* Maximum number of machines in one call (PROTOCOL, "POST /machines/release"). */
 #define MAX_MACHINES_PER_BATCH 100u
 /* Maximum number of batches in flight; further releases wait for a later batch. Without this
-   limit, calls for a few machines each use up the cloud's rate limit, and requests to create and
-   list machines wait behind them. */
+   limit, many calls for a few machines each use up the cloud's rate limit, and requests to create
+   and list machines wait behind them. */
 #define MAX_BATCHES_IN_FLIGHT 2u
 /* Bytes that the encoding of a machine name in the record adds to the name. */
 #define ENCODED_NAME_OVERHEAD_BYTES 4u
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -22,8 +22,8 @@
 
 /**
  * mh_scale_in_new:
- * @context: (not transferred): the lower layers; must outlive the object
- * @lost_capacity: (not transferred): receives the CPUs in use on released machines; must outlive
+ * @context: (transfer none): the lower layers; must outlive the object
+ * @lost_capacity: (transfer none): receives the CPUs in use on released machines; must outlive
  * the object
  *
  * Returns: (transfer full): an object without pending releases
--- a/src/autoscaler/scale-out.h
+++ b/src/autoscaler/scale-out.h
@@ -27,8 +27,8 @@
 
 /**
  * mh_scale_out_new:
- * @context: (not transferred): the lower layers; must outlive the object
- * @lost_capacity: (not transferred): reduced by the CPUs of new machines; must outlive the
+ * @context: (transfer none): the lower layers; must outlive the object
+ * @lost_capacity: (transfer none): reduced by the CPUs of new machines; must outlive the
  * object
  *
  * Returns: (transfer full): an object without a request in flight
--- a/src/placement/candidate.c
+++ b/src/placement/candidate.c
@@ -13,11 +13,11 @@
 /* Age, in boot times of its type, up to which a machine that has not reported counts as booting. No
    task waits for an older one. */
 #define MAX_BOOT_TIMES 2
-/* A booting machine is not expected before this fraction (1/n) of its type's boot time from now,
-   also when its boot time is over. */
+/* A booting machine is expected no earlier than this fraction (1/n) of its type's boot time from
+   now, even if its boot time has passed. */
 #define LATE_BOOT_DIVISOR 4
-/* Silence, in halves of the report interval, after which a machine may be partitioned and does not
-   count as live. */
+/* Silence, in halves of the heartbeat interval, after which a machine may be partitioned and does
+   not count as live. */
 #define SILENT_HALF_INTERVALS 5
 
 /* ---- a pass ---- */
--- a/src/placement/candidate.h
+++ b/src/placement/candidate.h
@@ -69,12 +69,13 @@
  * @cycle: a cycle
  * @image_wait_us: time until the job's image is present on the best candidate
  *
- * Claims resources of a booting machine for a replica of a service. Concurrent image fetches share
- * the fetch rate of a machine, so that each of them takes as long as all together. If a machine
- * that is booting, and has no other image to fetch, would have the image earlier than the best
- * candidate, the replica waits for that machine.
+ * Claims resources of a booting machine for a replica of a service, if the replica would have its
+ * image there earlier than on the best candidate. Concurrent image fetches share the fetch rate of
+ * a machine, so that each of them takes as long as all together. A booting machine is therefore
+ * claimed for one image only.
  *
- * Returns: whether a task of the job waits; the claim holds until the end of this pass
+ * Returns: whether the replica waits for a booting machine; the claim holds until the end of this
+ * pass
  */
 bool
 mh_booting_machine_claim (MhJobCycle *cycle, gint64 image_wait_us);
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -79,8 +79,8 @@
 
 /* ---- stops ---- */
 
-/* Logs if a machine of the gang cannot get its stop as a direct command. It gets it with the answer
-   to its next report, which may be too late for all tasks to save together. */
+/* Logs if the stop cannot be sent to a machine of the gang as a direct command. It is then sent in
+   the response to the next heartbeat, which may be too late for all tasks to save together. */
 static void
 log_if_stop_is_delayed (MhGangAttempts *attempts, const MhJob *job)
 {
@@ -132,8 +132,8 @@
       mh_attempt_set_task_done (attempts->cluster, job, i);
 }
 
-/* Stops the remaining tasks of an attempt that is over. They could only wait for the others, or
-   notice that one is gone. A task whose start was never sent is over at once. */
+/* Stops the remaining tasks of an attempt in which a task has ended. They could only wait for that
+   task, or notice that it is gone. A task whose start was never sent ends at once. */
 static void
 end_attempt (MhGangAttempts *attempts, MhJob *job)
 {
@@ -169,8 +169,9 @@
          && mh_runtime_now_us (attempts->runtime) - job->gang.gathering_since_us >= limit_us;
 }
 
-/* Stops a gang that is not complete shortly before its workers give up. After they have given up,
-   its tasks would only begin to wait again. */
+/* Stops a gang that is not complete shortly before its workers give up. No task is started for some
+   time on the machines that still fetch its image. If the workers gave up first, the gang could be
+   placed on the same machines, and its tasks would only begin to wait again. */
 static void
 stop_incomplete_gang (MhGangAttempts *attempts, MhJob *job)
 {
--- a/src/placement/gang-attempt.h
+++ b/src/placement/gang-attempt.h
@@ -2,8 +2,8 @@
 
    All tasks have the same attempt number. Starts are sent only once the whole attempt is on record,
    all tasks are stopped together, and the next attempt begins when every task of the last one is
-   proven gone. The other tasks are stopped or completed in the next step of the controller, since
-   the caller that reports the end of a task may be iterating over them. */
+   proven gone. When one task has ended, the others are stopped or completed in the next step of the
+   controller, since the caller that reports the end may be iterating over them. */
 #pragma once
 
 #include "cluster/cluster.h"
@@ -55,7 +55,7 @@
  * @job: a gang whose records have been read
  *
  * Restores the state of the attempt. If the records show a task as done, or only some of the tasks
- * as started, the attempt is over.
+ * as started, the attempt has ended.
  */
 void
 mh_gang_attempts_restore (MhGangAttempts *attempts, MhJob *job);
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -159,9 +159,10 @@
   return true;
 }
 
-/* Returns the image wait up to which the gang's start is in time. Where the images of an urgent
-   gang would be late, it takes the room of tasks further back in the queue instead, on machines
-   where its images are in time, as a service does. */
+/* Returns the image wait up to which the gang's start is in time; for a gang that is not urgent,
+   there is no limit. Where the images of an urgent gang would be late, it takes the room of tasks
+   further back in the queue instead, on machines where its images are in time, as a
+   service does. */
 static gint64
 max_image_wait_us (const MhPlacementPass *pass, const MhJob *job)
 {
--- a/src/placement/gang-site.c
+++ b/src/placement/gang-site.c
@@ -8,7 +8,8 @@
 #include <string.h>
 
 /* Maximum difference between the image waits of a gang's machines, as a share of the time for which
-   the workers wait for a gang to be complete. */
+   the workers wait for a gang to be complete: the first workers must not give up before the last
+   image is present. */
 #define MAX_IMAGE_WAIT_DIFFERENCE_SHARE 0.6
 /* Image waits within the same step rank alike. */
 #define IMAGE_WAIT_STEP_US (2 * MH_SECOND_US)
@@ -16,7 +17,7 @@
 /* ---- order ---- */
 
 /* Ranks by image wait, since the gang begins when its last image is present; then by the price of a
-   cpu, by the available room, least first, and by name. */
+   CPU, by the available room, least first, and by name. */
 static gint
 compare_sites (gconstpointer left, gconstpointer right)
 {
--- a/src/placement/gang-site.h
+++ b/src/placement/gang-site.h
@@ -6,8 +6,8 @@
 /**
  * MhGangCapacity:
  * @MH_GANG_CAPACITY_AVAILABLE: resources that are available now
- * @MH_GANG_CAPACITY_AFTER_STOPS: ... and those of tasks that are being stopped
- * @MH_GANG_CAPACITY_PREEMPTIBLE: ... and those of tasks that could be preempted
+ * @MH_GANG_CAPACITY_AFTER_STOPS: these, and the resources of tasks that are being stopped
+ * @MH_GANG_CAPACITY_PREEMPTIBLE: these, and the resources of tasks that could be preempted
  *
  * Which resources of a machine count as room.
  */
@@ -97,8 +97,8 @@
  *
  * Sorts the sites by the cost of making room there: the work that is lost by preemption, and the
  * image wait, which counts as lost work of the gang itself. When only the image wait counted, array
- * tasks that had run for long were stopped while others next to them had just begun. One task that
- * has to run again makes its whole array late.
+ * tasks that had run for long were stopped although others on other machines had just begun. A
+ * single task that has to run again makes its whole array late.
  */
 void
 mh_gang_sites_rank_by_cost (MhGangSites *sites);
--- a/src/placement/placement-types.h
+++ b/src/placement/placement-types.h
@@ -13,10 +13,10 @@
 
 /**
  * MhBootingMachine:
- * @machine: a machine that has been requested and has not reported yet
+ * @machine: a machine that has not reported to this leader yet
  * @ready_us: when it is expected to report, by the monotonic clock
  * @image: (nullable): the interned image of the tasks that wait for the machine; %NULL: none waits
- * @cpus: cores that are not claimed by waiting tasks
+ * @cpus: CPUs that are not claimed by waiting tasks
  * @mem_gb: memory in GB that is not claimed by waiting tasks
  *
  * A machine that is booting, and the resources of it that this pass has not promised to tasks yet.
@@ -48,7 +48,8 @@
  * @starts: number of tasks started in this pass
  * @preemptions: number of times that this pass made room by preemption
  * @may_preempt: whether this pass may look for tasks to preempt
- * @last_preemption_us: when a pass last looked for tasks to preempt
+ * @last_preemption_us: when a pass last looked for tasks to preempt for an array or a service, or
+ * preempted tasks for a gang
  *
  * One pass over the job queue.
  */
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -20,7 +20,8 @@
 #define REQUESTED_PASS_INTERVAL_US 50000
 /* Time between passes that nothing has requested. */
 #define IDLE_PASS_INTERVAL_US (MH_SECOND_US / 2)
-/* Minimum time between passes that look for tasks to preempt, which examines every task. */
+/* Minimum time between passes that look for tasks to preempt, which examines every task. A pass
+   that looked only for a gang, and could not make room for it, does not count. */
 #define PREEMPTION_INTERVAL_US (MH_SECOND_US / 5)
 /* Minimum time until the wake-up for a pass that cannot run yet. */
 #define MIN_WAKE_UP_DELAY_US 5000
@@ -130,8 +131,8 @@
   return mh_quota_fits (pass->settings, use, job, job->spec->cpus, job->spec->gpus);
 }
 
-/* Starts pending tasks for as long as a machine is found for the next one. A starved job starts one
-   task. */
+/* Starts pending tasks for as long as a machine is found for the next one. A starved job starts
+   only one task. */
 static void
 start_tasks (MhJobCycle *cycle)
 {
@@ -140,8 +141,8 @@
   guint startable = mh_task_failure_count_startable (pass->cluster, job);
   while (startable > 0 && find_next_pending (cycle) && cycle->pass->starts < MAX_STARTS_PER_PASS)
     {
-      /* Does not advance past a deferred task, which later passes would skip. Without this check, a
-         replica was never started. */
+      /* first_pending must not advance past a deferred task, or later passes would skip that
+         task. Without this check, a replica was never started. */
       if (!cycle->has_deferred_task)
         job->placement.first_pending = cycle->next_task;
       if (!is_task_within_quota (pass, job))
@@ -158,8 +159,9 @@
     }
 }
 
-/* Reserves the machine with the most unused cores for a starved job until a task fits there.
-   Without the reservation smaller tasks would always take what becomes free there bit by bit. */
+/* Reserves room on the machine with the most unused CPUs for a task of a starved job. Without the
+   reservation, smaller tasks would take what becomes free there bit by bit, and the task would
+   never fit. */
 static void
 reserve_machine (MhJobCycle *cycle)
 {
@@ -203,7 +205,7 @@
   start_tasks (&cycle);
   if (job->placement.starved && job->n_live == 0)
     reserve_machine (&cycle);
-  /* No task is preempted for a job in back-off, of which a start is only a retry. */
+  /* No task is preempted for a job that backs off: its next start is only a retry. */
   if (mh_job_pending_tasks (job) && !cycle.awaits_booting_machine && pass->may_preempt
       && !mh_job_backs_off (job))
     mh_preemption_make_room (&cycle);
@@ -219,13 +221,13 @@
   return false;
 }
 
-/* Whether the counts of a job's tasks by zone are complete. They are when every machine on which
+/* Whether the counts of a job's tasks by zone are complete. This is so when every machine on which
    the records show a task of the job has reported to this leader. Since a start is recorded before
    it is sent, the job has no tasks that the records do not show.
 
-   Once recovery has ended without all of these reports, at least the zones of these machines must
-   be known where placement depends on them: a machine that is known only from a record has no zone
-   yet, and the task on it would be left out of the counts. */
+   If recovery has ended before all of them have reported, at least their zones must be known where
+   placement depends on zones: a machine that is known only from a record has no zone yet, and the
+   task on it would be left out of the counts. */
 static bool
 has_known_counts (const MhPlacementPass *pass, const MhJob *job)
 {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -36,7 +36,7 @@
 /**
  * mh_placement_request_pass:
  * @placement: a placement
- * @urgent: whether the change may let a task start whose start is expected within seconds
+ * @urgent: whether the change may let a task start that is expected to start within seconds
  *
  * Requests an earlier pass after a change that may let tasks start.
  */
--- a/src/placement/preemption.c
+++ b/src/placement/preemption.c
@@ -79,7 +79,7 @@
    being stopped have left. Returns whether there is such a machine. Without this check, a replica
    for which a task had been stopped was started elsewhere before that task was gone. */
 static bool
-reserve_room_being_freed (MhJobCycle *cycle, gint64 image_wait_us)
+reserve_room_being_freed (MhJobCycle *cycle, gint64 max_wait_us)
 {
   const MhJobSpec *spec = cycle->job->spec;
   for (guint i = 0; i < cycle->pass->usable_machines->len; i++)
@@ -92,7 +92,7 @@
       if (!mh_victims_suffice (&available, spec, 1)
           || mh_machine_image_wait_us (cycle->pass->cluster, machine, cycle->job->image,
                                        spec->image_gb)
-                 > image_wait_us)
+                 > max_wait_us)
         continue;
       mh_resources_reserve (machine, spec, 1);
       return true;
@@ -165,9 +165,10 @@
   PreemptionSite site = find_site_with_least_loss (cycle, max_wait_us);
   if (site.machine == NULL)
     return false;
-  /* A replica that waits for a booting machine needs no room. Without this check, it was deferred
-     when the room made for it was free, other tasks took the room, and more tasks were stopped to
-     make room again: at the start of a day, eighty tasks were stopped for one service. */
+  /* A replica that waits for a booting machine needs no room. Without this check, room was made
+     for it, but once the room was free, the replica was deferred for a booting machine, other tasks
+     took the room, and more tasks were stopped to make room again: at the start of a day, eighty
+     tasks were stopped for one service. */
   if (mh_booting_machine_claim (cycle, site.image_wait_us))
     return true;
   g_autoptr (GPtrArray) victims = g_ptr_array_new ();
@@ -180,17 +181,17 @@
 }
 
 bool
-mh_preemption_make_room_for_task (MhJobCycle *cycle, gint64 image_wait_us)
+mh_preemption_make_room_for_task (MhJobCycle *cycle, gint64 max_wait_us)
 {
   MhPlacementPass *pass = cycle->pass;
   if (cycle->job->spec->gpus > 0)
     return false;
-  if (reserve_room_being_freed (cycle, image_wait_us))
+  if (reserve_room_being_freed (cycle, max_wait_us))
     return true;
   if (!pass->may_preempt || pass->preemptions >= MH_MAX_PREEMPTIONS_PER_PASS)
     return false;
   pass->last_preemption_us = pass->now_us;
-  if (!preempt_for_task (cycle, image_wait_us))
+  if (!preempt_for_task (cycle, max_wait_us))
     return false;
   pass->preemptions++;
   return true;
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -4,7 +4,7 @@
 
 #include "placement/placement-types.h"
 
-/** Maximum number of times that one pass makes room; one time is for one task, or for a gang. */
+/** Maximum number of tasks and gangs for which one pass makes room by preemption. */
 #define MH_MAX_PREEMPTIONS_PER_PASS 16u
 
 /**
@@ -26,14 +26,14 @@
 /**
  * mh_preemption_make_room_for_task:
  * @cycle: a cycle
- * @image_wait_us: the image must come within this time
+ * @max_wait_us: maximum image wait on the machine
  *
  * Makes room for one task of the job, or reserves room that is becoming free already.
  *
- * Returns: whether room is reserved, for which the task can wait
+ * Returns: whether the task can wait, for reserved room or for a booting machine
  */
 bool
-mh_preemption_make_room_for_task (MhJobCycle *cycle, gint64 image_wait_us);
+mh_preemption_make_room_for_task (MhJobCycle *cycle, gint64 max_wait_us);
 
 /**
  * mh_preemption_make_room:
--- a/src/placement/quota.h
+++ b/src/placement/quota.h
@@ -1,4 +1,4 @@
-/* Team quotas: the cpus and GPUs that the tasks of a team may use at the same time. */
+/* Team quotas: the CPUs and GPUs that the tasks of a team may use at the same time. */
 #pragma once
 
 #include "cluster/machine.h"
@@ -9,7 +9,7 @@
  * @settings: settings with the teams' quotas
  * @use: (nullable): what tasks of the team may currently use; %NULL: nothing
  * @job: a job
- * @more_cpus: cores that further tasks of the job would use
+ * @more_cpus: CPUs that further tasks of the job would use
  * @more_gpus: GPUs that they would use
  *
  * Returns: whether the quota of the job's team allows this in addition to @use; %FALSE for a team
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -4,13 +4,13 @@
 #include "cluster/machine.h"
 #include "jobs/job.h"
 
-/** Tolerance for amounts of resources, in cores, GPUs or GB: rounding errors in sums of fractions
-   of a cpu or a GB are smaller than this. */
+/** Tolerance for amounts of resources, in CPUs, GPUs or GB: rounding errors in sums of fractions
+   of a CPU or a GB are smaller than this. */
 #define MH_RESOURCE_EPSILON 1e-6
 
 /**
  * MhResources:
- * @cpus: cores
+ * @cpus: CPUs
  * @gpus: GPUs
  * @mem_gb: memory, in GB
  *
@@ -34,7 +34,7 @@
  * mh_resources_unused_cpus:
  * @machine: a machine whose type is known
  *
- * Returns: the cores that are not in use, whether or not they are reserved
+ * Returns: the CPUs that are not in use, whether or not they are reserved
  */
 double
 mh_resources_unused_cpus (const MhMachine *machine);
@@ -45,7 +45,7 @@
  * @spec: the job
  * @tasks: number of its tasks
  *
- * Reserves cores and memory on @machine for @tasks tasks of the job, until the next pass. GPUs are
+ * Reserves CPUs and memory on @machine for @tasks tasks of the job, until the next pass. GPUs are
  * not reserved.
  */
 void
--- a/src/placement/score.c
+++ b/src/placement/score.c
@@ -15,7 +15,8 @@
 /* Late image waits of a service within the same step cost the same. */
 #define IMAGE_WAIT_STEP_US (10 * MH_SECOND_US)
 
-/* Costs for a service. They are coarse so that the price decides among similar machines. */
+/* Costs for a service. They are coarse so that the price decides among machines with similar
+   waits. */
 #define IMAGE_PRESENT_COST 0
 #define IMAGE_IN_TIME_COST 1
 #define MIN_LATE_IMAGE_COST 2
--- a/src/placement/score.h
+++ b/src/placement/score.h
@@ -9,12 +9,13 @@
  * @candidate: a candidate whose machine and image wait are set
  * @start_slack_us: how long a start may still take
  *
- * For an array, the price of one cpu of the machine for the time in which a task waits for its
+ * For an array, the price of one CPU of the machine for the time in which a task waits for its
  * image and runs. Machines on which the task would miss the objective for its start rank last.
  *
  * For a service, whose users wait for its start, the cost depends on the image alone: present, in
  * time for the objective, or late, and then rising in steps of the wait. The steps are coarse so
- * that the price decides among similar machines, since replicas stay where they are.
+ * that the price decides among machines with similar waits, since a replica stays on its machine
+ * for long.
  *
  * Returns: the cost; lowest is best
  */
@@ -51,7 +52,7 @@
  * @right: (type MhCandidate): another one
  *
  * Compares in the documented order: score of the soft topology spread; cost; whether the machine is
- * above the price cap; score of the replicas there; price of a cpu; cores not in use, the fewest
+ * above the price cap; score of the replicas there; price of a CPU; CPUs not in use, the fewest
  * first, so that other machines become empty; name.
  *
  * Returns: less than, equal to, or greater than 0, if @left is better than, as good as, or worse
--- a/src/placement/topology-spread.h
+++ b/src/placement/topology-spread.h
@@ -1,5 +1,5 @@
-/* Topology spread of services over zones. This file has only the arithmetic of KEP-895 (Pod
-   Topology Spread Constraints). */
+/* Topology spread of services over zones: the constraint of a class, and the arithmetic of KEP-895
+   (Pod Topology Spread Constraints). */
 #pragma once
 
 #include "settings/settings.h"
--- a/src/placement/victim.c
+++ b/src/placement/victim.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* Weight that each level of priority adds to the loss of a cpu second. */
+/* Weight that each level of priority adds to the loss of a CPU second. */
 #define PRIORITY_LOSS_WEIGHT 3
 /* Seconds that are added to the run time of a gang's tasks, for gathering the gang again. */
 #define GATHERING_LOSS_S 30
@@ -51,7 +51,7 @@
   return spec->cpus * seconds * (1 + PRIORITY_LOSS_WEIGHT * spec->priority);
 }
 
-/* The loss is the work that has to be done again, in cpu seconds. Higher priority counts more,
+/* The loss is the work that has to be done again, in CPU seconds. Higher priority counts more,
    since otherwise the same arrays are stopped repeatedly while arrays of lower priority run. */
 double
 mh_victim_loss (const MhAttempt *attempt, gint64 now_us)
--- a/src/placement/victim.h
+++ b/src/placement/victim.h
@@ -21,7 +21,7 @@
  * @spec: a job
  * @seconds: how long one of its tasks has run
  *
- * Returns: the loss if that work has to be done again, in cpu seconds weighted by the job's
+ * Returns: the loss if that work has to be done again, in CPU seconds weighted by the job's
  * priority
  */
 double
@@ -58,7 +58,7 @@
  * @spec: a job that needs no GPU
  * @tasks: number of its tasks
  *
- * Returns: whether cores and memory of @resources are enough; GPUs are ignored
+ * Returns: whether CPUs and memory of @resources are enough; GPUs are ignored
  */
 bool
 mh_victims_suffice (const MhResources *resources, const MhJobSpec *spec, guint tasks);
