--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -132,8 +132,8 @@
                   running ? MH_ATTEMPT_EVENT_REPORTED_RUNNING : MH_ATTEMPT_EVENT_REPORTED_WAITING);
   set_running (cluster, attempt, running);
   if (phase == MH_TASK_PHASE_WAITING_FOR_GANG)
-    mh_job_gang_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING,
-                       mh_runtime_now_us (cluster->runtime));
+    mh_gang_state_apply (&attempt->job->gang, MH_GANG_EVENT_TASK_GATHERING,
+                         mh_runtime_now_us (cluster->runtime));
 }
 
 /* ---- end of attempts ---- */
--- a/src/election/campaign.c
+++ b/src/election/campaign.c
@@ -7,8 +7,9 @@
 #include <string.h>
 
 /* Shortest delays before the leader key is read again after a failed campaign: when the transaction
-   conflicted with that of another controller, when it was carried out too late (the lease had
-   lapsed) or not at all, and when the store did not answer or reported an error. */
+   conflicted with that of another controller, when the lease had lapsed or the leader key does not
+   show that the transaction was carried out, and when the store did not respond or reported an
+   error. */
 #define CONFLICT_READ_DELAY_US 20000
 #define NOT_ELECTED_READ_DELAY_US 100000
 #define STORE_FAILURE_READ_DELAY_US 200000
--- a/src/election/election-state.c
+++ b/src/election/election-state.c
@@ -4,7 +4,7 @@
 bool
 mh_election_apply_event (MhElection *election, MhLeadershipEvent event)
 {
-  return mh_leadership_apply_event (&election->state, event);
+  return mh_leadership_state_apply (&election->state, event);
 }
 
 void
--- a/src/election/election-state.h
+++ b/src/election/election-state.h
@@ -30,8 +30,8 @@
  * @leader_name: (owned) (nullable): the last known leader
  * @leader_epoch: first epoch of that leadership
  * @leader_key_version: version of the leader key when it was last read; 0: the key does not exist
- * @request_pending: FOLLOWING, CAMPAIGNING: a request is in flight whose reply triggers the next
- * step
+ * @request_pending: FOLLOWING, CAMPAIGNING: a request is in flight whose response triggers the
+ * next step
  * @next_leader_read_us: FOLLOWING, if no request is pending: when to read the leader key again
  * @campaign_backoff_until_us: this controller does not campaign before this time, so that others
  * can be elected first
@@ -42,7 +42,7 @@
  * @next_renewal_us: if no renewal is in flight: when to send the next one
  * @last_announcement_us: when this controller last announced itself as leader to its peers
  *
- * All times are steady times in microseconds.
+ * All times are monotonic times in microseconds.
  */
 struct MhElection
 {
@@ -101,7 +101,7 @@
  * @election: an election
  * @class: priority of the request
  *
- * Revokes the lease in the key-value store. The reply is ignored.
+ * Revokes the lease in the key-value store. The response is ignored.
  */
 void
 mh_election_revoke_lease (MhElection *election, MhCallClass class);
--- a/src/election/election-types.h
+++ b/src/election/election-types.h
@@ -22,7 +22,7 @@
  * @clear_state: the leadership has ended; discards everything that was learned during it. All
  * calls have been discarded already
  * @renewed_after_lapse: the lease was renewed after it had lapsed by this controller's clock;
- * last_renewal_us is the steady time at which the previous confirmed renewal was sent
+ * last_renewal_us is the monotonic time at which the previous confirmed renewal was sent
  *
  * What the layers above do when leadership begins or ends. A callback must not call back into the
  * election, except to end the leadership.
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -144,8 +144,8 @@
 }
 
 /* The order matters: waiting users are answered first, then all calls are discarded, and only then
-   the objects that the calls refer to are freed. Replies to calls of this leadership are ignored
-   from here on. */
+   the objects that the calls refer to are freed. Responses to calls of this leadership are
+   ignored from here on. */
 static void
 clear_leadership (MhElection *election)
 {
@@ -256,7 +256,7 @@
   if (mh_election_is_leader (election))
     announce_leadership (election);
   else
-    /* Nothing can be written after the lease has lapsed: waiting users are told to retry. */
+    /* Nothing can be written after the lease has lapsed: waiting users must retry. */
     election->callbacks->reject_waiting_users (election->owner);
 }
 
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -76,7 +76,7 @@
  * @reason: why this controller must no longer lead
  *
  * Ends the leadership: mh_election_is_leader () is %FALSE from now on. The state of the leadership
- * is cleared at the next step,  because the caller may still hold pointers into it. Has no effect
+ * is cleared at the next step, because the caller may still hold pointers into it. Has no effect
  * if this controller is not elected or is already stepping down; the first reason is kept.
  */
 void
@@ -231,7 +231,7 @@
  * mh_election_elected_us:
  * @election: an election
  *
- * Returns: the steady time at which this controller was last elected; 0: never
+ * Returns: the monotonic time at which this controller was last elected; 0: never
  */
 gint64
 mh_election_elected_us (const MhElection *election);
@@ -240,7 +240,7 @@
  * mh_election_lease_until_us:
  * @election: an election
  *
- * Returns: the steady time at which the lease lapses for this controller; 0: no lease is held
+ * Returns: the monotonic time at which the lease lapses for this controller; 0: no lease is held
  */
 gint64
 mh_election_lease_until_us (const MhElection *election);
@@ -252,8 +252,8 @@
  * No successor can have been elected before this time. The period in which a leader that cannot
  * renew its lease may keep tasks alive starts here (docs/design.md, "Leadership").
  *
- * Returns: the steady time at which the last request was sent by which the store granted or renewed
- * the lease; 0: no lease is held
+ * Returns: the monotonic time at which the last request was sent that the store confirmed, to grant
+ * or to renew the lease; 0: no lease is held
  */
 gint64
 mh_election_last_renewal_us (const MhElection *election);
--- a/src/election/follower.h
+++ b/src/election/follower.h
@@ -8,7 +8,7 @@
  * mh_follower_read_leader_key:
  * @election: an election in which this controller is a follower and has no request pending
  *
- * Reads the leader key. Depending on the reply, this controller watches the key, campaigns, or
+ * Reads the leader key. Depending on the response, this controller watches the key, campaigns, or
  * schedules another read.
  */
 void
--- a/src/election/leader-contact.h
+++ b/src/election/leader-contact.h
@@ -7,12 +7,12 @@
 
 /**
  * MhLeaderContact:
- * @leader_confirmed_us: steady time at which a leader was last confirmed: by the leader key or its
- * watch, an announcement, a reply to a forwarded request, or this controller's own leadership; 0:
- * never
- * @unanswered_since_us: steady time of the first forwarded request that the leader did not answer
- * since it last answered one; 0: none, or the leader has changed since
- * @last_unanswered_us: steady time of the last forwarded request that the leader did not answer
+ * @leader_confirmed_us: monotonic time at which a leader was last confirmed: by the leader key or
+ * its watch, an announcement, a response to a forwarded request, or this controller's own
+ * leadership; 0: never
+ * @unanswered_since_us: monotonic time of the first forwarded request that the leader did not
+ * answer since it last answered one; 0: none, or the leader has changed since
+ * @last_unanswered_us: monotonic time of the last forwarded request that the leader did not answer
  *
  * What this controller knows about the leader and its reachability.
  */
@@ -26,7 +26,7 @@
 /**
  * mh_leader_contact_note_answered:
  * @contact: a contact
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  *
  * Records that the leader answered a forwarded request.
  */
@@ -36,7 +36,7 @@
 /**
  * mh_leader_contact_note_unanswered:
  * @contact: a contact
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  *
  * Records that the leader did not answer a forwarded request.
  */
@@ -46,7 +46,7 @@
 /**
  * mh_leader_contact_is_ready:
  * @contact: a contact
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  * @follows_leader: this controller follows a leader that it knows
  *
  * A controller stays ready through an ordinary failover and through an outage of the key-value
--- a/src/election/leadership.c
+++ b/src/election/leadership.c
@@ -31,7 +31,7 @@
 }
 
 bool
-mh_leadership_apply_event (MhLeadershipState *state, MhLeadershipEvent event)
+mh_leadership_state_apply (MhLeadershipState *state, MhLeadershipEvent event)
 {
   MhLeadershipState next = MH_LEADERSHIP_FOLLOWING;
   g_return_val_if_fail (state, false);
--- a/src/election/leadership.h
+++ b/src/election/leadership.h
@@ -29,7 +29,7 @@
  * MhLeadershipEvent:
  * @MH_LEADERSHIP_EVENT_CAMPAIGN: no other controller leads, and this one starts to campaign
  * @MH_LEADERSHIP_EVENT_CAMPAIGN_FAILED: another controller was elected first, the lease lapsed, or
- * the store did not answer
+ * the store did not respond or reported an error
  * @MH_LEADERSHIP_EVENT_ELECTED: the leader key names this controller and its lease
  * @MH_LEADERSHIP_EVENT_RECORDS_LOADED: all records are in memory
  * @MH_LEADERSHIP_EVENT_LOST: this controller must no longer lead
@@ -55,7 +55,7 @@
  * @MH_LOSS_LEASE_EXPIRED: the lease no longer exists in the store
  * @MH_LOSS_ANOTHER_LEADER: a write was rejected because another controller holds the leader key
  * @MH_LOSS_ANOTHER_ANNOUNCED: another controller announced itself as leader with a higher epoch
- * @MH_LOSS_RECORD_REFUSED: the store rejected a record as malformed
+ * @MH_LOSS_RECORD_REFUSED: the store rejected the record of a machine release as malformed
  * @MH_LOSS_RECORD_DIFFERS: a final record that a write conflicted with is missing or malformed
  * @MH_LOSS_RECORD_CHANGED: another writer changed a record
  * @MH_LOSS_WRITE_OUTCOME_UNKNOWN: it cannot be determined whether an unanswered write took effect
@@ -83,7 +83,7 @@
 } MhLossReason;
 
 /**
- * mh_leadership_apply_event:
+ * mh_leadership_state_apply:
  * @state: (inout): the current state
  * @event: what happened
  *
@@ -94,7 +94,7 @@
  * Returns: %TRUE if @event was allowed and @state is now the next state
  */
 bool
-mh_leadership_apply_event (MhLeadershipState *state, MhLeadershipEvent event);
+mh_leadership_state_apply (MhLeadershipState *state, MhLeadershipEvent event);
 
 /**
  * mh_loss_reason_text:
--- a/src/election/lease.c
+++ b/src/election/lease.c
@@ -1,7 +1,7 @@
 #include "election/lease.h"
 
-/* Allowance for the drift between two steady clocks, as a fraction of the elapsed time: twice the
-   limit in PROTOCOL. */
+/* Allowance for the drift between two monotonic clocks, as a fraction of the elapsed time: twice
+   the limit in PROTOCOL. */
 #define CLOCK_DRIFT_ALLOWANCE 0.001
 /* Time for a decision that is made just before the lease lapses to leave the process. */
 #define SEND_MARGIN_US 100000
--- a/src/election/lease.h
+++ b/src/election/lease.h
@@ -1,4 +1,4 @@
-/* The leader lease in the key-value store, and how long it is valid by this controller's steady
+/* The leader lease in the key-value store, and how long it is valid by this controller's monotonic
    clock. */
 #pragma once
 
@@ -8,9 +8,9 @@
 /**
  * MhLease:
  * @id: the id that the store gave it; 0: no lease is held
- * @valid_until_us: steady time at which it lapses for this controller
- * @last_renewal_us: steady time at which the last request was sent by which the store granted or
- * renewed it
+ * @valid_until_us: monotonic time at which it lapses for this controller
+ * @last_renewal_us: monotonic time at which the last request was sent that the store confirmed, to
+ * grant or to renew it
  *
  * A lease. All fields are 0 if none is held.
  */
@@ -24,13 +24,13 @@
 /**
  * mh_lease_confirm:
  * @lease: a lease
- * @sent_us: steady time at which the request that was answered now was sent
+ * @sent_us: monotonic time at which the confirmed request was sent
  * @duration_us: how long the store grants the lease, in microseconds
  *
  * Records that the store granted or renewed the lease. The lease counts from @sent_us, because the
- * reply may have been delayed. It lapses here before it expires in the store, by an allowance for
- * the drift between two steady clocks (at most 0.05% according to PROTOCOL, doubled here) and by
- * the time that a decision made just before the end needs to leave the process.
+ * response may have been delayed. It lapses here before it expires in the store, by an allowance
+ * for the drift between two monotonic clocks (at most 0.05% according to PROTOCOL, doubled here)
+ * and by the time that a decision made just before the end needs to leave the process.
  */
 void
 mh_lease_confirm (MhLease *lease, gint64 sent_us, gint64 duration_us);
@@ -38,7 +38,7 @@
 /**
  * mh_lease_is_valid:
  * @lease: a lease
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  *
  * Returns: %TRUE if the lease has not lapsed at @now_us
  */
--- a/src/jobs/final-answers.c
+++ b/src/jobs/final-answers.c
@@ -9,7 +9,7 @@
 
 struct MhFinalAnswers
 {
-  GHashTable *by_id; /* job id -> MhUserAnswer */
+  GHashTable *by_id; /* job id -> MhUserResponse */
   GQueue oldest;     /* job ids, the oldest entry first */
   guint max_entries;
 };
--- a/src/jobs/final-answers.h
+++ b/src/jobs/final-answers.h
@@ -1,5 +1,4 @@
-/* A bounded cache of the final states of jobs that are over, from which users' requests are
-   answered.
+/* A bounded cache of the final states of ended jobs, from which users' requests are answered.
 
    The state of a job that is not in the cache is read from the key-value store. When the cache is
    full, the oldest entry is evicted. */
--- a/src/jobs/gang-state.c
+++ b/src/jobs/gang-state.c
@@ -35,7 +35,7 @@
 }
 
 bool
-mh_job_gang_apply (MhJobGang *gang, MhGangEvent event, gint64 now_us)
+mh_gang_state_apply (MhJobGang *gang, MhGangEvent event, gint64 now_us)
 {
   MhGangState next;
   if (!mh_gang_state_next (gang->state, event, &next))
--- a/src/jobs/gang-state.h
+++ b/src/jobs/gang-state.h
@@ -11,8 +11,9 @@
  * @MH_GANG_STATE_PLACED: every task has a machine
  * @MH_GANG_STATE_GATHERING: at least one task has fetched its image and waits for the others. The
  * gang stays in this state when its tasks run
- * @MH_GANG_STATE_ENDING: a task of the attempt has ended, or all tasks were requested to stop. The
- * next attempt begins after each task of this one is proven gone
+ * @MH_GANG_STATE_ENDING: a task has ended without being done or is missing from the records, or
+ * all tasks were requested to stop. The next attempt begins after each task of this one is proven
+ * gone
  *
  * The state of a gang's attempt.
  */
@@ -52,7 +53,7 @@
 /**
  * MhJobGang:
  * @state: state of the attempt
- * @gathering_since_us: in %MH_GANG_STATE_GATHERING: steady time at which the first task was
+ * @gathering_since_us: in %MH_GANG_STATE_GATHERING: monotonic time at which the first task was
  * reported to wait for the others
  * @held_tasks: number of tasks for which the last placement pass held capacity, since the whole
  * gang could not be placed
@@ -75,8 +76,8 @@
  * @event: what happens
  * @next: (out): the state after @event; @state if the event is refused
  *
- * Looks up a transition. While an attempt is ending, a new attempt is refused, and so is a report
- * that a task waits for the others. Records do not replace what reports have already shown of an
+ * Looks up a transition. While an attempt is ending, a new attempt is refused, and so is a message
+ * that a task waits for the others. Records do not replace what messages have already shown of an
  * attempt: %MH_GANG_EVENT_RESTORED is refused unless the gang is idle.
  *
  * Returns: %FALSE if the event is refused
@@ -85,14 +86,14 @@
 mh_gang_state_next (MhGangState state, MhGangEvent event, MhGangState *next);
 
 /**
- * mh_job_gang_apply:
+ * mh_gang_state_apply:
  * @gang: a gang
  * @event: what happens
- * @now_us: the present, by the steady clock
+ * @now_us: the current time, by the monotonic clock
  *
  * Moves to the next state, see mh_gang_state_next(). A refused event changes nothing.
  *
  * Returns: %FALSE if the event is refused
  */
 bool
-mh_job_gang_apply (MhJobGang *gang, MhGangEvent event, gint64 now_us);
+mh_gang_state_apply (MhJobGang *gang, MhGangEvent event, gint64 now_us);
--- a/src/jobs/job-failures.h
+++ b/src/jobs/job-failures.h
@@ -8,11 +8,11 @@
  * @machines: (nullable): names of the machines on which a task of the job has failed; %NULL: none
  * @count: number of failures. Another failure on the same machine shortly after the last one is not
  * counted: tasks that start together on one machine fail together
- * @failed_us: steady time of the last failure that was counted, in microseconds
+ * @failed_us: monotonic time of the last failure that was counted, in microseconds
  * @back_off_level: level of the exponential back-off; 0: the job does not back off
  *
- * The failures of a job's tasks since the job last succeeded. src/cluster/task-failure.c updates
- * them.
+ * The failures of a job's tasks since a task of the job last succeeded. src/cluster/task-failure.c
+ * updates them.
  */
 typedef struct
 {
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -4,9 +4,10 @@
 
 #include <string.h>
 
-/* A job is starved if none of its tasks is placed or done this long after its submission. It then
-   goes before all work that is not urgent, with one task at first. Otherwise the largest jobs and
-   those of the lowest priority would wait for ever behind a steady stream of small ones. */
+/* A job is starved if none of its tasks is placed or done this long after its submission, unless
+   it backs off. It then goes before all work that is not urgent, with one task at first. Otherwise
+   the largest jobs and those of the lowest priority would wait for ever behind a steady stream of
+   small ones. */
 #define STARVATION_THRESHOLD_US (150 * MH_SECOND_US)
 /* Tolerance for the rounding errors of sums of fractional resources. */
 #define RESOURCE_EPSILON 1e-6
--- a/src/jobs/job-queue.h
+++ b/src/jobs/job-queue.h
@@ -62,7 +62,7 @@
  * @queue: a queue
  * @scope: which jobs to return
  * @types: (nullable) (element-type MhMachineType): the machine types; %NULL: not known yet
- * @now_us: the present, by the steady clock
+ * @now_us: the current time, by the monotonic clock
  *
  * Updates the members of MhJobPlacement that depend on the present, and sorts the jobs.
  *
@@ -87,9 +87,9 @@
  * @left: (type MhJob**): a job
  * @right: (type MhJob**): another one
  *
- * Compares two jobs by the documented order. Starved jobs below %MH_TIER_GUARANTEED count as of
- * that tier. The keys are: tier; starved jobs before others, and among each other by submission;
- * priority; the latest start that is in time; submission.
+ * Compares two jobs by the order in which they are started. Starved jobs below
+ * %MH_TIER_GUARANTEED count as jobs of that tier. The keys are: tier; starved jobs before others,
+ * and among each other by submission; priority; the latest start that is in time; submission.
  *
  * Returns: less than, equal to, or greater than 0, if @left comes before, equals, or comes after
  * @right
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -76,7 +76,7 @@
  * @MH_RECORD_WRITING_QUEUED: a transaction that carries the record along with the first record of
  * its job is in flight, and the record is also in the queue, so that it is written again
  * @MH_RECORD_IN_DOUBT: the write of a submission conflicted with an earlier job of the same id; a
- * read in flight decides what the submission is answered
+ * read in flight determines the response to the submission
  *
  * The state of a record between memory and the key-value store; see storage/record-state.h.
  */
@@ -109,8 +109,8 @@
  * @durable_revision: the last revision that is durable
  * @rechunked_revision: the last revision that is stored; 0: none. While the job is being
  * re-chunked, it becomes durable only when the new layout is in force
- * @refused_until_us: steady time before which the record is not written again after the store has
- * refused it, in microseconds
+ * @refused_until_us: monotonic time before which the record is not written again after the store
+ * has refused it, in microseconds
  * @queue_link: its link in the queue
  *
  * A record of a job, as memory and the key-value store hold it.
@@ -161,9 +161,9 @@
   bool starved;             /* none of its tasks has started for a long time */
   bool objectives_missed;   /* its deadline, or all its objectives, can no longer be met */
   guint first_pending;      /* no pending task has a lower index */
-  gint64 unplaced_since_us; /* steady time since when it has pending tasks; 0: it has none */
+  gint64 unplaced_since_us; /* monotonic time since when it has pending tasks; 0: it has none */
   gint64 latest_start_us;   /* latest start that meets its deadline or objectives */
-  gint64 retry_after_us;    /* no start before; set after failures or a worker's refusal */
+  gint64 retry_after_us;    /* no start before then; set after failures or a worker's refusal */
   gint64 expected_run_us;   /* run time of one task; updated by the scale-out plan */
   gint64 expected_fetch_us; /* fetch time of the image alone; updated by the scale-out plan */
 } MhJobPlacement;
@@ -181,7 +181,7 @@
   /* Tasks. */
   MhTask *tasks;
   guint n_done, n_live, n_running;
-  guint n_unreported; /* live attempts on machines that have not reported to this leader */
+  guint n_unreported; /* live attempts on machines that have sent no message to this leader */
 
   /* Durable state. */
   MhRecord *records;
--- a/src/jobs/objective.c
+++ b/src/jobs/objective.c
@@ -1,7 +1,7 @@
 #include "jobs/objective.h"
 
-/* A job that can no longer meet any objective counts as due this much later, so that it goes behind
-   jobs that can, but does not wait for ever. */
+/* A job that can no longer meet its deadline or any objective counts as due this long after its
+   last due time, so that it goes behind jobs that can, but does not wait for ever. */
 #define MISSED_OBJECTIVE_DELAY_US (180 * MH_SECOND_US)
 /* A job without a deadline and without an objective for its end is due this long after its
    submission. */
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -64,7 +64,8 @@
 mh_gang_attempts_handle_task_end (MhGangAttempts *attempts, MhJob *job, bool done)
 {
   if (!done)
-    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_TASK_LOST, mh_runtime_now_us (attempts->runtime));
+    mh_gang_state_apply (&job->gang, MH_GANG_EVENT_TASK_LOST,
+                         mh_runtime_now_us (attempts->runtime));
   add_unreconciled (attempts, job);
 }
 
@@ -74,7 +75,7 @@
   if (job->n_done || (job->n_live && job->n_live < job->spec->tasks))
     mh_gang_attempts_handle_task_end (attempts, job, job->n_done > 0);
   else if (job->n_live)
-    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_RESTORED, mh_runtime_now_us (attempts->runtime));
+    mh_gang_state_apply (&job->gang, MH_GANG_EVENT_RESTORED, mh_runtime_now_us (attempts->runtime));
 }
 
 /* ---- stops ---- */
@@ -105,8 +106,8 @@
   bool is_saving = grace_us > 0 && job->n_running;
   if (is_saving && job->gang.state != MH_GANG_STATE_ENDING)
     log_if_stop_is_delayed (attempts, job);
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOP_REQUESTED,
-                     mh_runtime_now_us (attempts->runtime));
+  mh_gang_state_apply (&job->gang, MH_GANG_EVENT_STOP_REQUESTED,
+                       mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
@@ -124,7 +125,7 @@
 static void
 complete_gang (MhGangAttempts *attempts, MhJob *job)
 {
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_COMPLETED, mh_runtime_now_us (attempts->runtime));
+  mh_gang_state_apply (&job->gang, MH_GANG_EVENT_COMPLETED, mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
       mh_attempt_note_ended (attempts->cluster, job->tasks[i].live, true);
@@ -148,7 +149,7 @@
         mh_attempt_request_stop (attempts->cluster, attempt, 0);
     }
   if (job->n_live == 0)
-    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_GONE, mh_runtime_now_us (attempts->runtime));
+    mh_gang_state_apply (&job->gang, MH_GANG_EVENT_GONE, mh_runtime_now_us (attempts->runtime));
 }
 
 static void
--- a/src/placement/gang-placement.c
+++ b/src/placement/gang-placement.c
@@ -65,7 +65,7 @@
   MhJob *job = sites->job;
   guint32 attempt = last_attempt_number (job) + 1;
   guint index = 0;
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_PLACED, sites->pass->now_us);
+  mh_gang_state_apply (&job->gang, MH_GANG_EVENT_PLACED, sites->pass->now_us);
   for (guint i = 0; i < sites->sites->len; i++)
     {
       const MhGangSite *site = &g_array_index (sites->sites, MhGangSite, i);
--- a/src/runtime/action.h
+++ b/src/runtime/action.h
@@ -1,7 +1,7 @@
 /* Actions: what the state machine asks its host to do.
 
    After each input, the host (src/server, or the simulation of the tests) takes the actions with
-   mh_core_pop () and carries them out in order. */
+   mh_core_pop_action () and carries them out in order. */
 #pragma once
 
 #include "protocol/request.h"
@@ -9,7 +9,8 @@
 
 /**
  * MhActionKind:
- * @MH_ACTION_SEND_REQUEST: send a request; the host passes its reply to mh_core_reply ()
+ * @MH_ACTION_SEND_REQUEST: send a request; the host passes its response to
+ * mh_core_receive_reply ()
  * @MH_ACTION_ANNOUNCE_LEADER: announce to another controller that this one leads, with epoch @id
  * @MH_ACTION_FORWARD_USER_REQUEST: forward a user's request to another controller
  * @MH_ACTION_ANSWER_USER: answer a user's request
@@ -34,15 +35,15 @@
  * description names
  * @id: SEND_REQUEST: number of the call; ANNOUNCE_LEADER: the epoch; FORWARD_USER_REQUEST,
  * ANSWER_USER, ANSWER_HEARTBEAT: number of the request that is forwarded or answered
- * @timeout_us: SEND_REQUEST, FORWARD_USER_REQUEST: how long to wait for a reply, in microseconds
+ * @timeout_us: SEND_REQUEST, FORWARD_USER_REQUEST: how long to wait for a response, in microseconds
  * @request: (owned) (nullable): SEND_REQUEST: the request
  * @answer: ANSWER_USER: the answer
  * @status: ANSWER_HEARTBEAT: the HTTP status
- * @body: (owned) (nullable): ANSWER_HEARTBEAT: the body of the answer
+ * @body: (owned) (nullable): ANSWER_HEARTBEAT: the body of the response
  * @node: (owned) (nullable): FORWARD_USER_REQUEST, ANNOUNCE_LEADER: the controller to send to
  * @line: (owned) (nullable): LOG: the line
  * @level: LOG: its log level
- * @lease_until_us: all kinds: steady time at which the leader lease ends that the action depends
+ * @lease_until_us: all kinds: monotonic time at which the leader lease ends that the action depends
  * on; the action must not leave the process after that. 0: it depends on no lease
  *
  * An action.
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -3,7 +3,7 @@
 #include "base/token-bucket.h"
 
 /* Changes of keys in the key-value store: the share of the store's rate limit that this controller
-   uses, and the burst of its token bucket, in seconds of the whole limit. The other controllers
+   uses, and the burst of its token bucket, in seconds at the full limit. The other controllers
    write a little too. */
 #define WRITE_RATE_SHARE 0.9
 #define WRITE_BURST_S 0.8
@@ -254,9 +254,9 @@
 }
 
 /* A call to a machine that is cut off holds its connection until the call times out. The bound on
-   calls in flight keeps connections free for the renewal of the lease and for incoming requests. A
-   queued call is sent only while the lease is valid, like a new one: when calls waited in a queue
-   behind the state machine, commands were sent after the lease had ended. */
+   calls in flight keeps connections free for the renewal of the lease and for incoming requests.
+   The lease is checked here, when a call leaves the queue, and not when it is queued: commands that
+   waited in a queue outside the state machine were sent after the lease had ended. */
 static void
 flush_workers (MhCallQueue *queue)
 {
--- a/src/runtime/call-queue.h
+++ b/src/runtime/call-queue.h
@@ -1,10 +1,10 @@
 /* Calls to the key-value store, the cloud and the workers, and the token buckets that limit their
    rate.
 
-   A call is a request and its reply, which arrives as a later input. At the end of a leadership its
-   calls are forgotten, and their replies are ignored. Calls to the cloud and to workers are sent
-   only while this controller may act as leader. Those that change something carry the end of its
-   leader lease. */
+   A call is a request and its response, which arrives as a later input. At the end of a leadership
+   its calls are forgotten, and their responses are ignored. Calls to the cloud and to workers are
+   sent only while this controller may act as leader. Those that change something carry the end of
+   its leader lease. */
 #pragma once
 
 #include "runtime/runtime.h"
@@ -34,9 +34,9 @@
 
 /**
  * MhReply:
- * @status: HTTP status; 0: no answer arrived, so that it is unknown whether the request was carried
- * out
- * @body: (nullable): body of the answer; valid only while the MhReplyFunc runs
+ * @status: HTTP status; 0: no response arrived, so that it is unknown whether the request was
+ * carried out
+ * @body: (nullable): body of the response; valid only while the MhReplyFunc runs
  *
  * The outcome of a call.
  */
@@ -52,7 +52,7 @@
  * @data: (nullable): data of the call
  * @reply: the outcome
  *
- * Handles a reply. It is not called for calls that were forgotten.
+ * Handles the outcome. It is not called for calls that were forgotten.
  */
 typedef void (*MhReplyFunc) (gpointer owner, gpointer data, const MhReply *reply);
 
@@ -61,11 +61,11 @@
  * @class: class of the call
  * @changes: number of keys that it changes in the key-value store; each takes a token of the write
  * bucket
- * @timeout_us: how long to wait for a reply after the request was sent, in microseconds
- * @func: handles the reply
+ * @timeout_us: how long to wait for a response after the request was sent, in microseconds
+ * @func: handles the outcome
  * @owner: passed to @func
  * @data: (nullable): passed to @func
- * @free_data: (nullable): frees @data after the reply, or when the call is forgotten
+ * @free_data: (nullable): frees @data after @func was called, or when the call is forgotten
  *
  * Options of a call.
  */
@@ -126,7 +126,7 @@
  * @id: number of the call
  * @reply: the outcome
  *
- * Passes the reply to the module that made the call. Does nothing if the call was forgotten.
+ * Passes the outcome to the module that made the call. Does nothing if the call was forgotten.
  */
 void
 mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhReply *reply);
@@ -135,7 +135,7 @@
  * mh_call_queue_forget_all:
  * @queue: a queue
  *
- * Forgets all calls that are queued or in flight. Replies that still arrive are ignored.
+ * Forgets all calls that are queued or in flight. Responses that still arrive are ignored.
  */
 void
 mh_call_queue_forget_all (MhCallQueue *queue);
@@ -156,7 +156,7 @@
  * mh_call_queue_store_rate:
  * @queue: a queue
  *
- * Returns: the limit of requests a second that this controller sends to the key-value store
+ * Returns: how many requests a second this controller may send to the key-value store
  */
 double
 mh_call_queue_store_rate (const MhCallQueue *queue);
@@ -185,8 +185,8 @@
  * mh_call_queue_store_paused_until_us:
  * @queue: a queue
  *
- * Returns: the steady time until which calls to the key-value store are paused, except for those of
- * %MH_CALL_LEASE
+ * Returns: the monotonic time until which calls to the key-value store are paused, except for those
+ * of %MH_CALL_LEASE
  */
 gint64
 mh_call_queue_store_paused_until_us (const MhCallQueue *queue);
@@ -216,9 +216,9 @@
 /**
  * mh_call_queue_handle_store_failure:
  * @queue: a queue
- * @status: HTTP status of the reply; 0: no answer arrived
+ * @status: HTTP status of the response; 0: no response arrived
  *
- * Handles a call to the key-value store that was not answered, or that the store could not carry
+ * Handles a call to the key-value store that got no response, or that the store could not carry
  * out at the time: logs it, and pauses further calls for a short time. After a 429 it also lowers
  * the rate of changes, see mh_call_queue_lower_write_rate ().
  */
@@ -228,7 +228,7 @@
 /**
  * mh_call_queue_log_store_failure:
  * @queue: a queue
- * @status: HTTP status of the reply; 0: no answer arrived
+ * @status: HTTP status of the response; 0: no response arrived
  *
  * Logs that a call to the key-value store failed, at most once a second.
  */
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -7,7 +7,7 @@
 
 /**
  * MhNow:
- * @mono_us: steady time, in microseconds
+ * @mono_us: monotonic time, in microseconds
  * @wall_us: wall-clock time, in microseconds since 1970
  * @jitter: a new random number in [0, 1)
  *
@@ -26,9 +26,9 @@
 /**
  * MhLeaseFunc:
  * @owner: as passed to mh_runtime_set_lease_source ()
- * @now_us: steady time, in microseconds
+ * @now_us: monotonic time, in microseconds
  *
- * Returns: the steady time at which this controller's leader lease ends; 0 if the controller may
+ * Returns: the monotonic time at which this controller's leader lease ends; 0 if the controller may
  * not act as leader at @now_us
  */
 typedef gint64 (*MhLeaseFunc) (gconstpointer owner, gint64 now_us);
@@ -39,8 +39,8 @@
  * @MH_LOG_STORE: calls to the key-value store that failed
  * @MH_LOG_PEER: requests that another controller did not answer
  *
- * Subjects of rate-limited log lines. Thousands of machines or calls may cause a line on one of
- * them at the same time; at most one line a second is logged on each.
+ * Subjects of rate-limited log lines. Thousands of machines or calls may cause a line on the same
+ * subject at the same time; at most one line a second is logged on each.
  */
 typedef enum
 {
@@ -118,7 +118,7 @@
  * mh_runtime_now_us:
  * @runtime: a runtime
  *
- * Returns: the steady time of the current input, in microseconds
+ * Returns: the monotonic time of the current input, in microseconds
  */
 gint64
 mh_runtime_now_us (const MhRuntime *runtime);
@@ -129,7 +129,7 @@
  * @min_delay_us: the shortest delay, in microseconds
  * @jitter_us: upper bound of the random addition to it, in microseconds
  *
- * Returns: the steady time after a random delay between @min_delay_us and @min_delay_us +
+ * Returns: the monotonic time after a random delay between @min_delay_us and @min_delay_us +
  * @jitter_us, so that controllers do not retry at the same moment
  */
 gint64
@@ -139,7 +139,7 @@
  * mh_runtime_resumed_us:
  * @runtime: a runtime
  *
- * Returns: the steady time at which this process last resumed after a pause, or after it had
+ * Returns: the monotonic time at which this process last resumed after a pause, or after it had
  * refused all workers' heartbeats; 0 if it never did. That no message of a peer arrived before this
  * time does not show that the peer has failed.
  */
@@ -167,7 +167,7 @@
 /**
  * mh_runtime_wake_at:
  * @runtime: a runtime
- * @at_us: steady time, in microseconds
+ * @at_us: monotonic time, in microseconds
  *
  * Requests a tick at @at_us at the latest.
  */
@@ -178,7 +178,7 @@
  * mh_runtime_next_wake_up_us:
  * @runtime: a runtime
  *
- * Returns: the steady time of the earliest wake-up that was requested
+ * Returns: the monotonic time of the earliest wake-up that was requested
  */
 gint64
 mh_runtime_next_wake_up_us (const MhRuntime *runtime);
@@ -189,7 +189,7 @@
  * mh_runtime_lease_until_us:
  * @runtime: a runtime
  *
- * Returns: the steady time at which this controller's leader lease ends; 0 if it may not act as
+ * Returns: the monotonic time at which this controller's leader lease ends; 0 if it may not act as
  * leader now
  */
 gint64
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -7,10 +7,10 @@
 #define CALL_TIMEOUT_US (2 * MH_SECOND_US)
 /* The largest number of records that one request reads. */
 #define PAGE_ENTRIES 400u
-/* How long calls to the store pause after a page could not be read: the pause plus a random part of
-   the spread, in microseconds. */
+/* How long calls to the store pause after a page could not be read, and the upper bound of the
+   random addition to it, in microseconds. */
 #define PAGE_RETRY_PAUSE_US 50000
-#define PAGE_RETRY_SPREAD_US 50000
+#define PAGE_RETRY_JITTER_US 50000
 
 struct MhRecordLoader
 {
@@ -257,7 +257,7 @@
       = reply->status == 200 ? mh_kv_list_decode (reply->body, &has_more, &revision, NULL) : NULL;
   if (entries == NULL)
     {
-      mh_call_queue_pause_store (loader->calls, PAGE_RETRY_PAUSE_US, PAGE_RETRY_SPREAD_US);
+      mh_call_queue_pause_store (loader->calls, PAGE_RETRY_PAUSE_US, PAGE_RETRY_JITTER_US);
       read_page (loader, page->prefix, page->after);
       return;
     }
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -5,16 +5,16 @@
 #include "protocol/key-value-messages.h"
 
 #define CALL_TIMEOUT_US MH_SECOND_US
-/* Limits the queued reads for status requests to as many as the key-value store serves in this
-   time. A user waits at most two seconds for an answer. */
+/* Limits the queued reads for status queries to as many as this controller may send to the
+   key-value store in this time. A user waits at most two seconds for an answer. */
 #define MAX_BACKLOG_S 1.0
-/* The limit on queued reads is not lower than this, however few requests the store serves. */
+/* The limit on queued reads is not lower than this, however low the rate limit is. */
 #define MIN_BACKLOG 8.0
 #define RETRY_AFTER_S 1u
 
 /* The order of the reads without a leader: the job's first record, then the final one, because a
-   job moves from the first to the second and never back; last, the leader's key. The answer is
-   given only if there is no leader's key. A leader that holds it may not know yet that its own last
+   job moves from the first to the second and never back; last, the leader key. The answer is
+   given only if there is no leader key. A leader that holds it may not know yet that its own last
    write was applied, and would then give the same user an older state. */
 typedef enum
 {
@@ -30,7 +30,7 @@
   GHashTable *jobs; /* id -> MhJob; not owned */
   MhJobLookupFinalFunc final_func;
   gpointer owner;
-  GHashTable *status_reads; /* job id -> JobRead for status requests; not owned */
+  GHashTable *status_reads; /* job id -> JobRead for status queries; not owned */
 };
 
 /* Reads about one job, with the requests that they answer. */
@@ -202,15 +202,15 @@
   return true;
 }
 
-/* Stores the answer that follows from the reply in `read->found`. False: the request failed, or the
-   record cannot be decoded. */
+/* Stores the answer that follows from the response in `read->found`. False: the request failed, or
+   the record cannot be decoded. */
 static bool
 decode_found (JobRead *read, const MhReply *reply)
 {
   if (reply->status == 404)
     {
-      /* A submission is looked up only if its job can never run. Its job was never accepted, so
-         that it is refused. */
+      /* A submission is looked up only if its job can never run. Without a record its job was
+         never accepted, and the submission is refused. */
       read->found = (MhUserResponse){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
       return true;
     }
@@ -257,8 +257,8 @@
 
 /* ---- requests ---- */
 
-/* Status requests use only the capacity of the store that other calls leave. True: more of them
-   would have to wait too long, so that further ones are answered 503 at once. */
+/* Status queries use only the capacity of the store that other calls leave. True: further ones
+   would wait too long, and are answered 503 at once. */
 static bool
 is_backlog_full (const MhJobLookup *lookup)
 {
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -2,8 +2,8 @@
    leader's memory, and requests while there is no leader.
 
    A user gets the answer that a job is unknown only if its records are absent and no controller can
-   be writing them. Status requests about the same job share their reads. If more reads are queued
-   than the key-value store serves in a second, further status requests are answered 503 at once. */
+   be writing them. Status queries about the same job share their reads. If more reads are queued
+   than this controller may send in a second, further status queries are answered 503 at once. */
 #pragma once
 
 #include "jobs/job.h"
@@ -54,7 +54,7 @@
  * @MH_LOOKUP_LEADER: this controller leads with a valid lease, and did not find the job accepted in
  * its memory: only the final record is read
  *
- * Which records an answer requires. The caller must check the lease as well as the phase of the
+ * Which records an answer requires. The caller must check the lease as well as the state of the
  * election before it passes MH_LOOKUP_LEADER: a leader whose lease has expired would otherwise
  * answer that unfinished jobs are unknown.
  */
--- a/src/storage/record-state.h
+++ b/src/storage/record-state.h
@@ -14,7 +14,8 @@
  *   job; if it is queued, it stays in the queue
  * @MH_RECORD_WRITTEN: the transaction was applied
  * @MH_RECORD_STAGED: the transaction was applied, but the record takes effect only when the job's
- *   first record is stored with the new layout. A change made during the write is queued then, too
+ *   first record is stored with the new layout. A change made during the write is not queued before
+ *   that either
  * @MH_RECORD_NOT_WRITTEN: the transaction was not applied, and the record has to be written again
  * @MH_RECORD_REJECTED: the store refused the record as malformed or too large in a transaction of
  *   this record alone
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -318,7 +318,7 @@
 }
 
 /* A transaction is built only when there are tokens for it. One that is built earlier would wait
-   for tokens as a call, and a user's submission would have to wait behind it. */
+   for tokens as a queued call, and a user's submission would have to wait behind it. */
 void
 mh_record_writer_step (MhRecordWriter *writer)
 {
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -1,6 +1,6 @@
 /* The queue of records that differ from what is stored, and the transactions that write them.
 
-   Every transaction is conditional on the leader's key and on the versions of the records that it
+   Every transaction is conditional on the leader key and on the versions of the records that it
    replaces, so that a controller that no longer leads cannot write. The most urgent records are
    written first. Changes to a queued record are combined into one write. README.md describes the
    rules. */
@@ -68,7 +68,7 @@
  * @writer: a writer
  * @epoch: the epoch of the leadership that begins. It is part of each tag, so that no two
  * leaderships use the same tag
- * @leader_version: the version of the leader's key, a condition of every transaction
+ * @leader_version: the version of the leader key, a condition of every transaction
  *
  * Prepares the writer for a leadership of this controller.
  */
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -120,10 +120,10 @@
 /**
  * MhStoredJob:
  * @spec: (owned): the job as its user submitted it
- * @submitted_wall_us: time of day of the submission, in microseconds since 1970
+ * @submitted_wall_us: wall-clock time of the submission, in microseconds since 1970
  * @chunk: the number of tasks in each record
  * @cancelled: whether its user has cancelled it
- * @back_off_level: how often the wait between its attempts was doubled; 0: no back-off
+ * @back_off_level: level of the exponential back-off; 0: no back-off
  *
  * The contents of a job's first record, without the tasks.
  */
--- a/src/storage/transaction.h
+++ b/src/storage/transaction.h
@@ -1,6 +1,6 @@
 /* One transaction of the key-value store: changes that are applied together if all conditions hold.
 
-   The same request is sent again until the outcome is known. If a request was not answered, a
+   The same request is sent again until the outcome is known. If a request got no response, a
    conflict on a later one may mean that the earlier request was applied. The record under the
    tagged key is then read: it carries the tag of the transaction if the transaction was applied. */
 #pragma once
@@ -15,7 +15,7 @@
  *   nothing was changed
  * @MH_TRANSACTION_THROTTLED: too many requests; nothing was changed
  * @MH_TRANSACTION_UNAVAILABLE: the store is unavailable for now; nothing was changed
- * @MH_TRANSACTION_UNKNOWN: no reply, or one that cannot be decoded: the request may have been
+ * @MH_TRANSACTION_UNKNOWN: no response, or one that cannot be decoded: the request may have been
  *   applied, or may still be
  *
  * The outcome of one request of a transaction (PROTOCOL, POST /multi).
@@ -32,7 +32,7 @@
 
 /**
  * mh_transaction_read_outcome:
- * @reply: the reply of the key-value store to one request
+ * @reply: the outcome of one request to the key-value store
  * @version: (out): the new version of all changed keys; set only for MH_TRANSACTION_APPLIED
  *
  * Returns: the outcome that @reply reports
@@ -50,7 +50,7 @@
  * earlier request was or will be applied
  * @applied: the transaction was applied, and the keys that it changed have this version
  * @conflict: the conditions on these keys did not hold. The transaction was not and will not be
- * applied, with one exception: if the leader's key is one of these keys, or no record in the
+ * applied, with one exception: if the leader key is one of these keys, or no record in the
  * transaction is tagged, an earlier request with an unknown outcome may have been applied
  * @malformed: the store refused the transaction as malformed or too large; `may_be_applied`: an
  * earlier request with an unknown outcome may have been applied
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -213,7 +213,9 @@
 read_final_record (MhRecordWriter *writer, const char *id);
 
 /* Handles the final record that a submission conflicted with. If there is one, the user has
-   submitted a job again that had already ended, and gets its final state. */
+   submitted a job again that had already ended, and gets its final state. If there is none, or it
+   is malformed, this leader cannot tell what the submission conflicted with, and its leadership
+   ends. */
 static void
 on_final_record (gpointer owner, gpointer data, const MhReply *reply)
 {
@@ -277,7 +279,7 @@
 }
 
 /* False: `key` is not of a submission in flight. Otherwise reads the final record of the job; the
-   submission is not written again before the reply. */
+   submission is not written again before the response. */
 static bool
 handle_repeated_submission (MhRecordWriter *writer, const char *key)
 {
@@ -328,9 +330,9 @@
 
 /* ---- refused transactions ---- */
 
-/* A submission that the store refuses is not accepted, and its job is removed. A job that is
-   already accepted, because other limits held then, or that may be accepted, keeps its stored
-   records; the record is written again later. */
+/* A submission that the store refuses is not accepted, and its job is removed. A job that was
+   accepted earlier, under other limits, or that an earlier request may have stored keeps its stored
+   records; the refused record is written again later. */
 static void
 reject_record (MhRecordWriter *writer, MhRecord *record, bool may_be_applied)
 {
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -217,7 +217,7 @@
     for (guint j = 0; j < MH_LEADERSHIP_EVENTS; j++)
       {
         MhLeadershipState state = (MhLeadershipState)i;
-        bool applied = mh_leadership_apply_event (&state, (MhLeadershipEvent)j);
+        bool applied = mh_leadership_state_apply (&state, (MhLeadershipEvent)j);
         g_assert_cmpint (applied, ==, expected[i][j] != refused);
         g_assert_cmpint (state, ==, applied ? expected[i][j] : (MhLeadershipState)i);
       }
--- a/tests/test-gang-state.c
+++ b/tests/test-gang-state.c
@@ -52,8 +52,8 @@
 test_gathering_since_first_report (void)
 {
   MhJobGang gang = { .state = MH_GANG_STATE_PLACED };
-  g_assert_true (mh_job_gang_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 5));
-  g_assert_true (mh_job_gang_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 9));
+  g_assert_true (mh_gang_state_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 5));
+  g_assert_true (mh_gang_state_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 9));
   g_assert_cmpint (gang.gathering_since_us, ==, 5);
 }
 
@@ -62,7 +62,7 @@
 test_refused_event_changes_nothing (void)
 {
   MhJobGang gang = { .state = MH_GANG_STATE_ENDING, .gathering_since_us = 5 };
-  g_assert_false (mh_job_gang_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 9));
+  g_assert_false (mh_gang_state_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 9));
   g_assert_cmpint (gang.state, ==, MH_GANG_STATE_ENDING);
   g_assert_cmpint (gang.gathering_since_us, ==, 5);
 }
