--- a/src/election/election-types.h
+++ b/src/election/election-types.h
@@ -20,7 +20,7 @@
  * @reject_waiting_users: answers the users who wait for a write that they must retry, because
  * nothing can be written now
  * @clear_state: the leadership has ended; discards everything that was learned during it. All
- * calls have been discarded already
+ * calls have been forgotten already
  * @renewed_after_lapse: the lease was renewed after it had lapsed by this controller's clock;
  * last_renewal_us is the monotonic time at which the previous confirmed renewal was sent
  *
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -143,7 +143,7 @@
   election->transferring_leadership = true;
 }
 
-/* The order matters: waiting users are answered first, then all calls are discarded, and only then
+/* The order matters: waiting users are answered first, then all calls are forgotten, and only then
    the objects that the calls refer to are freed. Responses to calls of this leadership are
    ignored from here on. */
 static void
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -102,7 +102,7 @@
   g_array_set_size (request_ids, 0);
 }
 
-/* The calls, with their references to the reads, are dropped at the end of a leadership. Requests
+/* The calls, with their references to the reads, are forgotten at the end of a leadership. Requests
    that were not answered by then get a 503. */
 static void
 job_read_clear (gpointer data)
@@ -189,7 +189,7 @@
   start_reads (read);
 }
 
-/* ---- replies ---- */
+/* ---- responses ---- */
 
 static bool
 read_running (JobRead *read, const MhKvEntry *entry)
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -79,8 +79,8 @@
  * mh_record_writer_clear:
  * @writer: a writer
  *
- * Empties the queues at the end of a leadership. The caller drops all queued and unanswered calls,
- * before or right after, and frees the jobs after this call.
+ * Empties the queues at the end of a leadership. The caller forgets all queued and unanswered
+ * calls, before or right after, and frees the jobs after this call.
  */
 void
 mh_record_writer_clear (MhRecordWriter *writer);
--- a/src/storage/transaction.h
+++ b/src/storage/transaction.h
@@ -57,7 +57,7 @@
  * @outcome_unknown: it cannot be determined whether the transaction was applied
  *
  * Called with the data of the transaction. One of the last four is called, once, unless the calls
- * of the transaction are dropped before.
+ * of the transaction are forgotten before.
  */
 typedef struct
 {
