--- a/src/base/token-bucket.h
+++ b/src/base/token-bucket.h
@@ -9,7 +9,8 @@
  * @rate: tokens that are added each second
  * @burst: largest number of tokens that it holds
  * @tokens: tokens that it held at @updated_us; negative after more were taken than it held
- * @updated_us: monotonic time of the last mh_token_bucket_has(), in microseconds
+ * @updated_us: monotonic time of the last mh_token_bucket_has(), or of the initialization, in
+ *   microseconds
  *
  * A token bucket. Callers may read the fields, but only the functions below change them.
  */
--- a/src/main.c
+++ b/src/main.c
@@ -29,7 +29,7 @@
 }
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Arguments, arguments_clear)
 
-/* GIO searches for modules, D-Bus, netlink and proxies when it starts. A controller has none of
+/* GIO searches for modules, D-Bus, netlink and proxies when it starts. A controller needs none of
    them, and the search takes time. */
 static void
 restrict_gio (void)
@@ -41,8 +41,9 @@
   g_setenv ("GSETTINGS_BACKEND", "memory", TRUE);
 }
 
-/* Each connection takes a descriptor, and some need a second one, such as the wake-up descriptor of
-   their main context. If the system allows fewer, further connections are refused. */
+/* Each connection takes a descriptor. Half as many are added for descriptors that connections
+   share, such as the wake-up descriptor of a connection group's main context. If the system allows
+   fewer, further connections cannot be accepted. */
 static void
 raise_descriptor_limit (guint max_connections)
 {
--- a/src/protocol/cloud-messages.c
+++ b/src/protocol/cloud-messages.c
@@ -100,7 +100,7 @@
       MhMachineType *type = machine_type_decode (mh_value_at (list, i), error);
       if (type == NULL)
         {
-          g_prefix_error (error, "racks[%" G_GSIZE_FORMAT "].", i);
+          g_prefix_error (error, "racks[%" G_GSIZE_FORMAT "]: ", i);
           return NULL;
         }
       g_ptr_array_add (types, type);
@@ -135,7 +135,7 @@
       MhListedMachine *machine = listed_machine_decode (mh_value_at (list, i), error);
       if (machine == NULL)
         {
-          g_prefix_error (error, "boxes[%" G_GSIZE_FORMAT "].", i);
+          g_prefix_error (error, "boxes[%" G_GSIZE_FORMAT "]: ", i);
           return NULL;
         }
       g_ptr_array_add (machines, machine);
--- a/src/protocol/cloud-messages.h
+++ b/src/protocol/cloud-messages.h
@@ -132,8 +132,8 @@
 
 /**
  * MhMachineCreateSpec:
- * @name: idempotency key ("rental" in the protocol), which no earlier request has used: a request
- *   that repeats a key creates no further machines
+ * @name: idempotency key ("rental" in the protocol): a request that is sent again with the same key
+ *   creates no further machines; requests for other machines need a key that was never used
  * @type: machine type
  * @zone: zone
  * @spot: whether to create spot machines
--- a/src/protocol/controller-messages.c
+++ b/src/protocol/controller-messages.c
@@ -91,7 +91,7 @@
 convert_request (const wire_request *request, MhControllerMessage *message, GError **error)
 {
   if (request->verb < WIRE_SUBMIT || request->verb > WIRE_CANCEL)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "verb: unknown operation");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "verb: unknown operation, expected 1 to 3");
   if (!mh_job_id_is_valid (request->job))
     return fail (error, MH_PROTOCOL_ERROR_INVALID_ID,
                  "job: invalid job id, expected j- and 6 to 18 digits");
@@ -107,7 +107,8 @@
 convert_response (const wire_response *response, MhControllerMessage *message, GError **error)
 {
   if (response->state > MH_JOB_CANCELLED)
-    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "state: unknown job state");
+    return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE,
+                 "state: unknown job state, expected 0 to 3");
   if (response->status < MIN_HTTP_STATUS || response->status > MAX_HTTP_STATUS)
     return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE,
                  "status: number out of range, expected 200 to 599");
@@ -146,7 +147,8 @@
     case WIRE_ANNOUNCEMENT:
       return convert_announcement (&decoded->wire_message_u.announcement, message, error);
     }
-  return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE, "kind: unknown kind of message");
+  return fail (error, MH_PROTOCOL_ERROR_OUT_OF_RANGE,
+               "kind: unknown kind of message, expected 1 to 3");
 }
 
 static bool
--- a/src/protocol/key-value-messages.c
+++ b/src/protocol/key-value-messages.c
@@ -74,7 +74,7 @@
       MhKvEntry *entry = decode (mh_value_at (list, i), error);
       if (entry == NULL)
         {
-          g_prefix_error (error, "%s[%" G_GSIZE_FORMAT "].", field, i);
+          g_prefix_error (error, "%s[%" G_GSIZE_FORMAT "]: ", field, i);
           return NULL;
         }
       g_ptr_array_add (entries, entry);
--- a/src/protocol/protocol-error.h
+++ b/src/protocol/protocol-error.h
@@ -7,7 +7,8 @@
  * MH_PROTOCOL_ERROR:
  *
  * The domain of decoding errors. The text of an error begins with the field's name in the published
- * protocol, unless the message as a whole is invalid.
+ * protocol, for an item of a list after the name of the list and the index ("legs[1]: cause: ...").
+ * It names no field when a message or an item as a whole is invalid.
  */
 #define MH_PROTOCOL_ERROR (mh_protocol_error_quark ())
 
--- a/src/protocol/route.h
+++ b/src/protocol/route.h
@@ -13,7 +13,7 @@
 /**
  * MhRoute:
  * @MH_ROUTE_NONE: no route has the path
- * @MH_ROUTE_READY: health check of the load balancer
+ * @MH_ROUTE_READY: readiness probe of the load balancer
  * @MH_ROUTE_HEARTBEAT: heartbeat of a worker
  * @MH_ROUTE_SUBMIT: submission of a job
  * @MH_ROUTE_STATUS: request for the state of a job
--- a/src/protocol/user-messages.h
+++ b/src/protocol/user-messages.h
@@ -12,7 +12,8 @@
  * @MH_JOB_DONE: all tasks have completed; final
  * @MH_JOB_CANCELLED: cancelled by the user; final
  *
- * The state of a job, as reported to users. Messages between controllers contain the values.
+ * The state of a job, as users see it. Messages between controllers contain the numbers, which must
+ * therefore not change.
  */
 typedef enum
 {
@@ -28,7 +29,8 @@
  * @MH_USER_STATUS: get the state of a job
  * @MH_USER_CANCEL: cancel a job
  *
- * The operation that a user requests. Messages between controllers contain the values.
+ * The operation that a user requests. Messages between controllers contain the numbers, which must
+ * therefore not change.
  */
 typedef enum
 {
--- a/src/protocol/value.h
+++ b/src/protocol/value.h
@@ -27,8 +27,8 @@
  * @size: number of bytes
  * @error: (nullable): return location for an error of %MH_PROTOCOL_ERROR
  *
- * Returns: (transfer full) (nullable): the item, or %NULL when @data is malformed, is nested more
- *   deeply than any message or has further bytes after the item
+ * Returns: (transfer full) (nullable): the item, or %NULL when @data is malformed, is nested too
+ *   deeply (see mh_cbor_is_well_formed()) or has further bytes after the item
  */
 MhValue *
 mh_value_parse (const void *data, gsize size, GError **error);
--- a/src/protocol/worker-messages.c
+++ b/src/protocol/worker-messages.c
@@ -137,7 +137,7 @@
       MhTaskStatus task = { .end_reason = MH_TASK_END_NONE };
       if (!decode_task (mh_value_at (list, i), &task, error))
         {
-          g_prefix_error (error, "legs[%" G_GSIZE_FORMAT "].", i);
+          g_prefix_error (error, "legs[%" G_GSIZE_FORMAT "]: ", i);
           return false;
         }
       g_array_append_val (tasks, task);
--- a/src/protocol/worker-messages.h
+++ b/src/protocol/worker-messages.h
@@ -196,9 +196,9 @@
  * @incarnation: see mh_commands_encode()
  * @commands: see mh_commands_encode()
  *
- * Sends commands directly, instead of in the response to a heartbeat. The worker may execute them
- * late, but only as long as the token and the incarnation still match (PROTOCOL, "Delayed
- * messages"). They do not renew the worker's lease.
+ * For commands that are sent directly, instead of in the response to a heartbeat. The worker may
+ * execute them late, but only as long as the token and the incarnation still match (PROTOCOL,
+ * "Delayed messages"). They do not renew the worker's lease.
  *
  * Returns: (transfer full): a request, whose response is a heartbeat
  */
@@ -210,9 +210,7 @@
  * mh_worker_request_status:
  * @endpoint: address and port of the worker
  *
- * Probes the worker.
- *
- * Returns: (transfer full): a status request, whose response is a heartbeat
+ * Returns: (transfer full): a status request that probes the worker; its response is a heartbeat
  */
 MhRequest *
 mh_worker_request_status (const char *endpoint);
--- a/src/server/http-listener.c
+++ b/src/server/http-listener.c
@@ -8,8 +8,8 @@
 
 /* Connections that share a main context. */
 #define CONNECTIONS_PER_GROUP 4u
-/* Share of the allowed connections up to which connections of workers are kept open after an
-   answer. The rest is reserved for users and for new connections. */
+/* Share of the allowed connections up to which connections of workers are kept open after a
+   response. The rest is reserved for users and for new connections. */
 #define WORKER_KEEP_ALIVE_SHARE 0.6
 
 struct MhConnectionGroup
@@ -208,7 +208,7 @@
                        NULL);
   MhConnectionGroup *group = assign_connection_to_group (listener);
   g_object_weak_ref (G_OBJECT (connection), on_connection_closed, group);
-  /* A request that has already arrived may be handled during the call. */
+  /* soup_server_accept_iostream() may handle a request that has already arrived. */
   listener->current = group;
   mh_polled_context_push (group->context);
   if (!soup_server_accept_iostream (listener->server, G_IO_STREAM (connection), local, remote,
--- a/src/server/http-listener.h
+++ b/src/server/http-listener.h
@@ -55,7 +55,7 @@
  * between two heartbeats, other workers could not send heartbeats at all.
  *
  * Returns: %TRUE if more connections are open than the share within which workers may keep theirs;
- *   connections of workers are then to be closed after each answer
+ *   connections of workers are then to be closed after each response
  */
 bool
 mh_http_listener_is_near_connection_limit (const MhHttpListener *self);
@@ -75,7 +75,7 @@
  * @group: a group
  *
  * Schedules an iteration of @group. To be called after a message of @group is changed outside of
- * its own iteration.
+ * the group's iteration.
  */
 void
 mh_connection_group_wake (MhConnectionGroup *group);
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -40,7 +40,7 @@
   soup_message_headers_replace (soup_server_message_get_response_headers (message), name, value);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
 resume (const MhPendingRequest *request)
@@ -51,19 +51,19 @@
 
 void
 mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserResponse *answer)
+                            const MhUserResponse *response)
 {
   g_autoptr (MhValue) body = NULL;
   g_return_if_fail (self != NULL);
   g_return_if_fail (request->message != NULL);
-  if (answer->status == SOUP_STATUS_OK || answer->status == SOUP_STATUS_CREATED)
-    body = mh_job_status_encode (request->job, answer, request->verb == MH_USER_STATUS);
-  else if (answer->retry_after_s)
+  if (response->status == SOUP_STATUS_OK || response->status == SOUP_STATUS_CREATED)
+    body = mh_job_status_encode (request->job, response, request->verb == MH_USER_STATUS);
+  else if (response->retry_after_s)
     {
-      g_autofree char *retry_after = g_strdup_printf ("%u", answer->retry_after_s);
+      g_autofree char *retry_after = g_strdup_printf ("%u", response->retry_after_s);
       set_response_header (request->message, "Retry-After", retry_after);
     }
-  respond (request->message, answer->status, body);
+  respond (request->message, response->status, body);
   resume (request);
 }
 
@@ -90,8 +90,8 @@
     soup_message_body_set_accumulate (soup_server_message_get_request_body (message), FALSE);
 }
 
-/* Runs when the headers have been received. From here on_chunk() stops libsoup from accumulating a
-   body over the limit in memory. */
+/* Runs when the headers have been received. Connects on_chunk(), which stops libsoup from
+   accumulating a body over the limit in memory. */
 static void
 on_headers (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
             gpointer data)
--- a/src/server/http-server.h
+++ b/src/server/http-server.h
@@ -1,4 +1,4 @@
-/* The HTTP server for users and workers: routes, size limits and answers. */
+/* The HTTP server for users and workers: routes, size limits and responses. */
 #pragma once
 
 #include "protocol/user-messages.h"
@@ -19,7 +19,8 @@
  * @user_request: called with a user's request and, for a submission, the job (transfer full)
  * @heartbeat: called with a worker's request and its heartbeat, which is valid during the call only
  *
- * Handlers of requests. A request stays in the table of pending requests until it is answered.
+ * Handlers of requests. A request stays in the table of pending requests until it is answered or
+ * its connection ends.
  */
 typedef struct
 {
@@ -68,22 +69,22 @@
  * mh_http_server_answer_user:
  * @self: a server
  * @request: a user's request that was received over HTTP
- * @answer: the answer
+ * @response: the response
  *
  * Does not remove @request from its table.
  */
 void
 mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserResponse *answer);
+                            const MhUserResponse *response);
 
 /**
  * mh_http_server_answer_heartbeat:
  * @self: a server
  * @request: a worker's request
  * @status: HTTP status
- * @body: (nullable): commands for the worker
+ * @body: (nullable): commands for the worker, or the node to send heartbeats to instead
  *
- * Closes the connection after the answer when too many are open (see
+ * Closes the connection after the response when too many are open (see
  * mh_http_listener_is_near_connection_limit()). Does not remove @request from its table.
  */
 void
--- a/src/server/pending-request.h
+++ b/src/server/pending-request.h
@@ -25,10 +25,10 @@
  *   the request
  * @group: (nullable): the group of the connection that @message belongs to
  * @peer: (nullable): the connection on which another controller forwarded the request; %NULL after
- *   that connection is closed, when no answer can be sent
+ *   that connection is closed: a response can then no longer be sent
  * @peer_request_id: the other controller's id of the request
  * @forwarded_to: (nullable): the connection on which this controller forwarded the request
- * @forward_timeout: source of the time-out for the answer from @forwarded_to; 0: none
+ * @forward_timeout: source of the time-out for the response from @forwarded_to; 0: none
  *
  * A request from a user or a worker; owned by its table.
  */
@@ -95,8 +95,8 @@
  * @table: a table
  * @id: id of a request
  *
- * Returns: (transfer none) (nullable): the request; %NULL when it was removed because its
- * connection has ended
+ * Returns: (transfer none) (nullable): the request; %NULL when it is not in the table, for example
+ *   because its connection has ended
  */
 MhPendingRequest *
 mh_pending_requests_lookup (MhPendingRequests *table, guint64 id);
@@ -115,7 +115,7 @@
  * @connection: a connection that was closed
  *
  * Sets the peer of requests that were received over @connection to %NULL: they stay in the table,
- * but no answer can be sent.
+ * but no response can be sent.
  *
  * Returns: (transfer full) (element-type guint64): ids of the requests that were forwarded over
  *   @connection; their forwarded_to still points to it
--- a/src/server/request-forwarder.h
+++ b/src/server/request-forwarder.h
@@ -10,20 +10,21 @@
 /**
  * MhRequestForwarder:
  *
- * Forwards requests and waits for their answers.
+ * Forwards requests and waits for their responses.
  */
 typedef struct MhRequestForwarder MhRequestForwarder;
 
 /**
  * MhForwardOutcomeFunc:
  * @id: id of a forwarded request
- * @answer: (nullable): the other controller's answer; %NULL when the request timed out or the
+ * @response: (nullable): the other controller's response; %NULL when the request timed out or the
  *   connection to that controller was closed
  * @user_data: the pointer that was passed to mh_request_forwarder_new()
  *
- * Called once for each forwarded request, unless its user's connection ends before.
+ * Called once for each forwarded request, unless its user's connection ends first.
  */
-typedef void (*MhForwardOutcomeFunc) (guint64 id, const MhUserResponse *answer, gpointer user_data);
+typedef void (*MhForwardOutcomeFunc) (guint64 id, const MhUserResponse *response,
+                                      gpointer user_data);
 
 /**
  * mh_request_forwarder_new:
@@ -50,8 +51,8 @@
  * @self: a forwarder
  * @request: (transfer none): a user's request
  * @connection: (transfer none): a connection to the controller that is to answer it
- * @timeout_us: time after which the request has no answer and @connection is closed, in
- * microseconds
+ * @timeout_us: time without a response after which the request fails and @connection is closed, in
+ *   microseconds
  */
 void
 mh_request_forwarder_send (MhRequestForwarder *self, MhPendingRequest *request,
@@ -60,8 +61,8 @@
 /**
  * mh_request_forwarder_handle_answer:
  * @self: a forwarder
- * @connection: the connection on which the answer was received
- * @message: an answer; it is ignored unless its request is pending and was forwarded over
+ * @connection: the connection on which the response was received
+ * @message: a response; it is ignored unless its request is pending and was forwarded over
  * @connection
  */
 void
@@ -73,8 +74,8 @@
  * @self: a forwarder
  * @connection: a connection that was closed
  *
- * Requests that were forwarded over @connection end without an answer. Requests that were received
- * over it stay pending, but their answers are not sent.
+ * Requests that were forwarded over @connection end without a response. Requests that were received
+ * over it stay pending, but their responses are not sent.
  */
 void
 mh_request_forwarder_handle_closed (MhRequestForwarder *self, MhPeerConnection *connection);
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -165,11 +165,11 @@
 }
 
 static void
-on_forward_outcome (guint64 id, const MhUserResponse *answer, gpointer data)
+on_forward_outcome (guint64 id, const MhUserResponse *response, gpointer data)
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_receive_forward_reply (server->core, &now, id, answer);
+  mh_core_receive_forward_reply (server->core, &now, id, response);
   dispatch_actions (server);
 }
 
--- a/src/settings/platform-file.h
+++ b/src/settings/platform-file.h
@@ -10,7 +10,7 @@
  * @error: return location for a #GError of #MH_SETTINGS_ERROR, code FILE
  *
  * Unknown fields are ignored, since the platform may provide fields that this version does not
- * know. A field that is missing or of another type keeps its default, 0 or %NULL;
+ * know. A field that is missing or of another type gets its default, or 0 or %NULL if it has none;
  * mh_settings_check() refuses settings that cannot work.
  *
  * Returns: %FALSE with @error when the file cannot be read or is not valid TOML
--- a/src/settings/settings-check.c
+++ b/src/settings/settings-check.c
@@ -5,7 +5,8 @@
 
 #define MIN_LEADER_LEASE_US (MH_SECOND_US / 2)
 #define MAX_LEADER_LEASE_US (60 * MH_SECOND_US)
-/* Smallest limit of changes in one transaction: taking leadership puts two records in one. */
+/* Smallest limit of changes in one transaction: a new leader writes its leader and epoch records in
+   one. */
 #define MIN_TXN_OPS 2u
 #define DEFAULT_GANG_WAIT_US (50 * MH_SECOND_US)
 #define DEFAULT_GANG_PEER_US (5 * MH_SECOND_US)
@@ -123,7 +124,8 @@
     {
       if (amounts[i].value > 0 && isfinite (amounts[i].value))
         continue;
-      /* A number that is missing or out of range is read as 0, so the message covers both. */
+      /* A number that is missing, of another type or not finite, and a time that is too large, is
+         read as 0, so one message covers all of these. */
       g_set_error (error, MH_SETTINGS_ERROR, MH_SETTINGS_ERROR_INVALID,
                    "%s is missing or out of range; expected a number greater than 0",
                    amounts[i].name);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -55,9 +55,9 @@
  * MhTeam:
  * @name: name of the team
  * @cpus: guaranteed processors; 0: none
- * @gpus: guaranteed graphics processors; 0: none
+ * @gpus: guaranteed accelerators; 0: none
  * @cpus_max: limit of processors; infinite: no limit
- * @gpus_max: limit of graphics processors; infinite: no limit
+ * @gpus_max: limit of accelerators; infinite: no limit
  *
  * The quota of a team (platform: settings.teams).
  */
@@ -132,8 +132,8 @@
  * @objectives: (element-type MhObjective): service-level objectives (platform: settings.objectives)
  * @heartbeat_interval_us: time between two heartbeats of a worker, in microseconds (platform:
  *   settings.workers.report_s)
- * @worker_lease_us: time without an answer from the leader after which a worker stops its tasks, in
- *   microseconds (platform: settings.workers.lease_s)
+ * @worker_lease_us: time without a response from the leader after which a worker stops its tasks,
+ *   in microseconds (platform: settings.workers.lease_s)
  * @cancel_limit_us: time within which the tasks of a cancelled job have to be gone, in microseconds
  *   (platform: settings.workers.cancel_s)
  * @list_lag_us: how far the cloud's list of machines may be behind, in microseconds (platform:
@@ -174,7 +174,7 @@
  * @max_skew: MaxSkew of classes without a rule (operator: max_skew)
  * @soft_spread: ScheduleAnyway for classes without a rule; otherwise DoNotSchedule (operator:
  *   when_unsatisfiable)
- * @direct_commands: whether commands are also sent to workers directly, not only in answers to
+ * @direct_commands: whether commands are also sent to workers directly, not only in responses to
  * their heartbeats (operator: direct)
  * @spread_rules: (element-type MhSpreadRule): rules of single classes (operator: spread)
  *
--- a/tests/test-protocol-errors.c
+++ b/tests/test-protocol-errors.c
@@ -162,7 +162,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autofree char *prefix = g_strconcat ("legs[1].", cases[i].field, ": ", NULL);
+      g_autofree char *prefix = g_strconcat ("legs[1]: ", cases[i].field, ": ", NULL);
       MhValue *tasks = mh_value_new_list ();
       mh_value_push (tasks, map_from_fields (task, G_N_ELEMENTS (task), NULL, NULL));
       mh_value_push (tasks,
@@ -221,7 +221,7 @@
   g_autoptr (GError) error = NULL;
   mh_value_push (list, map_from_fields (machine_type, G_N_ELEMENTS (machine_type), "boot_s", NULL));
   g_assert_null (mh_machine_types_decode (body, &error));
-  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "racks[1].boot_s: ");
+  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "racks[1]: boot_s: ");
 }
 
 /* If a change of the leader key were decoded as its deletion, the controllers would assume that the
@@ -249,7 +249,7 @@
   g_autoptr (GError) error = NULL;
   mh_value_push (list, map_from_fields (drop, G_N_ELEMENTS (drop), "drop", NULL));
   g_assert_null (mh_kv_events_decode (body, &revision, &error));
-  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "news[2].drop: ");
+  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "news[2]: drop: ");
 }
 
 /* Guards against accepting a damaged record, or data of another program, as a message. */
