--- a/tests/decision-digest.c
+++ b/tests/decision-digest.c
@@ -1,6 +1,6 @@
 /* Prints a digest of the decisions of each of a range of random days. The arguments are the first
-   seed and the number of days, with or without changes of version. tests/compare-decisions uses it
-   to compare two builds. */
+   seed and the number of days; seeds above RANDOM_DAY_MIXED_VERSIONS_SEEDS include changes of
+   version. tests/compare-decisions uses it to compare two builds. */
 #include "stand-in/random-day.h"
 
 #include <stdlib.h>
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -73,9 +73,9 @@
 }
 
 bool
-controller_node_is_frozen (const ControllerNode *node)
+controller_node_is_paused (const ControllerNode *node)
 {
-  return node->frozen_until_us > node->simulation->clock->now_us;
+  return node->paused_until_us > node->simulation->clock->now_us;
 }
 
 /* ---- inputs ---- */
@@ -178,11 +178,11 @@
   if (node->next_wake_us != G_MAXINT64 && wake_us >= node->next_wake_us)
     return;
   node->next_wake_us = wake_us;
-  fake_clock_add_pausable (clock, &node->frozen_until_us, wake_us, on_timer, node, NULL);
+  fake_clock_add_pausable (clock, &node->paused_until_us, wake_us, on_timer, node, NULL);
 }
 
 static void
-on_thaw (gpointer data)
+on_resume (gpointer data)
 {
   ControllerNode *node = data;
   if (node->controller)
@@ -193,13 +193,13 @@
 controller_node_drain (ControllerNode *node)
 {
   FakeClock *clock = node->simulation->clock;
-  if (node->freeze_before_acting_us)
-    node->frozen_until_us = clock->now_us + node->freeze_before_acting_us;
-  node->freeze_before_acting_us = 0;
-  if (controller_node_is_frozen (node))
+  if (node->pause_before_acting_us)
+    node->paused_until_us = clock->now_us + node->pause_before_acting_us;
+  node->pause_before_acting_us = 0;
+  if (controller_node_is_paused (node))
     {
-      fake_clock_add_pausable (clock, &node->frozen_until_us, node->frozen_until_us, on_thaw, node,
-                               NULL);
+      fake_clock_add_pausable (clock, &node->paused_until_us, node->paused_until_us, on_resume,
+                               node, NULL);
       return;
     }
   MhAction *action;
@@ -230,7 +230,7 @@
     return;
   MhNow now = controller_node_now (node);
   node->next_wake_us = G_MAXINT64;
-  node->frozen_until_us = node->freeze_before_acting_us = 0;
+  node->paused_until_us = node->pause_before_acting_us = 0;
   node->controller = controller_new (node->version, node->settings, &now);
   controller_tick (node->controller, &now);
   controller_node_drain (node);
--- a/tests/stand-in/controller-node.h
+++ b/tests/stand-in/controller-node.h
@@ -43,9 +43,9 @@
  * @settings: of its controller; owned
  * @version: that its next process runs
  * @controller: (nullable): %NULL: down
- * @incarnation: number of its process; answers to calls of earlier processes are dropped
+ * @incarnation: number of its process; responses to calls of earlier processes are dropped
  * @wake_count: how often its timer has fired
- * @worker_calls_in_flight: direct calls to workers that wait for an answer
+ * @worker_calls_in_flight: direct calls to workers that wait for a response
  * @peak_worker_calls: highest value of @worker_calls_in_flight so far
  * @clock_drift: rate error of its monotonic clock, as a fraction
  * @pending_requests: id of the request -> PendingRequest
@@ -55,15 +55,16 @@
  * @workers_cut_until_us: partitioned from the workers until then: heartbeats are lost, and commands
  *   arrive when the partition ends
  * @writes_lost_until_us: until then its transactions do not reach the key-value store
- * @write_answers_lost_until_us: until then its transactions are applied but their answers are lost
+ * @write_responses_lost_until_us: until then its transactions are applied, but the responses are
+ *   lost
  * @hold_writes: its transactions are held until the test releases them
  * @store_rejects_until_us: until then the key-value store answers 503 to this node, but not to the
  *   others
- * @key_lists_lost_until_us: until then its requests for lists of keys get no answer
+ * @key_lists_lost_until_us: until then its requests for lists of keys get no response
  * @heartbeats_lost_until_us: until then no heartbeat reaches it
- * @frozen_until_us: executes nothing until then, while its clocks run on; events for it are
+ * @paused_until_us: its process is paused until then, while its clocks run on; events for it are
  *   delayed until then
- * @freeze_before_acting_us: it freezes for that long after the next input, before it carries out
+ * @pause_before_acting_us: it is paused for that long after the next input, before it carries out
  *   the actions that the input caused; 0: not
  */
 struct ControllerNode
@@ -84,13 +85,13 @@
   gint64 peers_cut_until_us;
   gint64 workers_cut_until_us;
   gint64 writes_lost_until_us;
-  gint64 write_answers_lost_until_us;
+  gint64 write_responses_lost_until_us;
   bool hold_writes;
   gint64 store_rejects_until_us;
   gint64 key_lists_lost_until_us;
   gint64 heartbeats_lost_until_us;
-  gint64 frozen_until_us;
-  gint64 freeze_before_acting_us;
+  gint64 paused_until_us;
+  gint64 pause_before_acting_us;
 };
 
 /**
@@ -114,9 +115,9 @@
 /** controller_node_now: Returns: the present time on its clocks; draws the jitter at random */
 MhNow
 controller_node_now (ControllerNode *node);
-/** controller_node_is_frozen: Returns: whether the node is frozen now */
+/** controller_node_is_paused: Returns: whether the node is paused now */
 bool
-controller_node_is_frozen (const ControllerNode *node);
+controller_node_is_paused (const ControllerNode *node);
 /** controller_node_drain: Carries out the controller's actions, and sets the timer. */
 void
 controller_node_drain (ControllerNode *node);
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -32,7 +32,7 @@
 controller_heartbeat (Controller *controller, const MhNow *now, guint64 id,
                       const MhValue *heartbeat);
 /** controller_call_finished: The call @id of the controller is over. @status: HTTP status; 0: no
- * answer came */
+ * response came */
 void
 controller_call_finished (Controller *controller, const MhNow *now, guint64 id, guint status,
                           const MhValue *body);
--- a/tests/stand-in/environment.h
+++ b/tests/stand-in/environment.h
@@ -37,7 +37,7 @@
 /**
  * environment_serve:
  * @target: the key-value store or the cloud
- * @reply: (out): the answer
+ * @reply: (out): the response
  *
  * Returns: false if the request is a watch, which environment_advance() answers later under the
  * token of the request
--- a/tests/stand-in/key-value-requests.c
+++ b/tests/stand-in/key-value-requests.c
@@ -1,4 +1,4 @@
-/* The protocol of the key-value store: the requests of key-value-store.h and their answers. */
+/* The protocol of the key-value store: the requests of key-value-store.h and their responses. */
 #include "stand-in/key-value-store-private.h"
 
 #include <stdlib.h>
--- a/tests/stand-in/key-value-store.c
+++ b/tests/stand-in/key-value-store.c
@@ -198,15 +198,15 @@
   for (guint i = 0; i < store->watches->len;)
     {
       const Watch *watch = &g_array_index (store->watches, Watch, i);
-      EndedWatch answer = { .token = watch->token,
-                            .status = 200,
-                            .body = key_value_store_changes_for_watch (store, watch) };
-      if (answer.body == NULL)
+      EndedWatch ended_watch = { .token = watch->token,
+                                 .status = 200,
+                                 .body = key_value_store_changes_for_watch (store, watch) };
+      if (ended_watch.body == NULL)
         {
           i++;
           continue;
         }
-      g_array_append_val (ended, answer);
+      g_array_append_val (ended, ended_watch);
       g_array_remove_index (store->watches, i);
     }
 }
--- a/tests/stand-in/key-value-store.h
+++ b/tests/stand-in/key-value-store.h
@@ -72,7 +72,7 @@
 /**
  * key_value_store_serve:
  * @request: a request
- * @reply: (out): the answer
+ * @reply: (out): the response
  *
  * Returns: false if the request is a watch, which key_value_store_advance() answers later under the
  * token of the request
--- a/tests/stand-in/network.h
+++ b/tests/stand-in/network.h
@@ -8,10 +8,10 @@
 /**
  * Network:
  * @random: the source of randomness; not owned
- * @loss_probability: that a message or its answer is lost
+ * @loss_probability: that a call or a heartbeat is lost; drawn again for its response
  * @delay_probability: that a message is delayed by up to 30 s more
  * @duplicate_probability: that a request arrives a second time, up to 60 s later
- * @late_write_probability: that a transaction is not answered, but applied 2 s to 12 s later
+ * @late_write_probability: that a transaction gets no response, but is applied 2 s to 11 s later
  * @hold_commands: direct calls to workers are held until the test releases them
  * @held_commands: (element-type OutgoingCall): the held calls to workers
  * @held_writes: (element-type OutgoingCall): the held transactions of nodes with @hold_writes
--- a/tests/stand-in/outgoing-call.c
+++ b/tests/stand-in/outgoing-call.c
@@ -12,7 +12,7 @@
   guint node, incarnation; /* of the sender */
   guint64 id;
   MhRequest *request;
-  bool answered; /* also true for a copy, whose answer is ignored */
+  bool answered; /* also true for a copy, whose response is ignored */
   guint status;
   MhValue *body;
 };
@@ -46,10 +46,10 @@
   return strcmp (call->request->path, "/multi") == 0;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
-on_answer_arrival (gpointer data)
+on_response_arrival (gpointer data)
 {
   OutgoingCall *call = data;
   ControllerNode *node = sender_of (call);
@@ -72,12 +72,12 @@
     return;
   call->status = 0;
   g_clear_pointer (&call->body, mh_value_unref);
-  on_answer_arrival (call);
+  on_response_arrival (call);
 }
 
-/* Sends an answer to the caller. Takes ownership of the body. */
+/* Sends a response to the caller. Takes ownership of the body. */
 static void
-send_answer (OutgoingCall *call, guint status, MhValue *body)
+send_response (OutgoingCall *call, guint status, MhValue *body)
 {
   Simulation *simulation = call->simulation;
   ControllerNode *node = sender_of (call);
@@ -88,23 +88,23 @@
     return;
   if (call->request->target == MH_TARGET_KEY_VALUE_STORE && now_us < node->store_cut_until_us)
     return;
-  if (is_transaction (call) && now_us < node->write_answers_lost_until_us)
+  if (is_transaction (call) && now_us < node->write_responses_lost_until_us)
     return;
-  fake_clock_add_pausable (simulation->clock, &node->frozen_until_us,
-                           now_us + network_draw_delay (simulation->network), on_answer_arrival,
+  fake_clock_add_pausable (simulation->clock, &node->paused_until_us,
+                           now_us + network_draw_delay (simulation->network), on_response_arrival,
                            g_rc_box_acquire (call), outgoing_call_unref);
 }
 
 void
 outgoing_call_end_watch (OutgoingCall *call, guint status, MhValue *body)
 {
-  send_answer (call, status, body);
+  send_response (call, status, body);
   outgoing_call_unref (call);
 }
 
 /* ---- copies ---- */
 
-/* Returns a duplicate of the request, whose answer is ignored. */
+/* Returns a duplicate of the request, whose response is ignored. */
 static OutgoingCall *
 copy_call (const OutgoingCall *call)
 {
@@ -146,7 +146,7 @@
   const Worker *worker = worker_by_endpoint (simulation, call->request->endpoint);
   if (worker == NULL || !worker->machine->running || worker->machine->removed)
     return;
-  if (worker->answers_lost_until_us > now_us)
+  if (worker->responses_lost_until_us > now_us)
     return;
   /* A command that a hang or a partition delays is carried out afterwards, however late. */
   gint64 until_us = worker_unreachable_until (worker, sender_of (call));
@@ -161,7 +161,7 @@
     reply = worker_protocol_heartbeat (worker->machine);
   else
     status = worker_protocol_commands (worker->machine, call->request->body, &reply);
-  send_answer (call, status, reply);
+  send_response (call, status, reply);
 }
 
 /* Returns whether the transaction is delayed, held or lost. */
@@ -195,7 +195,7 @@
     return;
   if (store && now_us < node->store_rejects_until_us)
     {
-      send_answer (call, 503, NULL);
+      send_response (call, 503, NULL);
       return;
     }
   if (g_str_has_prefix (called->path, "/kv?") && now_us < node->key_lists_lost_until_us)
@@ -206,7 +206,7 @@
       = { .method = called->method, .path = called->path, .body = called->body, .token = call };
   ServiceReply reply;
   if (environment_serve (call->simulation->environment, called->target, &request, &reply))
-    send_answer (call, reply.status, reply.body);
+    send_response (call, reply.status, reply.body);
   else
     g_rc_box_acquire (call); /* owned by the watch */
 }
@@ -238,7 +238,7 @@
   call->request = request;
   node->worker_calls_in_flight += request->target == MH_TARGET_WORKER;
   node->peak_worker_calls = MAX (node->peak_worker_calls, node->worker_calls_in_flight);
-  fake_clock_add_pausable (clock, &node->frozen_until_us, clock->now_us + action->timeout_us,
+  fake_clock_add_pausable (clock, &node->paused_until_us, clock->now_us + action->timeout_us,
                            on_timeout, g_rc_box_acquire (call), outgoing_call_unref);
   if (!network_draw_loss (simulation->network))
     schedule_arrival (g_rc_box_acquire (call), network_draw_delay (simulation->network));
--- a/tests/stand-in/outgoing-call.h
+++ b/tests/stand-in/outgoing-call.h
@@ -31,7 +31,8 @@
  */
 void
 outgoing_calls_release_write (Simulation *simulation, bool arrives);
-/** outgoing_calls_repeat_kept: Delivers all kept requests a second time. Their answers are ignored.
+/** outgoing_calls_repeat_kept: Delivers all kept requests a second time. Their responses are
+ * ignored.
  */
 void
 outgoing_calls_repeat_kept (Simulation *simulation);
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -37,13 +37,13 @@
   return message;
 }
 
-/* Delivers the message to `node` after `in_us`, or when the node is no longer frozen. */
+/* Delivers the message to `node` after `in_us`, or when the node is no longer paused. */
 static void
 schedule_delivery (PeerMessage *message, const ControllerNode *node, gint64 in_us,
                    FakeClockFunc arrive)
 {
   FakeClock *clock = message->simulation->clock;
-  fake_clock_add_pausable (clock, &node->frozen_until_us, clock->now_us + in_us, arrive, message,
+  fake_clock_add_pausable (clock, &node->paused_until_us, clock->now_us + in_us, arrive, message,
                            message_free);
 }
 
--- a/tests/stand-in/random-fault.c
+++ b/tests/stand-in/random-fault.c
@@ -39,17 +39,17 @@
 }
 
 static void
-freeze_node (const Fault *fault)
+pause_node (const Fault *fault)
 {
   double seconds = g_rand_double_range (fault->simulation->random, 0.3, 20);
-  simulation_freeze_node (fault->simulation, fault->node->index, seconds);
+  simulation_pause_node (fault->simulation, fault->node->index, seconds);
 }
 
-/* Freezes the node between its decision and the sending of the messages. */
+/* Pauses the node between its decision and the sending of the messages. */
 static void
-freeze_before_acting (const Fault *fault)
+pause_before_acting (const Fault *fault)
 {
-  fault->node->freeze_before_acting_us
+  fault->node->pause_before_acting_us
       = g_rand_int_range (fault->simulation->random, 1, 12) * MH_SECOND_US;
 }
 
@@ -144,7 +144,7 @@
 lose_messages_to_worker (const Fault *fault)
 {
   if (fault->worker)
-    fault->worker->answers_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
+    fault->worker->responses_lost_until_us = fault->until_us + 20 * MH_SECOND_US;
 }
 
 /* No heartbeat reaches a controller, but commands reach the worker. */
@@ -194,8 +194,8 @@
   cut_worker,
   restart_node,
   cut_store_and_peers,
-  freeze_node,
-  freeze_before_acting,
+  pause_node,
+  pause_before_acting,
   lose_messages_to_worker,
   lose_heartbeats_of_worker,
   reject_at_store,
--- a/tests/stand-in/simulation.c
+++ b/tests/stand-in/simulation.c
@@ -138,9 +138,9 @@
 }
 
 void
-simulation_freeze_node (Simulation *simulation, guint node, double seconds)
+simulation_pause_node (Simulation *simulation, guint node, double seconds)
 {
-  simulation->nodes[node].frozen_until_us = simulation->clock->now_us + (gint64)(seconds * 1e6);
+  simulation->nodes[node].paused_until_us = simulation->clock->now_us + (gint64)(seconds * 1e6);
 }
 
 ControllerNode *
@@ -159,8 +159,8 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       ControllerNode *node = &simulation->nodes[i];
-      /* A frozen controller sends nothing, even if its state says that it leads. */
-      if (node->controller == NULL || controller_node_is_frozen (node)
+      /* A paused controller sends nothing, even if its state says that it leads. */
+      if (node->controller == NULL || controller_node_is_paused (node)
           || !controller_node_leads (node))
         continue;
       /* Two valid leader leases must never exist, whatever faults occurred. */
--- a/tests/stand-in/simulation.h
+++ b/tests/stand-in/simulation.h
@@ -80,10 +80,10 @@
 void
 simulation_restart_node (Simulation *simulation, guint node, ControllerVersion version,
                          double seconds);
-/** simulation_freeze_node: Freezes the node for @seconds: it executes nothing while its clocks run
+/** simulation_pause_node: Pauses the node for @seconds: it executes nothing while its clocks run
  * on. */
 void
-simulation_freeze_node (Simulation *simulation, guint node, double seconds);
+simulation_pause_node (Simulation *simulation, guint node, double seconds);
 /** simulation_node_named: Returns: (nullable): the node with that name */
 ControllerNode *
 simulation_node_named (Simulation *simulation, const char *name);
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -146,7 +146,7 @@
 ask_node (User *user, ControllerNode *node)
 {
   const MhJobSpec *spec = user->job->spec;
-  if (node->controller == NULL || controller_node_is_frozen (node))
+  if (node->controller == NULL || controller_node_is_paused (node))
     return; /* the request would time out */
   MhUserVerb verb = draw_verb (user);
   PendingRequest *request
--- a/tests/stand-in/worker-protocol.h
+++ b/tests/stand-in/worker-protocol.h
@@ -11,7 +11,7 @@
 worker_protocol_heartbeat (Machine *machine);
 /**
  * worker_protocol_heartbeat_response:
- * @sent_us: when the heartbeat was sent that is answered
+ * @sent_us: when the worker sent the heartbeat
  * @incarnation: of the worker when it sent the heartbeat
  * @body: of the response
  *
--- a/tests/stand-in/worker.c
+++ b/tests/stand-in/worker.c
@@ -100,7 +100,7 @@
 {
   gint64 now_us = now_us_of (worker);
   return worker->machine->hung_until_us <= now_us && worker->cut_until_us <= now_us
-         && worker->answers_lost_until_us <= now_us;
+         && worker->responses_lost_until_us <= now_us;
 }
 
 static void
@@ -183,7 +183,7 @@
 {
   Simulation *simulation = heartbeat->worker->simulation;
   const ControllerNode *node = &simulation->nodes[heartbeat->node];
-  fake_clock_add_pausable (simulation->clock, &node->frozen_until_us, at_us, on_heartbeat_arrival,
+  fake_clock_add_pausable (simulation->clock, &node->paused_until_us, at_us, on_heartbeat_arrival,
                            heartbeat, sent_heartbeat_free);
 }
 
--- a/tests/stand-in/worker.h
+++ b/tests/stand-in/worker.h
@@ -18,11 +18,11 @@
  * @cut_until_us: partitioned from all nodes until then: heartbeats and commands arrive when the
  *   partition ends, and responses are lost
  * @heartbeats_lost_until_us: sends no heartbeat until then
- * @answers_lost_until_us: until then its heartbeats arrive, but no response or command reaches it
+ * @responses_lost_until_us: until then its heartbeats arrive, but no response or command reaches it
  * @sole_node: index of the node that the worker does not leave when a response is missing; -1: none
- * @sole_node_until_us: until then no answer makes the worker leave @sole_node either, and commands
- *   of other nodes do not reach it; afterwards @sole_node has no effect. 0: @sole_node applies to
- *   missing responses alone, for ever
+ * @sole_node_until_us: until then no response makes the worker leave @sole_node either, and
+ *   commands of other nodes do not reach it; afterwards @sole_node has no effect. 0: @sole_node
+ *   applies to missing responses alone, for ever
  */
 typedef struct
 {
@@ -36,7 +36,7 @@
   guint64 last_sent_state_hash;
   gint64 cut_until_us;
   gint64 heartbeats_lost_until_us;
-  gint64 answers_lost_until_us;
+  gint64 responses_lost_until_us;
   gint sole_node;
   gint64 sole_node_until_us;
 } Worker;
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -78,7 +78,7 @@
 /* A request that may have been carried out must not be repeated under another name, which would
    create its machines twice. */
 static void
-test_cloud_errors (void)
+test_cloud_error_replies (void)
 {
   for (guint i = 0; i < G_N_ELEMENTS (cloud_replies); i++)
     {
@@ -104,7 +104,7 @@
 
 /* Guards against treating a reply that cannot be decoded as if no machine had been created. */
 static void
-test_malformed_reply (void)
+test_cloud_error_malformed_reply (void)
 {
   const char *names[] = { "vm-1", NULL };
   g_autoptr (GError) error = NULL;
@@ -121,7 +121,7 @@
 /* Every reason needs a distinct text without spaces, so that the log shows why a machine was
    released. */
 static void
-test_release_reasons (void)
+test_release_reason_texts (void)
 {
   g_autoptr (GHashTable) texts = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint reason = 0; reason <= MH_RELEASE_REASON_FAILS_EVERY_TASK; reason++)
@@ -139,7 +139,7 @@
 /* Guards against a negative counter: if new machines have more CPUs than were lost, later losses
    would be replaced only in part. */
 static void
-test_lost_capacity (void)
+test_lost_capacity_never_negative (void)
 {
   g_autoptr (MhLostCapacity) lost_capacity = mh_lost_capacity_new ();
   mh_lost_capacity_add (lost_capacity, 6);
@@ -287,21 +287,21 @@
   mh_settings_free (fixture->settings);
 }
 
-/* Makes reply () answer the next call. */
+/* Makes reply () apply to the next call. */
 static void
 expect_call (Fixture *fixture)
 {
   fixture->last_call = mh_runtime_next_id (fixture->core->runtime) + 1;
 }
 
-/* Answers the latest call. A call that is made in response becomes the latest one. */
+/* Replies to the latest call. A call that is made in response becomes the latest one. */
 static void
 reply (Fixture *fixture, guint status, const MhValue *body)
 {
-  MhReply answer = { .status = status, .body = body };
+  MhReply response = { .status = status, .body = body };
   guint64 last_call = fixture->last_call;
   expect_call (fixture);
-  mh_call_queue_complete (fixture->core->calls, last_call, &answer);
+  mh_call_queue_complete (fixture->core->calls, last_call, &response);
 }
 
 static MhMachine *
@@ -360,7 +360,7 @@
 /* Guards against assigning tasks to machines whose memory, kind (spot or not) or zone does not suit
    them. */
 static void
-test_capacity_estimate (Fixture *fixture, gconstpointer data)
+test_capacity_estimate_suits_and_counts (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   MhJob *job = add_job (fixture, 10, 1);
@@ -383,7 +383,7 @@
 /* Guards against creating a large machine for a few tasks, small ones for many tasks, or all
    machines in one zone. */
 static void
-test_cheapest_offer (Fixture *fixture, gconstpointer data)
+test_offers_cheapest (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   MhJob *job = add_job (fixture, 40, 3);
@@ -549,7 +549,7 @@
                                MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
   reply (fixture, 409, body);
-  reply (fixture, 200, NULL); /* there is no call to answer */
+  reply (fixture, 200, NULL); /* there is no call to reply to */
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   mh_call_queue_forget_all (fixture->core->calls);
   mh_scale_in_reset (fixture->scale_in);
@@ -655,16 +655,16 @@
       g_autofree char *path = g_strdup_printf ("/autoscaler/release-state/%s", state_names[i]);
       g_test_add_data_func (path, GUINT_TO_POINTER (i), test_release_state);
     }
-  g_test_add_func ("/autoscaler/cloud-error/replies", test_cloud_errors);
-  g_test_add_func ("/autoscaler/cloud-error/malformed-reply", test_malformed_reply);
-  g_test_add_func ("/autoscaler/release-reason/texts", test_release_reasons);
-  g_test_add_func ("/autoscaler/lost-capacity/never-negative", test_lost_capacity);
+  g_test_add_func ("/autoscaler/cloud-error/replies", test_cloud_error_replies);
+  g_test_add_func ("/autoscaler/cloud-error/malformed-reply", test_cloud_error_malformed_reply);
+  g_test_add_func ("/autoscaler/release-reason/texts", test_release_reason_texts);
+  g_test_add_func ("/autoscaler/lost-capacity/never-negative", test_lost_capacity_never_negative);
   g_test_add_func ("/autoscaler/forecast/in-time", test_forecast_in_time);
   g_test_add_func ("/autoscaler/forecast/tasks-end-again", test_forecast_tasks_end_again);
   g_test_add_func ("/autoscaler/forecast/adds-up", test_forecast_adds_up);
 #define ADD(path, func) g_test_add ("/autoscaler/" path, Fixture, NULL, set_up, func, tear_down)
-  ADD ("capacity-estimate/suits-and-counts", test_capacity_estimate);
-  ADD ("offers/cheapest", test_cheapest_offer);
+  ADD ("capacity-estimate/suits-and-counts", test_capacity_estimate_suits_and_counts);
+  ADD ("offers/cheapest", test_offers_cheapest);
   ADD ("demand/counts-starting-machines", test_demand_counts_starting_machines);
   ADD ("demand/waits-for-completions", test_demand_waits_for_completions);
   ADD ("demand/replaces-lost-capacity", test_demand_replaces_lost_capacity);
@@ -674,9 +674,9 @@
   ADD ("scale-out/partly-filled", test_partly_filled);
   ADD ("scale-out/reset", test_scale_out_reset);
   ADD ("scale-in/release", test_release);
-  ADD ("scale-in/retried", test_release_is_retried);
-  ADD ("scale-in/former-leader", test_release_by_former_leader);
-  ADD ("scale-in/loaded-record", test_loaded_release);
+  ADD ("scale-in/release-is-retried", test_release_is_retried);
+  ADD ("scale-in/release-by-former-leader", test_release_by_former_leader);
+  ADD ("scale-in/loaded-release", test_loaded_release);
   ADD ("scale-in/idle-machine", test_idle_machine);
   return g_test_run ();
 }
--- a/tests/test-boot-time.c
+++ b/tests/test-boot-time.c
@@ -88,9 +88,9 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/boot-time/slow", 61, test_slow_boots);
+  simulation_test_add ("/boot-time/slow-boots", 61, test_slow_boots);
   simulation_test_add ("/boot-time/never-joins", 62, test_never_joins);
   simulation_test_add ("/boot-time/joins-late", 63, test_joins_late);
-  simulation_test_add ("/boot-time/fast-then-normal", 64, test_fast_then_normal_boots);
+  simulation_test_add ("/boot-time/fast-then-normal-boots", 64, test_fast_then_normal_boots);
   return g_test_run ();
 }
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -145,8 +145,8 @@
 }
 
 /* For two minutes, four jobs of one task each are submitted per second, up to a quarter of them are
-   cancelled, and the leader stops twice. A job whose record is not durable in time would be lost
-   and never reach its end. */
+   cancelled, and the leader stops twice. If a submission were accepted before its record is
+   durable, the job would be lost with the leader. */
 static void
 test_many_small_jobs (Simulation *simulation)
 {
@@ -188,9 +188,9 @@
       WAIT (simulation, 60, all_tasks_running, cancelled);
       ControllerNode *leader = simulation_leader (simulation);
       guint other = (leader->index + 1) % SIMULATION_NODES;
-      leader->write_answers_lost_until_us = simulation->clock->now_us + 8 * MH_SECOND_US;
+      leader->write_responses_lost_until_us = simulation->clock->now_us + 8 * MH_SECOND_US;
       leader->peers_cut_until_us
-          = leader->write_answers_lost_until_us; /* the others read the records themselves */
+          = leader->write_responses_lost_until_us; /* the others read the records themselves */
       user_cancel (cancelled);
       User *submitted = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 1, 1), 2);
       User *const users[] = { ending, cancelled, submitted };
@@ -238,7 +238,7 @@
 
 /* Late copies of heartbeats reach every controller just as a new leader begins. They list tasks
    that have ended since, and in the second round they are from earlier incarnations. Guards against
-   a new leader that takes them for the present state of the workers. */
+   a new leader that treats them as the present state of the workers. */
 static void
 test_late_heartbeats_during_election (void)
 {
--- a/tests/test-gang-failures.c
+++ b/tests/test-gang-failures.c
@@ -29,7 +29,7 @@
       else if (fault == 3)
         worker->heartbeats_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       else
-        worker->answers_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+        worker->responses_lost_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
       WAIT (simulation, 200, is_reported_done, user);
       simulation_check_and_free (simulation);
     }
@@ -186,7 +186,7 @@
 }
 
 /* One machine does not fetch the image in time. The leader must stop the gang before its workers
-   give up, and place it on other machines; otherwise the tasks would only begin to wait again. */
+   give up, and place it on other machines; otherwise its tasks would wait for that image again. */
 static void
 test_late_image (Simulation *simulation)
 {
@@ -203,8 +203,8 @@
   g_assert_false (simulation_has_logged (simulation, "incomplete_in_time"));
 }
 
-/* A gang is done, and one of its machines fails before it reports that. If the reports of the other
-   machines were not enough, the whole gang would run again. */
+/* A gang is done, and one of its machines fails before its heartbeat shows that. If the heartbeats
+   of the other machines were not enough, the whole gang would run again. */
 static void
 test_done_together (Simulation *simulation)
 {
--- a/tests/test-gang-state.c
+++ b/tests/test-gang-state.c
@@ -46,10 +46,10 @@
     }
 }
 
-/* If each report restarted the time, a gang whose tasks report every second that they wait would
-   never be stopped for not being complete in time. */
+/* If each heartbeat that reports a waiting task restarted the time, a gang would never be stopped
+   for not being complete in time. */
 static void
-test_gathering_since_first_report (void)
+test_gathering_since_first_heartbeat (void)
 {
   MhJobGang gang = { .state = MH_GANG_STATE_PLACED };
   g_assert_true (mh_job_gang_apply (&gang, MH_GANG_EVENT_TASK_GATHERING, 5));
@@ -57,7 +57,8 @@
   g_assert_cmpint (gang.gathering_since_us, ==, 5);
 }
 
-/* If a late report were not refused, an attempt that is being stopped would count as live again. */
+/* If a late heartbeat changed the state, an attempt that is being stopped would count as live
+   again. */
 static void
 test_refused_event_changes_nothing (void)
 {
@@ -76,7 +77,8 @@
       g_autofree char *path = g_strdup_printf ("/gang-state/%s", rows[i].name);
       g_test_add_data_func (path, &rows[i], test_state);
     }
-  g_test_add_func ("/gang-state/gathering-since-first-report", test_gathering_since_first_report);
+  g_test_add_func ("/gang-state/gathering-since-first-heartbeat",
+                   test_gathering_since_first_heartbeat);
   g_test_add_func ("/gang-state/refused-event-changes-nothing", test_refused_event_changes_nothing);
   return g_test_run ();
 }
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -107,8 +107,8 @@
 }
 
 /* The starts of a gang are sent only when the records of all its tasks are durable. A new leader
-   would not know of a start that was sent before, and the task would run beside the next attempt.
- */
+   would not know of a start that was sent before, and the task would run beside the next
+   attempt. */
 static void
 test_starts_after_durable_record (Simulation *simulation)
 {
@@ -183,9 +183,9 @@
   g_assert_cmpuint (simulation->rules->task_starts, ==, 6);
 }
 
-/* A gang with more tasks than one record holds, under lower limits of the key-value store, which
-   are to come next: 2048 bytes a value and 5 operations a transaction. If its records exceeded the
-   limits, the gang would not start, or a new leader could not restore it. */
+/* A gang with more tasks than one record holds, under the next limits of the key-value store, which
+   are lower: 2048 bytes a value and 5 operations a transaction. If its records exceeded the limits,
+   the gang would not start, or a new leader could not restore it. */
 static void
 test_small_records (Simulation *simulation)
 {
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -186,8 +186,8 @@
   WAIT (simulation, 20, is_reported_cancelled, service);
 }
 
-/* Idle followers must not wake up often. They did so every 10 ms, which is expensive where a
-   controller has only a small share of a cpu. */
+/* Idle followers must not wake up often. In an earlier version they did so every 10 ms, which is
+   expensive where a controller has only a small share of a cpu. */
 static void
 test_idle_followers_sleep (Simulation *simulation)
 {
@@ -228,13 +228,13 @@
   for (guint i = 1; i <= 30; i++)
     {
       g_autofree char *id = g_strdup_printf ("j-%06u", i);
-      gint64 asked = simulation->clock->now_us;
+      gint64 asked_us = simulation->clock->now_us;
       g_assert_cmpuint (simulation_request_and_wait (simulation,
                                                      simulation_leader (simulation)->index,
                                                      MH_USER_STATUS, id, NULL, &answer),
                         ==, 200);
       g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-      g_assert_cmpint (simulation->clock->now_us - asked, <, 2 * MH_SECOND_US);
+      g_assert_cmpint (simulation->clock->now_us - asked_us, <, 2 * MH_SECOND_US);
     }
 }
 
@@ -251,9 +251,9 @@
   for (guint i = 0; i < 8; i++)
     simulation_submit (simulation, job_spec_new (101 + 2 * i, MH_SHAPE_ARRAY, 1, 2), 6);
   User *large = simulation_submit (simulation, spec, 5);
-  gint64 from = simulation->clock->now_us;
+  gint64 from_us = simulation->clock->now_us;
   guint next = 201;
-  while (large->job->done_count == 0 && simulation->clock->now_us - from < 240 * MH_SECOND_US)
+  while (large->job->done_count == 0 && simulation->clock->now_us - from_us < 240 * MH_SECOND_US)
     {
       /* Staggered, so that a task of the large job never fits into what is free at any moment. */
       simulation_submit (simulation, job_spec_new (next, MH_SHAPE_ARRAY, 1, 2), 4 + next % 7 * 0.7);
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -64,9 +64,10 @@
   g_assert_false (simulation_has_logged (simulation, "reason=write_outcome_unknown"));
 }
 
-/* The same, and while the write gets no reply the user requests the job's status and submits it
-   again. Each answer must be the final state, which the status request has read from the final
-   record. In an earlier version the second submission was answered with a pending job. */
+/* As in the test above, a user submits an ended job again. While the write gets no reply, the user
+   queries the job's status and submits it again. Each answer must be the final state, which the
+   status query has read from the final record. In an earlier version the second submission was
+   answered with a pending job. */
 static void
 test_status_between_repeated_submissions (Simulation *simulation)
 {
--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -1,72 +1,71 @@
-/* Tests failover when leaders crash, freeze or are cut off, and outages of the key-value store:
+/* Tests failover when leaders crash, are paused or are cut off, and outages of the key-value store:
    complete controllers on a fake clock, with simulated peers. */
 #include "steps.h"
 
 #include <string.h>
 
-/* A leader that resumes after it was frozen must not act as a second leader, and must not release
-   machines as silent because no heartbeat reached it while it was frozen. */
+/* A leader that resumes after a pause of its process must not act as a second leader, and must not
+   release machines as silent because no heartbeat reached it during the pause. */
 static void
-test_frozen_leader (Simulation *simulation)
+test_paused_leader (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 3);
-  ControllerNode *old = simulation_leader (simulation);
+  ControllerNode *former_leader = simulation_leader (simulation);
   guint starts = simulation->rules->task_starts;
-  simulation_freeze_node (simulation, old->index, 8);
+  simulation_pause_node (simulation, former_leader->index, 8);
   for (guint i = 0; i < 200; i++)
     {
       simulation_run (simulation, 0.1);
       simulation_leader (simulation); /* asserts that there is at most one */
     }
-  g_assert_true (simulation_leader (simulation) != old);
+  g_assert_true (simulation_leader (simulation) != former_leader);
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 3);
   g_assert_cmpuint (simulation->rules->task_starts, ==, starts);
   g_assert_false (simulation_has_logged (simulation, "releasing machine reason=silent"));
 }
 
-/* The leader is frozen during an outage of the key-value store, so its lease does not expire. It
-   must not count the time in which it was frozen as silence of the machines, or it would release
-   them. */
+/* The leader is paused during an outage of the key-value store, so its lease does not expire. It
+   must not count the time of the pause as silence of the machines, or it would release them. */
 static void
-test_frozen_leader_in_store_outage (Simulation *simulation)
+test_paused_leader_in_store_outage (Simulation *simulation)
 {
   start_service (simulation, 1, 3);
-  ControllerNode *old = simulation_leader (simulation);
-  /* The worker sends no reports, so none waits for the leader when it resumes. */
+  ControllerNode *leader = simulation_leader (simulation);
+  /* The worker sends no heartbeats, so none waits for the leader when it resumes. */
   worker_with_task (simulation, "j-000001/0")->heartbeats_lost_until_us
       = simulation->clock->now_us + 12 * MH_SECOND_US;
   simulation->store->outage_until_us = simulation->clock->now_us + 11 * MH_SECOND_US;
-  simulation_freeze_node (simulation, old->index, 11);
+  simulation_pause_node (simulation, leader->index, 11);
   simulation_run (simulation, 20);
   g_assert_true (simulation_has_logged (simulation, "process was paused seconds="));
-  g_assert_true (simulation_leader (simulation) == old);
+  g_assert_true (simulation_leader (simulation) == leader);
   g_assert_false (simulation_has_logged (simulation, "releasing machine reason=silent"));
 }
 
-/* The leader is frozen between deciding and sending. Commands and answers that depend on its lease
-   must not be sent after the lease has lapsed. */
+/* The leader is paused between deciding and sending. Commands and answers that depend on its lease
+   must not be sent after the lease has lapsed, or they could contradict those of its successor. */
 static void
-test_frozen_before_sending (Simulation *simulation)
+test_paused_before_sending (Simulation *simulation)
 {
   MhUserResponse answer;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
   WAIT (simulation, 60, all_tasks_running, user);
-  ControllerNode *old = simulation_leader (simulation);
-  old->freeze_before_acting_us = 4 * MH_SECOND_US;
-  g_assert_cmpuint (simulation_request_and_wait (simulation, old->index, MH_USER_STATUS, "j-000001",
-                                                 NULL, &answer),
+  ControllerNode *leader = simulation_leader (simulation);
+  leader->pause_before_acting_us = 4 * MH_SECOND_US;
+  g_assert_cmpuint (simulation_request_and_wait (simulation, leader->index, MH_USER_STATUS,
+                                                 "j-000001", NULL, &answer),
                     ==, 503);
   /* The same with the command that starts a task. */
   WAIT (simulation, 30, is_reported_done, user);
   start_service (simulation, 3, 1);
-  old = simulation_leader (simulation);
+  leader = simulation_leader (simulation);
   User *late = simulation_submit (simulation, job_spec_new (5, MH_SHAPE_SERVICE, 1, 1), 0);
   WAIT (simulation, 10, is_accepted, late);
-  old->freeze_before_acting_us = 6 * MH_SECOND_US;
+  leader->pause_before_acting_us = 6 * MH_SECOND_US;
   simulation_run (simulation, 5.5);
   simulation->network->keep_requests = true;
   for (guint i = 0; i < SIMULATION_NODES; i++)
-    if (i != old->index)
+    if (i != leader->index)
       simulation_stop_node (simulation, i);
   simulation_run (simulation, 0.7);
   for (guint i = 0; i < simulation->network->kept_requests->len; i++)
@@ -92,17 +91,17 @@
   WAIT (simulation, 4, all_tasks_running, user);
 }
 
-/* A successor that does not know which tasks run would start them again. */
+/* The leader crashes. A successor that does not know which tasks run would start them again. */
 static void
 test_leader_crash (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 3), *array;
   array = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 8, 1), 6);
   WAIT (simulation, 30, is_accepted, array);
-  guint old = simulation_leader (simulation)->index;
-  simulation_stop_node (simulation, old);
+  guint former_leader = simulation_leader (simulation)->index;
+  simulation_stop_node (simulation, former_leader);
   WAIT (simulation, 10, has_leader, NULL);
-  g_assert_cmpuint (simulation_leader (simulation)->index, !=, old);
+  g_assert_cmpuint (simulation_leader (simulation)->index, !=, former_leader);
   WAIT (simulation, 90, is_reported_done, array);
   WAIT (simulation, 10, all_tasks_running, user);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 3 + 8); /* no task was started twice */
@@ -133,10 +132,10 @@
 test_leader_cut_off_from_store (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 4);
-  ControllerNode *old = simulation_leader (simulation);
-  old->store_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  ControllerNode *former_leader = simulation_leader (simulation);
+  former_leader->store_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 4);
-  g_assert_true (simulation_leader (simulation) != old);
+  g_assert_true (simulation_leader (simulation) != former_leader);
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
@@ -152,8 +151,9 @@
   start_service (simulation, 2, 4);
   start_service (simulation, 3, 4);
   start_service (simulation, 4, 4);
-  ControllerNode *old = simulation_leader (simulation);
-  old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 25 * MH_SECOND_US;
+  ControllerNode *former_leader = simulation_leader (simulation);
+  former_leader->store_cut_until_us = former_leader->peers_cut_until_us
+      = simulation->clock->now_us + 25 * MH_SECOND_US;
   simulation_run (simulation, 60);
   for (guint i = 1; i <= 4; i++)
     {
@@ -185,14 +185,14 @@
   g_assert_true (simulation_leader (simulation) == leader); /* its lease was renewed in full */
 }
 
-/* The old leader is cut off from the key-value store and its peers. A job that is cancelled at the
-   new leader must stop within cancel_s, even while the old leader keeps its tasks alive. */
+/* The former leader is cut off from the key-value store and its peers. A job that is cancelled at
+   the new leader must stop within cancel_s, even while the former leader keeps its tasks alive. */
 static void
-test_cancel_while_old_leader_isolated (Simulation *simulation)
+test_cancel_while_former_leader_isolated (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 2);
-  ControllerNode *old = simulation_leader (simulation);
-  old->store_cut_until_us = old->peers_cut_until_us
+  ControllerNode *former_leader = simulation_leader (simulation);
+  former_leader->store_cut_until_us = former_leader->peers_cut_until_us
       = simulation->clock->now_us + 200 * MH_SECOND_US;
   simulation->cloud->outage_until_us
       = simulation->clock->now_us + 200 * MH_SECOND_US; /* no machine is released */
@@ -203,9 +203,9 @@
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
 
-/* The leader's last write is carried out, but its reply is lost. Another controller, which does not
-   know who leads, reads the record and answers "done". The leader must not report an older state
-   afterwards. */
+/* The leader's last write is carried out, but the response is lost. Another controller, which does
+   not know who leads, reads the record and answers "done". The leader must not report an older
+   state afterwards. */
 static void
 test_status_bypassing_leader (Simulation *simulation)
 {
@@ -221,7 +221,7 @@
     {
       simulation_stop_node (simulation, other);
       simulation_start_node (simulation, other);
-      leader->write_answers_lost_until_us = simulation->clock->now_us + MH_SECOND_US / 2;
+      leader->write_responses_lost_until_us = simulation->clock->now_us + MH_SECOND_US / 2;
       if (simulation_request_and_wait (simulation, other, MH_USER_STATUS, "j-000001", NULL, &answer)
               == 200
           && answer.state == MH_JOB_DONE)
@@ -241,19 +241,20 @@
 test_isolated_leader_with_workers (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 4);
-  ControllerNode *old = simulation_leader (simulation);
+  ControllerNode *former_leader = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    ((Worker *)g_ptr_array_index (simulation->workers, i))->target_node = old->index;
+    ((Worker *)g_ptr_array_index (simulation->workers, i))->target_node = former_leader->index;
   simulation_run (simulation, 10); /* the cloud lists the machines */
-  old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
+  former_leader->store_cut_until_us = former_leader->peers_cut_until_us
+      = simulation->clock->now_us + 60 * MH_SECOND_US;
   simulation_run (simulation, 10);
   ControllerNode *successor = simulation_leader (simulation);
-  g_assert_true (successor && successor != old);
+  g_assert_true (successor && successor != former_leader);
   for (guint i = 0; i < simulation->cloud->machines->len; i++)
     {
       const Machine *machine = g_ptr_array_index (simulation->cloud->machines, i);
       Worker *worker = g_ptr_array_index (simulation->workers, i);
-      g_assert_true (machine->removed || worker->target_node != old->index);
+      g_assert_true (machine->removed || worker->target_node != former_leader->index);
     }
   simulation_run (simulation, 60);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
@@ -338,17 +339,17 @@
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
   User *user = start_service (simulation, 1, 4);
-  ControllerNode *old = simulation_leader (simulation);
-  old->workers_cut_until_us = simulation->clock->now_us + 90 * MH_SECOND_US;
+  ControllerNode *former_leader = simulation_leader (simulation);
+  former_leader->workers_cut_until_us = simulation->clock->now_us + 90 * MH_SECOND_US;
   simulation_run (simulation, 13);
-  g_assert_true (simulation_leader (simulation) && simulation_leader (simulation) != old);
+  g_assert_true (simulation_leader (simulation) && simulation_leader (simulation) != former_leader);
   simulation_run (simulation, 30);
-  g_assert_true (simulation_leader (simulation) != old);
+  g_assert_true (simulation_leader (simulation) != former_leader);
   g_assert_cmpuint (simulation->rules->task_starts, ==, 4);
   g_assert_cmpuint (simulation_running_tasks (simulation, user->job->spec->id), ==, 4);
 }
 
-/* One controller is down and another is frozen, and their workers wait for an answer of each in
+/* One controller is down and another is paused, and their workers wait for a response of each in
    turn before they try the last one. That one must not transfer its leadership in the meantime. An
    earlier version did so although no other controller could be elected, and led again seconds later
    without any state. */
@@ -359,14 +360,14 @@
     cloud_add_machine (simulation->cloud, "small", i % 2 ? "a" : "b", false);
   simulation_run (simulation, 8);
   start_service (simulation, 1, 4);
-  guint old = simulation_leader (simulation)->index;
-  guint next = (old + 1) % SIMULATION_NODES;
+  guint former_leader = simulation_leader (simulation)->index;
+  guint next = (former_leader + 1) % SIMULATION_NODES;
   simulation_stop_node (simulation, next);
   simulation_run (simulation, 6);
-  simulation_freeze_node (simulation, old, 30);
+  simulation_pause_node (simulation, former_leader, 30);
   simulation_run (simulation, 3);
   const ControllerNode *last = simulation_leader (simulation);
-  g_assert_true (last && last->index != old && last->index != next);
+  g_assert_true (last && last->index != former_leader && last->index != next);
   for (guint i = 0; i < 240; i++)
     {
       simulation_run (simulation, 0.1);
@@ -405,10 +406,10 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/leader-failover/frozen-leader", 42, test_frozen_leader);
-  simulation_test_add ("/leader-failover/frozen-leader-in-store-outage", 43,
-                       test_frozen_leader_in_store_outage);
-  simulation_test_add ("/leader-failover/frozen-before-sending", 44, test_frozen_before_sending);
+  simulation_test_add ("/leader-failover/paused-leader", 42, test_paused_leader);
+  simulation_test_add ("/leader-failover/paused-leader-in-store-outage", 43,
+                       test_paused_leader_in_store_outage);
+  simulation_test_add ("/leader-failover/paused-before-sending", 44, test_paused_before_sending);
   simulation_test_add ("/leader-failover/new-leader-probes-machines", 29,
                        test_new_leader_probes_machines);
   simulation_test_add ("/leader-failover/leader-crash", 12, test_leader_crash);
@@ -418,8 +419,8 @@
   simulation_test_add ("/leader-failover/leader-cut-off-from-store-and-peers", 15,
                        test_leader_cut_off_from_store_and_peers);
   simulation_test_add ("/leader-failover/store-outage", 16, test_store_outage);
-  simulation_test_add ("/leader-failover/cancel-while-old-leader-isolated", 17,
-                       test_cancel_while_old_leader_isolated);
+  simulation_test_add ("/leader-failover/cancel-while-former-leader-isolated", 17,
+                       test_cancel_while_former_leader_isolated);
   simulation_test_add ("/leader-failover/status-bypassing-leader", 25,
                        test_status_bypassing_leader);
   simulation_test_add ("/leader-failover/isolated-leader-with-workers", 32,
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -26,7 +26,7 @@
   guint node;
   bool heartbeat_pending;
   gint64 next_us, sent_us;
-  guint64 session;
+  guint64 sent_incarnation;
 } Worker;
 
 static struct
@@ -145,7 +145,7 @@
 /* ---- workers ---- */
 
 static void
-on_heartbeat_answered (GObject *source, GAsyncResult *result, gpointer data)
+on_heartbeat_response (GObject *source, GAsyncResult *result, gpointer data)
 {
   Worker *worker = data;
   SoupMessage *message = soup_session_get_async_result_message (SOUP_SESSION (source), result);
@@ -159,7 +159,8 @@
   worker->heartbeat_pending = false;
   advance_environment ();
   if (status == 200)
-    worker_protocol_heartbeat_response (worker->machine, worker->sent_us, worker->session, body);
+    worker_protocol_heartbeat_response (worker->machine, worker->sent_us, worker->sent_incarnation,
+                                        body);
   else if (status == 421 && node)
     worker->node = (guint)(node[strlen (node) - 1] - '0') % NODES;
   else
@@ -176,14 +177,14 @@
     return;
   worker->heartbeat_pending = true;
   worker->sent_us = now_us;
-  worker->session = worker->machine->incarnation;
+  worker->sent_incarnation = worker->machine->incarnation;
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/hello", cluster.front[worker->node]);
   g_autoptr (SoupMessage) message = soup_message_new ("POST", url);
   g_autoptr (MhValue) heartbeat = worker_protocol_heartbeat (worker->machine);
   g_autoptr (GBytes) bytes = mh_value_serialize (heartbeat);
   soup_message_set_request_body_from_bytes (message, "application/cbor", bytes);
   soup_session_send_and_read_async (cluster.session, message, G_PRIORITY_DEFAULT, NULL,
-                                    on_heartbeat_answered, worker);
+                                    on_heartbeat_response, worker);
 }
 
 static gboolean
@@ -409,7 +410,7 @@
 /* Connections that are reset before they are accepted must not cause a critical log message, which
    ends the process here. */
 static void
-test_connection_resets (void)
+test_connections_reset_before_accept (void)
 {
   for (guint i = 0; i < 100 * NODES; i++)
     {
@@ -453,7 +454,7 @@
 /* Guards against a job that only the controller that accepted it knows, and against a job that runs
    again when it is submitted a second time. */
 static void
-test_job_array (void)
+test_job_array_known_to_all_controllers (void)
 {
   g_autoptr (GBytes) body = encode_submission ("j-000001", "red", MH_SHAPE_ARRAY, 6, 300000);
   send_request_until (0, "POST", "/submissions", body, 201, NULL);
@@ -479,8 +480,8 @@
   return mh_value_serialize (heartbeat);
 }
 
-/* Sends a heartbeat over a new connection and returns the headers of the answer. libsoup's client
-   cannot be used: after an answer 421 it sends the message again, without the body, and then ends
+/* Sends a heartbeat over a new connection and returns the headers of the response. libsoup's client
+   cannot be used: after a response 421 it sends the message again, without the body, and then ends
    with an error, so that this test failed whenever node 0 was not the leader. */
 static char *
 send_heartbeat (guint node, GBytes *body)
@@ -488,7 +489,7 @@
   g_autoptr (GError) error = NULL;
   g_autoptr (GSocket) socket = connect_to (node);
   g_autoptr (GString) request = g_string_new (NULL);
-  g_autoptr (GString) answer = g_string_new (NULL);
+  g_autoptr (GString) response = g_string_new (NULL);
   gsize size;
   const char *data = g_bytes_get_data (body, &size);
   g_string_append_printf (request,
@@ -499,7 +500,7 @@
   g_assert_cmpint (g_socket_send (socket, request->str, request->len, NULL, &error), ==,
                    (gssize)request->len);
   g_socket_set_blocking (socket, FALSE);
-  while (strstr (answer->str, "\r\n\r\n") == NULL)
+  while (strstr (response->str, "\r\n\r\n") == NULL)
     {
       char byte;
       gssize got = g_socket_receive (socket, &byte, 1, NULL, &error);
@@ -510,21 +511,21 @@
           continue;
         }
       g_assert_no_error (error);
-      g_assert_cmpint (got, ==, 1); /* 0: closed without an answer */
-      g_string_append_c (answer, byte);
+      g_assert_cmpint (got, ==, 1); /* 0: closed without a response */
+      g_string_append_c (response, byte);
     }
-  return g_string_free (g_steal_pointer (&answer), FALSE);
+  return g_string_free (g_steal_pointer (&response), FALSE);
 }
 
 static bool
 heartbeat_closes_connection (void)
 {
   g_autoptr (GBytes) body = encode_first_heartbeat ();
-  g_autofree char *answer = send_heartbeat (0, body);
-  g_assert_true (g_str_has_prefix (answer, "HTTP/1.1 "));
-  guint64 status = g_ascii_strtoull (answer + strlen ("HTTP/1.1 "), NULL, 10);
+  g_autofree char *response = send_heartbeat (0, body);
+  g_assert_true (g_str_has_prefix (response, "HTTP/1.1 "));
+  guint64 status = g_ascii_strtoull (response + strlen ("HTTP/1.1 "), NULL, 10);
   g_assert_true (status == 200 || status == 421 || status == 503);
-  return strstr (answer, "\r\nConnection: close\r\n") != NULL;
+  return strstr (response, "\r\nConnection: close\r\n") != NULL;
 }
 
 /* When more connections are open than the share within which workers may keep theirs, a heartbeat
@@ -547,7 +548,7 @@
 /* A service must keep running, without a new start of a task, while each controller is killed and
    started again. */
 static void
-test_controller_restarts (void)
+test_restart_each_controller (void)
 {
   g_autoptr (GBytes) body = encode_submission ("j-000003", "red", MH_SHAPE_SERVICE, 2, 0);
   send_request_until (0, "POST", "/submissions", body, 201, NULL);
@@ -611,12 +612,14 @@
   g_assert_cmpint (argc, ==, 2);
   program = argv[1];
   set_up ();
-  g_test_add_func ("/loopback/connections-reset-before-accept", test_connection_resets);
+  g_test_add_func ("/loopback/connections-reset-before-accept",
+                   test_connections_reset_before_accept);
   g_test_add_func ("/loopback/refused-requests", test_refused_requests);
-  g_test_add_func ("/loopback/job-array-known-to-all-controllers", test_job_array);
+  g_test_add_func ("/loopback/job-array-known-to-all-controllers",
+                   test_job_array_known_to_all_controllers);
   g_test_add_func ("/loopback/heartbeats-near-connection-limit",
                    test_heartbeats_near_connection_limit);
-  g_test_add_func ("/loopback/restart-each-controller", test_controller_restarts);
+  g_test_add_func ("/loopback/restart-each-controller", test_restart_each_controller);
   g_test_add_func ("/loopback/command-line", test_command_line);
   int status = g_test_run ();
   for (guint i = 0; i < NODES; i++)
--- a/tests/test-machines.c
+++ b/tests/test-machines.c
@@ -35,8 +35,8 @@
   WAIT (simulation, 60, all_tasks_running, user);
 }
 
-/* A direct start that has no answer yet is carried out late. If its attempt were cleared at the
-   worker or moved before that, the task would run again. */
+/* A direct start that has no response yet is carried out late. If the attempt were cleared at the
+   worker, or the task started elsewhere, before that, the task would run again. */
 static void
 test_late_command (Simulation *simulation)
 {
@@ -65,7 +65,7 @@
 /* A direct start is still in flight when its task has ended. Without a higher token that fences it,
    it would run the task again. */
 static void
-test_late_command_is_fenced (Simulation *simulation)
+test_late_command_fenced (Simulation *simulation)
 {
   start_service (simulation, 1, 1);
   simulation->network->hold_commands = true;
@@ -205,8 +205,9 @@
   workers_deliver_late_heartbeat (simulation, leader, first_heartbeat);
   workers_deliver_late_heartbeat (simulation, leader, second_heartbeat);
   g_assert_cmpuint (count_joins (simulation), ==, joins); /* at most they give addresses to probe */
-  /* From here on, the workers report to the new leader. A worker that tried the stopped node first
-     would get its next response after its lease has expired, and would rightly stop the task. */
+  /* From here on, the workers send their heartbeats to the new leader. A worker that tried the
+     stopped node first would get its next response after its lease has expired, and would rightly
+     stop the task. */
   for (guint i = 0; i < simulation->workers->len; i++)
     {
       Worker *worker = worker_by_index (simulation, i);
@@ -260,7 +261,7 @@
   User *user = start_service (simulation, 1, 1);
   Worker *worker = worker_with_task (simulation, "j-000001/0");
   worker->sole_node = (gint)simulation_leader (simulation)->index;
-  worker->answers_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+  worker->responses_lost_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   gint64 since_us = simulation->clock->now_us;
   /* Tasks of this array may be placed on the machine, and never show in its heartbeats. */
   User *array = simulation_submit (simulation, job_spec_new (3, MH_SHAPE_ARRAY, 2, 1), 2);
@@ -352,8 +353,8 @@
   WAIT (simulation, 15, all_tasks_running, user);
 }
 
-/* All machines hang. Guards against probes that take all connections while they wait for an answer,
-   and against queued probes that are never sent. */
+/* All machines hang. Guards against probes that take all connections while they wait for a
+   response, and against queued probes that are never sent. */
 static void
 test_concurrent_worker_calls_are_limited (Simulation *simulation)
 {
@@ -386,7 +387,7 @@
   simulation_test_add ("/machines/hung-machine", 5, test_hung_machine);
   simulation_test_add ("/machines/hung-machine-new-leader", 6, test_hung_machine_new_leader);
   simulation_test_add ("/machines/late-command", 7, test_late_command);
-  simulation_test_add ("/machines/late-command-fenced", 8, test_late_command_is_fenced);
+  simulation_test_add ("/machines/late-command-fenced", 8, test_late_command_fenced);
   simulation_test_add ("/machines/repeated-requests", 41, test_repeated_requests);
   simulation_test_add ("/machines/release-survives-failover", 45, test_release_survives_failover);
   simulation_test_add ("/machines/silent-machine-is-probed", 23, test_silent_machine_is_probed);
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -157,7 +157,7 @@
 {
   start_array (simulation, 2, 12, 90);
   simulation_run (simulation, 10);
-  worker_with_task (simulation, "j-000002/0")->answers_lost_until_us
+  worker_with_task (simulation, "j-000002/0")->responses_lost_until_us
       = simulation->clock->now_us + 200 * MH_SECOND_US;
   Worker *cut = worker_with_task (simulation, "j-000002/11");
   cut->cut_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
--- a/tests/test-placement-steps.c
+++ b/tests/test-placement-steps.c
@@ -290,7 +290,7 @@
    other in turn. The only task of a starved job must not be stopped as soon as it is placed, and a
    gang not for a quota alone. */
 static void
-test_victim_is_eligible (Fixture *fixture, gconstpointer unused)
+test_victim_eligible (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJobSpec urgent_spec = { .id = "j-2", .team = "blue", .priority = MH_PRIORITY_HIGH };
@@ -365,7 +365,7 @@
   ADD ("/placement/score/order", test_score_order);
   ADD ("/placement/infeasible", test_infeasible);
   ADD ("/placement/quota", test_quota);
-  ADD ("/placement/victim/eligible", test_victim_is_eligible);
+  ADD ("/placement/victim/eligible", test_victim_eligible);
   ADD ("/placement/victim/loss", test_victim_loss);
   ADD ("/placement/resource-slots", test_resource_slots);
   return g_test_run ();
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 /* Tasks on an unreachable machine may still run, so they count against the quota of their team. If
-   the silence of the machine freed their quota, other jobs of the team would use it a second time.
- */
+   the silence of the machine freed their quota, other jobs of the team would use it a second
+   time. */
 static void
-test_quota_unreachable (Simulation *simulation)
+test_quota_with_unreachable_machine (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 4);
   Machine *machine = worker_with_task (simulation, "j-000001/0")->machine;
@@ -94,8 +94,8 @@
 
 /* A service of four replicas in four zones, of which one is full. If the minimum of topology spread
    left out the full zone, the fourth replica would be placed in violation of MaxSkew. If the
-   minimum included the zone after its only machine is gone, the fourth replica would wait for ever.
- */
+   minimum included the zone after its only machine is gone, the fourth replica would wait for
+   ever. */
 static void
 test_spread_four_zones (Simulation *simulation)
 {
@@ -280,7 +280,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  simulation_test_add ("/placement/quota-unreachable", 10, test_quota_unreachable);
+  simulation_test_add ("/placement/quota-with-unreachable-machine", 10,
+                       test_quota_with_unreachable_machine);
   simulation_test_add ("/placement/spread", 19, test_spread);
   simulation_test_add ("/placement/spread-four-zones", 36, test_spread_four_zones);
   simulation_test_add ("/placement/guarantee", 20, test_guarantee);
--- a/tests/test-protocol-errors.c
+++ b/tests/test-protocol-errors.c
@@ -70,7 +70,7 @@
 
 /* An error that names another field, or another kind of problem, would mislead its reader. */
 static void
-test_submission (void)
+test_submission_by_field (void)
 {
   static const struct
   {
@@ -227,7 +227,7 @@
 /* If a change of the leader key were decoded as its deletion, the controllers would assume that the
    leadership has ended. */
 static void
-test_events (void)
+test_watch_events (void)
 {
   static const Field put[] = { { "put", "\"leader\"" }, { "v", "1" }, { "stamp", "7" } };
   static const Field drop[] = { { "drop", "\"leader\"" }, { "stamp", "8" } };
@@ -319,12 +319,12 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/protocol-errors/submission-by-field", test_submission);
+  g_test_add_func ("/protocol-errors/submission-by-field", test_submission_by_field);
   g_test_add_func ("/protocol-errors/not-a-map", test_not_a_map);
   g_test_add_func ("/protocol-errors/task-in-heartbeat", test_task_in_heartbeat);
   g_test_add_func ("/protocol-errors/notice", test_notice);
   g_test_add_func ("/protocol-errors/lenient-fields", test_lenient_fields);
-  g_test_add_func ("/protocol-errors/watch-events", test_events);
+  g_test_add_func ("/protocol-errors/watch-events", test_watch_events);
   g_test_add_func ("/protocol-errors/controller-records", test_controller_records);
   g_test_add_func ("/protocol-errors/routes", test_routes);
   return g_test_run ();
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -6,8 +6,8 @@
 
 #define UNKNOWN_JOB "j-999999"
 
-/* Sixty status queries about one unknown job arrive at the same moment and 1 ms later. A read for
-   each of them would use up all calls to the key-value store. */
+/* Sixty status queries about one unknown job arrive within 1 ms. A read for each of them would use
+   up all calls to the key-value store. */
 static void
 test_shared_reads (Simulation *simulation)
 {
--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -830,14 +830,16 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/storage/record-state/transitions", test_transitions);
-  g_test_add_func ("/storage/record-state/queued-and-writing", test_queued_and_writing_states);
+  g_test_add_func ("/storage/record-state/queued-and-writing-states",
+                   test_queued_and_writing_states);
   g_test_add_func ("/storage/transaction/outcomes", test_outcomes);
   ADD ("/storage/writer/accepted-when-durable", NULL, test_accepted_when_durable);
   ADD ("/storage/writer/change-while-writing", NULL, test_change_while_writing);
   ADD ("/storage/writer/urgent-first", NULL, test_urgent_first);
   ADD ("/storage/writer/final-record-deletes-others", NULL, test_final_record_deletes_others);
   ADD ("/storage/writer/limits-written-once", NULL, test_limits_written_once);
-  ADD ("/storage/unknown-outcome/applied", NULL, test_unanswered_request_applied);
+  ADD ("/storage/unknown-outcome/unanswered-request-applied", NULL,
+       test_unanswered_request_applied);
   ADD ("/storage/unknown-outcome/other-tag", GUINT_TO_POINTER (200),
        test_outcome_cannot_be_determined);
   ADD ("/storage/unknown-outcome/no-record", GUINT_TO_POINTER (404),
@@ -847,14 +849,14 @@
   ADD ("/storage/unknown-outcome/unavailable-not-applied", GUINT_TO_POINTER (503),
        test_refused_request_not_applied);
   ADD ("/storage/conflict/repeated-submission", NULL, test_repeated_submission);
-  ADD ("/storage/conflict/no-final-record", NULL, test_conflict_without_final_record);
-  ADD ("/storage/conflict/another-leader", NULL, test_conflict_with_another_leader);
-  ADD ("/storage/conflict/record-changed", NULL, test_conflict_on_accepted_job);
+  ADD ("/storage/conflict/without-final-record", NULL, test_conflict_without_final_record);
+  ADD ("/storage/conflict/with-another-leader", NULL, test_conflict_with_another_leader);
+  ADD ("/storage/conflict/on-accepted-job", NULL, test_conflict_on_accepted_job);
   ADD ("/storage/malformed/written-alone", NULL, test_malformed_written_alone);
   ADD ("/storage/malformed/refused-record-waits", NULL, test_refused_record_waits);
   ADD ("/storage/malformed/after-unknown-outcome", NULL, test_malformed_after_unknown_outcome);
   ADD ("/storage/rechunk/order", NULL, test_rechunk_order);
-  ADD ("/storage/record/unreadable-job", NULL, test_read_unreadable_job);
+  ADD ("/storage/record/read-unreadable-job", NULL, test_read_unreadable_job);
   ADD ("/storage/load/unreadable-job", NULL, test_load_unreadable_job);
   return g_test_run ();
 }
--- a/tests/test-runtime.c
+++ b/tests/test-runtime.c
@@ -108,7 +108,7 @@
 
 /* If a bucket were filled beyond its burst, the rate limit would be exceeded after an idle time. */
 static void
-test_bucket_is_bounded_by_burst (void)
+test_bounded_by_burst (void)
 {
   MhTokenBucket bucket;
   mh_token_bucket_init (&bucket, 10, 4, START_US);
@@ -299,7 +299,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/token-bucket/bounded-by-burst", test_bucket_is_bounded_by_burst);
+  g_test_add_func ("/token-bucket/bounded-by-burst", test_bounded_by_burst);
   g_test_add_func ("/token-bucket/full-bucket-allows-large-calls",
                    test_full_bucket_allows_large_calls);
   ADD ("/runtime/earliest-wake-up-wins", test_earliest_wake_up_wins);
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -139,7 +139,7 @@
 
 /* The session for workers is replaced after a number of calls; no call may be lost with it. */
 static void
-test_client_session_replacement (ClientFixture *fixture, gconstpointer data)
+test_client_worker_session_replacement (ClientFixture *fixture, gconstpointer data)
 {
   (void)data;
   for (guint i = 1; i <= 70; i++)
@@ -278,7 +278,7 @@
 /* A malformed record must close the connection, since the start of the next record cannot be found
    in the stream. */
 static void
-test_peer_malformed (PeerFixture *fixture, gconstpointer data)
+test_peer_malformed_record (PeerFixture *fixture, gconstpointer data)
 {
   (void)data;
   g_autoptr (GError) error = NULL;
@@ -461,13 +461,13 @@
   g_test_add ("/server/http-client/without-reply", ClientFixture, NULL, client_set_up,
               test_client_without_reply, client_tear_down);
   g_test_add ("/server/http-client/worker-session-replacement", ClientFixture, NULL, client_set_up,
-              test_client_session_replacement, client_tear_down);
+              test_client_worker_session_replacement, client_tear_down);
   g_test_add ("/server/peer-connection/messages-before-connected", PeerFixture, NULL, peer_set_up,
               test_peer_messages_before_connected, peer_tear_down);
   g_test_add ("/server/peer-connection/closed-by-handler", PeerFixture, NULL, peer_set_up,
               test_peer_closed_by_handler, peer_tear_down);
   g_test_add ("/server/peer-connection/malformed-record", PeerFixture, NULL, peer_set_up,
-              test_peer_malformed, peer_tear_down);
+              test_peer_malformed_record, peer_tear_down);
   g_test_add ("/server/peer-connection/closed-by-other-side", PeerFixture, NULL, peer_set_up,
               test_peer_closed_by_other_side, peer_tear_down);
   g_test_add ("/server/request-forwarder/answer", ForwardFixture, NULL, forward_set_up,
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -1,3 +1,4 @@
+/* Settings: the values of both files, the defaults, and the errors for refused values. */
 #include "settings/settings-loader.h"
 
 #include <glib/gstdio.h>
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -59,8 +59,8 @@
   g_assert_cmpuint (removed, <=, machines / MACHINES_PER_LOSS);
 }
 
-/* Counts the machines whose fencing token belongs to the latest leadership that any machine knows.
- */
+/* Counts the machines whose fencing token belongs to the latest leadership that any machine
+   knows. */
 static guint
 count_machines_with_latest_token (Simulation *simulation)
 {
@@ -94,6 +94,8 @@
     }
 }
 
+/* Guards against a leader that does not keep up with a large fleet: submitted jobs would wait, the
+   leases of workers would expire, and the machines of a silent zone would be released. */
 static void
 test_large_fleet (gconstpointer data)
 {
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -5,32 +5,32 @@
 
 #include <string.h>
 
-/* The first leader cannot use the key-value store, which refuses its requests alone (`refused`) or
-   which it is cut off from. With `isolated` it is cut off from its peers too. The workers still
-   send their heartbeats to it, and no other controller can send them commands. The second leader
-   confirms a cancellation. `outage_s` later the store becomes unavailable for all, before or after
-   the first leader starts to reject heartbeats, and the workers turn to the second one. The task
-   must be gone within cancel_s all the same. Without stops in heartbeat responses, the second
-   leader kept the task alive after the first one had. */
+/* The first leader cannot use the key-value store: the store rejects the requests of this
+   controller alone (`refused`), or the controller is cut off from it. With `isolated` it is cut off
+   from its peers too. The workers still send their heartbeats to it, and direct commands do not
+   reach them. The second leader confirms a cancellation. `outage_s` later the store becomes
+   unavailable for all, before or after the first leader starts to reject heartbeats, and the
+   workers turn to the second one. The task must be gone within cancel_s all the same. Without stops
+   in heartbeat responses, the second leader kept the task alive after the first one had. */
 static void
 keep_alive_across_leaders (guint seed, bool refused, bool isolated, double outage_s)
 {
   Simulation *simulation = simulation_new (seed);
   User *user = start_service (simulation, 1, 2);
   simulation_run (simulation, 10);
-  ControllerNode *old = simulation_leader (simulation);
+  ControllerNode *former_leader = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    worker_by_index (simulation, i)->target_node = old->index;
-  *(refused ? &old->store_rejects_until_us : &old->store_cut_until_us)
+    worker_by_index (simulation, i)->target_node = former_leader->index;
+  *(refused ? &former_leader->store_rejects_until_us : &former_leader->store_cut_until_us)
       = simulation->clock->now_us + 300 * MH_SECOND_US;
   if (isolated)
-    old->peers_cut_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
+    former_leader->peers_cut_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us
       = simulation->clock->now_us + 300 * MH_SECOND_US; /* no machine can be released */
   user_cancel (user);
   WAIT (simulation, 20, is_reported_cancelled, user);
-  g_assert_true (simulation_leader (simulation) != old);
+  g_assert_true (simulation_leader (simulation) != former_leader);
   simulation_run (simulation, outage_s);
   simulation->store->outage_until_us = simulation->clock->now_us + 70 * MH_SECOND_US;
   simulation_run (simulation, 120); /* the rule checks of the simulation enforce cancel_s */
@@ -50,14 +50,14 @@
 }
 
 /* A leader confirms a cancellation and ends before any worker gets the stop. The next leader can
-   renew its lease, but its lists of keys get no reply for a minute. If it responded to heartbeats
-   before it has loaded the records, it would keep cancelled tasks alive. */
+   renew its lease, but its requests for lists of keys get no response for a minute. If it responded
+   to heartbeats before it has loaded the records, it would keep cancelled tasks alive. */
 static void
 test_cancel_before_slow_load (Simulation *simulation)
 {
   User *user = start_service (simulation, 1, 2);
   simulation_run (simulation, 10);
-  guint old = simulation_leader (simulation)->index;
+  guint former_leader = simulation_leader (simulation)->index;
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 300 * MH_SECOND_US;
   for (guint i = 0; i < SIMULATION_NODES; i++)
@@ -67,7 +67,7 @@
         = simulation->clock->now_us + 3 * MH_SECOND_US;
   user_cancel (user);
   WAIT (simulation, 3, is_reported_cancelled, user);
-  simulation_stop_node (simulation, old);
+  simulation_stop_node (simulation, former_leader);
   simulation_run (simulation, 80);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
 }
@@ -94,8 +94,8 @@
   WAIT (simulation, 20, is_removed, machine);
   WAIT (simulation, 20, all_tasks_running, other);
   WAIT (simulation, 20, all_tasks_running, user);
-  ControllerNode *old = simulation_leader (simulation);
-  old->store_cut_until_us = old->peers_cut_until_us
+  ControllerNode *former_leader = simulation_leader (simulation);
+  former_leader->store_cut_until_us = former_leader->peers_cut_until_us
       = simulation->clock->now_us + 100 * MH_SECOND_US;
   simulation->network->hold_commands = true;
   simulation->cloud->outage_until_us = simulation->clock->now_us + 100 * MH_SECOND_US;
@@ -123,24 +123,26 @@
     g_assert_false (((Machine *)g_ptr_array_index (simulation->cloud->machines, i))->removed);
 }
 
-/* The old leader is cut off from the key-value store and its peers, but not from its workers and
-   users, and a job is cancelled through the new leader. The old one must not answer users with an
-   older state of the job, and the job's tasks must be gone within cancel_s. */
+/* The former leader is cut off from the key-value store and its peers, but not from its workers and
+   users, and a job is cancelled through the new leader. The former one must not answer users with
+   an older state of the job, and the job's tasks must be gone within cancel_s. */
 static void
 test_cancel_with_isolated_leader (Simulation *simulation)
 {
   MhUserResponse answer;
   User *user = start_service (simulation, 1, 2), *other = start_service (simulation, 2, 2);
   simulation_run (simulation, 10);
-  ControllerNode *old = simulation_leader (simulation);
+  ControllerNode *former_leader = simulation_leader (simulation);
   for (guint i = 0; i < simulation->workers->len; i++)
-    worker_by_index (simulation, i)->target_node = old->index;
-  old->store_cut_until_us = old->peers_cut_until_us = simulation->clock->now_us + 60 * MH_SECOND_US;
-  simulation->network->hold_commands = true; /* no worker sends the old leader the new token */
+    worker_by_index (simulation, i)->target_node = former_leader->index;
+  former_leader->store_cut_until_us = former_leader->peers_cut_until_us
+      = simulation->clock->now_us + 60 * MH_SECOND_US;
+  simulation->network->hold_commands = true; /* no worker sends the former leader the new token */
   simulation_run (simulation, 3);
   user_cancel (user);
   WAIT (simulation, 20, is_reported_cancelled, user);
-  simulation_request_and_wait (simulation, old->index, MH_USER_STATUS, "j-000001", NULL, &answer);
+  simulation_request_and_wait (simulation, former_leader->index, MH_USER_STATUS, "j-000001", NULL,
+                               &answer);
   g_assert_true (answer.status == 503 || answer.state == MH_JOB_CANCELLED);
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 80);
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -1,6 +1,6 @@
 /* Tests this version and the one in production side by side, on a fake clock. A leader of either
    version is replaced by one of the other at each stage of a gang and at each step of re-chunking a
-   job. The new leader then works with records, commands and worker state of the old one; a
+   job. The new leader then works with records, commands and worker state of the former one; a
    difference between the versions would lose tasks or run them twice. */
 #include "steps.h"
 
@@ -33,7 +33,7 @@
 }
 
 /* Stops node 0, which leads, waits for the next leader, and starts node 0 again with the version
- * `to`. */
+   `to`. */
 static void
 replace_leader (Simulation *simulation, const VersionChange *change, double downtime_s)
 {
@@ -78,7 +78,7 @@
 }
 
 /* Adds twice as many machines as the gang needs, so that a second attempt could run beside the
- * first. */
+   first. */
 static void
 add_machines (Simulation *simulation)
 {
@@ -203,7 +203,7 @@
       break;
     case ON_RECORD:
       wait_until_placed (scenario);
-      simulation->nodes[0].write_answers_lost_until_us
+      simulation->nodes[0].write_responses_lost_until_us
           = simulation->clock->now_us + 20 * MH_SECOND_US;
       outgoing_calls_release_write (simulation, true);
       simulation_run (simulation, 0.1);
