--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -64,7 +64,8 @@
 mh_gang_attempts_handle_task_end (MhGangAttempts *attempts, MhJob *job, bool done)
 {
   if (!done)
-    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_TASK_LOST, mh_runtime_now_us (attempts->runtime));
+    mh_gang_state_apply (&job->gang, MH_GANG_EVENT_TASK_LOST,
+                         mh_runtime_now_us (attempts->runtime));
   add_unreconciled (attempts, job);
 }
 
@@ -74,13 +75,13 @@
   if (job->n_done || (job->n_live && job->n_live < job->spec->tasks))
     mh_gang_attempts_handle_task_end (attempts, job, job->n_done > 0);
   else if (job->n_live)
-    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_RESTORED, mh_runtime_now_us (attempts->runtime));
+    mh_gang_state_apply (&job->gang, MH_GANG_EVENT_RESTORED, mh_runtime_now_us (attempts->runtime));
 }
 
 /* ---- stops ---- */
 
-/* Logs if a machine of the gang cannot get its stop as a direct command. It gets it with the answer
-   to its next report, which may be too late for all tasks to save together. */
+/* Logs if the stop cannot be sent to a machine of the gang as a direct command. It is then sent in
+   the response to the next heartbeat, which may be too late for all tasks to save together. */
 static void
 log_if_stop_is_delayed (MhGangAttempts *attempts, const MhJob *job)
 {
@@ -105,8 +106,8 @@
   bool is_saving = grace_us > 0 && job->n_running;
   if (is_saving && job->gang.state != MH_GANG_STATE_ENDING)
     log_if_stop_is_delayed (attempts, job);
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_STOP_REQUESTED,
-                     mh_runtime_now_us (attempts->runtime));
+  mh_gang_state_apply (&job->gang, MH_GANG_EVENT_STOP_REQUESTED,
+                       mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks && job->n_live; i++)
     {
       MhAttempt *attempt = job->tasks[i].live;
@@ -124,7 +125,7 @@
 static void
 complete_gang (MhGangAttempts *attempts, MhJob *job)
 {
-  mh_job_gang_apply (&job->gang, MH_GANG_EVENT_COMPLETED, mh_runtime_now_us (attempts->runtime));
+  mh_gang_state_apply (&job->gang, MH_GANG_EVENT_COMPLETED, mh_runtime_now_us (attempts->runtime));
   for (guint i = 0; i < job->spec->tasks; i++)
     if (job->tasks[i].live)
       mh_attempt_note_ended (attempts->cluster, job->tasks[i].live, true);
@@ -132,8 +133,8 @@
       mh_attempt_set_task_done (attempts->cluster, job, i);
 }
 
-/* Stops the remaining tasks of an attempt that is over. They could only wait for the others, or
-   notice that one is gone. A task whose start was never sent is over at once. */
+/* Stops the remaining tasks of an attempt in which a task has ended. They could only wait for that
+   task, or notice that it is gone. A task whose start was never sent ends at once. */
 static void
 end_attempt (MhGangAttempts *attempts, MhJob *job)
 {
@@ -148,7 +149,7 @@
         mh_attempt_request_stop (attempts->cluster, attempt, 0);
     }
   if (job->n_live == 0)
-    mh_job_gang_apply (&job->gang, MH_GANG_EVENT_GONE, mh_runtime_now_us (attempts->runtime));
+    mh_gang_state_apply (&job->gang, MH_GANG_EVENT_GONE, mh_runtime_now_us (attempts->runtime));
 }
 
 static void
@@ -169,8 +170,9 @@
          && mh_runtime_now_us (attempts->runtime) - job->gang.gathering_since_us >= limit_us;
 }
 
-/* Stops a gang that is not complete shortly before its workers give up. After they have given up,
-   its tasks would only begin to wait again. */
+/* Stops a gang that is not complete shortly before its workers give up. No task is started for some
+   time on the machines that still fetch its image. If the workers gave up first, the gang could be
+   placed on the same machines, and its tasks would only begin to wait again. */
 static void
 stop_incomplete_gang (MhGangAttempts *attempts, MhJob *job)
 {
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -1,6 +1,6 @@
 /* The queue of records that differ from what is stored, and the transactions that write them.
 
-   Every transaction is conditional on the leader's key and on the versions of the records that it
+   Every transaction is conditional on the leader key and on the versions of the records that it
    replaces, so that a controller that no longer leads cannot write. The most urgent records are
    written first. Changes to a queued record are combined into one write. README.md describes the
    rules. */
@@ -68,7 +68,7 @@
  * @writer: a writer
  * @epoch: the epoch of the leadership that begins. It is part of each tag, so that no two
  * leaderships use the same tag
- * @leader_version: the version of the leader's key, a condition of every transaction
+ * @leader_version: the version of the leader key, a condition of every transaction
  *
  * Prepares the writer for a leadership of this controller.
  */
@@ -79,8 +79,8 @@
  * mh_record_writer_clear:
  * @writer: a writer
  *
- * Empties the queues at the end of a leadership. The caller drops all queued and unanswered calls,
- * before or right after, and frees the jobs after this call.
+ * Empties the queues at the end of a leadership. The caller forgets all queued and unanswered
+ * calls, before or right after, and frees the jobs after this call.
  */
 void
 mh_record_writer_clear (MhRecordWriter *writer);
--- a/tests/test-protocol-errors.c
+++ b/tests/test-protocol-errors.c
@@ -70,7 +70,7 @@
 
 /* An error that names another field, or another kind of problem, would mislead its reader. */
 static void
-test_submission (void)
+test_submission_by_field (void)
 {
   static const struct
   {
@@ -162,7 +162,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autofree char *prefix = g_strconcat ("legs[1].", cases[i].field, ": ", NULL);
+      g_autofree char *prefix = g_strconcat ("legs[1]: ", cases[i].field, ": ", NULL);
       MhValue *tasks = mh_value_new_list ();
       mh_value_push (tasks, map_from_fields (task, G_N_ELEMENTS (task), NULL, NULL));
       mh_value_push (tasks,
@@ -221,13 +221,13 @@
   g_autoptr (GError) error = NULL;
   mh_value_push (list, map_from_fields (machine_type, G_N_ELEMENTS (machine_type), "boot_s", NULL));
   g_assert_null (mh_machine_types_decode (body, &error));
-  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "racks[1].boot_s: ");
+  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "racks[1]: boot_s: ");
 }
 
 /* If a change of the leader key were decoded as its deletion, the controllers would assume that the
    leadership has ended. */
 static void
-test_events (void)
+test_watch_events (void)
 {
   static const Field put[] = { { "put", "\"leader\"" }, { "v", "1" }, { "stamp", "7" } };
   static const Field drop[] = { { "drop", "\"leader\"" }, { "stamp", "8" } };
@@ -249,7 +249,7 @@
   g_autoptr (GError) error = NULL;
   mh_value_push (list, map_from_fields (drop, G_N_ELEMENTS (drop), "drop", NULL));
   g_assert_null (mh_kv_events_decode (body, &revision, &error));
-  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "news[2].drop: ");
+  assert_error (error, MH_PROTOCOL_ERROR_MISSING_FIELD, "news[2]: drop: ");
 }
 
 /* Guards against accepting a damaged record, or data of another program, as a message. */
@@ -319,12 +319,12 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/protocol-errors/submission-by-field", test_submission);
+  g_test_add_func ("/protocol-errors/submission-by-field", test_submission_by_field);
   g_test_add_func ("/protocol-errors/not-a-map", test_not_a_map);
   g_test_add_func ("/protocol-errors/task-in-heartbeat", test_task_in_heartbeat);
   g_test_add_func ("/protocol-errors/notice", test_notice);
   g_test_add_func ("/protocol-errors/lenient-fields", test_lenient_fields);
-  g_test_add_func ("/protocol-errors/watch-events", test_events);
+  g_test_add_func ("/protocol-errors/watch-events", test_watch_events);
   g_test_add_func ("/protocol-errors/controller-records", test_controller_records);
   g_test_add_func ("/protocol-errors/routes", test_routes);
   return g_test_run ();
