--- a/src/autoscaler/cloud-error.c
+++ b/src/autoscaler/cloud-error.c
@@ -14,7 +14,7 @@
 }
 
 bool
-mh_cloud_check_reply (guint status, const MhValue *body, GError **error)
+mh_cloud_check_response (guint status, const MhValue *body, GError **error)
 {
   switch (status)
     {
@@ -40,12 +40,12 @@
 char **
 mh_cloud_read_created_machines (guint status, const MhValue *body, GError **error)
 {
-  if (!mh_cloud_check_reply (status, body, error))
+  if (!mh_cloud_check_response (status, body, error))
     return NULL;
   g_autoptr (GError) decode_error = NULL;
   char **names = mh_created_machines_decode (body, &decode_error);
   if (names == NULL)
-    g_set_error (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_REPLY, "malformed reply: %s",
+    g_set_error (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_RESPONSE, "malformed reply: %s",
                  decode_error->message);
   return names;
 }
--- a/src/autoscaler/cloud-error.h
+++ b/src/autoscaler/cloud-error.h
@@ -11,8 +11,9 @@
  * @MH_CLOUD_ERROR_INVALID_REQUEST: the cloud rejected the request as malformed; it was not
  * carried out
  * @MH_CLOUD_ERROR_THROTTLED: the cloud's rate limit was exceeded; the request may be sent again
- * @MH_CLOUD_ERROR_MALFORMED_REPLY: the request was carried out, but its reply cannot be decoded
- * @MH_CLOUD_ERROR_UNKNOWN_OUTCOME: no reply, or a status that the protocol does not define
+ * @MH_CLOUD_ERROR_MALFORMED_RESPONSE: the request was carried out, but its response cannot be
+ * decoded
+ * @MH_CLOUD_ERROR_UNKNOWN_OUTCOME: no response, or a status that the protocol does not define
  *
  * Why a call to the cloud returned no result.
  */
@@ -22,7 +23,7 @@
   MH_CLOUD_ERROR_UNAVAILABLE,
   MH_CLOUD_ERROR_INVALID_REQUEST,
   MH_CLOUD_ERROR_THROTTLED,
-  MH_CLOUD_ERROR_MALFORMED_REPLY,
+  MH_CLOUD_ERROR_MALFORMED_RESPONSE,
   MH_CLOUD_ERROR_UNKNOWN_OUTCOME
 } MhCloudError;
 
@@ -38,26 +39,26 @@
 mh_cloud_error_quark (void);
 
 /**
- * mh_cloud_check_reply:
- * @status: HTTP status of the reply; 0 if there was no reply
- * @body: (nullable): the body of the reply
+ * mh_cloud_check_response:
+ * @status: HTTP status of the response; 0 if there was no response
+ * @body: (nullable): the body of the response
  * @error: (nullable): set to an error of the domain %MH_CLOUD_ERROR on failure
  *
- * Classifies a reply of the cloud by its status and error value (PROTOCOL, "Controller nodes ->
+ * Classifies a response of the cloud by its status and error value (PROTOCOL, "Controller nodes ->
  * cloud").
  *
  * Returns: %TRUE if the request was carried out
  */
 bool
-mh_cloud_check_reply (guint status, const MhValue *body, GError **error);
+mh_cloud_check_response (guint status, const MhValue *body, GError **error);
 
 /**
  * mh_cloud_read_created_machines:
- * @status: HTTP status of the reply; 0 if there was no reply
- * @body: (nullable): the body of the reply
+ * @status: HTTP status of the response; 0 if there was no response
+ * @body: (nullable): the body of the response
  * @error: (nullable): set to an error of the domain %MH_CLOUD_ERROR on failure
  *
- * Decodes the reply to a request for machines.
+ * Decodes the response to a request for machines.
  *
  * Returns: (transfer full) (nullable): the names of the created machines; %NULL on failure
  */
--- a/src/autoscaler/context.h
+++ b/src/autoscaler/context.h
@@ -38,5 +38,5 @@
   const MhRuntimeEstimator *runtime_estimator;
 } MhAutoscalerContext;
 
-/** How long a call to the cloud waits for its reply. */
+/** How long a call to the cloud waits for its response. */
 #define MH_CLOUD_TIMEOUT_US (4 * MH_SECOND_US)
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -57,12 +57,12 @@
 /* ---- machine types ---- */
 
 static void
-handle_types_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_types_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhInventory *self = owner;
   (void)data;
-  GPtrArray *types = mh_cloud_check_reply (reply->status, reply->body, NULL)
-                         ? mh_machine_types_decode (reply->body, NULL)
+  GPtrArray *types = mh_cloud_check_response (response->status, response->body, NULL)
+                         ? mh_machine_types_decode (response->body, NULL)
                          : NULL;
   self->types_in_flight = false;
   self->types_due_us = mh_runtime_now_us (self->context->runtime)
@@ -79,7 +79,7 @@
   MhCallOptions options
       = { .class = mh_cluster_types (self->context->cluster) ? MH_CALL_WORK : MH_CALL_LEASE,
           .timeout_us = MH_CLOUD_TIMEOUT_US,
-          .func = handle_types_reply,
+          .func = handle_types_response,
           .owner = self };
   self->types_in_flight = true;
   mh_call_queue_add (self->context->calls, mh_cloud_request_machine_types (), &options);
@@ -127,13 +127,13 @@
 read_list_page (MhInventory *self, const char *after);
 
 static void
-handle_list_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_list_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhInventory *self = owner;
   (void)data;
   bool more = false;
-  g_autoptr (GPtrArray) list = mh_cloud_check_reply (reply->status, reply->body, NULL)
-                                   ? mh_machine_list_decode (reply->body, &more, NULL)
+  g_autoptr (GPtrArray) list = mh_cloud_check_response (response->status, response->body, NULL)
+                                   ? mh_machine_list_decode (response->body, &more, NULL)
                                    : NULL;
   gint64 now_us = mh_runtime_now_us (self->context->runtime);
   self->list_in_flight = false;
@@ -159,7 +159,7 @@
 {
   MhCallOptions options = { .class = self->loaded ? MH_CALL_WORK : MH_CALL_SAFETY,
                             .timeout_us = MH_CLOUD_TIMEOUT_US,
-                            .func = handle_list_reply,
+                            .func = handle_list_response,
                             .owner = self };
   self->list_in_flight = true;
   if (after == NULL)
--- a/src/autoscaler/release-state.h
+++ b/src/autoscaler/release-state.h
@@ -33,8 +33,8 @@
  * MhReleaseEvent:
  * @MH_RELEASE_EVENT_BATCHED: it was put into a batch, and the record of the batch is sent
  * @MH_RELEASE_EVENT_RECORD_DURABLE: the record is in the key-value store
- * @MH_RELEASE_EVENT_RECORD_UNKNOWN: there was no reply, or the key-value store could not carry out
- * the write at the time; the same write is sent again
+ * @MH_RELEASE_EVENT_RECORD_UNKNOWN: there was no response, or the key-value store could not carry
+ * out the write at the time; the same write is sent again
  * @MH_RELEASE_EVENT_LEADERSHIP_LOST: the key-value store refused the write, so leadership ends
  * @MH_RELEASE_EVENT_DELETION_CONFIRMED: the cloud has confirmed that the machines are gone
  * @MH_RELEASE_EVENT_DELETION_UNKNOWN: there was no confirmation; the same request is sent again
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/* How long the write of a record waits for its reply. */
+/* How long the write of a record waits for its response. */
 #define RECORD_TIMEOUT_US (MH_SECOND_US)
 /* Interval between two batches: machines that become idle or unresponsive at about the same time
    are released in one call. */
@@ -185,11 +185,11 @@
 }
 
 static void
-handle_delete_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_delete_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhScaleIn *self = owner;
   ReleaseBatch *batch = data;
-  if (mh_cloud_check_reply (reply->status, reply->body, NULL))
+  if (mh_cloud_check_response (response->status, response->body, NULL))
     {
       confirm_batch (self, batch);
       return;
@@ -206,7 +206,7 @@
 {
   MhCallOptions options = { .class = MH_CALL_SAFETY,
                             .timeout_us = MH_CLOUD_TIMEOUT_US,
-                            .func = handle_delete_reply,
+                            .func = handle_delete_response,
                             .owner = self,
                             .data = g_rc_box_acquire (batch),
                             .free_data = release_batch_unref };
@@ -220,30 +220,30 @@
 write_record (MhScaleIn *self, ReleaseBatch *batch);
 
 static bool
-is_leader_condition_refused (const MhReply *reply)
+is_leader_condition_refused (const MhCallResponse *response)
 {
   g_auto (GStrv) failed
-      = reply->status == 409 ? mh_kv_failed_conditions_decode (reply->body, NULL) : NULL;
+      = response->status == 409 ? mh_kv_failed_conditions_decode (response->body, NULL) : NULL;
   return failed && g_strv_contains ((const char *const *)failed, MH_LEADER_KEY);
 }
 
 static void
-handle_record_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_record_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhScaleIn *self = owner;
   ReleaseBatch *batch = data;
-  if (is_leader_condition_refused (reply))
+  if (is_leader_condition_refused (response))
     {
       advance_batch (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
       mh_election_step_down (self->context->election, MH_LOSS_ANOTHER_LEADER);
     }
-  /* 409: the record exists, so an earlier write whose reply was lost has been carried out. */
-  else if (reply->status == 200 || reply->status == 409)
+  /* 409: the record exists, so an earlier write whose response was lost has been carried out. */
+  else if (response->status == 200 || response->status == 409)
     {
       advance_batch (batch, MH_RELEASE_EVENT_RECORD_DURABLE);
       delete_machines (self, batch);
     }
-  else if (reply->status == 400)
+  else if (response->status == 400)
     {
       advance_batch (batch, MH_RELEASE_EVENT_LEADERSHIP_LOST);
       mh_election_step_down (self->context->election, MH_LOSS_RECORD_REFUSED);
@@ -251,7 +251,7 @@
   else
     {
       advance_batch (batch, MH_RELEASE_EVENT_RECORD_UNKNOWN);
-      mh_call_queue_handle_store_failure (self->context->calls, reply->status);
+      mh_call_queue_handle_store_failure (self->context->calls, response->status);
       write_record (self, batch);
     }
 }
@@ -273,7 +273,7 @@
   MhCallOptions options = { .class = MH_CALL_SAFETY,
                             .changes = changes->len,
                             .timeout_us = RECORD_TIMEOUT_US,
-                            .func = handle_record_reply,
+                            .func = handle_record_response,
                             .owner = self,
                             .data = g_rc_box_acquire (batch),
                             .free_data = release_batch_unref };
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -151,12 +151,12 @@
 }
 
 static void
-handle_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhScaleOut *self = owner;
   CreateRequest *request = data;
   g_autoptr (GError) error = NULL;
-  g_auto (GStrv) names = mh_cloud_read_created_machines (reply->status, reply->body, &error);
+  g_auto (GStrv) names = mh_cloud_read_created_machines (response->status, response->body, &error);
   if (names)
     add_created_machines (self, request, names);
   else if (mh_cloud_error_is_final (error))
@@ -180,7 +180,7 @@
 {
   MhCallOptions options = { .class = MH_CALL_WORK,
                             .timeout_us = MH_CLOUD_TIMEOUT_US,
-                            .func = handle_reply,
+                            .func = handle_response,
                             .owner = self,
                             .data = g_rc_box_acquire (request),
                             .free_data = create_request_unref };
--- a/src/cluster/direct-command.c
+++ b/src/cluster/direct-command.c
@@ -87,14 +87,14 @@
 }
 
 static void
-on_direct_call_response (gpointer owner, gpointer data, const MhReply *reply)
+on_direct_call_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhCluster *cluster = owner;
   const DirectCall *call = data;
   MhMachine *machine = mh_cluster_find_machine (cluster, call->machine);
   g_autoptr (MhHeartbeat) message = NULL;
-  if (reply->status == STATUS_OK || reply->status == STATUS_CONFLICT)
-    message = mh_heartbeat_decode (reply->body, NULL);
+  if (response->status == STATUS_OK || response->status == STATUS_CONFLICT)
+    message = mh_heartbeat_decode (response->body, NULL);
   if (machine == NULL)
     return;
   machine->direct_commands_in_flight--;
@@ -102,9 +102,9 @@
     {
       const MhCommand *command = &g_array_index (call->commands, MhCommand, i);
       if (command->kind == MH_COMMAND_STOP)
-        handle_stop_response (machine, command, reply->status);
+        handle_stop_response (machine, command, response->status);
       else
-        handle_start_response (machine, command, reply->status);
+        handle_start_response (machine, command, response->status);
     }
   if (message)
     mh_heartbeat_receive_response (cluster, machine, message);
--- a/src/cluster/failure-detection.c
+++ b/src/cluster/failure-detection.c
@@ -109,13 +109,13 @@
 }
 
 static void
-on_probe_response (gpointer owner, gpointer data, const MhReply *reply)
+on_probe_response (gpointer owner, gpointer data, const MhCallResponse *call_response)
 {
   MhCluster *cluster = owner;
   const char *name = data;
   MhMachine *machine = mh_cluster_find_machine (cluster, name);
   g_autoptr (MhHeartbeat) response
-      = reply->status == STATUS_OK ? mh_heartbeat_decode (reply->body, NULL) : NULL;
+      = call_response->status == STATUS_OK ? mh_heartbeat_decode (call_response->body, NULL) : NULL;
   if (machine == NULL)
     return;
   machine->probe.in_flight = false;
--- a/src/cluster/heartbeat.c
+++ b/src/cluster/heartbeat.c
@@ -225,7 +225,7 @@
 respond (MhCluster *cluster, guint64 request_id, guint status, MhValue *body)
 {
   MhAction *action
-      = mh_runtime_add_action (cluster->runtime, MH_ACTION_ANSWER_HEARTBEAT, request_id);
+      = mh_runtime_add_action (cluster->runtime, MH_ACTION_RESPOND_TO_HEARTBEAT, request_id);
   action->status = status;
   action->body = body;
   /* A response without commands could also be sent after the leader lease has expired, for as long
--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -26,7 +26,7 @@
   MhElection *election;
 
   GHashTable *jobs; /* id -> MhJob: all jobs that have not ended */
-  MhFinalAnswers *final_answers;
+  MhFinalStateCache *final_states;
   MhRuntimeEstimator *runtime_estimator;
   MhJobQueue *job_queue;
 
@@ -103,7 +103,7 @@
 mh_core_handle_user_request (MhCore *core, const MhUserRequest *request);
 
 /**
- * mh_core_handle_forward_reply:
+ * mh_core_handle_forward_response:
  * @core: a controller
  * @id: id of the request that was forwarded
  * @response: (nullable): the leader's response; %NULL: none was received
@@ -111,4 +111,4 @@
  * Passes the leader's response to the user, or answers 503 if there is none.
  */
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *response);
+mh_core_handle_forward_response (MhCore *core, guint64 id, const MhUserResponse *response);
--- a/src/controller/core.c
+++ b/src/controller/core.c
@@ -53,7 +53,7 @@
 static void
 redirect_worker (MhCore *core, guint64 id)
 {
-  MhAction *action = mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_HEARTBEAT, id);
+  MhAction *action = mh_runtime_add_action (core->runtime, MH_ACTION_RESPOND_TO_HEARTBEAT, id);
   action->status = STATUS_MISDIRECTED;
   action->body = mh_redirect_encode (mh_election_leader_name (core->election));
 }
@@ -71,24 +71,24 @@
 }
 
 void
-mh_core_receive_reply (MhCore *core, const MhNow *now, guint64 id, guint status,
-                       const MhValue *body)
+mh_core_receive_response (MhCore *core, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
-  mh_call_queue_complete (core->calls, id, &(MhReply){ .status = status, .body = body });
+  mh_call_queue_complete (core->calls, id, &(MhCallResponse){ .status = status, .body = body });
   step (core);
 }
 
 void
-mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserResponse *response)
+mh_core_receive_forward_response (MhCore *core, const MhNow *now, guint64 id,
+                                  const MhUserResponse *response)
 {
   g_return_if_fail (core && now);
   mh_runtime_begin_input (core->runtime, now);
   if (!g_hash_table_contains (core->forwarded_requests, &id))
     return;
-  mh_core_handle_forward_reply (core, id, response);
+  mh_core_handle_forward_response (core, id, response);
   step (core);
 }
 
@@ -109,7 +109,7 @@
 {
   action->lease_until_us = 0;
   action->status = STATUS_UNAVAILABLE;
-  action->answer = (MhUserResponse){ .status = STATUS_UNAVAILABLE, .retry_after_s = 1 };
+  action->response = (MhUserResponse){ .status = STATUS_UNAVAILABLE, .retry_after_s = 1 };
   g_clear_pointer (&action->body, mh_value_unref);
 }
 
@@ -125,7 +125,7 @@
       reject_action (action);
       if (action->kind != MH_ACTION_SEND_REQUEST)
         break;
-      mh_call_queue_complete (core->calls, action->id, &(MhReply){ .status = 0 });
+      mh_call_queue_complete (core->calls, action->id, &(MhCallResponse){ .status = 0 });
       mh_action_free (action);
     }
   return action;
@@ -195,7 +195,7 @@
   core->forwarded_requests = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   core->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify)mh_job_free);
   mh_core_storage_init (core);
-  core->final_answers = mh_final_answers_new (core->settings->memory_bytes);
+  core->final_states = mh_final_state_cache_new (core->settings->memory_bytes);
   core->runtime_estimator = mh_runtime_estimator_new ();
   core->cluster = cluster_new (core);
   core->gang_attempts = mh_gang_attempts_new (core->cluster, core->runtime, core->jobs);
@@ -222,7 +222,7 @@
   mh_core_storage_free (core);
   g_hash_table_unref (core->forwarded_requests);
   g_hash_table_unref (core->jobs);
-  mh_final_answers_free (core->final_answers);
+  mh_final_state_cache_free (core->final_states);
   mh_job_queue_free (core->job_queue);
   g_clear_pointer (&core->cluster, mh_cluster_free);
   mh_gang_attempts_free (core->gang_attempts);
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -47,7 +47,7 @@
 
 /**
  * MhUserRequest:
- * @id: id of the request, which its MH_ACTION_ANSWER_USER carries
+ * @id: id of the request, which its MH_ACTION_RESPOND_TO_USER carries
  * @verb: what the user asks for
  * @job_id: (not transferred): a valid job id
  * @spec: (transfer full) (nullable): the submitted job; set for MH_USER_SUBMIT only
@@ -79,7 +79,7 @@
  * mh_core_receive_heartbeat:
  * @core: a controller
  * @now: the current time
- * @id: id of the request, which its MH_ACTION_ANSWER_HEARTBEAT carries
+ * @id: id of the request, which its MH_ACTION_RESPOND_TO_HEARTBEAT carries
  * @heartbeat: (not transferred): the heartbeat
  *
  * Handles a worker's heartbeat.
@@ -89,22 +89,22 @@
                            const MhHeartbeat *heartbeat);
 
 /**
- * mh_core_receive_reply:
+ * mh_core_receive_response:
  * @core: a controller
  * @now: the current time
  * @id: id of the call
- * @status: HTTP status; 0: no reply was received, and it is unknown whether the request was carried
- * out
- * @body: (not transferred) (nullable): body of the reply
+ * @status: HTTP status; 0: no response was received, and it is unknown whether the request was
+ * carried out
+ * @body: (not transferred) (nullable): body of the response
  *
- * Handles the reply to a call that mh_core_pop_action () returned, or its failure.
+ * Handles the response to a call that mh_core_pop_action () returned, or its failure.
  */
 void
-mh_core_receive_reply (MhCore *core, const MhNow *now, guint64 id, guint status,
-                       const MhValue *body);
+mh_core_receive_response (MhCore *core, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body);
 
 /**
- * mh_core_receive_forward_reply:
+ * mh_core_receive_forward_response:
  * @core: a controller
  * @now: the current time
  * @id: id of the user's request that was forwarded
@@ -114,8 +114,8 @@
  * Handles the leader's response to a forwarded request, or its failure.
  */
 void
-mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserResponse *response);
+mh_core_receive_forward_response (MhCore *core, const MhNow *now, guint64 id,
+                                  const MhUserResponse *response);
 
 /**
  * mh_core_receive_announcement:
@@ -139,7 +139,8 @@
  *
  * Checks against @mono_us that the leader lease on which the action depends is still valid, because
  * the process may have been paused between the decision and this call. If the lease has expired, a
- * call is completed as one without a reply and not returned, and a response is replaced by a 503.
+ * call is completed as one without a response and not returned, and a response is replaced by a
+ * 503.
  *
  * Returns: (transfer full) (nullable): the next action; %NULL if there is none
  */
--- a/src/controller/storage-callbacks.c
+++ b/src/controller/storage-callbacks.c
@@ -16,10 +16,10 @@
 }
 
 static void
-on_job_ended (gpointer owner, const MhJob *job, const MhUserResponse *answer)
+on_job_ended (gpointer owner, const MhJob *job, const MhUserResponse *response)
 {
   MhCore *core = owner;
-  mh_final_answers_add (core->final_answers, job->spec->id, answer);
+  mh_final_state_cache_add (core->final_states, job->spec->id, response);
 }
 
 /* Attempts of these tasks may have become durable: sends the starts that waited for that. */
@@ -112,10 +112,10 @@
 /* ---- job lookup ---- */
 
 static void
-on_final_answer_read (gpointer owner, const char *job, const MhUserResponse *answer)
+on_final_response_read (gpointer owner, const char *job, const MhUserResponse *response)
 {
   MhCore *core = owner;
-  mh_final_answers_add (core->final_answers, job, answer);
+  mh_final_state_cache_add (core->final_states, job, response);
 }
 
 void
@@ -126,7 +126,7 @@
   core->record_loader = mh_record_loader_new (core->runtime, core->calls, core->jobs,
                                               core->record_writer, &loader_callbacks, core);
   core->job_lookup
-      = mh_job_lookup_new (core->runtime, core->calls, core->jobs, on_final_answer_read, core);
+      = mh_job_lookup_new (core->runtime, core->calls, core->jobs, on_final_response_read, core);
 }
 
 void
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -26,28 +26,28 @@
 /* ---- responses ---- */
 
 static void
-answer_user (MhCore *core, guint64 id, const MhUserResponse *response)
+respond_to_user (MhCore *core, guint64 id, const MhUserResponse *response)
 {
-  mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id)->answer = *response;
+  mh_runtime_add_action (core->runtime, MH_ACTION_RESPOND_TO_USER, id)->response = *response;
 }
 
 static void
-answer_unavailable (MhCore *core, guint64 id)
+respond_unavailable (MhCore *core, guint64 id)
 {
-  mh_runtime_answer_user (core->runtime, id, STATUS_UNAVAILABLE, RETRY_AFTER_S);
+  mh_runtime_respond_to_user (core->runtime, id, STATUS_UNAVAILABLE, RETRY_AFTER_S);
 }
 
 static void
-answer_job_state (MhCore *core, guint64 id, const MhJob *job)
+respond_with_job_state (MhCore *core, guint64 id, const MhJob *job)
 {
-  MhAction *action = mh_runtime_add_action (core->runtime, MH_ACTION_ANSWER_USER, id);
-  mh_job_fill_answer (job, &action->answer);
-  action->answer.status = STATUS_OK;
+  MhAction *action = mh_runtime_add_action (core->runtime, MH_ACTION_RESPOND_TO_USER, id);
+  mh_job_fill_response (job, &action->response);
+  action->response.status = STATUS_OK;
 }
 
 /* The request is answered once what it asks for is durable in the job's records. */
 static void
-answer_when_durable (MhJob *job, const MhUserRequest *request)
+respond_when_durable (MhJob *job, const MhUserRequest *request)
 {
   MhWaiter waiter = { .id = request->id, .verb = request->verb };
   g_array_append_val (job->waiters, waiter);
@@ -73,7 +73,7 @@
   switch (mh_admission_check (core->settings, types, request->spec))
     {
     case MH_ADMISSION_ACCEPT:
-      answer_when_durable (create_job (core, g_steal_pointer (&request->spec)), request);
+      respond_when_durable (create_job (core, g_steal_pointer (&request->spec)), request);
       break;
     case MH_ADMISSION_IMPOSSIBLE:
       /* An accepted job is never rejected later, even if changed settings make it impossible: the
@@ -82,10 +82,10 @@
                          MH_LOOKUP_LEADER);
       break;
     case MH_ADMISSION_TOO_LARGE:
-      mh_runtime_answer_user (core->runtime, request->id, STATUS_BAD_REQUEST, 0);
+      mh_runtime_respond_to_user (core->runtime, request->id, STATUS_BAD_REQUEST, 0);
       break;
     case MH_ADMISSION_UNDECIDED:
-      answer_unavailable (core, request->id);
+      respond_unavailable (core, request->id);
       break;
     }
 }
@@ -94,16 +94,16 @@
 submit (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->spec->id);
-  const MhUserResponse *final_answer
-      = mh_final_answers_find (core->final_answers, request->spec->id);
-  /* The final answer comes first: a repeated submission of an ended job may be in memory as well,
+  const MhUserResponse *final_response
+      = mh_final_state_cache_find (core->final_states, request->spec->id);
+  /* The final response comes first: a repeated submission of an ended job may be in memory as well,
      with its write pending. In the opposite order the response said that the job is pending. */
-  if (final_answer)
-    answer_user (core, request->id, final_answer);
+  if (final_response)
+    respond_to_user (core, request->id, final_response);
   else if (job && job->accepted)
-    answer_job_state (core, request->id, job);
+    respond_with_job_state (core, request->id, job);
   else if (job)
-    answer_when_durable (job, request);
+    respond_when_durable (job, request);
   else
     submit_new_job (core, request);
 }
@@ -115,7 +115,7 @@
 {
   if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
     {
-      answer_job_state (core, request->id, job);
+      respond_with_job_state (core, request->id, job);
       return;
     }
   if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
@@ -125,7 +125,7 @@
       mh_record_writer_mark_changed (core->record_writer, &job->records[0], MH_URGENCY_USER);
       mh_attempt_stop_job (core->cluster, job);
     }
-  answer_when_durable (job, request);
+  respond_when_durable (job, request);
 }
 
 /* ---- as follower ---- */
@@ -160,16 +160,17 @@
 static void
 handle_as_follower (MhCore *core, const MhUserRequest *request)
 {
-  const MhUserResponse *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
-  if (final_answer)
-    answer_user (core, request->id, final_answer);
+  const MhUserResponse *final_response
+      = mh_final_state_cache_find (core->final_states, request->job_id);
+  if (final_response)
+    respond_to_user (core, request->id, final_response);
   else if (!request->forwarded && mh_election_other_leader (core->election))
     forward_to_leader (core, request);
   else if (can_be_looked_up (core, request))
     mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
                        MH_LOOKUP_LEADERLESS);
   else
-    answer_unavailable (core, request->id);
+    respond_unavailable (core, request->id);
 }
 
 /* ---- as leader ---- */
@@ -178,13 +179,14 @@
 handle_as_leader (MhCore *core, MhUserRequest *request)
 {
   MhJob *job = g_hash_table_lookup (core->jobs, request->job_id);
-  const MhUserResponse *final_answer = mh_final_answers_find (core->final_answers, request->job_id);
+  const MhUserResponse *final_response
+      = mh_final_state_cache_find (core->final_states, request->job_id);
   if (mh_record_loader_is_unreadable (core->record_loader, request->job_id))
-    answer_unavailable (core, request->id);
+    respond_unavailable (core, request->id);
   else if (request->verb == MH_USER_SUBMIT)
     submit (core, request);
-  else if (job == NULL && final_answer)
-    answer_user (core, request->id, final_answer);
+  else if (job == NULL && final_response)
+    respond_to_user (core, request->id, final_response);
   /* A job that is not accepted yet may be the repeated submission of one that ended long ago. The
      lookup reads the final record and answers from it, however long the write of the submission is
      delayed. */
@@ -192,7 +194,7 @@
     mh_job_lookup_ask (core->job_lookup, request->id, request->job_id, request->verb,
                        MH_LOOKUP_LEADER);
   else if (request->verb == MH_USER_STATUS)
-    answer_job_state (core, request->id, job);
+    respond_with_job_state (core, request->id, job);
   else
     cancel (core, request, job);
 }
@@ -208,21 +210,21 @@
   mh_job_spec_free (owned.spec);
 }
 
-/* ---- replies to forwarded requests ---- */
+/* ---- responses to forwarded requests ---- */
 
 /* A final state never changes: later requests for the job are answered without forwarding them. */
 static void
-cache_final_answer (MhCore *core, const char *job_id, const MhUserResponse *response)
+cache_final_response (MhCore *core, const char *job_id, const MhUserResponse *response)
 {
-  MhUserResponse final_answer = *response;
-  final_answer.status = STATUS_OK;
+  MhUserResponse final_response = *response;
+  final_response.status = STATUS_OK;
   if ((response->status == STATUS_OK || response->status == STATUS_CREATED)
       && (response->state == MH_JOB_DONE || response->state == MH_JOB_CANCELLED))
-    mh_final_answers_add (core->final_answers, job_id, &final_answer);
+    mh_final_state_cache_add (core->final_states, job_id, &final_response);
 }
 
 void
-mh_core_handle_forward_reply (MhCore *core, guint64 id, const MhUserResponse *response)
+mh_core_handle_forward_response (MhCore *core, guint64 id, const MhUserResponse *response)
 {
   gpointer key, value;
   if (!g_hash_table_steal_extended (core->forwarded_requests, &id, &key, &value))
@@ -232,8 +234,8 @@
   if (response)
     {
       mh_election_note_forward_answered (core->election);
-      answer_user (core, id, response);
-      cache_final_answer (core, job_id, response);
+      respond_to_user (core, id, response);
+      cache_final_response (core, job_id, response);
       return;
     }
   const char *leader = mh_election_leader_name (core->election);
@@ -241,5 +243,5 @@
                        "leader did not answer a forwarded request leader=%s",
                        leader ? leader : "unknown");
   mh_election_note_forward_failed (core->election);
-  answer_unavailable (core, id);
+  respond_unavailable (core, id);
 }
--- a/src/election/campaign.c
+++ b/src/election/campaign.c
@@ -20,7 +20,7 @@
 #define BACKOFF_REDUCTION_US (2 * MH_SECOND_US)
 
 static void
-call_store (MhElection *election, MhRequest *request, double changes, MhReplyFunc func)
+call_store (MhElection *election, MhRequest *request, double changes, MhCallResponseFunc func)
 {
   mh_election_call_store (election, request,
                           (MhCallOptions){ .class = MH_CALL_LEASE,
@@ -79,11 +79,11 @@
 }
 
 static void
-handle_check_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_check_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   (void)data;
-  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
+  MhKvEntry *entry = response->status == 200 ? mh_kv_entry_decode (response->body, NULL) : NULL;
   bool elected = is_own_transaction (election, entry);
   guint64 key_version = entry ? entry->version : 0;
   mh_kv_entry_free (entry);
@@ -94,19 +94,19 @@
 }
 
 static void
-handle_write_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_write_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   guint64 key_version = 0;
   (void)data;
-  if (reply->status == 200 && mh_kv_revision_decode (reply->body, &key_version, NULL))
+  if (response->status == 200 && mh_kv_revision_decode (response->body, &key_version, NULL))
     become_leader (election, key_version);
-  else if (reply->status == 0 || reply->status == 200)
+  else if (response->status == 0 || response->status == 200)
     /* The outcome of the transaction is unknown: read the leader key to determine it. */
-    call_store (election, mh_kv_request_get (MH_LEADER_KEY), 0, handle_check_reply);
+    call_store (election, mh_kv_request_get (MH_LEADER_KEY), 0, handle_check_response);
   else
     abort_campaign (election,
-                    reply->status == 409 ? CONFLICT_READ_DELAY_US : STORE_FAILURE_READ_DELAY_US);
+                    response->status == 409 ? CONFLICT_READ_DELAY_US : STORE_FAILURE_READ_DELAY_US);
 }
 
 /* Writes both keys in one transaction, on the condition that neither has changed since it was read.
@@ -126,20 +126,20 @@
   call_store (election,
               mh_kv_request_transaction (conditions, G_N_ELEMENTS (conditions), changes,
                                          G_N_ELEMENTS (changes)),
-              G_N_ELEMENTS (changes), handle_write_reply);
+              G_N_ELEMENTS (changes), handle_write_response);
 }
 
 static void
-handle_epoch_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_epoch_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   (void)data;
   guint64 last_epoch = 0;
   guint64 key_version = 0;
-  bool is_valid = reply->status == 404; /* no controller has led yet */
-  if (reply->status == 200)
+  bool is_valid = response->status == 404; /* no controller has led yet */
+  if (response->status == 200)
     {
-      MhKvEntry *entry = mh_kv_entry_decode (reply->body, NULL);
+      MhKvEntry *entry = mh_kv_entry_decode (response->body, NULL);
       is_valid = entry && mh_epoch_record_read (entry->value, &last_epoch);
       key_version = entry ? entry->version : 0;
       mh_kv_entry_free (entry);
@@ -154,18 +154,18 @@
 }
 
 static void
-handle_lease_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_lease_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   (void)data;
-  if (reply->status != 200 || !mh_kv_lease_decode (reply->body, &election->lease.id, NULL))
+  if (response->status != 200 || !mh_kv_lease_decode (response->body, &election->lease.id, NULL))
     {
       abort_campaign (election, STORE_FAILURE_READ_DELAY_US);
       return;
     }
   mh_lease_confirm (&election->lease, election->lease_request_sent_us,
                     mh_runtime_settings (election->runtime)->leader_lease_us);
-  call_store (election, mh_kv_request_get (MH_EPOCH_KEY), 0, handle_epoch_reply);
+  call_store (election, mh_kv_request_get (MH_EPOCH_KEY), 0, handle_epoch_response);
 }
 
 void
@@ -184,5 +184,5 @@
   election->lease_request_sent_us = now_us;
   call_store (election,
               mh_kv_request_grant_lease (mh_runtime_settings (election->runtime)->leader_lease_us),
-              0, handle_lease_reply);
+              0, handle_lease_response);
 }
--- a/src/election/election-state.c
+++ b/src/election/election-state.c
@@ -15,11 +15,11 @@
 }
 
 static void
-ignore_reply (gpointer owner, gpointer data, const MhReply *reply)
+ignore_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   (void)owner;
   (void)data;
-  (void)reply;
+  (void)response;
 }
 
 void
@@ -28,7 +28,7 @@
   mh_election_call_store (election, mh_kv_request_revoke_lease (election->lease.id),
                           (MhCallOptions){ .class = class,
                                            .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
-                                           .func = ignore_reply });
+                                           .func = ignore_response });
 }
 
 void
--- a/src/election/election-state.h
+++ b/src/election/election-state.h
@@ -21,8 +21,8 @@
  * @loss_reason: STEPPING_DOWN: why the leadership was lost
  * @transferring_leadership: STEPPING_DOWN: the lease is to be revoked, so that another controller
  * can lead
- * @clearing: STEPPING_DOWN: the state of the leadership is being cleared. The answers that reject
- * waiting users carry the end of the lease, like every answer of a leader
+ * @clearing: STEPPING_DOWN: the state of the leadership is being cleared. The responses that reject
+ * waiting users carry the end of the lease, like every response of a leader
  * @lease: the lease of the current leadership or campaign
  * @lease_request_sent_us: when the last request to grant or renew the lease was sent; at most one
  * is in flight
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -87,7 +87,7 @@
 }
 
 static void
-handle_renew_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_renew_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   (void)data;
@@ -95,12 +95,12 @@
   election->next_renewal_us
       = mh_runtime_now_us (election->runtime)
         + mh_runtime_settings (election->runtime)->leader_lease_us / RENEWAL_RETRY_DIVISOR;
-  if (reply->status == 200)
+  if (response->status == 200)
     confirm_renewal (election);
-  else if (reply->status == 404)
+  else if (response->status == 404)
     mh_election_step_down (election, MH_LOSS_LEASE_EXPIRED);
   else
-    mh_call_queue_log_store_failure (election->calls, reply->status);
+    mh_call_queue_log_store_failure (election->calls, response->status);
 }
 
 static void
@@ -117,7 +117,7 @@
           (MhCallOptions){ .class = MH_CALL_LEASE,
                            .timeout_us
                            = MIN (MH_ELECTION_CALL_TIMEOUT_US, lease_us / RENEWAL_TIMEOUT_DIVISOR),
-                           .func = handle_renew_reply });
+                           .func = handle_renew_response });
     }
   if (!election->renewal_pending)
     mh_runtime_wake_at (election->runtime, election->next_renewal_us);
--- a/src/election/follower.c
+++ b/src/election/follower.c
@@ -13,7 +13,7 @@
 #define FAILED_READ_DELAY_US 200000
 
 static void
-handle_watch_reply (gpointer owner, gpointer data, const MhReply *reply);
+handle_watch_response (gpointer owner, gpointer data, const MhCallResponse *response);
 
 static void
 watch_leader_key (MhElection *election, guint64 since_revision)
@@ -23,7 +23,7 @@
       election, mh_kv_request_watch (MH_LEADER_KEY, since_revision, WATCH_HOLD_US),
       (MhCallOptions){ .class = MH_CALL_LEASE,
                        .timeout_us = WATCH_HOLD_US + MH_ELECTION_CALL_TIMEOUT_US,
-                       .func = handle_watch_reply });
+                       .func = handle_watch_response });
 }
 
 static void
@@ -71,17 +71,17 @@
 }
 
 static void
-handle_read_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_read_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   (void)data;
-  if (reply->status == 404)
+  if (response->status == 404)
     {
       forget_leader (election);
       mh_campaign_start (election);
       return;
     }
-  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
+  MhKvEntry *entry = response->status == 200 ? mh_kv_entry_decode (response->body, NULL) : NULL;
   if (entry)
     follow_leader_key (election, entry);
   else
@@ -102,13 +102,13 @@
 }
 
 static void
-handle_watch_reply (gpointer owner, gpointer data, const MhReply *reply)
+handle_watch_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhElection *election = owner;
   (void)data;
   guint64 revision = 0;
   g_autoptr (GPtrArray) events
-      = reply->status == 200 ? mh_kv_events_decode (reply->body, &revision, NULL) : NULL;
+      = response->status == 200 ? mh_kv_events_decode (response->body, &revision, NULL) : NULL;
   if (events == NULL)
     {
       mh_election_schedule_leader_read (election, FAILED_READ_DELAY_US);
@@ -138,5 +138,5 @@
   mh_election_call_store (election, mh_kv_request_get (MH_LEADER_KEY),
                           (MhCallOptions){ .class = MH_CALL_LEASE,
                                            .timeout_us = MH_ELECTION_CALL_TIMEOUT_US,
-                                           .func = handle_read_reply });
+                                           .func = handle_read_response });
 }
--- a/src/jobs/final-answers.c
+++ b/src/jobs/final-answers.c
@@ -7,47 +7,48 @@
 /* The cache holds at least this many entries, however small the memory is. */
 #define MIN_ENTRIES 2000u
 
-struct MhFinalAnswers
+struct MhFinalStateCache
 {
   GHashTable *by_id; /* job id -> MhUserResponse */
   GQueue oldest;     /* job ids, the oldest entry first */
   guint max_entries;
 };
 
-MhFinalAnswers *
-mh_final_answers_new (gint64 memory_bytes)
+MhFinalStateCache *
+mh_final_state_cache_new (gint64 memory_bytes)
 {
-  MhFinalAnswers *answers = g_new0 (MhFinalAnswers, 1);
-  answers->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  answers->max_entries = MAX (MIN_ENTRIES, (guint)(memory_bytes / MEMORY_DIVISOR / ENTRY_BYTES));
-  g_queue_init (&answers->oldest);
-  return answers;
+  MhFinalStateCache *cache = g_new0 (MhFinalStateCache, 1);
+  cache->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  cache->max_entries = MAX (MIN_ENTRIES, (guint)(memory_bytes / MEMORY_DIVISOR / ENTRY_BYTES));
+  g_queue_init (&cache->oldest);
+  return cache;
 }
 
 void
-mh_final_answers_free (MhFinalAnswers *answers)
+mh_final_state_cache_free (MhFinalStateCache *cache)
 {
-  g_queue_clear_full (&answers->oldest, g_free);
-  g_hash_table_unref (answers->by_id);
-  g_free (answers);
+  g_queue_clear_full (&cache->oldest, g_free);
+  g_hash_table_unref (cache->by_id);
+  g_free (cache);
 }
 
 const MhUserResponse *
-mh_final_answers_find (const MhFinalAnswers *answers, const char *job_id)
+mh_final_state_cache_find (const MhFinalStateCache *cache, const char *job_id)
 {
-  return g_hash_table_lookup (answers->by_id, job_id);
+  return g_hash_table_lookup (cache->by_id, job_id);
 }
 
 void
-mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserResponse *answer)
+mh_final_state_cache_add (MhFinalStateCache *cache, const char *job_id,
+                          const MhUserResponse *response)
 {
-  if (g_hash_table_contains (answers->by_id, job_id))
+  if (g_hash_table_contains (cache->by_id, job_id))
     return;
-  g_hash_table_insert (answers->by_id, g_strdup (job_id), g_memdup2 (answer, sizeof *answer));
-  g_queue_push_tail (&answers->oldest, g_strdup (job_id));
-  while (answers->oldest.length > answers->max_entries)
+  g_hash_table_insert (cache->by_id, g_strdup (job_id), g_memdup2 (response, sizeof *response));
+  g_queue_push_tail (&cache->oldest, g_strdup (job_id));
+  while (cache->oldest.length > cache->max_entries)
     {
-      g_autofree char *oldest = g_queue_pop_head (&answers->oldest);
-      g_hash_table_remove (answers->by_id, oldest);
+      g_autofree char *oldest = g_queue_pop_head (&cache->oldest);
+      g_hash_table_remove (cache->by_id, oldest);
     }
 }
--- a/src/jobs/final-answers.h
+++ b/src/jobs/final-answers.h
@@ -6,43 +6,44 @@
 
 #include "protocol/user-messages.h"
 
-/** MhFinalAnswers: the cache. */
-typedef struct MhFinalAnswers MhFinalAnswers;
+/** MhFinalStateCache: the cache. */
+typedef struct MhFinalStateCache MhFinalStateCache;
 
 /**
- * mh_final_answers_new:
+ * mh_final_state_cache_new:
  * @memory_bytes: memory of the process, in bytes; bounds the size of the cache
  *
- * Returns: (transfer full): an empty cache; free it with mh_final_answers_free()
+ * Returns: (transfer full): an empty cache; free it with mh_final_state_cache_free()
  */
-MhFinalAnswers *
-mh_final_answers_new (gint64 memory_bytes);
+MhFinalStateCache *
+mh_final_state_cache_new (gint64 memory_bytes);
 
 /**
- * mh_final_answers_free:
- * @answers: (transfer full): a cache
+ * mh_final_state_cache_free:
+ * @cache: (transfer full): a cache
  */
 void
-mh_final_answers_free (MhFinalAnswers *answers);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhFinalAnswers, mh_final_answers_free)
+mh_final_state_cache_free (MhFinalStateCache *cache);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (MhFinalStateCache, mh_final_state_cache_free)
 
 /**
- * mh_final_answers_find:
- * @answers: a cache
+ * mh_final_state_cache_find:
+ * @cache: a cache
  * @job_id: a job's id
  *
  * Returns: (nullable) (transfer none): the job's final state; %NULL if it is not in the cache
  */
 const MhUserResponse *
-mh_final_answers_find (const MhFinalAnswers *answers, const char *job_id);
+mh_final_state_cache_find (const MhFinalStateCache *cache, const char *job_id);
 
 /**
- * mh_final_answers_add:
- * @answers: a cache
+ * mh_final_state_cache_add:
+ * @cache: a cache
  * @job_id: a job's id
- * @answer: the job's final state, whose record is durable
+ * @response: the job's final state, whose record is durable
  *
  * Adds an entry. Final states never change: an entry that exists is kept as it is.
  */
 void
-mh_final_answers_add (MhFinalAnswers *answers, const char *job_id, const MhUserResponse *answer);
+mh_final_state_cache_add (MhFinalStateCache *cache, const char *job_id,
+                          const MhUserResponse *response);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -132,19 +132,19 @@
 }
 
 void
-mh_job_fill_answer (const MhJob *job, MhUserResponse *answer)
+mh_job_fill_response (const MhJob *job, MhUserResponse *response)
 {
-  answer->done = job->n_done;
-  answer->running = job->n_running;
+  response->done = job->n_done;
+  response->running = job->n_running;
   if (mh_job_is_final (job))
     {
-      answer->state = job->final_state;
-      answer->running = 0;
+      response->state = job->final_state;
+      response->running = 0;
     }
   else if (mh_job_is_cancel_durable (job))
-    answer->state = MH_JOB_CANCELLED;
+    response->state = MH_JOB_CANCELLED;
   else
-    answer->state = job->n_running ? MH_JOB_RUNNING : MH_JOB_PENDING;
+    response->state = job->n_running ? MH_JOB_RUNNING : MH_JOB_PENDING;
 }
 
 bool
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -314,16 +314,16 @@
 mh_job_grace_us (const MhJob *job);
 
 /**
- * mh_job_fill_answer:
+ * mh_job_fill_response:
  * @job: a job whose first record is durable
- * @answer: its state and counts of tasks are filled in
+ * @response: its state and counts of tasks are filled in
  *
- * Fills in the answer to a user's request. A cancellation or the end of the job shows in the state
- * only when it is durable, so that no later leader contradicts the answer. Otherwise the state and
- * the counts of tasks are those in memory.
+ * Fills in the response to a user's request. A cancellation or the end of the job shows in the
+ * state only when it is durable, so that no later leader contradicts the response. Otherwise the
+ * state and the counts of tasks are those in memory.
  */
 void
-mh_job_fill_answer (const MhJob *job, MhUserResponse *answer);
+mh_job_fill_response (const MhJob *job, MhUserResponse *response);
 
 /**
  * mh_job_tasks_per_record:
--- a/src/runtime/action.h
+++ b/src/runtime/action.h
@@ -10,11 +10,11 @@
 /**
  * MhActionKind:
  * @MH_ACTION_SEND_REQUEST: send a request; the host passes its response to
- * mh_core_receive_reply ()
+ * mh_core_receive_response ()
  * @MH_ACTION_ANNOUNCE_LEADER: announce to another controller that this one leads, with epoch @id
  * @MH_ACTION_FORWARD_USER_REQUEST: forward a user's request to another controller
- * @MH_ACTION_ANSWER_USER: answer a user's request
- * @MH_ACTION_ANSWER_HEARTBEAT: answer a worker's heartbeat
+ * @MH_ACTION_RESPOND_TO_USER: respond to a user's request
+ * @MH_ACTION_RESPOND_TO_HEARTBEAT: respond to a worker's heartbeat
  * @MH_ACTION_LOG: write a line to the log
  *
  * What the host has to do.
@@ -24,8 +24,8 @@
   MH_ACTION_SEND_REQUEST,
   MH_ACTION_ANNOUNCE_LEADER,
   MH_ACTION_FORWARD_USER_REQUEST,
-  MH_ACTION_ANSWER_USER,
-  MH_ACTION_ANSWER_HEARTBEAT,
+  MH_ACTION_RESPOND_TO_USER,
+  MH_ACTION_RESPOND_TO_HEARTBEAT,
   MH_ACTION_LOG
 } MhActionKind;
 
@@ -34,12 +34,12 @@
  * @kind: what is to be done; each of the other members applies only to the kinds that its
  * description names
  * @id: SEND_REQUEST: number of the call; ANNOUNCE_LEADER: the epoch; FORWARD_USER_REQUEST,
- * ANSWER_USER, ANSWER_HEARTBEAT: number of the request that is forwarded or answered
+ * RESPOND_TO_USER, RESPOND_TO_HEARTBEAT: number of the request that is forwarded or answered
  * @timeout_us: SEND_REQUEST, FORWARD_USER_REQUEST: how long to wait for a response, in microseconds
  * @request: (owned) (nullable): SEND_REQUEST: the request
- * @answer: ANSWER_USER: the answer
- * @status: ANSWER_HEARTBEAT: the HTTP status
- * @body: (owned) (nullable): ANSWER_HEARTBEAT: the body of the response
+ * @response: RESPOND_TO_USER: the response
+ * @status: RESPOND_TO_HEARTBEAT: the HTTP status
+ * @body: (owned) (nullable): RESPOND_TO_HEARTBEAT: the body of the response
  * @node: (owned) (nullable): FORWARD_USER_REQUEST, ANNOUNCE_LEADER: the controller to send to
  * @line: (owned) (nullable): LOG: the line
  * @level: LOG: its log level
@@ -54,7 +54,7 @@
   guint64 id;
   gint64 timeout_us;
   MhRequest *request;
-  MhUserResponse answer;
+  MhUserResponse response;
   guint status;
   MhValue *body;
   char *node;
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -133,15 +133,15 @@
 }
 
 void
-mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhReply *reply)
+mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhCallResponse *response)
 {
-  g_return_if_fail (queue && reply);
+  g_return_if_fail (queue && response);
   gpointer key, value;
   if (!g_hash_table_steal_extended (queue->pending, &id, &key, &value))
     return;
   PendingCall *pending = value;
   queue->worker_calls_in_flight -= pending->sent_to_worker;
-  pending->options.func (pending->options.owner, pending->options.data, reply);
+  pending->options.func (pending->options.owner, pending->options.data, response);
   g_free (key);
   pending_call_free (pending);
 }
--- a/src/runtime/call-queue.h
+++ b/src/runtime/call-queue.h
@@ -33,10 +33,10 @@
 #define MH_CALL_CLASSES 4
 
 /**
- * MhReply:
+ * MhCallResponse:
  * @status: HTTP status; 0: no response arrived, so that it is unknown whether the request was
  * carried out
- * @body: (nullable): body of the response; valid only while the MhReplyFunc runs
+ * @body: (nullable): body of the response; valid only while the MhCallResponseFunc runs
  *
  * The outcome of a call.
  */
@@ -44,17 +44,17 @@
 {
   guint status;
   const MhValue *body;
-} MhReply;
+} MhCallResponse;
 
 /**
- * MhReplyFunc:
+ * MhCallResponseFunc:
  * @owner: the module that made the call
  * @data: (nullable): data of the call
- * @reply: the outcome
+ * @response: the outcome
  *
  * Handles the outcome. It is not called for calls that were forgotten.
  */
-typedef void (*MhReplyFunc) (gpointer owner, gpointer data, const MhReply *reply);
+typedef void (*MhCallResponseFunc) (gpointer owner, gpointer data, const MhCallResponse *response);
 
 /**
  * MhCallOptions:
@@ -74,7 +74,7 @@
   MhCallClass class;
   double changes;
   gint64 timeout_us;
-  MhReplyFunc func;
+  MhCallResponseFunc func;
   gpointer owner;
   gpointer data;
   GDestroyNotify free_data;
@@ -124,12 +124,12 @@
  * mh_call_queue_complete:
  * @queue: a queue
  * @id: number of the call
- * @reply: the outcome
+ * @response: the outcome
  *
  * Passes the outcome to the module that made the call. Does nothing if the call was forgotten.
  */
 void
-mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhReply *reply);
+mh_call_queue_complete (MhCallQueue *queue, guint64 id, const MhCallResponse *response);
 
 /**
  * mh_call_queue_forget_all:
--- a/src/runtime/runtime.c
+++ b/src/runtime/runtime.c
@@ -146,18 +146,18 @@
   MhAction *action = g_new0 (MhAction, 1);
   action->kind = kind;
   action->id = id;
-  if (kind == MH_ACTION_ANSWER_USER)
+  if (kind == MH_ACTION_RESPOND_TO_USER)
     action->lease_until_us = mh_runtime_lease_until_us (runtime);
   g_queue_push_tail (&runtime->actions, action);
   return action;
 }
 
 void
-mh_runtime_answer_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s)
+mh_runtime_respond_to_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s)
 {
-  MhAction *action = mh_runtime_add_action (runtime, MH_ACTION_ANSWER_USER, id);
-  action->answer.status = status;
-  action->answer.retry_after_s = retry_after_s;
+  MhAction *action = mh_runtime_add_action (runtime, MH_ACTION_RESPOND_TO_USER, id);
+  action->response.status = status;
+  action->response.retry_after_s = retry_after_s;
 }
 
 MhAction *
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -221,7 +221,7 @@
  * @kind: what is to be done
  * @id: the number or epoch that MhAction describes for @kind
  *
- * Adds an action to the end of the queue. Answers to users carry the end of the leader lease.
+ * Adds an action to the end of the queue. Responses to users carry the end of the leader lease.
  *
  * Returns: (transfer none): the action, which the caller fills in while it handles the input
  */
@@ -229,7 +229,7 @@
 mh_runtime_add_action (MhRuntime *runtime, MhActionKind kind, guint64 id);
 
 /**
- * mh_runtime_answer_user:
+ * mh_runtime_respond_to_user:
  * @runtime: a runtime
  * @id: number of the user's request
  * @status: HTTP status
@@ -238,7 +238,7 @@
  * Answers a user's request without the state of a job.
  */
 void
-mh_runtime_answer_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s);
+mh_runtime_respond_to_user (MhRuntime *runtime, guint64 id, guint status, guint retry_after_s);
 
 /**
  * mh_runtime_pop_action:
--- a/src/server/http-client.c
+++ b/src/server/http-client.c
@@ -12,20 +12,20 @@
    thousand workers this took half of the leader's processor time. The timers are freed with their
    session. */
 #define CALLS_PER_WORKER_SESSION 32u
-/* Connections to workers are closed after each reply; this closes any that remain open. */
+/* Connections to workers are closed after each response; this closes any that remain open. */
 #define WORKER_IDLE_TIMEOUT_S 1u
 
 struct MhHttpClient
 {
   MhHttpEndpoints endpoints;
-  MhHttpReplyFunc reply;
+  MhHttpResponseFunc response;
   gpointer user_data;
   SoupSession *session;        /* to the key-value store and the cloud */
   SoupSession *worker_session; /* NULL before the first call to a worker */
   guint worker_session_calls;  /* calls that worker_session has started */
 };
 
-/* A call without a reply yet. */
+/* A call without a response yet. */
 typedef struct
 {
   MhHttpClient *client;
@@ -56,11 +56,12 @@
 }
 
 MhHttpClient *
-mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpReplyFunc reply, gpointer user_data)
+mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpResponseFunc response,
+                    gpointer user_data)
 {
   MhHttpClient *client = g_new0 (MhHttpClient, 1);
   client->endpoints = *endpoints;
-  client->reply = reply;
+  client->response = response;
   client->user_data = user_data;
   client->session = session_new (2 * CONNECTIONS_PER_HOST, CONNECTIONS_PER_HOST, IDLE_TIMEOUT_S);
   return client;
@@ -114,10 +115,10 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Returns the HTTP status of a reply and sets `body` if it has one. Returns 0 without a reply and
-   for a body that cannot be decoded. */
+/* Returns the HTTP status of a response and sets `body` if it has one. Returns 0 without a response
+   and for a body that cannot be decoded. */
 static guint
-read_reply (SoupMessage *message, GBytes *bytes, MhValue **body)
+read_response (SoupMessage *message, GBytes *bytes, MhValue **body)
 {
   gsize size;
   if (bytes == NULL)
@@ -135,7 +136,7 @@
 }
 
 static void
-on_reply (GObject *source, GAsyncResult *result, gpointer data)
+on_response (GObject *source, GAsyncResult *result, gpointer data)
 {
   g_autoptr (HttpCall) call = data;
   MhHttpClient *client = call->client;
@@ -143,9 +144,9 @@
   g_autoptr (MhValue) body = NULL;
   g_autoptr (GBytes) bytes
       = soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
-  guint status = read_reply (call->message, bytes, &body);
+  guint status = read_response (call->message, bytes, &body);
   g_clear_pointer (&call, http_call_free);
-  client->reply (id, status, body, client->user_data);
+  client->response (id, status, body, client->user_data);
 }
 
 /* Returns NULL when the request's endpoint is not a valid address. */
@@ -178,7 +179,7 @@
   SoupMessage *message = message_new (client, request);
   if (message == NULL)
     {
-      client->reply (id, 0, NULL, client->user_data);
+      client->response (id, 0, NULL, client->user_data);
       return;
     }
   HttpCall *call = g_new0 (HttpCall, 1);
@@ -190,5 +191,5 @@
   SoupSession *session
       = request->target == MH_TARGET_WORKER ? get_worker_session (client) : client->session;
   soup_session_send_and_read_async (session, message, G_PRIORITY_DEFAULT, call->cancellable,
-                                    on_reply, call);
+                                    on_response, call);
 }
--- a/src/server/http-client.h
+++ b/src/server/http-client.h
@@ -6,21 +6,23 @@
 /**
  * MhHttpClient:
  *
- * Sends requests and passes each reply, or its absence, to one callback. Connections to the
- * key-value store and the cloud are reused; a connection to a worker is closed after the reply.
+ * Sends requests and passes each response, or its absence, to one callback. Connections to the
+ * key-value store and the cloud are reused; a connection to a worker is closed after the response.
  */
 typedef struct MhHttpClient MhHttpClient;
 
 /**
- * MhHttpReplyFunc:
+ * MhHttpResponseFunc:
  * @id: the id that was passed to mh_http_client_send()
- * @status: HTTP status; 0 without a usable reply: the request may or may not have been carried out
- * @body: (nullable): body of the reply
+ * @status: HTTP status; 0 without a usable response: the request may or may not have been carried
+ * out
+ * @body: (nullable): body of the response
  * @user_data: the pointer that was passed to mh_http_client_new()
  *
  * Called exactly once for each call.
  */
-typedef void (*MhHttpReplyFunc) (guint64 id, guint status, const MhValue *body, gpointer user_data);
+typedef void (*MhHttpResponseFunc) (guint64 id, guint status, const MhValue *body,
+                                    gpointer user_data);
 
 /**
  * MhHttpEndpoints:
@@ -36,13 +38,14 @@
 /**
  * mh_http_client_new:
  * @endpoints: (transfer none): the services to call; the strings have to outlive the client
- * @reply: called with each reply
- * @user_data: passed to @reply
+ * @response: called with each response
+ * @user_data: passed to @response
  *
  * Returns: (transfer full): a client without connections
  */
 MhHttpClient *
-mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpReplyFunc reply, gpointer user_data);
+mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpResponseFunc response,
+                    gpointer user_data);
 
 /**
  * mh_http_client_free:
@@ -55,9 +58,10 @@
 /**
  * mh_http_client_send:
  * @client: a client
- * @id: identifies the call in the reply
+ * @id: identifies the call in the response
  * @request: (transfer none): the request to send
- * @timeout_us: time after which the call is cancelled and its reply has status 0, in microseconds
+ * @timeout_us: time after which the call is cancelled and its response has status 0, in
+ * microseconds
  *
  * When the worker's endpoint is not a valid address, the callback runs before this returns.
  */
--- a/src/server/http-server.c
+++ b/src/server/http-server.c
@@ -50,8 +50,8 @@
 }
 
 void
-mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserResponse *response)
+mh_http_server_respond_to_user (MhHttpServer *self, const MhPendingRequest *request,
+                                const MhUserResponse *response)
 {
   g_autoptr (MhValue) body = NULL;
   g_return_if_fail (self != NULL);
@@ -68,8 +68,8 @@
 }
 
 void
-mh_http_server_answer_heartbeat (MhHttpServer *self, const MhPendingRequest *request, guint status,
-                                 const MhValue *body)
+mh_http_server_respond_to_heartbeat (MhHttpServer *self, const MhPendingRequest *request,
+                                     guint status, const MhValue *body)
 {
   g_return_if_fail (self != NULL);
   g_return_if_fail (request->message != NULL);
--- a/src/server/http-server.h
+++ b/src/server/http-server.h
@@ -66,7 +66,7 @@
                        GError **error);
 
 /**
- * mh_http_server_answer_user:
+ * mh_http_server_respond_to_user:
  * @self: a server
  * @request: a user's request that was received over HTTP
  * @response: the response
@@ -74,11 +74,11 @@
  * Does not remove @request from its table.
  */
 void
-mh_http_server_answer_user (MhHttpServer *self, const MhPendingRequest *request,
-                            const MhUserResponse *response);
+mh_http_server_respond_to_user (MhHttpServer *self, const MhPendingRequest *request,
+                                const MhUserResponse *response);
 
 /**
- * mh_http_server_answer_heartbeat:
+ * mh_http_server_respond_to_heartbeat:
  * @self: a server
  * @request: a worker's request
  * @status: HTTP status
@@ -88,5 +88,5 @@
  * mh_http_listener_is_near_connection_limit()). Does not remove @request from its table.
  */
 void
-mh_http_server_answer_heartbeat (MhHttpServer *self, const MhPendingRequest *request, guint status,
-                                 const MhValue *body);
+mh_http_server_respond_to_heartbeat (MhHttpServer *self, const MhPendingRequest *request,
+                                     guint status, const MhValue *body);
--- a/src/server/request-forwarder.c
+++ b/src/server/request-forwarder.c
@@ -78,8 +78,8 @@
 }
 
 void
-mh_request_forwarder_handle_answer (MhRequestForwarder *self, MhPeerConnection *connection,
-                                    const MhControllerMessage *message)
+mh_request_forwarder_handle_response (MhRequestForwarder *self, MhPeerConnection *connection,
+                                      const MhControllerMessage *message)
 {
   MhPendingRequest *request = mh_pending_requests_lookup (self->requests, message->id);
   if (request == NULL || request->forwarded_to != connection)
--- a/src/server/request-forwarder.h
+++ b/src/server/request-forwarder.h
@@ -59,15 +59,15 @@
                            MhPeerConnection *connection, gint64 timeout_us);
 
 /**
- * mh_request_forwarder_handle_answer:
+ * mh_request_forwarder_handle_response:
  * @self: a forwarder
  * @connection: the connection on which the response was received
  * @message: a response; it is ignored unless its request is pending and was forwarded over
  * @connection
  */
 void
-mh_request_forwarder_handle_answer (MhRequestForwarder *self, MhPeerConnection *connection,
-                                    const MhControllerMessage *message);
+mh_request_forwarder_handle_response (MhRequestForwarder *self, MhPeerConnection *connection,
+                                      const MhControllerMessage *message);
 
 /**
  * mh_request_forwarder_handle_closed:
--- a/src/server/server.c
+++ b/src/server/server.c
@@ -35,7 +35,7 @@
   if (connection == NULL)
     {
       MhNow now = mh_process_clock_read (server->clock);
-      mh_core_receive_forward_reply (server->core, &now, action->id, NULL);
+      mh_core_receive_forward_response (server->core, &now, action->id, NULL);
       return;
     }
   mh_request_forwarder_send (server->forwarder, request, connection, action->timeout_us);
@@ -53,7 +53,7 @@
 }
 
 static void
-answer_request (Server *server, const MhAction *action)
+respond_to_request (Server *server, const MhAction *action)
 {
   const MhPendingRequest *request = mh_pending_requests_lookup (server->requests, action->id);
   if (request == NULL)
@@ -62,12 +62,13 @@
     {
       if (request->peer)
         mh_peer_connection_send (request->peer, mh_controller_response_encode (
-                                                    request->peer_request_id, &action->answer));
+                                                    request->peer_request_id, &action->response));
     }
-  else if (action->kind == MH_ACTION_ANSWER_USER)
-    mh_http_server_answer_user (server->http_server, request, &action->answer);
+  else if (action->kind == MH_ACTION_RESPOND_TO_USER)
+    mh_http_server_respond_to_user (server->http_server, request, &action->response);
   else
-    mh_http_server_answer_heartbeat (server->http_server, request, action->status, action->body);
+    mh_http_server_respond_to_heartbeat (server->http_server, request, action->status,
+                                         action->body);
   mh_pending_requests_remove (server->requests, action->id);
 }
 
@@ -85,9 +86,9 @@
     case MH_ACTION_ANNOUNCE_LEADER:
       announce_leader (server, action);
       break;
-    case MH_ACTION_ANSWER_USER:
-    case MH_ACTION_ANSWER_HEARTBEAT:
-      answer_request (server, action);
+    case MH_ACTION_RESPOND_TO_USER:
+    case MH_ACTION_RESPOND_TO_HEARTBEAT:
+      respond_to_request (server, action);
       break;
     case MH_ACTION_LOG:
       mh_log_output_write (action->level, server->settings->node_name, action->line);
@@ -156,11 +157,11 @@
 }
 
 static void
-on_reply (guint64 id, guint status, const MhValue *body, gpointer data)
+on_response (guint64 id, guint status, const MhValue *body, gpointer data)
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_receive_reply (server->core, &now, id, status, body);
+  mh_core_receive_response (server->core, &now, id, status, body);
   dispatch_actions (server);
 }
 
@@ -169,7 +170,7 @@
 {
   Server *server = data;
   MhNow now = mh_process_clock_read (server->clock);
-  mh_core_receive_forward_reply (server->core, &now, id, response);
+  mh_core_receive_forward_response (server->core, &now, id, response);
   dispatch_actions (server);
 }
 
@@ -210,7 +211,7 @@
       on_forwarded_request (server, connection, message);
       break;
     case MH_CONTROLLER_RESPONSE:
-      mh_request_forwarder_handle_answer (server->forwarder, connection, message);
+      mh_request_forwarder_handle_response (server->forwarder, connection, message);
       break;
     case MH_CONTROLLER_ANNOUNCEMENT:
       on_announcement (server, message);
@@ -309,7 +310,7 @@
   server.clock = mh_process_clock_new ();
   server.requests = mh_pending_requests_new ();
   server.forwarder = mh_request_forwarder_new (server.requests, on_forward_outcome, &server);
-  server.http_client = mh_http_client_new (&endpoints, on_reply, &server);
+  server.http_client = mh_http_client_new (&endpoints, on_response, &server);
   server.http_server = mh_http_server_new (server.requests, &http_handlers, &server);
   if (!listen_on_all (&server, error))
     return false;
--- a/src/storage/load.c
+++ b/src/storage/load.c
@@ -216,7 +216,7 @@
 }
 
 static void
-on_page (gpointer owner, gpointer data, const MhReply *reply);
+on_page (gpointer owner, gpointer data, const MhCallResponse *response);
 
 static void
 read_page (MhRecordLoader *loader, guint prefix, const char *after)
@@ -247,14 +247,15 @@
 }
 
 static void
-on_page (gpointer owner, gpointer data, const MhReply *reply)
+on_page (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhRecordLoader *loader = owner;
   const Page *page = data;
   bool has_more;
   guint64 revision;
   g_autoptr (GPtrArray) entries
-      = reply->status == 200 ? mh_kv_list_decode (reply->body, &has_more, &revision, NULL) : NULL;
+      = response->status == 200 ? mh_kv_list_decode (response->body, &has_more, &revision, NULL)
+                                : NULL;
   if (entries == NULL)
     {
       mh_call_queue_pause_store (loader->calls, PAGE_RETRY_PAUSE_US, PAGE_RETRY_JITTER_US);
--- a/src/storage/lookup.c
+++ b/src/storage/lookup.c
@@ -6,14 +6,14 @@
 
 #define CALL_TIMEOUT_US MH_SECOND_US
 /* Limits the queued reads for status queries to as many as this controller may send to the
-   key-value store in this time. A user waits at most two seconds for an answer. */
+   key-value store in this time. A user waits at most two seconds for a response. */
 #define MAX_BACKLOG_S 1.0
 /* The limit on queued reads is not lower than this, however low the rate limit is. */
 #define MIN_BACKLOG 8.0
 #define RETRY_AFTER_S 1u
 
 /* The order of the reads without a leader: the job's first record, then the final one, because a
-   job moves from the first to the second and never back; last, the leader key. The answer is
+   job moves from the first to the second and never back; last, the leader key. The response is
    given only if there is no leader key. A leader that holds it may not know yet that its own last
    write was applied, and would then give the same user an older state. */
 typedef enum
@@ -41,15 +41,16 @@
   MhUserVerb verb;
   MhLookupScope scope;
   Stage stage;
-  MhUserResponse found; /* the answer, if the reads that follow confirm it */
+  MhUserResponse found; /* the response, if the reads that follow confirm it */
   GArray *request_ids;  /* guint64: answered by the current reads */
   /* guint64: requests that came after the current reads began, to be answered by the next reads.
-     The current reads may return an older state than an answer that the user got before the
+     The current reads may return an older state than a response that the user got before the
      request. */
   GArray *next_request_ids;
 } JobRead;
 
-static const MhUserResponse unavailable_answer = { .status = 503, .retry_after_s = RETRY_AFTER_S };
+static const MhUserResponse unavailable_response
+    = { .status = 503, .retry_after_s = RETRY_AFTER_S };
 
 MhJobLookup *
 mh_job_lookup_new (MhRuntime *runtime, MhCallQueue *calls, GHashTable *jobs,
@@ -91,13 +92,13 @@
 }
 
 static void
-answer_all (const JobRead *read, GArray *request_ids, const MhUserResponse *answer)
+respond_to_all (const JobRead *read, GArray *request_ids, const MhUserResponse *response)
 {
   MhRuntime *runtime = read->lookup->runtime;
   for (guint i = 0; i < request_ids->len; i++)
     {
       guint64 id = g_array_index (request_ids, guint64, i);
-      mh_runtime_add_action (runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
+      mh_runtime_add_action (runtime, MH_ACTION_RESPOND_TO_USER, id)->response = *response;
     }
   g_array_set_size (request_ids, 0);
 }
@@ -109,8 +110,8 @@
 {
   JobRead *read = data;
   GHashTable *status_reads = read->lookup->status_reads;
-  answer_all (read, read->request_ids, &unavailable_answer);
-  answer_all (read, read->next_request_ids, &unavailable_answer);
+  respond_to_all (read, read->request_ids, &unavailable_response);
+  respond_to_all (read, read->next_request_ids, &unavailable_response);
   if (g_hash_table_lookup (status_reads, read->job) == read)
     g_hash_table_remove (status_reads, read->job);
   g_array_unref (read->request_ids);
@@ -153,7 +154,7 @@
 }
 
 static void
-on_entry (gpointer owner, gpointer data, const MhReply *reply);
+on_entry (gpointer owner, gpointer data, const MhCallResponse *response);
 
 /* Each call holds a reference to the reads. */
 static void
@@ -178,9 +179,9 @@
 
 /* Answers the requests, and starts new reads for all requests that came after these reads began. */
 static void
-finish_reads (JobRead *read, const MhUserResponse *answer)
+finish_reads (JobRead *read, const MhUserResponse *response)
 {
-  answer_all (read, read->request_ids, answer);
+  respond_to_all (read, read->request_ids, response);
   if (read->next_request_ids->len == 0)
     return;
   GArray *empty = read->request_ids;
@@ -202,19 +203,19 @@
   return true;
 }
 
-/* Stores the answer that follows from the response in `read->found`. False: the request failed, or
-   the record cannot be decoded. */
+/* Stores what the user gets according to the store's response in `read->found`. False: the request
+   failed, or the record cannot be decoded. */
 static bool
-decode_found (JobRead *read, const MhReply *reply)
+decode_found (JobRead *read, const MhCallResponse *response)
 {
-  if (reply->status == 404)
+  if (response->status == 404)
     {
       /* A submission is looked up only if its job can never run. Without a record its job was
          never accepted, and the submission is refused. */
       read->found = (MhUserResponse){ .status = read->verb == MH_USER_SUBMIT ? 422 : 404 };
       return true;
     }
-  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
+  MhKvEntry *entry = response->status == 200 ? mh_kv_entry_decode (response->body, NULL) : NULL;
   if (entry == NULL)
     return false;
   bool is_decoded = read->stage == READ_FINAL
@@ -224,10 +225,10 @@
   return is_decoded;
 }
 
-/* The answer that a job is unknown also requires that this controller still leads and that the job
-   is not in its memory, where it may be about to be accepted. */
+/* The response that a job is unknown also requires that this controller still leads and that the
+   job is not in its memory, where it may be about to be accepted. */
 static void
-answer_as_leader (JobRead *read, bool is_final)
+respond_as_leader (JobRead *read, bool is_final)
 {
   MhJobLookup *lookup = read->lookup;
   if (is_final)
@@ -235,21 +236,21 @@
   bool is_certain = is_final
                     || (mh_runtime_is_leader (lookup->runtime)
                         && !g_hash_table_contains (lookup->jobs, read->job));
-  finish_reads (read, is_certain ? &read->found : &unavailable_answer);
+  finish_reads (read, is_certain ? &read->found : &unavailable_response);
 }
 
 static void
-on_entry (gpointer owner, gpointer data, const MhReply *reply)
+on_entry (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   (void)owner;
   JobRead *read = data;
   if (read->stage == READ_LEADER)
-    finish_reads (read, reply->status == 404 ? &read->found : &unavailable_answer);
-  else if (!decode_found (read, reply))
-    finish_reads (read, &unavailable_answer);
+    finish_reads (read, response->status == 404 ? &read->found : &unavailable_response);
+  else if (!decode_found (read, response))
+    finish_reads (read, &unavailable_response);
   else if (read->scope == MH_LOOKUP_LEADER)
-    answer_as_leader (read, reply->status == 200);
-  else if (reply->status == 404 && read->stage == READ_RUNNING)
+    respond_as_leader (read, response->status == 200);
+  else if (response->status == 404 && read->stage == READ_RUNNING)
     read_stage (read, READ_FINAL);
   else
     read_stage (read, READ_LEADER);
@@ -281,8 +282,8 @@
     }
   if (is_shared && is_backlog_full (lookup))
     {
-      mh_runtime_answer_user (lookup->runtime, request_id, unavailable_answer.status,
-                              unavailable_answer.retry_after_s);
+      mh_runtime_respond_to_user (lookup->runtime, request_id, unavailable_response.status,
+                                  unavailable_response.retry_after_s);
       return;
     }
   read = job_read_new (lookup, job, verb, scope);
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -1,27 +1,28 @@
 /* Answers users' requests from the key-value store: requests about jobs that are not in the
    leader's memory, and requests while there is no leader.
 
-   A user gets the answer that a job is unknown only if its records are absent and no controller can
-   be writing them. Status queries about the same job share their reads. If more reads are queued
-   than this controller may send in a second, further status queries are answered 503 at once. */
+   A user gets the response that a job is unknown only if its records are absent and no controller
+   can be writing them. Status queries about the same job share their reads. If more reads are
+   queued than this controller may send in a second, further status queries are answered 503 at
+   once. */
 #pragma once
 
 #include "jobs/job.h"
 #include "runtime/call-queue.h"
 
-/** MhJobLookup: answers requests about jobs from the key-value store */
+/** MhJobLookup: responds to requests about jobs from the key-value store */
 typedef struct MhJobLookup MhJobLookup;
 
 /**
  * MhJobLookupFinalFunc:
  * @owner: the owner passed to mh_job_lookup_new ()
  * @job: the id of a job
- * @answer: the answer to all later requests about the job
+ * @response: the response to all later requests about the job
  *
  * Called with a final state that was read, so that it can be cached.
  */
 typedef void (*MhJobLookupFinalFunc) (gpointer owner, const char *job,
-                                      const MhUserResponse *answer);
+                                      const MhUserResponse *response);
 
 /**
  * mh_job_lookup_new:
@@ -54,9 +55,9 @@
  * @MH_LOOKUP_LEADER: this controller leads with a valid lease, and did not find the job accepted in
  * its memory: only the final record is read
  *
- * Which records an answer requires. The caller must check the lease as well as the state of the
+ * Which records a response requires. The caller must check the lease as well as the state of the
  * election before it passes MH_LOOKUP_LEADER: a leader whose lease has expired would otherwise
- * answer that unfinished jobs are unknown.
+ * respond that unfinished jobs are unknown.
  */
 typedef enum
 {
@@ -70,9 +71,9 @@
  * @request_id: the id of the user's request
  * @job: the id of the job that the request is about
  * @verb: what the user requests
- * @scope: which records the answer requires
+ * @scope: which records the response requires
  *
- * Reads the records of the job, and answers the request when they are read. Answers it at once if
+ * Reads the records of the job, and responds to the request when they are read. Responds at once if
  * too many reads are queued.
  */
 void
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -17,7 +17,7 @@
 /**
  * MhRecordWriterCallbacks:
  * @job_accepted: the first record of the job is durable for the first time: its tasks may be placed
- * @job_ended: the final record of the job is durable; `answer` is what its users get. The job is
+ * @job_ended: the final record of the job is durable; `response` is what its users get. The job is
  * freed after the call
  * @attempts_recorded: attempts of the tasks from `first_task` up to but excluding `end_task` may
  * have become durable: the starts of those that are may be sent
@@ -31,7 +31,7 @@
 typedef struct
 {
   void (*job_accepted) (gpointer owner, MhJob *job);
-  void (*job_ended) (gpointer owner, const MhJob *job, const MhUserResponse *answer);
+  void (*job_ended) (gpointer owner, const MhJob *job, const MhUserResponse *response);
   void (*attempts_recorded) (gpointer owner, MhJob *job, guint first_task, guint end_task);
   void (*job_rechunked) (gpointer owner, MhJob *job);
   void (*leadership_lost) (gpointer owner, MhLossReason reason);
--- a/src/storage/record.c
+++ b/src/storage/record.c
@@ -206,7 +206,7 @@
 }
 
 bool
-mh_record_read_final (const MhValue *value, MhUserResponse *answer, GError **error)
+mh_record_read_final (const MhValue *value, MhUserResponse *response, GError **error)
 {
   guint64 state, done;
   if (!mh_value_get_uint (value, "state", &state))
@@ -215,7 +215,7 @@
     return fail_missing (error, "done", "number");
   if (state != MH_JOB_DONE && state != MH_JOB_CANCELLED)
     return fail_invalid (error, "state", "is neither the done nor the cancelled state");
-  *answer = (MhUserResponse){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
+  *response = (MhUserResponse){ .status = 200, .state = (MhJobState)state, .done = (guint)done };
   return true;
 }
 
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -100,13 +100,13 @@
 /**
  * mh_record_read_final:
  * @value: a final record
- * @answer: (out): the answer to users' requests about the job, with status 200
+ * @response: (out): the response to users' requests about the job, with status 200
  * @error: MH_STORAGE_ERROR
  *
  * Returns: %FALSE if @value is not a valid final record
  */
 bool
-mh_record_read_final (const MhValue *value, MhUserResponse *answer, GError **error);
+mh_record_read_final (const MhValue *value, MhUserResponse *response, GError **error);
 
 /**
  * mh_record_read_tag:
--- a/src/storage/transaction.c
+++ b/src/storage/transaction.c
@@ -25,13 +25,13 @@
 };
 
 MhTransactionOutcome
-mh_transaction_read_outcome (const MhReply *reply, guint64 *version)
+mh_transaction_read_outcome (const MhCallResponse *response, guint64 *version)
 {
-  switch (reply->status)
+  switch (response->status)
     {
     case 200:
-      return mh_kv_revision_decode (reply->body, version, NULL) ? MH_TRANSACTION_APPLIED
-                                                                : MH_TRANSACTION_UNKNOWN;
+      return mh_kv_revision_decode (response->body, version, NULL) ? MH_TRANSACTION_APPLIED
+                                                                   : MH_TRANSACTION_UNKNOWN;
     case 409:
       return MH_TRANSACTION_CONFLICT;
     case 400:
@@ -149,7 +149,7 @@
 
 static void
 add_call (MhTransaction *transaction, MhRequest *request, MhCallClass class, guint changes,
-          MhReplyFunc func)
+          MhCallResponseFunc func)
 {
   const MhCallOptions options = { .class = class,
                                   .changes = changes,
@@ -161,14 +161,14 @@
 }
 
 static void
-on_reply (gpointer owner, gpointer data, const MhReply *reply);
+on_response (gpointer owner, gpointer data, const MhCallResponse *response);
 
 static void
 send_request (MhTransaction *transaction)
 {
   add_call (transaction, mh_request_copy (transaction->request),
             transaction->callbacks->call_class (transaction->data), transaction->changes->len,
-            on_reply);
+            on_response);
 }
 
 void
@@ -198,14 +198,14 @@
 }
 
 static void
-on_tagged_record (gpointer owner, gpointer data, const MhReply *reply)
+on_tagged_record (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   (void)owner;
   MhTransaction *transaction = data;
   guint64 version = 0;
-  if (reply->status == 200 && carries_tag (transaction, reply->body, &version))
+  if (response->status == 200 && carries_tag (transaction, response->body, &version))
     transaction->callbacks->applied (transaction->data, version);
-  else if (reply->status == 200 || reply->status == 404)
+  else if (response->status == 200 || response->status == 404)
     transaction->callbacks->outcome_unknown (transaction->data);
   else
     read_tagged_record (transaction);
@@ -219,9 +219,9 @@
 }
 
 static void
-on_conflict (MhTransaction *transaction, const MhReply *reply)
+on_conflict (MhTransaction *transaction, const MhCallResponse *response)
 {
-  g_auto (GStrv) failed_keys = mh_kv_failed_conditions_decode (reply->body, NULL);
+  g_auto (GStrv) failed_keys = mh_kv_failed_conditions_decode (response->body, NULL);
   bool leader_changed
       = failed_keys && g_strv_contains ((const char *const *)failed_keys, MH_LEADER_KEY);
   bool in_doubt
@@ -234,19 +234,19 @@
 }
 
 static void
-on_reply (gpointer owner, gpointer data, const MhReply *reply)
+on_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   (void)owner;
   MhTransaction *transaction = data;
   guint64 version;
-  MhTransactionOutcome outcome = mh_transaction_read_outcome (reply, &version);
+  MhTransactionOutcome outcome = mh_transaction_read_outcome (response, &version);
   switch (outcome)
     {
     case MH_TRANSACTION_APPLIED:
       transaction->callbacks->applied (transaction->data, version);
       break;
     case MH_TRANSACTION_CONFLICT:
-      on_conflict (transaction, reply);
+      on_conflict (transaction, response);
       break;
     case MH_TRANSACTION_MALFORMED:
       transaction->callbacks->malformed (transaction->data, transaction->may_be_applied);
@@ -255,7 +255,7 @@
     case MH_TRANSACTION_THROTTLED:
     case MH_TRANSACTION_UNAVAILABLE:
       transaction->may_be_applied |= outcome == MH_TRANSACTION_UNKNOWN;
-      mh_call_queue_handle_store_failure (transaction->calls, reply->status);
+      mh_call_queue_handle_store_failure (transaction->calls, response->status);
       send_request (transaction);
       break;
     }
--- a/src/storage/transaction.h
+++ b/src/storage/transaction.h
@@ -32,13 +32,13 @@
 
 /**
  * mh_transaction_read_outcome:
- * @reply: the outcome of one request to the key-value store
+ * @response: the outcome of one request to the key-value store
  * @version: (out): the new version of all changed keys; set only for MH_TRANSACTION_APPLIED
  *
- * Returns: the outcome that @reply reports
+ * Returns: the outcome that @response reports
  */
 MhTransactionOutcome
-mh_transaction_read_outcome (const MhReply *reply, guint64 *version);
+mh_transaction_read_outcome (const MhCallResponse *response, guint64 *version);
 
 /** MhTransaction: a transaction that is being built or is in flight */
 typedef struct MhTransaction MhTransaction;
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -46,7 +46,7 @@
   return MH_CALL_WORK;
 }
 
-/* ---- answers to waiting users ---- */
+/* ---- responses to waiting users ---- */
 
 static bool
 can_be_answered (const MhJob *job, MhUserVerb verb)
@@ -56,7 +56,7 @@
 }
 
 static void
-answer_waiters (MhRecordWriter *writer, const MhJob *job)
+respond_to_waiters (MhRecordWriter *writer, const MhJob *job)
 {
   for (guint i = 0; i < job->waiters->len;)
     {
@@ -67,19 +67,20 @@
           continue;
         }
       g_array_remove_index (job->waiters, i);
-      MhAction *action = mh_runtime_add_action (writer->runtime, MH_ACTION_ANSWER_USER, waiter.id);
-      mh_job_fill_answer (job, &action->answer);
-      action->answer.status = waiter.verb == MH_USER_SUBMIT ? 201 : 200;
+      MhAction *action
+          = mh_runtime_add_action (writer->runtime, MH_ACTION_RESPOND_TO_USER, waiter.id);
+      mh_job_fill_response (job, &action->response);
+      action->response.status = waiter.verb == MH_USER_SUBMIT ? 201 : 200;
     }
 }
 
 static void
-answer_all_waiters (MhRecordWriter *writer, const MhJob *job, const MhUserResponse *answer)
+respond_to_all_waiters (MhRecordWriter *writer, const MhJob *job, const MhUserResponse *response)
 {
   for (guint i = 0; i < job->waiters->len; i++)
     {
       guint64 id = g_array_index (job->waiters, MhWaiter, i).id;
-      mh_runtime_add_action (writer->runtime, MH_ACTION_ANSWER_USER, id)->answer = *answer;
+      mh_runtime_add_action (writer->runtime, MH_ACTION_RESPOND_TO_USER, id)->response = *response;
     }
   g_array_set_size (job->waiters, 0);
 }
@@ -114,22 +115,22 @@
                job->spec->team, job->spec->class_name);
 }
 
-/* The final record is durable: the job is removed from memory, and only the answer is kept. */
+/* The final record is durable: the job is removed from memory, and only the response is kept. */
 static void
 finish_job (MhRecordWriter *writer, MhJob *job, bool cancelled)
 {
-  MhUserResponse answer = { .status = 200 };
+  MhUserResponse response = { .status = 200 };
   job->completion = MH_COMPLETION_DURABLE;
   job->final_state = cancelled ? MH_JOB_CANCELLED : MH_JOB_DONE;
   guint deleted = mh_batch_count_deleted_with_final (job, mh_runtime_settings (writer->runtime));
   for (guint i = deleted + 1; i < job->n_records; i++)
     if (job->records[i].version)
       g_queue_push_tail (&writer->keys_to_delete, mh_record_key (job->spec->id, i));
-  answer_waiters (writer, job);
+  respond_to_waiters (writer, job);
   mh_log_info (writer->runtime, "job ended job=%s state=%s", job->spec->id,
                cancelled ? "cancelled" : "done");
-  mh_job_fill_answer (job, &answer);
-  writer->callbacks->job_ended (writer->owner, job, &answer);
+  mh_job_fill_response (job, &response);
+  writer->callbacks->job_ended (writer->owner, job, &response);
   mh_record_writer_remove_job (writer, job);
 }
 
@@ -178,7 +179,7 @@
       accept_job (writer, job);
       if (write->cancelled)
         job->cancellation = MH_CANCELLATION_DURABLE;
-      answer_waiters (writer, job);
+      respond_to_waiters (writer, job);
     }
   if (mh_record_has_unwritten_changes (record))
     mh_record_writer_apply_event (writer, record, MH_RECORD_REQUEUED, record->requeue_urgency);
@@ -217,25 +218,25 @@
    is malformed, this leader cannot tell what the submission conflicted with, and its leadership
    ends. */
 static void
-on_final_record (gpointer owner, gpointer data, const MhReply *reply)
+on_final_record (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   MhRecordWriter *writer = owner;
   const char *id = data;
   MhJob *job = g_hash_table_lookup (writer->jobs, id);
   if (job == NULL)
     return;
-  if (reply->status != 200 && reply->status != 404)
+  if (response->status != 200 && response->status != 404)
     {
       read_final_record (writer, id);
       return;
     }
-  MhUserResponse answer = { .status = 503, .retry_after_s = 1 };
-  MhKvEntry *entry = reply->status == 200 ? mh_kv_entry_decode (reply->body, NULL) : NULL;
-  bool is_final = entry && mh_record_read_final (entry->value, &answer, NULL);
+  MhUserResponse final_response = { .status = 503, .retry_after_s = 1 };
+  MhKvEntry *entry = response->status == 200 ? mh_kv_entry_decode (response->body, NULL) : NULL;
+  bool is_final = entry && mh_record_read_final (entry->value, &final_response, NULL);
   mh_kv_entry_free (entry);
-  answer_all_waiters (writer, job, &answer);
+  respond_to_all_waiters (writer, job, &final_response);
   if (is_final)
-    writer->callbacks->job_ended (writer->owner, job, &answer);
+    writer->callbacks->job_ended (writer->owner, job, &final_response);
   mh_record_writer_remove_job (writer, job);
   if (!is_final)
     end_leadership (writer, MH_LOSS_RECORD_DIFFERS);
@@ -343,9 +344,9 @@
       "record refused by the key-value store job=%s record=%u reason=malformed_or_too_large"
       " outcome=%s",
       job->spec->id, record->chunk, accepted ? "retried_later" : "job_not_accepted");
-  const MhUserResponse retry_answer
+  const MhUserResponse retry_response
       = { .status = 503, .retry_after_s = (guint)(REFUSED_RECORD_RETRY_US / MH_SECOND_US) };
-  answer_all_waiters (writer, job, &retry_answer);
+  respond_to_all_waiters (writer, job, &retry_response);
   if (!accepted)
     {
       mh_record_writer_remove_job (writer, job);
--- a/tests/stand-in/cloud.c
+++ b/tests/stand-in/cloud.c
@@ -134,21 +134,21 @@
 
 /* A repeated request returns the machines of the first one. */
 static void
-serve_create (Cloud *cloud, const MhValue *body, ServiceReply *reply)
+serve_create (Cloud *cloud, const MhValue *body, ServiceResponse *response)
 {
   g_autofree char *request_id = mh_value_get_text (body, "rental");
   const char *known_names = g_hash_table_lookup (cloud->create_requests, request_id);
   g_autofree char *names = known_names ? g_strdup (known_names) : create_machines (cloud, body);
   if (*names == '\0')
     {
-      reply->status = 503;
-      reply->body = mh_value_new_map ();
-      mh_value_set_text (reply->body, "error", "no capacity");
+      response->status = 503;
+      response->body = mh_value_new_map ();
+      mh_value_set_text (response->body, "error", "no capacity");
       return;
     }
   if (known_names == NULL)
     g_hash_table_insert (cloud->create_requests, g_strdup (request_id), g_strdup (names));
-  reply->body = encode_names (names);
+  response->body = encode_names (names);
 }
 
 static void
@@ -224,25 +224,25 @@
 }
 
 void
-cloud_serve (Cloud *cloud, const ServiceRequest *request, ServiceReply *reply)
+cloud_serve (Cloud *cloud, const ServiceRequest *request, ServiceResponse *response)
 {
   const char *path = request->path;
-  *reply = (ServiceReply){ .status = 200 };
+  *response = (ServiceResponse){ .status = 200 };
   if (cloud->now_us < cloud->outage_until_us)
-    reply->status = 503;
+    response->status = 503;
   else if (strcmp (path, "/machine_types") == 0)
-    reply->body = encode_types (cloud);
+    response->body = encode_types (cloud);
   else if (strcmp (path, "/machines") == 0)
-    serve_create (cloud, request->body, reply);
+    serve_create (cloud, request->body, response);
   else if (strcmp (path, "/machines/release") == 0)
     serve_release (cloud, request->body);
   else if (g_str_has_prefix (path, "/machines?"))
     {
       cloud->list_requests++;
-      reply->body = list_machines (cloud, path);
+      response->body = list_machines (cloud, path);
     }
   else
-    reply->status = 400;
+    response->status = 400;
 }
 
 static gint
--- a/tests/stand-in/cloud.h
+++ b/tests/stand-in/cloud.h
@@ -46,7 +46,7 @@
 cloud_add_machine (Cloud *cloud, const char *type, const char *zone, bool spot);
 /** cloud_serve: Answers a request. */
 void
-cloud_serve (Cloud *cloud, const ServiceRequest *request, ServiceReply *reply);
+cloud_serve (Cloud *cloud, const ServiceRequest *request, ServiceResponse *response);
 /** cloud_describe_create_requests: Appends a line for each create request to @out, in the order of
  * their ids. */
 void
--- a/tests/stand-in/controller-node.c
+++ b/tests/stand-in/controller-node.c
@@ -123,12 +123,12 @@
 /* ---- actions ---- */
 
 static void
-answer_request (ControllerNode *node, const MhAction *action)
+respond_to_request (ControllerNode *node, const MhAction *action)
 {
   const PendingRequest *request = g_hash_table_lookup (node->pending_requests, &action->id);
   if (request == NULL)
     return;
-  request->on_answer (node, request, action);
+  request->on_response (node, request, action);
   g_hash_table_remove (node->pending_requests, &action->id);
 }
 
@@ -151,7 +151,7 @@
       simulation_log (node->simulation, node->name, action->line);
       break;
     default:
-      answer_request (node, action);
+      respond_to_request (node, action);
     }
 }
 
--- a/tests/stand-in/controller-node.h
+++ b/tests/stand-in/controller-node.h
@@ -1,5 +1,5 @@
 /* A node on which a controller runs, or which is down: its clocks, the requests that wait for its
-   answers, and the faults that a test gives it. */
+   responses, and the faults that a test gives it. */
 #pragma once
 
 #include "stand-in/controller.h"
@@ -8,13 +8,13 @@
 typedef struct ControllerNode ControllerNode;
 typedef struct PendingRequest PendingRequest;
 
-/** PendingRequestAnswerFunc: @action: the controller's answer to @request */
-typedef void (*PendingRequestAnswerFunc) (ControllerNode *node, const PendingRequest *request,
-                                          const MhAction *action);
+/** PendingRequestResponseFunc: @action: the controller's response to @request */
+typedef void (*PendingRequestResponseFunc) (ControllerNode *node, const PendingRequest *request,
+                                            const MhAction *action);
 
 /**
  * PendingRequest:
- * @on_answer: called with the answer
+ * @on_response: called with the response
  * @data: of the sender
  * @free_data: (nullable): frees @data
  * @verb: of a user's request
@@ -26,7 +26,7 @@
  */
 struct PendingRequest
 {
-  PendingRequestAnswerFunc on_answer;
+  PendingRequestResponseFunc on_response;
   gpointer data;
   GDestroyNotify free_data;
   MhUserVerb verb;
@@ -109,7 +109,7 @@
 /** controller_node_start: Starts the node's process. Does nothing if it runs. */
 void
 controller_node_start (ControllerNode *node);
-/** controller_node_stop: Ends the node's process. Pending requests get no answer. */
+/** controller_node_stop: Ends the node's process. Pending requests get no response. */
 void
 controller_node_stop (ControllerNode *node);
 /** controller_node_now: Returns: the present time on its clocks; draws the jitter at random */
--- a/tests/stand-in/controller.c
+++ b/tests/stand-in/controller.c
@@ -119,8 +119,8 @@
   [PRODUCTION_CALL] = MH_ACTION_SEND_REQUEST,
   [PRODUCTION_ANNOUNCE_LEADER] = MH_ACTION_ANNOUNCE_LEADER,
   [PRODUCTION_FORWARD] = MH_ACTION_FORWARD_USER_REQUEST,
-  [PRODUCTION_ANSWER_USER] = MH_ACTION_ANSWER_USER,
-  [PRODUCTION_ANSWER_REPORT] = MH_ACTION_ANSWER_HEARTBEAT,
+  [PRODUCTION_ANSWER_USER] = MH_ACTION_RESPOND_TO_USER,
+  [PRODUCTION_ANSWER_REPORT] = MH_ACTION_RESPOND_TO_HEARTBEAT,
   [PRODUCTION_LOG] = MH_ACTION_LOG,
 };
 static const MhTarget targets[] = {
@@ -152,11 +152,11 @@
   action->status = popped->status;
   char **text = action->kind == MH_ACTION_LOG ? &action->line : &action->node;
   *text = g_steal_pointer (&popped->text);
-  action->answer = (MhUserResponse){ .status = popped->answer.status,
-                                     .retry_after_s = popped->answer.retry_after_s,
-                                     .state = (MhJobState)popped->answer.state,
-                                     .done = popped->answer.done,
-                                     .running = popped->answer.running };
+  action->response = (MhUserResponse){ .status = popped->answer.status,
+                                       .retry_after_s = popped->answer.retry_after_s,
+                                       .state = (MhJobState)popped->answer.state,
+                                       .done = popped->answer.done,
+                                       .running = popped->answer.running };
   if (action->kind == MH_ACTION_SEND_REQUEST)
     action->request = to_request (popped, body);
   else
@@ -243,7 +243,7 @@
 {
   if (self->core)
     {
-      mh_core_receive_reply (self->core, now, id, status, body);
+      mh_core_receive_response (self->core, now, id, status, body);
       return;
     }
   ProductionNow production_now = to_production (now);
@@ -253,22 +253,22 @@
 
 void
 controller_forward_finished (Controller *self, const MhNow *now, guint64 id,
-                             const MhUserResponse *answer)
+                             const MhUserResponse *response)
 {
   if (self->core)
     {
-      mh_core_receive_forward_reply (self->core, now, id, answer);
+      mh_core_receive_forward_response (self->core, now, id, response);
       return;
     }
   ProductionNow production_now = to_production (now);
   ProductionAnswer given = {};
-  if (answer)
-    given = (ProductionAnswer){ .status = answer->status,
-                                .retry_after_s = answer->retry_after_s,
-                                .state = (guint)answer->state,
-                                .done = answer->done,
-                                .running = answer->running };
-  production_core_forwarded (self->production, &production_now, id, answer ? &given : NULL);
+  if (response)
+    given = (ProductionAnswer){ .status = response->status,
+                                .retry_after_s = response->retry_after_s,
+                                .state = (guint)response->state,
+                                .done = response->done,
+                                .running = response->running };
+  production_core_forwarded (self->production, &production_now, id, response ? &given : NULL);
 }
 
 void
--- a/tests/stand-in/controller.h
+++ b/tests/stand-in/controller.h
@@ -36,11 +36,11 @@
 void
 controller_call_finished (Controller *controller, const MhNow *now, guint64 id, guint status,
                           const MhValue *body);
-/** controller_forward_finished: A request that the controller forwarded is over. @answer:
- * (nullable): %NULL: no answer came */
+/** controller_forward_finished: A request that the controller forwarded is over. @response:
+ * (nullable): %NULL: no response came */
 void
 controller_forward_finished (Controller *controller, const MhNow *now, guint64 id,
-                             const MhUserResponse *answer);
+                             const MhUserResponse *response);
 /** controller_leader_announced: Another controller announces itself as leader. */
 void
 controller_leader_announced (Controller *controller, const MhNow *now, const char *node,
--- a/tests/stand-in/decision-log.c
+++ b/tests/stand-in/decision-log.c
@@ -38,14 +38,14 @@
   GChecksum *digest = node->simulation->digest;
   if (digest == NULL || action->kind == MH_ACTION_LOG)
     return;
-  const MhUserResponse *answer = &action->answer;
+  const MhUserResponse *response = &action->response;
   g_autofree char *line
       = g_strdup_printf ("%" G_GINT64_FORMAT " %s %d %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT
                          " %u %" G_GINT64_FORMAT " %u %u %d %u %u %s",
                          node->simulation->clock->now_us, node->name, (int)action->kind, action->id,
-                         action->timeout_us, action->status, action->lease_until_us, answer->status,
-                         answer->retry_after_s, (int)answer->state, answer->done, answer->running,
-                         action->node ? action->node : "");
+                         action->timeout_us, action->status, action->lease_until_us,
+                         response->status, response->retry_after_s, (int)response->state,
+                         response->done, response->running, action->node ? action->node : "");
   add_text (digest, line);
   add_value (digest, action->body);
   if (action->request)
--- a/tests/stand-in/environment.c
+++ b/tests/stand-in/environment.c
@@ -69,11 +69,11 @@
 
 bool
 environment_serve (Environment *environment, MhTarget target, const ServiceRequest *request,
-                   ServiceReply *reply)
+                   ServiceResponse *response)
 {
   if (target == MH_TARGET_KEY_VALUE_STORE)
-    return key_value_store_serve (environment->store, request, reply);
-  cloud_serve (environment->cloud, request, reply);
+    return key_value_store_serve (environment->store, request, response);
+  cloud_serve (environment->cloud, request, response);
   return true;
 }
 
--- a/tests/stand-in/environment.h
+++ b/tests/stand-in/environment.h
@@ -37,14 +37,14 @@
 /**
  * environment_serve:
  * @target: the key-value store or the cloud
- * @reply: (out): the response
+ * @response: (out): the response
  *
  * Returns: false if the request is a watch, which environment_advance() answers later under the
  * token of the request
  */
 bool
 environment_serve (Environment *environment, MhTarget target, const ServiceRequest *request,
-                   ServiceReply *reply);
+                   ServiceResponse *response);
 /** environment_running_tasks: Returns: how many tasks of the job are on machines and have not ended
  */
 guint
--- a/tests/stand-in/key-value-requests.c
+++ b/tests/stand-in/key-value-requests.c
@@ -45,11 +45,11 @@
 /* ---- reading ---- */
 
 static void
-serve_key (KeyValueStore *store, const char *name, ServiceReply *reply)
+serve_key (KeyValueStore *store, const char *name, ServiceResponse *response)
 {
   const StoredKey *key = g_tree_lookup (store->keys, name);
-  reply->status = key ? 200 : 404;
-  reply->body = key ? encode_key (name, key) : encode_revision (store);
+  response->status = key ? 200 : 404;
+  response->body = key ? encode_key (name, key) : encode_revision (store);
 }
 
 typedef struct
@@ -177,25 +177,25 @@
 }
 
 static void
-reject_as_malformed (KeyValueStore *store, ServiceReply *reply)
+reject_as_malformed (KeyValueStore *store, ServiceResponse *response)
 {
   store->malformed_writes++;
-  reply->status = 400;
+  response->status = 400;
 }
 
 static void
-serve_transaction (KeyValueStore *store, const MhValue *body, ServiceReply *reply)
+serve_transaction (KeyValueStore *store, const MhValue *body, ServiceResponse *response)
 {
   const MhValue *changes = mh_value_get (body, "apply");
   bool fenced;
   if (!is_within_size_limits (store, body))
     {
-      reject_as_malformed (store, reply);
+      reject_as_malformed (store, response);
       return;
     }
   if (!take_write_tokens (store, mh_value_list_length (changes)))
     {
-      reply->status = 429;
+      response->status = 429;
       return;
     }
   g_autoptr (MhValue) failed = find_failed_conditions (store, mh_value_get (body, "if"), &fenced);
@@ -203,38 +203,38 @@
     store->unfenced_func (store->unfenced_data);
   if (!are_changes_valid (store, changes))
     {
-      reject_as_malformed (store, reply);
+      reject_as_malformed (store, response);
       return;
     }
   if (mh_value_list_length (failed) == 0)
     apply_changes (store, changes);
   else
-    reply->status = 409;
-  reply->body = encode_revision (store);
-  if (reply->status == 409)
-    mh_value_set (reply->body, "failed", g_steal_pointer (&failed));
+    response->status = 409;
+  response->body = encode_revision (store);
+  if (response->status == 409)
+    mh_value_set (response->body, "failed", g_steal_pointer (&failed));
 }
 
 /* ---- leases ---- */
 
 static void
-serve_lease_grant (KeyValueStore *store, const MhValue *body, ServiceReply *reply)
+serve_lease_grant (KeyValueStore *store, const MhValue *body, ServiceResponse *response)
 {
   guint64 life_ms = 0;
   mh_value_get_uint (body, "life_ms", &life_ms);
   guint64 lease = key_value_store_grant_lease (store, (gint64)life_ms * 1000);
-  reply->body = mh_value_new_map ();
-  mh_value_set_uint (reply->body, "claim", lease);
+  response->body = mh_value_new_map ();
+  mh_value_set_uint (response->body, "claim", lease);
 }
 
 static void
-serve_lease (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply)
+serve_lease (KeyValueStore *store, const ServiceRequest *request, ServiceResponse *response)
 {
   guint64 lease = g_ascii_strtoull (request->path + strlen (LEASE_PATH), NULL, 10);
   bool known = strcmp (request->method, "DELETE") == 0 ? key_value_store_end_lease (store, lease)
                                                        : key_value_store_renew_lease (store, lease);
   if (!known)
-    reply->status = 404;
+    response->status = 404;
 }
 
 /* ---- watches ---- */
@@ -286,29 +286,30 @@
 /* ---- dispatch ---- */
 
 bool
-key_value_store_serve (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply)
+key_value_store_serve (KeyValueStore *store, const ServiceRequest *request,
+                       ServiceResponse *response)
 {
   const char *path = request->path;
-  *reply = (ServiceReply){ .status = 200 };
+  *response = (ServiceResponse){ .status = 200 };
   store->final_record_reads += g_str_has_prefix (path, FINAL_RECORD_PATH);
   if (store->now_us < store->outage_until_us)
-    reply->status = 503;
+    response->status = 503;
   else if (g_str_has_prefix (path, KEY_PATH))
-    serve_key (store, path + strlen (KEY_PATH), reply);
+    serve_key (store, path + strlen (KEY_PATH), response);
   else if (g_str_has_prefix (path, "/kv?"))
-    reply->body = list_keys (store, path);
+    response->body = list_keys (store, path);
   else if (strcmp (path, "/multi") == 0)
-    serve_transaction (store, request->body, reply);
+    serve_transaction (store, request->body, response);
   else if (strcmp (path, "/grants") == 0)
-    serve_lease_grant (store, request->body, reply);
+    serve_lease_grant (store, request->body, response);
   else if (g_str_has_prefix (path, LEASE_PATH))
-    serve_lease (store, request, reply);
+    serve_lease (store, request, response);
   else if (g_str_has_prefix (path, "/watch?"))
     {
       begin_watch (store, request);
       return false;
     }
   else
-    reply->status = 400;
+    response->status = 400;
   return true;
 }
--- a/tests/stand-in/key-value-store.h
+++ b/tests/stand-in/key-value-store.h
@@ -72,13 +72,14 @@
 /**
  * key_value_store_serve:
  * @request: a request
- * @reply: (out): the response
+ * @response: (out): the response
  *
  * Returns: false if the request is a watch, which key_value_store_advance() answers later under the
  * token of the request
  */
 bool
-key_value_store_serve (KeyValueStore *store, const ServiceRequest *request, ServiceReply *reply);
+key_value_store_serve (KeyValueStore *store, const ServiceRequest *request,
+                       ServiceResponse *response);
 /**
  * key_value_store_advance:
  * @now_us: new time, not before the previous one
--- a/tests/stand-in/outgoing-call.c
+++ b/tests/stand-in/outgoing-call.c
@@ -156,12 +156,12 @@
       return;
     }
   guint status = 200;
-  MhValue *reply;
+  MhValue *response;
   if (strcmp (call->request->path, "/show") == 0)
-    reply = worker_protocol_heartbeat (worker->machine);
+    response = worker_protocol_heartbeat (worker->machine);
   else
-    status = worker_protocol_commands (worker->machine, call->request->body, &reply);
-  send_response (call, status, reply);
+    status = worker_protocol_commands (worker->machine, call->request->body, &response);
+  send_response (call, status, response);
 }
 
 /* Returns whether the transaction is delayed, held or lost. */
@@ -204,9 +204,9 @@
     return;
   ServiceRequest request
       = { .method = called->method, .path = called->path, .body = called->body, .token = call };
-  ServiceReply reply;
-  if (environment_serve (call->simulation->environment, called->target, &request, &reply))
-    send_response (call, reply.status, reply.body);
+  ServiceResponse response;
+  if (environment_serve (call->simulation->environment, called->target, &request, &response))
+    send_response (call, response.status, response.body);
   else
     g_rc_box_acquire (call); /* owned by the watch */
 }
--- a/tests/stand-in/peer-message.c
+++ b/tests/stand-in/peer-message.c
@@ -13,7 +13,7 @@
   char *text;        /* id of the job; in an announcement: name of the leader's node */
   MhUserVerb verb;
   MhJobSpec *spec;
-  MhUserResponse answer;
+  MhUserResponse response;
   bool answered;
 } PeerMessage;
 
@@ -83,9 +83,9 @@
 
 /* ---- forwarded requests ---- */
 
-/* An answer, or the time-out of a request that got none. */
+/* A response, or the time-out of a request that got none. */
 static void
-on_answer (gpointer data)
+on_response (gpointer data)
 {
   const PeerMessage *message = data;
   ControllerNode *node = &message->simulation->nodes[message->from];
@@ -93,7 +93,7 @@
     return;
   MhNow now = controller_node_now (node);
   controller_forward_finished (node->controller, &now, message->id,
-                               message->answered ? &message->answer : NULL);
+                               message->answered ? &message->response : NULL);
   controller_node_drain (node);
 }
 
@@ -117,11 +117,11 @@
   if (is_partitioned (message))
     return;
   const ControllerNode *requester = &node->simulation->nodes[message->from];
-  PeerMessage *answer_message = copy_sender (message);
-  answer_message->answer = action->answer;
-  answer_message->answered = true;
-  schedule_delivery (answer_message, requester, network_draw_delay (node->simulation->network),
-                     on_answer);
+  PeerMessage *response_message = copy_sender (message);
+  response_message->response = action->response;
+  response_message->answered = true;
+  schedule_delivery (response_message, requester, network_draw_delay (node->simulation->network),
+                     on_response);
 }
 
 static void
@@ -132,7 +132,7 @@
   if (node->controller == NULL || is_partitioned (message))
     return;
   PendingRequest *request = g_new0 (PendingRequest, 1);
-  request->on_answer = on_request_answered;
+  request->on_response = on_request_answered;
   request->data = copy_sender (message);
   request->free_data = message_free;
   request->verb = message->verb;
@@ -152,5 +152,5 @@
   message->text = g_strdup (request->job_id);
   message->spec = request->spec ? job_spec_copy (request->spec) : NULL;
   schedule_delivery (message, receiver, network_draw_delay (from->simulation->network), on_request);
-  schedule_delivery (message_new (from, action->id), from, action->timeout_us, on_answer);
+  schedule_delivery (message_new (from, action->id), from, action->timeout_us, on_response);
 }
--- a/tests/stand-in/peer-message.h
+++ b/tests/stand-in/peer-message.h
@@ -1,5 +1,5 @@
 /* Messages between controllers: announcements of a leader, and requests of users that a follower
-   forwards to the leader, with their answers. */
+   forwards to the leader, with their responses. */
 #pragma once
 
 #include "stand-in/controller-node.h"
--- a/tests/stand-in/random-day.c
+++ b/tests/stand-in/random-day.c
@@ -19,7 +19,7 @@
 /* Faults may remain active for this long after the last turn. */
 #define MAX_REMAINING_FAULT_S 60u
 /* Within this time every user has sent several requests. */
-#define ANSWER_CHECK_S 75
+#define RESPONSE_CHECK_S 75
 
 typedef struct
 {
@@ -224,17 +224,17 @@
   g_assert_true (settled);
 }
 
-/* Asserts that no job is forgotten: every user gets answers until the end. */
+/* Asserts that no job is forgotten: every user gets responses until the end. */
 static void
 assert_all_are_answered (Simulation *simulation)
 {
-  simulation_run (simulation, ANSWER_CHECK_S);
+  simulation_run (simulation, RESPONSE_CHECK_S);
   for (guint i = 0; i < simulation->users->len; i++)
     {
       const User *user = g_ptr_array_index (simulation->users, i);
       if (!user->infeasible)
-        g_assert_cmpint (simulation->clock->now_us - user->last_answer_us, <,
-                         ANSWER_CHECK_S * MH_SECOND_US);
+        g_assert_cmpint (simulation->clock->now_us - user->last_response_us, <,
+                         RESPONSE_CHECK_S * MH_SECOND_US);
     }
 }
 
--- a/tests/stand-in/service.h
+++ b/tests/stand-in/service.h
@@ -1,4 +1,4 @@
-/* A request to a stand-in of an HTTP service, and the reply. */
+/* A request to a stand-in of an HTTP service, and the response. */
 #pragma once
 
 #include "protocol/value.h"
@@ -20,7 +20,7 @@
 } ServiceRequest;
 
 /**
- * ServiceReply:
+ * ServiceResponse:
  * @status: HTTP status
  * @body: (nullable): the caller must unref it
  */
@@ -28,4 +28,4 @@
 {
   guint status;
   MhValue *body;
-} ServiceReply;
+} ServiceResponse;
--- a/tests/stand-in/user.c
+++ b/tests/stand-in/user.c
@@ -5,8 +5,8 @@
 #define ASK_INTERVAL_US MH_SECOND_US
 #define SETTLED_ASK_INTERVAL_US (10 * MH_SECOND_US)
 #define SETTLED_REPEAT_PROBABILITY 0.5
-#define MAX_ANSWER_WAIT_STEPS 50
-#define ANSWER_WAIT_STEP_S 0.1
+#define MAX_RESPONSE_WAIT_STEPS 50
+#define RESPONSE_WAIT_STEP_S 0.1
 
 MhJobSpec *
 job_spec_new (guint number, MhShape shape, guint tasks, double cpus)
@@ -40,78 +40,78 @@
   return user->reported_done || user->reported_cancelled;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
-report_violation (const User *user, const char *rule, const MhUserResponse *answer)
+report_violation (const User *user, const char *rule, const MhUserResponse *response)
 {
   rule_checks_add_violation (user->simulation->rules, "%s: %s got status %u, state %u", rule,
-                             user->job->spec->id, answer->status, answer->state);
+                             user->job->spec->id, response->status, response->state);
 }
 
 static void
-log_answer (const User *user, const PendingRequest *request, const MhUserResponse *answer)
+log_response (const User *user, const PendingRequest *request, const MhUserResponse *response)
 {
   if (simulation_prints_log ())
     g_print ("%9.3f user %s: verb %d answered %u, state %d, %u done\n",
              (double)user->simulation->clock->now_us / 1e6, user->job->spec->id, request->verb,
-             answer->status, answer->state, answer->done);
+             response->status, response->state, response->done);
 }
 
 /* An outcome that was reported must not change, and only what has happened may be reported. */
 static void
-check_reported_state (User *user, const MhUserResponse *answer)
+check_reported_state (User *user, const MhUserResponse *response)
 {
   WorkloadJob *job = user->job;
-  if (answer->state == MH_JOB_DONE)
+  if (response->state == MH_JOB_DONE)
     {
       if (job->done_count < job->spec->tasks)
-        report_violation (user, "not_done", answer);
+        report_violation (user, "not_done", response);
       user->reported_done = true;
     }
   else if (user->reported_done)
-    report_violation (user, "went_back", answer);
-  if (answer->state == MH_JOB_CANCELLED)
+    report_violation (user, "went_back", response);
+  if (response->state == MH_JOB_CANCELLED)
     {
       if (!user->wants_cancel || user->reported_done)
-        report_violation (user, "went_back", answer);
+        report_violation (user, "went_back", response);
       user->reported_cancelled = true;
       if (job->cancel_confirmed_us == 0)
         job->cancel_confirmed_us = user->simulation->clock->now_us;
     }
   else if (user->reported_cancelled)
-    report_violation (user, "went_back", answer);
+    report_violation (user, "went_back", response);
 }
 
 static bool
-denies_job (const MhUserResponse *answer)
+denies_job (const MhUserResponse *response)
 {
-  return answer->status == 404 || answer->status == 400 || answer->status == 422;
+  return response->status == 404 || response->status == 400 || response->status == 422;
 }
 
 static void
-on_user_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_user_response (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   User *user = request->data;
-  const MhUserResponse *answer = &action->answer;
+  const MhUserResponse *response = &action->response;
   gint64 now_us = node->simulation->clock->now_us;
-  log_answer (user, request, answer);
-  user->last_status = answer->status;
-  if (user->job->accepted && denies_job (answer))
-    report_violation (user, "forgotten", answer);
-  if (answer->status != 200 && answer->status != 201)
+  log_response (user, request, response);
+  user->last_status = response->status;
+  if (user->job->accepted && denies_job (response))
+    report_violation (user, "forgotten", response);
+  if (response->status != 200 && response->status != 201)
     return;
-  user->last_answer_us = now_us;
+  user->last_response_us = now_us;
   if (user->infeasible)
-    report_violation (user, "accepted although it is infeasible", answer);
+    report_violation (user, "accepted although it is infeasible", response);
   if (request->verb == MH_USER_SUBMIT)
     user->job->accepted = true;
-  /* A request that was sent before the final answer may have an older answer. */
-  if (request->sent_us < user->final_answer_us)
+  /* A request that was sent before the final response may have an older response. */
+  if (request->sent_us < user->final_response_us)
     return;
-  if (answer->state == MH_JOB_DONE || answer->state == MH_JOB_CANCELLED)
-    user->final_answer_us = now_us;
-  check_reported_state (user, answer);
+  if (response->state == MH_JOB_DONE || response->state == MH_JOB_CANCELLED)
+    user->final_response_us = now_us;
+  check_reported_state (user, response);
 }
 
 /* ---- requests ---- */
@@ -151,7 +151,7 @@
   MhUserVerb verb = draw_verb (user);
   PendingRequest *request
       = new_request (verb, spec->id, verb == MH_USER_SUBMIT ? job_spec_copy (spec) : NULL);
-  request->on_answer = on_user_answer;
+  request->on_response = on_user_response;
   request->data = user;
   request->sent_us = user->simulation->clock->now_us;
   controller_node_user_request (node, request, false);
@@ -176,7 +176,7 @@
 {
   User *user = data;
   FakeClock *clock = user->simulation->clock;
-  /* Users also ask about settled jobs, because the answer must not change. */
+  /* Users also ask about settled jobs, because the response must not change. */
   gint64 interval_us = user_is_settled (user) ? SETTLED_ASK_INTERVAL_US : ASK_INTERVAL_US;
   fake_clock_add (clock, clock->now_us + interval_us, on_ask_timer, user, NULL);
   ask_any_node (user);
@@ -213,31 +213,31 @@
 /* ---- single requests of a test ---- */
 
 static void
-on_test_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_test_response (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
-  MhUserResponse *answer = request->data;
+  MhUserResponse *response = request->data;
   (void)node;
-  *answer = action->answer;
+  *response = action->response;
 }
 
 void
 simulation_send_request (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                         MhJobSpec *spec, MhUserResponse *answer)
+                         MhJobSpec *spec, MhUserResponse *response)
 {
   PendingRequest *request = new_request (verb, job_id, spec);
-  request->on_answer = on_test_answer;
-  request->data = answer;
+  request->on_response = on_test_response;
+  request->data = response;
   controller_node_user_request (&simulation->nodes[node], request, false);
 }
 
 guint
 simulation_request_and_wait (Simulation *simulation, guint node, MhUserVerb verb,
-                             const char *job_id, MhJobSpec *spec, MhUserResponse *answer)
-{
-  *answer = (MhUserResponse){};
-  simulation_send_request (simulation, node, verb, job_id, spec, answer);
-  for (guint i = 0; i < MAX_ANSWER_WAIT_STEPS && answer->status == 0; i++)
-    simulation_run (simulation, ANSWER_WAIT_STEP_S);
-  g_assert_cmpuint (answer->status, !=, 0);
-  return answer->status;
+                             const char *job_id, MhJobSpec *spec, MhUserResponse *response)
+{
+  *response = (MhUserResponse){};
+  simulation_send_request (simulation, node, verb, job_id, spec, response);
+  for (guint i = 0; i < MAX_RESPONSE_WAIT_STEPS && response->status == 0; i++)
+    simulation_run (simulation, RESPONSE_WAIT_STEP_S);
+  g_assert_cmpuint (response->status, !=, 0);
+  return response->status;
 }
--- a/tests/stand-in/user.h
+++ b/tests/stand-in/user.h
@@ -1,5 +1,5 @@
 /* Users: each submits one job, sends requests about it to random nodes at regular intervals, and
-   checks that no answer contradicts an earlier one. */
+   checks that no response contradicts an earlier one. */
 #pragma once
 
 #include "stand-in/controller-node.h"
@@ -10,14 +10,14 @@
  * @simulation: that it is part of
  * @job: that it submits
  * @wants_cancel: it requests the cancellation of the job
- * @reported_done: an answer has reported the job as done
- * @reported_cancelled: an answer has reported the job as cancelled
+ * @reported_done: a response has reported the job as done
+ * @reported_cancelled: a response has reported the job as cancelled
  * @infeasible: the job can never run, and must not be accepted
  * @job_end_seen: the last task has ended, and users_cancel_at_job_end() has decided whether to
  *   cancel
- * @last_status: HTTP status of the last answer
- * @final_answer_us: when an answer last reported the job as done or cancelled
- * @last_answer_us: when a request was last answered with success
+ * @last_status: HTTP status of the last response
+ * @final_response_us: when a response last reported the job as done or cancelled
+ * @last_response_us: when a request was last answered with success
  */
 typedef struct
 {
@@ -28,8 +28,8 @@
   bool infeasible;
   bool job_end_seen;
   guint last_status;
-  gint64 final_answer_us;
-  gint64 last_answer_us;
+  gint64 final_response_us;
+  gint64 last_response_us;
 } User;
 
 /** job_spec_new: Returns: (transfer full): a plain job with the id "j-NUMBER"; its team and its
@@ -48,7 +48,7 @@
 /** user_cancel: Makes the user request the cancellation from now on. */
 void
 user_cancel (User *user);
-/** user_is_settled: Returns: whether an answer has reported the job as done or cancelled */
+/** user_is_settled: Returns: whether a response has reported the job as done or cancelled */
 bool
 user_is_settled (const User *user);
 /** simulation_request_from_all_nodes: Sends a request of the user, as on its timer, to each node
@@ -58,18 +58,18 @@
 /**
  * simulation_send_request:
  * @spec: (transfer full) (nullable): of a submission
- * @answer: filled when an answer comes; must exist until then
+ * @response: filled when a response comes; must exist until then
  *
  * Sends a single request, of no user, to one node.
  */
 void
 simulation_send_request (Simulation *simulation, guint node, MhUserVerb verb, const char *job_id,
-                         MhJobSpec *spec, MhUserResponse *answer);
+                         MhJobSpec *spec, MhUserResponse *response);
 /** simulation_request_and_wait: Sends a single request as simulation_send_request() does, and waits
- * for the answer. Returns: its HTTP status */
+ * for the response. Returns: its HTTP status */
 guint
 simulation_request_and_wait (Simulation *simulation, guint node, MhUserVerb verb,
-                             const char *job_id, MhJobSpec *spec, MhUserResponse *answer);
+                             const char *job_id, MhJobSpec *spec, MhUserResponse *response);
 /** users_cancel_at_job_end: Lets users, with @cancel_at_end_probability, cancel their job when its
  * last task has just ended, before a controller can have reported that. */
 void
--- a/tests/stand-in/worker-protocol.c
+++ b/tests/stand-in/worker-protocol.c
@@ -100,10 +100,10 @@
 }
 
 guint
-worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **reply)
+worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **response)
 {
   guint64 token, incarnation;
-  *reply = NULL;
+  *response = NULL;
   if (!mh_value_get_uint (body, "epoch", &token)
       || !mh_value_get_uint (body, "tenure", &incarnation))
     return 400;
@@ -113,6 +113,6 @@
       machine->fencing_token = token;
       execute_commands (machine, mh_value_get (body, "orders"));
     }
-  *reply = worker_protocol_heartbeat (machine);
+  *response = worker_protocol_heartbeat (machine);
   return current ? 200 : 409;
 }
--- a/tests/stand-in/worker-protocol.h
+++ b/tests/stand-in/worker-protocol.h
@@ -24,7 +24,7 @@
 /**
  * worker_protocol_commands:
  * @body: of a direct call
- * @reply: (out) (transfer full) (nullable): a heartbeat
+ * @response: (out) (transfer full) (nullable): a heartbeat
  *
  * Carries out the commands of a direct call.
  *
@@ -32,4 +32,4 @@
  * is another one
  */
 guint
-worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **reply);
+worker_protocol_commands (Machine *machine, const MhValue *body, MhValue **response);
--- a/tests/stand-in/worker.c
+++ b/tests/stand-in/worker.c
@@ -135,7 +135,7 @@
 }
 
 static void
-on_heartbeat_answer (ControllerNode *node, const PendingRequest *request, const MhAction *action)
+on_heartbeat_response (ControllerNode *node, const PendingRequest *request, const MhAction *action)
 {
   Simulation *simulation = node->simulation;
   FakeClock *clock = simulation->clock;
@@ -162,7 +162,7 @@
   PendingRequest *request = g_new0 (PendingRequest, 1);
   SentHeartbeat *waiting = g_memdup2 (heartbeat, sizeof *heartbeat);
   waiting->body = NULL;
-  request->on_answer = on_heartbeat_answer;
+  request->on_response = on_heartbeat_response;
   request->data = waiting;
   request->free_data = sent_heartbeat_free;
   controller_node_heartbeat (node, request, heartbeat->body);
--- a/tests/stand-in/workload.h
+++ b/tests/stand-in/workload.h
@@ -9,8 +9,8 @@
  * @spec: as submitted; owned
  * @run_us: how long a task takes; 0: it never ends
  * @stagger_us: by how much each task takes longer than the one before it
- * @cancel_confirmed_us: when an answer first reported the job as cancelled; 0: not yet
- * @accepted: an answer has accepted the job
+ * @cancel_confirmed_us: when a response first reported the job as cancelled; 0: not yet
+ * @accepted: a response has accepted the job
  * @always_fails: its tasks fail on every machine, because of a mistake in the submission
  * @running_attempt: of a gang: the attempt whose tasks run; 0: none
  * @saved_progress_us: of a gang: the progress that its last checkpoint holds
--- a/tests/steps.h
+++ b/tests/steps.h
@@ -18,10 +18,10 @@
 
 /* ---- conditions for WAIT ---- */
 
-/** is_reported_done: @data: a User; an answer has reported its job as done */
+/** is_reported_done: @data: a User; a response has reported its job as done */
 bool
 is_reported_done (Simulation *simulation, gpointer data);
-/** is_reported_cancelled: @data: a User; an answer has reported its job as cancelled */
+/** is_reported_cancelled: @data: a User; a response has reported its job as cancelled */
 bool
 is_reported_cancelled (Simulation *simulation, gpointer data);
 /** all_tasks_running: @data: a User; every task of its job is on a machine and has not ended */
@@ -31,7 +31,7 @@
  * controller knows */
 bool
 all_tasks_done (Simulation *simulation, gpointer data);
-/** is_accepted: @data: a User; an answer has accepted its job */
+/** is_accepted: @data: a User; a response has accepted its job */
 bool
 is_accepted (Simulation *simulation, gpointer data);
 /** is_gang_running: @data: a User; an attempt of its gang runs with all its tasks */
--- a/tests/test-autoscaler.c
+++ b/tests/test-autoscaler.c
@@ -1,5 +1,5 @@
 /* Tests of the parts of the autoscaler: release states, cloud errors, capacity estimates,
-   completion forecasts, offers, demand, and how scale-out and scale-in react to replies. */
+   completion forecasts, offers, demand, and how scale-out and scale-in react to responses. */
 #include "autoscaler/capacity-estimate.h"
 #include "autoscaler/cloud-error.h"
 #include "autoscaler/completion-forecast.h"
@@ -64,9 +64,9 @@
   const char *reason; /* error value in the body; NULL: no body */
   MhCloudError code;
   bool is_final;
-} CloudReply;
+} CloudResponse;
 
-static const CloudReply cloud_replies[]
+static const CloudResponse cloud_responses[]
     = { { 503, "no capacity", MH_CLOUD_ERROR_NO_CAPACITY, true },
         { 503, "trouble", MH_CLOUD_ERROR_UNAVAILABLE, true },
         { 503, NULL, MH_CLOUD_ERROR_UNAVAILABLE, true },
@@ -78,20 +78,20 @@
 /* A request that may have been carried out must not be repeated under another name, which would
    create its machines twice. */
 static void
-test_cloud_error_replies (void)
+test_cloud_error_responses (void)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (cloud_replies); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (cloud_responses); i++)
     {
-      const CloudReply *reply = &cloud_replies[i];
+      const CloudResponse *response = &cloud_responses[i];
       g_autoptr (GError) error = NULL;
-      g_autoptr (MhValue) body = reply->reason ? mh_value_new_map () : NULL;
+      g_autoptr (MhValue) body = response->reason ? mh_value_new_map () : NULL;
       if (body)
-        mh_value_set_text (body, "error", reply->reason);
-      g_assert_false (mh_cloud_check_reply (reply->status, body, &error));
-      g_assert_error (error, MH_CLOUD_ERROR, (gint)reply->code);
-      g_assert_cmpint (mh_cloud_error_is_final (error), ==, reply->is_final);
+        mh_value_set_text (body, "error", response->reason);
+      g_assert_false (mh_cloud_check_response (response->status, body, &error));
+      g_assert_error (error, MH_CLOUD_ERROR, (gint)response->code);
+      g_assert_cmpint (mh_cloud_error_is_final (error), ==, response->is_final);
     }
-  g_assert_true (mh_cloud_check_reply (200, NULL, NULL));
+  g_assert_true (mh_cloud_check_response (200, NULL, NULL));
 }
 
 static MhValue *
@@ -102,15 +102,15 @@
   return body;
 }
 
-/* Guards against treating a reply that cannot be decoded as if no machine had been created. */
+/* Guards against treating a response that cannot be decoded as if no machine had been created. */
 static void
-test_cloud_error_malformed_reply (void)
+test_cloud_error_malformed_response (void)
 {
   const char *names[] = { "vm-1", NULL };
   g_autoptr (GError) error = NULL;
   g_autoptr (MhValue) empty = mh_value_new_map (), body = created_machines (names);
   g_assert_null (mh_cloud_read_created_machines (200, empty, &error));
-  g_assert_error (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_REPLY);
+  g_assert_error (error, MH_CLOUD_ERROR, MH_CLOUD_ERROR_MALFORMED_RESPONSE);
   g_assert_false (mh_cloud_error_is_final (error));
   g_auto (GStrv) created = mh_cloud_read_created_machines (200, body, NULL);
   g_assert_true (g_strv_equal ((const char *const *)created, names));
@@ -201,7 +201,7 @@
   g_assert_cmpuint (reserve (forecast, 1, 2, 20), ==, 1);
 }
 
-/* ---- tests with machines, jobs and replies of the cloud ---- */
+/* ---- tests with machines, jobs and responses of the cloud ---- */
 
 typedef struct
 {
@@ -287,18 +287,18 @@
   mh_settings_free (fixture->settings);
 }
 
-/* Makes reply () apply to the next call. */
+/* Makes respond () apply to the next call. */
 static void
 expect_call (Fixture *fixture)
 {
   fixture->last_call = mh_runtime_next_id (fixture->core->runtime) + 1;
 }
 
-/* Replies to the latest call. A call that is made in response becomes the latest one. */
+/* Responds to the latest call. A call that is made in response becomes the latest one. */
 static void
-reply (Fixture *fixture, guint status, const MhValue *body)
+respond (Fixture *fixture, guint status, const MhValue *body)
 {
-  MhReply response = { .status = status, .body = body };
+  MhCallResponse response = { .status = status, .body = body };
   guint64 last_call = fixture->last_call;
   expect_call (fixture);
   mh_call_queue_complete (fixture->core->calls, last_call, &response);
@@ -410,7 +410,7 @@
   mh_value_set_text (body, "error", "no capacity");
   request_machines (fixture, 2);
   g_assert_true (mh_scale_out_is_busy (fixture->scale_out));
-  reply (fixture, 503, body);
+  respond (fixture, 503, body);
   g_assert_false (mh_scale_out_is_busy (fixture->scale_out));
   g_assert_cmpuint (fixture->ended_requests, ==, 1);
   g_assert_true (is_small_type_refused (fixture, "a"));
@@ -431,14 +431,14 @@
 {
   (void)data;
   request_machines (fixture, 2);
-  reply (fixture, 503, NULL);
+  respond (fixture, 503, NULL);
   g_assert_true (is_small_type_refused (fixture, "a"));
   set_time (fixture, START_US + 2 * MH_SECOND_US);
   g_assert_false (is_small_type_refused (fixture, "a"));
 }
 
-/* Guards against dropping a request whose reply was lost, which would create its machines a second
-   time. */
+/* Guards against dropping a request whose response was lost, which would create its machines a
+   second time. */
 static void
 test_unknown_outcome (Fixture *fixture, gconstpointer data)
 {
@@ -447,11 +447,11 @@
   g_autoptr (MhValue) body = created_machines (names);
   mh_lost_capacity_add (fixture->lost_capacity, 10);
   request_machines (fixture, 2);
-  reply (fixture, 0, NULL);
-  reply (fixture, 429, NULL);
+  respond (fixture, 0, NULL);
+  respond (fixture, 429, NULL);
   g_assert_true (mh_scale_out_is_busy (fixture->scale_out));
   g_assert_false (is_small_type_refused (fixture, "a"));
-  reply (fixture, 200, body);
+  respond (fixture, 200, body);
   g_assert_false (mh_scale_out_is_busy (fixture->scale_out));
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-2"));
@@ -468,7 +468,7 @@
   const char *names[] = { "vm-1", NULL };
   g_autoptr (MhValue) body = created_machines (names);
   request_machines (fixture, 2);
-  reply (fixture, 200, body);
+  respond (fixture, 200, body);
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_true (is_small_type_refused (fixture, "a"));
 }
@@ -479,7 +479,7 @@
 {
   (void)data;
   request_machines (fixture, 2);
-  reply (fixture, 503, NULL);
+  respond (fixture, 503, NULL);
   request_machines (fixture, 2);
   mh_call_queue_forget_all (fixture->core->calls);
   mh_scale_out_reset (fixture->scale_out);
@@ -509,16 +509,16 @@
   g_assert_cmpfloat (mh_lost_capacity_cpus (fixture->lost_capacity), ==, 3);
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
   step_scale_in (fixture);
-  reply (fixture, 200, NULL); /* write of the record */
+  respond (fixture, 200, NULL); /* write of the record */
   g_assert_true (mh_cluster_find_machine (fixture->core->cluster, "vm-1") == machine);
-  reply (fixture, 200, NULL); /* release by the cloud */
+  respond (fixture, 200, NULL); /* release by the cloud */
   g_assert_null (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
 
-/* Guards against a machine that is paid for but never used again, because a reply was lost and the
-   release was not retried. */
+/* Guards against a machine that is paid for but never used again, because a response was lost and
+   the release was not retried. */
 static void
 test_release_is_retried (Fixture *fixture, gconstpointer data)
 {
@@ -526,13 +526,13 @@
   mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"),
                                MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
-  reply (fixture, 0, NULL);   /* write of the record: unknown outcome */
-  reply (fixture, 409, NULL); /* the record exists: the first write was carried out */
-  reply (fixture, 0, NULL);   /* release by the cloud: unknown outcome */
-  reply (fixture, 503, NULL);
+  respond (fixture, 0, NULL);   /* write of the record: unknown outcome */
+  respond (fixture, 409, NULL); /* the record exists: the first write was carried out */
+  respond (fixture, 0, NULL);   /* release by the cloud: unknown outcome */
+  respond (fixture, 503, NULL);
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_false (mh_scale_in_is_idle (fixture->scale_in));
-  reply (fixture, 200, NULL);
+  respond (fixture, 200, NULL);
   g_assert_null (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_scale_in_is_idle (fixture->scale_in));
 }
@@ -548,8 +548,8 @@
   mh_scale_in_release_machine (fixture->scale_in, add_machine (fixture, "vm-1", "a"),
                                MH_RELEASE_REASON_FAILED);
   step_scale_in (fixture);
-  reply (fixture, 409, body);
-  reply (fixture, 200, NULL); /* there is no call to reply to */
+  respond (fixture, 409, body);
+  respond (fixture, 200, NULL); /* there is no call to respond to */
   g_assert_nonnull (mh_cluster_find_machine (fixture->core->cluster, "vm-1"));
   mh_call_queue_forget_all (fixture->core->calls);
   mh_scale_in_reset (fixture->scale_in);
@@ -572,8 +572,8 @@
   g_assert_true (
       mh_machine_is_releasing (mh_cluster_find_machine (fixture->core->cluster, "vm-2")));
   step_scale_in (fixture);
-  reply (fixture, 200, NULL);
-  reply (fixture, 200, NULL);
+  respond (fixture, 200, NULL);
+  respond (fixture, 200, NULL);
   g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-1"));
   g_assert_true (mh_cluster_was_released (fixture->core->cluster, "vm-2"));
 }
@@ -655,8 +655,9 @@
       g_autofree char *path = g_strdup_printf ("/autoscaler/release-state/%s", state_names[i]);
       g_test_add_data_func (path, GUINT_TO_POINTER (i), test_release_state);
     }
-  g_test_add_func ("/autoscaler/cloud-error/replies", test_cloud_error_replies);
-  g_test_add_func ("/autoscaler/cloud-error/malformed-reply", test_cloud_error_malformed_reply);
+  g_test_add_func ("/autoscaler/cloud-error/responses", test_cloud_error_responses);
+  g_test_add_func ("/autoscaler/cloud-error/malformed-response",
+                   test_cloud_error_malformed_response);
   g_test_add_func ("/autoscaler/release-reason/texts", test_release_reason_texts);
   g_test_add_func ("/autoscaler/lost-capacity/never-negative", test_lost_capacity_never_negative);
   g_test_add_func ("/autoscaler/forecast/in-time", test_forecast_in_time);
--- a/tests/test-compound.c
+++ b/tests/test-compound.c
@@ -20,7 +20,7 @@
 }
 
 static bool
-has_final_answer (Simulation *simulation, gpointer data)
+has_final_response (Simulation *simulation, gpointer data)
 {
   (void)simulation;
   const User *user = data;
@@ -28,10 +28,10 @@
 }
 
 /* A user asks all nodes in quick succession, right after its job was accepted, ended or cancelled.
-   A node that answers from memory that is out of date would contradict an earlier answer of another
-   node; the stand-in user checks each answer. */
+   A node that answers from memory that is out of date would contradict an earlier response of
+   another node; the stand-in user checks each response. */
 static void
-test_answers_in_quick_succession (void)
+test_responses_in_quick_succession (void)
 {
   for (guint round = 0; round < 8; round++)
     {
@@ -55,9 +55,9 @@
         }
       if (leader_ends)
         simulation_stop_node (simulation, leader);
-      for (guint i = 0; i < 200 && !has_final_answer (simulation, user); i++)
+      for (guint i = 0; i < 200 && !has_final_response (simulation, user); i++)
         ask_in_quick_succession (simulation, user, 0.05);
-      g_assert_true (has_final_answer (simulation, user));
+      g_assert_true (has_final_response (simulation, user));
       simulation_start_node (simulation, leader);
       ask_in_quick_succession (simulation, user, 1.5);
       simulation_check_and_free (simulation);
@@ -172,7 +172,7 @@
 
 /* The leader's transactions are carried out, but the responses are lost. Other nodes read the
    written records, among them nodes that have just started and do not know yet that there is a
-   leader. They must not give a user an answer that the leader, which does not know the outcome of
+   leader. They must not give a user a response that the leader, which does not know the outcome of
    its transactions, may still contradict. */
 static void
 test_responses_to_writes_lost (void)
@@ -335,8 +335,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/compound-failure/answers-in-quick-succession",
-                   test_answers_in_quick_succession);
+  g_test_add_func ("/compound-failure/responses-in-quick-succession",
+                   test_responses_in_quick_succession);
   g_test_add_func ("/compound-failure/command-of-former-leader", test_command_of_former_leader);
   g_test_add_func ("/compound-failure/cancelled-during-failover", test_cancelled_during_failover);
   g_test_add_func ("/compound-failure/responses-to-writes-lost", test_responses_to_writes_lost);
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -1,4 +1,4 @@
-/* Tests the leader election alone, with a fake clock and scripted key-value store replies. */
+/* Tests the leader election alone, with a fake clock and scripted key-value store responses. */
 #include "election/election.h"
 #include "election/leader-contact.h"
 #include "election/leader-record.h"
@@ -135,13 +135,13 @@
   g_assert_null (action);
 }
 
-/* Replies to the call that was sent last. Takes ownership of the body. */
+/* Responds to the call that was sent last. Takes ownership of the body. */
 static void
-reply_to_last_call (Fixture *fixture, guint status, MhValue *body)
+respond_to_last_call (Fixture *fixture, guint status, MhValue *body)
 {
-  MhReply reply = { .status = status, .body = body };
+  MhCallResponse response = { .status = status, .body = body };
   mh_runtime_begin_input (fixture->runtime, &fixture->now);
-  mh_call_queue_complete (fixture->calls, fixture->call_id, &reply);
+  mh_call_queue_complete (fixture->calls, fixture->call_id, &response);
   mh_value_unref (body);
   step (fixture);
 }
@@ -168,11 +168,12 @@
 campaign_until_write (Fixture *fixture)
 {
   assert_call (fixture, "GET", "/kv/leader");
-  reply_to_last_call (fixture, 404, NULL);
+  respond_to_last_call (fixture, 404, NULL);
   assert_call (fixture, "POST", "/grants");
-  reply_to_last_call (fixture, 200, make_number_body ("claim", LEASE_ID));
+  respond_to_last_call (fixture, 200, make_number_body ("claim", LEASE_ID));
   assert_call (fixture, "GET", "/kv/epoch");
-  reply_to_last_call (fixture, 200, make_entry_body ("epoch", mh_epoch_record_write (1000000), 3));
+  respond_to_last_call (fixture, 200,
+                        make_entry_body ("epoch", mh_epoch_record_write (1000000), 3));
   assert_call (fixture, "POST", "/multi");
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_CAMPAIGNING);
 }
@@ -181,7 +182,7 @@
 elect (Fixture *fixture)
 {
   campaign_until_write (fixture);
-  reply_to_last_call (fixture, 200, make_number_body ("ledger", 9));
+  respond_to_last_call (fixture, 200, make_number_body ("ledger", 9));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_LOADING);
   assert_call (fixture, "POST", "/grants/7/extend");
 }
@@ -223,8 +224,8 @@
       }
 }
 
-/* If the lease counted from the reply, it could lapse here after it has expired in the store, and
-   two controllers could lead at the same time. */
+/* If the lease counted from the response, it could lapse here after it has expired in the store,
+   and two controllers could lead at the same time. */
 static void
 test_lease_starts_when_sent (void)
 {
@@ -253,31 +254,31 @@
   g_assert_true (mh_runtime_is_leader (fixture->runtime));
 }
 
-/* If the reply to the transaction arrives after the lease has lapsed, the controller must not
+/* If the response to the transaction arrives after the lease has lapsed, the controller must not
    become leader. */
 static void
-test_late_reply_does_not_elect (Fixture *fixture, gconstpointer data)
+test_late_response_does_not_elect (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   campaign_until_write (fixture);
   advance (fixture, VALID_LEASE_US);
-  reply_to_last_call (fixture, 200, make_number_body ("ledger", 9));
+  respond_to_last_call (fixture, 200, make_number_body ("ledger", 9));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   g_assert_cmpuint (fixture->elected, ==, 0);
   /* The lease is revoked, so that a late copy of the transaction cannot write the leader key. */
   assert_call (fixture, "DELETE", "/grants/7");
 }
 
-/* A transaction without a reply may have been carried out. If the controller aborted the campaign
-   without checking, the leader key could name a controller that does not lead. */
+/* A transaction without a response may have been carried out. If the controller aborted the
+   campaign without checking, the leader key could name a controller that does not lead. */
 static void
 test_unanswered_write_is_checked (Fixture *fixture, gconstpointer data)
 {
   (void)data;
   campaign_until_write (fixture);
-  reply_to_last_call (fixture, 0, NULL);
+  respond_to_last_call (fixture, 0, NULL);
   assert_call (fixture, "GET", "/kv/leader");
-  reply_to_last_call (
+  respond_to_last_call (
       fixture, 200,
       make_entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID), 11));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_LOADING);
@@ -292,9 +293,9 @@
 {
   (void)data;
   campaign_until_write (fixture);
-  reply_to_last_call (fixture, 0, NULL);
+  respond_to_last_call (fixture, 0, NULL);
   assert_call (fixture, "GET", "/kv/leader");
-  reply_to_last_call (
+  respond_to_last_call (
       fixture, 200,
       make_entry_body ("leader", mh_leader_record_write (NODE, 1000001, LEASE_ID - 1), 11));
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
@@ -308,15 +309,15 @@
 {
   (void)data;
   campaign_until_write (fixture);
-  reply_to_last_call (fixture, 409, NULL);
+  respond_to_last_call (fixture, 409, NULL);
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   assert_call (fixture, "DELETE", "/grants/7");
   assert_no_call (fixture);
   advance (fixture, 20000);
   step (fixture);
   assert_call (fixture, "GET", "/kv/leader");
-  reply_to_last_call (fixture, 200,
-                      make_entry_body ("leader", mh_leader_record_write (OTHER, 1000001, 8), 12));
+  respond_to_last_call (fixture, 200,
+                        make_entry_body ("leader", mh_leader_record_write (OTHER, 1000001, 8), 12));
   assert_call (fixture, "GET", "/watch?starts=leader&since=12&hold_ms=5000");
   g_assert_cmpstr (mh_election_other_leader (fixture->election), ==, OTHER);
   g_assert_true (mh_election_is_ready (fixture->election));
@@ -330,12 +331,13 @@
 {
   (void)data;
   assert_call (fixture, "GET", "/kv/leader");
-  reply_to_last_call (
+  respond_to_last_call (
       fixture, 200, make_entry_body ("leader", mh_leader_record_write (NODE, 1, LEASE_ID - 1), 5));
   assert_call (fixture, "POST", "/grants");
-  reply_to_last_call (fixture, 200, make_number_body ("claim", LEASE_ID));
+  respond_to_last_call (fixture, 200, make_number_body ("claim", LEASE_ID));
   assert_call (fixture, "GET", "/kv/epoch");
-  reply_to_last_call (fixture, 200, make_entry_body ("epoch", mh_epoch_record_write (1000000), 3));
+  respond_to_last_call (fixture, 200,
+                        make_entry_body ("epoch", mh_epoch_record_write (1000000), 3));
   g_autoptr (MhAction) action = pop_call (fixture);
   const MhValue *conditions = mh_value_get (action->request->body, "if");
   const guint64 versions[] = { 5, 3 };
@@ -356,7 +358,7 @@
 {
   (void)data;
   assert_call (fixture, "GET", "/kv/leader");
-  reply_to_last_call (fixture, 200, make_entry_body ("leader", make_number_body ("epoch", 1), 5));
+  respond_to_last_call (fixture, 200, make_entry_body ("leader", make_number_body ("epoch", 1), 5));
   assert_call (fixture, "GET", "/watch?starts=leader&since=5&hold_ms=5000");
   g_assert_null (mh_election_leader_name (fixture->election));
   MhValue *event = make_number_body ("stamp", 6);
@@ -365,7 +367,7 @@
   mh_value_push (events, event);
   MhValue *body = make_number_body ("ledger", 6);
   mh_value_set (body, "news", events);
-  reply_to_last_call (fixture, 200, body);
+  respond_to_last_call (fixture, 200, body);
   assert_call (fixture, "POST", "/grants");
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_CAMPAIGNING);
 }
@@ -384,12 +386,12 @@
   g_assert_true (mh_election_is_elected (fixture->election));
   g_assert_cmpint (mh_runtime_lease_until_us (fixture->runtime), ==, 0);
   g_assert_cmpuint (fixture->refused, ==, 1);
-  reply_to_last_call (fixture, 200, NULL);
+  respond_to_last_call (fixture, 200, NULL);
   g_assert_cmpint (fixture->renewal_before_lapse_us, ==, START_US);
   /* The renewal counts from the time at which it was sent, so it has lapsed already. */
   g_assert_false (mh_election_is_leader (fixture->election));
   assert_call (fixture, "POST", "/grants/7/extend");
-  reply_to_last_call (fixture, 200, NULL);
+  respond_to_last_call (fixture, 200, NULL);
   g_assert_true (mh_election_is_serving (fixture->election));
   g_assert_cmpuint (fixture->cleared, ==, 0);
 }
@@ -401,14 +403,14 @@
 {
   (void)data;
   become_leader (fixture);
-  reply_to_last_call (fixture, 404, NULL);
+  respond_to_last_call (fixture, 404, NULL);
   g_assert_cmpint (mh_election_state (fixture->election), ==, MH_LEADERSHIP_FOLLOWING);
   g_assert_cmpuint (fixture->cleared, ==, 1);
   g_assert_cmpuint (fixture->refused, ==, 1);
   g_assert_cmpuint (mh_election_epoch (fixture->election), ==, 0);
   g_assert_null (mh_election_leader_name (fixture->election));
-  /* Late replies and events of the lost leadership have no effect. */
-  reply_to_last_call (fixture, 200, NULL);
+  /* Late responses and events of the lost leadership have no effect. */
+  respond_to_last_call (fixture, 200, NULL);
   mh_election_handle_records_loaded (fixture->election);
   g_assert_cmpuint (fixture->leading, ==, 1);
   g_assert_false (mh_election_is_leader (fixture->election));
@@ -431,7 +433,7 @@
       advance (fixture, MH_SECOND_US);
       step (fixture);
       assert_call (fixture, "GET", "/kv/leader");
-      reply_to_last_call (fixture, 404, NULL);
+      respond_to_last_call (fixture, 404, NULL);
       if (i == 0)
         assert_no_call (fixture);
     }
@@ -439,7 +441,7 @@
 }
 
 /* A transfer after a step-down must not revoke the lease, which must expire in the store. A late
-   reply to a renewal of the former leadership must not make its lease valid again. */
+   response to a renewal of the former leadership must not make its lease valid again. */
 static void
 test_transfer_after_step_down_is_ignored (Fixture *fixture, gconstpointer data)
 {
@@ -449,7 +451,7 @@
   mh_election_transfer_leadership (fixture->election, MH_LOSS_NO_HEARTBEATS);
   step (fixture);
   assert_no_call (fixture);
-  reply_to_last_call (fixture, 200, NULL);
+  respond_to_last_call (fixture, 200, NULL);
   g_assert_cmpint (mh_election_lease_until_us (fixture->election), ==, 0);
 }
 
@@ -503,7 +505,7 @@
   g_test_add_func ("/leader-contact/unreachable-leader", test_unreachable_leader);
 #define ADD(name, func) g_test_add ("/election/" name, Fixture, NULL, set_up, (func), tear_down)
   ADD ("epoch-rises", test_epoch_rises);
-  ADD ("late-reply-does-not-elect", test_late_reply_does_not_elect);
+  ADD ("late-response-does-not-elect", test_late_response_does_not_elect);
   ADD ("unanswered-write-is-checked", test_unanswered_write_is_checked);
   ADD ("key-of-earlier-process-is-not-own", test_key_of_earlier_process_is_not_own);
   ADD ("conflict-ends-campaign", test_conflict_ends_campaign);
--- a/tests/test-gang.c
+++ b/tests/test-gang.c
@@ -25,27 +25,27 @@
 static void
 test_refusals (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   simulation_run (simulation, 5);
   g_assert_cmpuint (simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000001",
-                                                 gang_spec_new (1, 17, 1), &answer),
+                                                 gang_spec_new (1, 17, 1), &response),
                     ==, 422); /* 17 cpus; the quota is 16 */
   MhJobSpec *spec = gang_spec_new (2, 2, 1);
   spec->spread_over_zones = true; /* contradicts single_zone */
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &response), ==,
       422);
   spec = gang_spec_new (3, 4, 1);
   spec->single_zone = false;
   spec->spread_over_zones = true;
   spec->zone = g_strdup ("a");
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &response), ==,
       422);
   spec = gang_spec_new (4, 1, 1);
   spec->mem_gb = 100;
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &response), ==,
       422);
   spec = gang_spec_new (5, 4, 1);
   spec->single_zone = false;
@@ -123,8 +123,8 @@
 }
 
 /* All tasks of the gang are done, but no record of that is durable, since the leader's transactions
-   are lost. If the leader reported the gang as done, the answer of the next leader could contradict
-   this. */
+   are lost. If the leader reported the gang as done, the response of the next leader could
+   contradict this. */
 static void
 test_done_after_durable_record (Simulation *simulation)
 {
@@ -145,7 +145,7 @@
 static void
 test_refusals_without_a_leader (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   simulation_run (simulation, 5);
   guint remaining_node = (simulation_leader (simulation)->index + 1) % SIMULATION_NODES;
   simulation->nodes[remaining_node].writes_lost_until_us
@@ -156,10 +156,10 @@
   simulation_run (simulation, 3);
   g_assert_null (simulation_leader (simulation));
   g_assert_cmpuint (simulation_request_and_wait (simulation, remaining_node, MH_USER_SUBMIT,
-                                                 "j-000001", gang_spec_new (1, 17, 1), &answer),
+                                                 "j-000001", gang_spec_new (1, 17, 1), &response),
                     ==, 422);
   g_assert_cmpuint (simulation_request_and_wait (simulation, remaining_node, MH_USER_SUBMIT,
-                                                 "j-000002", gang_spec_new (2, 16, 1), &answer),
+                                                 "j-000002", gang_spec_new (2, 16, 1), &response),
                     ==, 503);
 }
 
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -1,4 +1,5 @@
-/* Unit tests of the job queue's order, objectives, estimates of run times, and answers to users. */
+/* Unit tests of the job queue's order, objectives, estimates of run times, and responses to users.
+ */
 #include "jobs/final-answers.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
@@ -150,47 +151,47 @@
   g_assert_cmpfloat (mh_runtime_estimator_ratio (estimator, "batch"), ==, 4); /* the upper bound */
 }
 
-/* An answer that shows a cancellation or an end before it is durable may be contradicted by the
+/* A response that shows a cancellation or an end before it is durable may be contradicted by the
    next leader. */
 static void
-test_answer_is_durable (Fixture *fixture, gconstpointer unused)
+test_response_is_durable (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   MhJob *job = &fixture->job;
-  MhUserResponse answer = { 0 };
+  MhUserResponse response = { 0 };
   job->n_running = 1;
   job->cancellation = MH_CANCELLATION_REQUESTED;
   job->completion = MH_COMPLETION_UNWRITTEN;
-  mh_job_fill_answer (job, &answer);
-  g_assert_cmpint (answer.state, ==, MH_JOB_RUNNING);
+  mh_job_fill_response (job, &response);
+  g_assert_cmpint (response.state, ==, MH_JOB_RUNNING);
   g_assert_true (mh_job_is_over (job));
   job->cancellation = MH_CANCELLATION_DURABLE;
-  mh_job_fill_answer (job, &answer);
-  g_assert_cmpint (answer.state, ==, MH_JOB_CANCELLED);
+  mh_job_fill_response (job, &response);
+  g_assert_cmpint (response.state, ==, MH_JOB_CANCELLED);
   job->completion = MH_COMPLETION_DURABLE;
   job->final_state = MH_JOB_DONE;
-  mh_job_fill_answer (job, &answer);
-  g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-  g_assert_cmpuint (answer.running, ==, 0);
+  mh_job_fill_response (job, &response);
+  g_assert_cmpint (response.state, ==, MH_JOB_DONE);
+  g_assert_cmpuint (response.running, ==, 0);
 }
 
 /* Without a bound, the memory would grow with every job that ends. */
 static void
-test_final_answers (void)
+test_final_state_cache (void)
 {
-  g_autoptr (MhFinalAnswers) answers = mh_final_answers_new (0);
+  g_autoptr (MhFinalStateCache) cache = mh_final_state_cache_new (0);
   const MhUserResponse done = { .state = MH_JOB_DONE }, cancelled = { .state = MH_JOB_CANCELLED };
-  mh_final_answers_add (answers, "first", &done);
-  mh_final_answers_add (answers, "first", &cancelled); /* does not replace the first */
-  g_assert_cmpint (mh_final_answers_find (answers, "first")->state, ==, MH_JOB_DONE);
-  g_assert_null (mh_final_answers_find (answers, "other"));
+  mh_final_state_cache_add (cache, "first", &done);
+  mh_final_state_cache_add (cache, "first", &cancelled); /* does not replace the first */
+  g_assert_cmpint (mh_final_state_cache_find (cache, "first")->state, ==, MH_JOB_DONE);
+  g_assert_null (mh_final_state_cache_find (cache, "other"));
   for (guint i = 0; i < 2000; i++)
     {
       g_autofree char *id = g_strdup_printf ("j-%u", i);
-      mh_final_answers_add (answers, id, &done);
+      mh_final_state_cache_add (cache, id, &done);
     }
-  g_assert_null (mh_final_answers_find (answers, "first"));
-  g_assert_nonnull (mh_final_answers_find (answers, "j-0"));
+  g_assert_null (mh_final_state_cache_find (cache, "first"));
+  g_assert_nonnull (mh_final_state_cache_find (cache, "j-0"));
 }
 
 #define ADD(name, func) g_test_add (name, Fixture, NULL, set_up, func, tear_down)
@@ -204,7 +205,7 @@
   ADD ("/jobs/queue/order", test_order);
   ADD ("/jobs/queue/tier", test_tier);
   ADD ("/jobs/runtime-estimate", test_runtime_estimate);
-  ADD ("/jobs/answer-is-durable", test_answer_is_durable);
-  g_test_add_func ("/jobs/final-answers", test_final_answers);
+  ADD ("/jobs/response-is-durable", test_response_is_durable);
+  g_test_add_func ("/jobs/final-state-cache", test_final_state_cache);
   return g_test_run ();
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -1,5 +1,5 @@
-/* The life cycle of jobs: submission, placement, records, answers and cancellation; also very large
-   and unusual jobs. Runs on a fake clock, with stand-ins for the peers. */
+/* The life cycle of jobs: submission, placement, records, responses and cancellation; also very
+   large and unusual jobs. Runs on a fake clock, with stand-ins for the peers. */
 #include "steps.h"
 
 #include <string.h>
@@ -10,28 +10,28 @@
 test_array (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 10, 1), 3);
-  MhUserResponse answer;
+  MhUserResponse response;
   WAIT (simulation, 60, is_reported_done, user);
   g_assert_cmpuint (user->job->done_count, ==, 10);
-  /* Every controller gives the same answer later, also to a repeated submission. */
+  /* Every controller gives the same response later, also to a repeated submission. */
   simulation_run (simulation, 120);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       g_assert_cmpuint (
-          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
+          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-000001", NULL, &response),
           ==, 200);
-      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpint (response.state, ==, MH_JOB_DONE);
       g_assert_cmpuint (simulation_request_and_wait (simulation, i, MH_USER_SUBMIT, "j-000001",
                                                      job_spec_new (1, MH_SHAPE_ARRAY, 10, 1),
-                                                     &answer),
+                                                     &response),
                         ==, 200);
-      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpint (response.state, ==, MH_JOB_DONE);
       g_assert_cmpuint (
-          simulation_request_and_wait (simulation, i, MH_USER_CANCEL, "j-000001", NULL, &answer),
+          simulation_request_and_wait (simulation, i, MH_USER_CANCEL, "j-000001", NULL, &response),
           ==, 200);
-      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpint (response.state, ==, MH_JOB_DONE);
       g_assert_cmpuint (
-          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-777777", NULL, &answer),
+          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-777777", NULL, &response),
           ==, 404);
     }
   /* No idle machine is kept, and of the job only the final record remains. */
@@ -66,27 +66,27 @@
 static void
 test_impossible_submissions (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   simulation_run (simulation, 5);
   MhJobSpec *spec = job_spec_new (1, MH_SHAPE_ARRAY, 1, 1);
   g_free (spec->team);
   spec->team = g_strdup ("nobody");
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000001", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000001", spec, &response), ==,
       422);
   spec = job_spec_new (2, MH_SHAPE_SERVICE, 17, 1); /* all tasks count: 17 of 16 cpus */
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000002", spec, &response), ==,
       422);
   spec = job_spec_new (3, MH_SHAPE_ARRAY, 1, 1);
   spec->zone = g_strdup ("nowhere");
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000003", spec, &response), ==,
       422);
   spec = job_spec_new (4, MH_SHAPE_ARRAY, 1, 1);
   spec->mem_gb = 65;
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000004", spec, &response), ==,
       422);
   /* Thousands of machine types: the job can never run if none of them exists, and can if one does.
      The whole list does not fit a value of the key-value store; when it was stored nevertheless,
@@ -102,14 +102,14 @@
                       MH_SECOND_US);
       g_autofree char *id = g_strdup (spec->id);
       g_assert_cmpuint (
-          simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, id, spec, &answer), ==,
+          simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, id, spec, &response), ==,
           known ? 201 : 422);
     }
   spec = job_spec_new (5, MH_SHAPE_ARRAY, 17, 1); /* only one task of an array counts */
   workload_add (simulation->environment->workload, job_spec_new (5, MH_SHAPE_ARRAY, 17, 1),
                 MH_SECOND_US);
   g_assert_cmpuint (
-      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000005", spec, &answer), ==,
+      simulation_request_and_wait (simulation, 0, MH_USER_SUBMIT, "j-000005", spec, &response), ==,
       201);
 }
 
@@ -118,15 +118,15 @@
 static void
 test_unknown_machine_types (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   simulation->cloud->outage_until_us = G_MAXINT64;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
   g_assert_cmpuint (simulation_request_and_wait (simulation, simulation_leader (simulation)->index,
                                                  MH_USER_SUBMIT, "j-000001",
-                                                 job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer),
+                                                 job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &response),
                     ==, 503);
-  g_assert_cmpuint (answer.retry_after_s, >, 0);
+  g_assert_cmpuint (response.retry_after_s, >, 0);
 }
 
 /* A job is cancelled while the start of its task is still in flight. Unless a stop follows that
@@ -166,7 +166,7 @@
 static void
 test_result_waits_for_record (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *service = start_service (simulation, 1, 1);
   User *user = simulation_submit (simulation, job_spec_new (4, MH_SHAPE_ARRAY, 2, 1), 3);
   WAIT (simulation, 30, all_tasks_running, user);
@@ -180,8 +180,8 @@
   g_assert_nonnull (worker_with_task (simulation, "j-000004/1"));
   g_assert_false (user->reported_done || service->reported_cancelled);
   simulation_request_and_wait (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL,
-                               &answer);
-  g_assert_cmpint (answer.state, !=, MH_JOB_CANCELLED);
+                               &response);
+  g_assert_cmpint (response.state, !=, MH_JOB_CANCELLED);
   WAIT (simulation, 20, is_reported_done, user);
   WAIT (simulation, 20, is_reported_cancelled, service);
 }
@@ -203,15 +203,15 @@
 }
 
 /* Status queries about jobs that are not in memory need reads. If writes always took precedence,
-   these queries would get no answer while more writes wait than the rate limit allows. */
+   these queries would get no response while more writes wait than the rate limit allows. */
 static void
 test_status_queries_during_writes (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   for (guint i = 1; i <= 30; i++)
     simulation_submit (simulation, job_spec_new (i, MH_SHAPE_ARRAY, 1, 0.2), 0.5);
   WAIT (simulation, 90, simulation_all_settled, NULL);
-  /* Restarted controllers have no final answers in memory. */
+  /* Restarted controllers have no final responses in memory. */
   for (guint i = 0; i < SIMULATION_NODES; i++)
     {
       simulation_stop_node (simulation, i);
@@ -231,9 +231,9 @@
       gint64 asked_us = simulation->clock->now_us;
       g_assert_cmpuint (simulation_request_and_wait (simulation,
                                                      simulation_leader (simulation)->index,
-                                                     MH_USER_STATUS, id, NULL, &answer),
+                                                     MH_USER_STATUS, id, NULL, &response),
                         ==, 200);
-      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpint (response.state, ==, MH_JOB_DONE);
       g_assert_cmpint (simulation->clock->now_us - asked_us, <, 2 * MH_SECOND_US);
     }
 }
--- a/tests/test-late-messages.c
+++ b/tests/test-late-messages.c
@@ -5,9 +5,9 @@
 
 #include <string.h>
 
-/* Some transactions get no reply and reach the store after newer ones of the same controller, while
-   jobs are submitted and end and leaders change. Without conditions on versions, they would replace
-   records by older ones. */
+/* Some transactions get no response and reach the store after newer ones of the same controller,
+   while jobs are submitted and end and leaders change. Without conditions on versions, they would
+   replace records by older ones. */
 static void
 test_late_writes (void)
 {
@@ -38,12 +38,12 @@
 }
 
 /* A user submits a job again after it has ended. The first request of the transaction gets no
-   reply, and the second one conflicts with the final record. If the leader treated the conflict as
-   a write by another controller, or the outcome as unknown, it would step down. */
+   response, and the second one conflicts with the final record. If the leader treated the conflict
+   as a write by another controller, or the outcome as unknown, it would step down. */
 static void
 test_late_write_conflicts_with_final_record (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, is_reported_done, user);
   simulation_run (simulation, 5);
@@ -53,20 +53,20 @@
   simulation_run (simulation, 3);
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us
-      = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first request gets no reply */
+      = simulation->clock->now_us + MH_SECOND_US * 3 / 2; /* the first request gets no response */
   for (guint i = 0; i < 3; i++)
     if (simulation_request_and_wait (simulation, leader->index, MH_USER_SUBMIT, "j-000001",
-                                     job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &answer)
+                                     job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), &response)
         != 503)
       break;
-  g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+  g_assert_cmpint (response.state, ==, MH_JOB_DONE);
   g_assert_true (simulation_leader (simulation) == leader);
   g_assert_false (simulation_has_logged (simulation, "reason=write_outcome_unknown"));
 }
 
-/* As in the test above, a user submits an ended job again. While the write gets no reply, the user
-   queries the job's status and submits it again. Each answer must be the final state, which the
-   status query has read from the final record. In an earlier version the second submission was
+/* As in the test above, a user submits an ended job again. While the write gets no response, the
+   user queries the job's status and submits it again. Each response must be the final state, which
+   the status query has read from the final record. In an earlier version the second submission was
    answered with a pending job. */
 static void
 test_status_between_repeated_submissions (Simulation *simulation)
@@ -80,17 +80,18 @@
   ControllerNode *leader = simulation_leader (simulation);
   leader->writes_lost_until_us = simulation->clock->now_us + 4 * MH_SECOND_US;
   const MhUserVerb verbs[] = { MH_USER_SUBMIT, MH_USER_STATUS, MH_USER_SUBMIT };
-  MhUserResponse answers[G_N_ELEMENTS (verbs)] = {};
+  MhUserResponse responses[G_N_ELEMENTS (verbs)] = {};
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
     {
-      simulation_send_request (
-          simulation, leader->index, verbs[i], "j-000001",
-          verbs[i] == MH_USER_SUBMIT ? job_spec_new (1, MH_SHAPE_ARRAY, 1, 1) : NULL, &answers[i]);
+      simulation_send_request (simulation, leader->index, verbs[i], "j-000001",
+                               verbs[i] == MH_USER_SUBMIT ? job_spec_new (1, MH_SHAPE_ARRAY, 1, 1)
+                                                          : NULL,
+                               &responses[i]);
       simulation_run (simulation, 0.3);
     }
   simulation_run (simulation, 8);
   for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
-    g_assert_true (answers[i].status == 200 && answers[i].state == MH_JOB_DONE);
+    g_assert_true (responses[i].status == 200 && responses[i].state == MH_JOB_DONE);
 }
 
 /* A heartbeat of an earlier incarnation of a worker arrives after one of the next incarnation. If
@@ -118,7 +119,7 @@
 }
 
 /* Users cancel a job, request its status or submit it again at the moment at which its last task
-   ends, and some requests arrive twice. The answers must not contradict one another. */
+   ends, and some requests arrive twice. The responses must not contradict one another. */
 static void
 test_cancel_as_job_ends (Simulation *simulation)
 {
@@ -158,12 +159,12 @@
 }
 
 /* A running job is submitted again, a job that is done is cancelled, and a job that can never run
-   is submitted. All must get the answers that the protocol defines, also while no controller leads.
-   Otherwise their users would retry for ever. */
+   is submitted. All must get the responses that the protocol defines, also while no controller
+   leads. Otherwise their users would retry for ever. */
 static void
 test_redundant_or_impossible_requests (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *user = start_service (simulation, 1, 1), *done;
   done = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, is_reported_done, done);
@@ -171,12 +172,12 @@
     {
       g_assert_cmpuint (simulation_request_and_wait (simulation, i, MH_USER_SUBMIT, "j-000001",
                                                      job_spec_new (1, MH_SHAPE_SERVICE, 1, 1),
-                                                     &answer),
+                                                     &response),
                         ==, 200);
       g_assert_cmpuint (
-          simulation_request_and_wait (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &answer),
+          simulation_request_and_wait (simulation, i, MH_USER_CANCEL, "j-000002", NULL, &response),
           ==, 200);
-      g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
+      g_assert_cmpint (response.state, ==, MH_JOB_DONE);
     }
   /* Two of three nodes end, the leader among them, and the third cannot be elected. It answers what
      the settings and the records determine, and any other request with 503. */
@@ -192,11 +193,11 @@
   g_free (spec->team);
   spec->team = g_strdup ("nobody");
   g_assert_cmpuint (simulation_request_and_wait (simulation, last->index, MH_USER_SUBMIT,
-                                                 "j-000005", spec, &answer),
+                                                 "j-000005", spec, &response),
                     ==, 422);
   g_assert_cmpuint (simulation_request_and_wait (simulation, last->index, MH_USER_SUBMIT,
                                                  "j-000007", job_spec_new (7, MH_SHAPE_ARRAY, 1, 1),
-                                                 &answer),
+                                                 &response),
                     ==, 503);
   for (guint i = 0; i < SIMULATION_NODES; i++)
     simulation_start_node (simulation, i);
@@ -209,7 +210,7 @@
 static void
 test_unreadable_record (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   start_service (simulation, 1, 1);
   simulation_run (simulation, 10);
   guint leader = simulation_leader (simulation)->index;
@@ -222,7 +223,7 @@
   for (guint i = 0; i < SIMULATION_NODES; i++)
     if (i != leader)
       g_assert_cmpuint (
-          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-000001", NULL, &answer),
+          simulation_request_and_wait (simulation, i, MH_USER_STATUS, "j-000001", NULL, &response),
           ==, 503);
 }
 
--- a/tests/test-leader-failover.c
+++ b/tests/test-leader-failover.c
@@ -42,18 +42,19 @@
   g_assert_false (simulation_has_logged (simulation, "releasing machine reason=silent"));
 }
 
-/* The leader is paused between deciding and sending. Commands and answers that depend on its lease
-   must not be sent after the lease has lapsed, or they could contradict those of its successor. */
+/* The leader is paused between deciding and sending. Commands and responses that depend on its
+   lease must not be sent after the lease has lapsed, or they could contradict those of its
+   successor. */
 static void
 test_paused_before_sending (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 6);
   WAIT (simulation, 60, all_tasks_running, user);
   ControllerNode *leader = simulation_leader (simulation);
   leader->pause_before_acting_us = 4 * MH_SECOND_US;
   g_assert_cmpuint (simulation_request_and_wait (simulation, leader->index, MH_USER_STATUS,
-                                                 "j-000001", NULL, &answer),
+                                                 "j-000001", NULL, &response),
                     ==, 503);
   /* The same with the command that starts a task. */
   WAIT (simulation, 30, is_reported_done, user);
@@ -163,11 +164,11 @@
 }
 
 /* In an outage of the key-value store that is longer than the workers' lease, replicas must keep
-   running, and users must not wait for answers that cannot be given. */
+   running, and users must not wait for responses that cannot be given. */
 static void
 test_store_outage (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *user = start_service (simulation, 1, 3);
   ControllerNode *leader = simulation_leader (simulation);
   simulation->store->outage_until_us = simulation->clock->now_us + 18 * MH_SECOND_US;
@@ -176,7 +177,7 @@
   gint64 asked_us = simulation->clock->now_us;
   g_assert_cmpuint (simulation_request_and_wait (simulation, leader->index, MH_USER_SUBMIT,
                                                  "j-000009", job_spec_new (9, MH_SHAPE_ARRAY, 1, 1),
-                                                 &answer),
+                                                 &response),
                     ==, 503);
   g_assert_cmpint (simulation->clock->now_us - asked_us, <, MH_SECOND_US);
   simulation_run (simulation, 30);
@@ -209,7 +210,7 @@
 static void
 test_status_bypassing_leader (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 3);
   WAIT (simulation, 30, all_tasks_running, user);
   ControllerNode *leader = simulation_leader (simulation);
@@ -222,13 +223,14 @@
       simulation_stop_node (simulation, other);
       simulation_start_node (simulation, other);
       leader->write_responses_lost_until_us = simulation->clock->now_us + MH_SECOND_US / 2;
-      if (simulation_request_and_wait (simulation, other, MH_USER_STATUS, "j-000001", NULL, &answer)
+      if (simulation_request_and_wait (simulation, other, MH_USER_STATUS, "j-000001", NULL,
+                                       &response)
               == 200
-          && answer.state == MH_JOB_DONE)
+          && response.state == MH_JOB_DONE)
         {
           simulation_request_and_wait (simulation, leader->index, MH_USER_STATUS, "j-000001", NULL,
-                                       &answer);
-          g_assert_true (answer.status != 200 || answer.state == MH_JOB_DONE);
+                                       &response);
+          g_assert_true (response.status != 200 || response.state == MH_JOB_DONE);
         }
       simulation_run (simulation, 0.05);
     }
@@ -267,7 +269,7 @@
 static void
 test_unreachable_leader (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   WAIT (simulation, 10, has_leader, NULL);
   simulation_run (simulation, 2);
   ControllerNode *other
@@ -276,15 +278,15 @@
   other->peers_cut_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
   for (guint i = 0; i < 2; i++)
     simulation_request_and_wait (simulation, other->index, MH_USER_STATUS, "j-000001", NULL,
-                                 &answer);
-  g_assert_cmpuint (answer.status, ==, 503);
+                                 &response);
+  g_assert_cmpuint (response.status, ==, 503);
   simulation_run (simulation, 0.5);
   g_assert_false (controller_ready (other->controller));
   simulation_run (simulation, 5);
   g_assert_true (controller_ready (other->controller));
   simulation_run (simulation, 20);
   g_assert_cmpuint (simulation_request_and_wait (simulation, other->index, MH_USER_STATUS,
-                                                 "j-000001", NULL, &answer),
+                                                 "j-000001", NULL, &response),
                     ==, 404);
   simulation_stop_node (simulation, simulation_leader (simulation)->index);
   for (guint i = 0; i < 20; i++)
--- a/tests/test-limits.c
+++ b/tests/test-limits.c
@@ -152,7 +152,7 @@
 static void
 test_submission_too_large (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   WAIT (simulation, 20, has_leader, NULL);
   simulation_run (simulation, 5);
   simulation->settings->value_bytes = 300;
@@ -160,13 +160,13 @@
   MhValue *copy = mh_submission_encode (spec);
   guint status = simulation_request_and_wait (simulation, simulation_leader (simulation)->index,
                                               MH_USER_SUBMIT, spec->id,
-                                              mh_submission_decode (copy, NULL), &answer);
+                                              mh_submission_decode (copy, NULL), &response);
   mh_value_unref (copy);
   g_assert_cmpuint (status, ==, 503);
-  g_assert_cmpuint (answer.retry_after_s, >=, 10);
+  g_assert_cmpuint (response.retry_after_s, >=, 10);
   g_assert_false (simulation_has_logged (simulation, "no longer leading"));
   g_assert_cmpuint (simulation_request_and_wait (simulation, simulation_leader (simulation)->index,
-                                                 MH_USER_STATUS, spec->id, NULL, &answer),
+                                                 MH_USER_STATUS, spec->id, NULL, &response),
                     ==, 404);
 }
 
--- a/tests/test-loopback.c
+++ b/tests/test-loopback.c
@@ -116,10 +116,10 @@
                              .path = path_and_query,
                              .body = body,
                              .token = message };
-  ServiceReply reply;
-  if (environment_serve (cluster.environment, target, &request, &reply))
+  ServiceResponse response;
+  if (environment_serve (cluster.environment, target, &request, &response))
     {
-      respond (message, reply.status, reply.body);
+      respond (message, response.status, response.body);
       return;
     }
   soup_server_message_pause (message);
@@ -131,15 +131,16 @@
                        GHashTable *query, gpointer data)
 {
   Worker *worker = data;
-  MhValue *reply = NULL;
+  MhValue *response = NULL;
   (void)server;
   (void)path;
   (void)query;
   advance_environment ();
   g_autoptr (MhValue) body = get_request_body (message);
-  guint status
-      = worker->machine->running ? worker_protocol_commands (worker->machine, body, &reply) : 503;
-  respond (message, status, reply);
+  guint status = worker->machine->running
+                     ? worker_protocol_commands (worker->machine, body, &response)
+                     : 503;
+  respond (message, status, response);
 }
 
 /* ---- workers ---- */
@@ -220,38 +221,38 @@
   guint status;
   MhValue *body;
   SoupMessage *message;
-} Reply;
+} Response;
 
 static void
 on_response (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Reply *reply = data;
+  Response *response = data;
   g_autoptr (GBytes) bytes
       = soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
   gsize size = 0;
   const void *raw = bytes ? g_bytes_get_data (bytes, &size) : NULL;
-  reply->status = bytes ? soup_message_get_status (reply->message) : 0;
-  reply->body = size ? mh_value_parse (raw, size, NULL) : NULL;
-  reply->done = true;
+  response->status = bytes ? soup_message_get_status (response->message) : 0;
+  response->body = size ? mh_value_parse (raw, size, NULL) : NULL;
+  response->done = true;
 }
 
 static guint
 send_request (guint node, const char *method, const char *path, GBytes *body, char **state)
 {
-  Reply reply = { 0 };
+  Response response = { 0 };
   g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u%s", cluster.front[node], path);
-  reply.message = soup_message_new (method, url);
+  response.message = soup_message_new (method, url);
   if (body)
-    soup_message_set_request_body_from_bytes (reply.message, "application/cbor", body);
-  soup_session_send_and_read_async (cluster.session, reply.message, G_PRIORITY_DEFAULT, NULL,
-                                    on_response, &reply);
-  while (!reply.done)
+    soup_message_set_request_body_from_bytes (response.message, "application/cbor", body);
+  soup_session_send_and_read_async (cluster.session, response.message, G_PRIORITY_DEFAULT, NULL,
+                                    on_response, &response);
+  while (!response.done)
     g_main_context_iteration (NULL, TRUE);
   if (state)
-    *state = reply.body ? mh_value_get_text (reply.body, "status") : NULL;
-  mh_value_unref (reply.body);
-  g_object_unref (reply.message);
-  return reply.status;
+    *state = response.body ? mh_value_get_text (response.body, "status") : NULL;
+  mh_value_unref (response.body);
+  g_object_unref (response.message);
+  return response.status;
 }
 
 /* Repeats the request until the response has `status` and, unless `state` is NULL, that state. */
--- a/tests/test-questions.c
+++ b/tests/test-questions.c
@@ -1,5 +1,5 @@
-/* Status queries at a high rate: answers in memory need no read, queries about one job share their
-   reads, and queries leave submissions the calls to the key-value store that they need. */
+/* Status queries at a high rate: responses from memory need no read, queries about one job share
+   their reads, and queries leave submissions the calls to the key-value store that they need. */
 #include "steps.h"
 
 #include <string.h>
@@ -15,16 +15,17 @@
   simulation_run (simulation, 3);
   guint leader = simulation_leader (simulation)->index,
         before = simulation->store->final_record_reads;
-  MhUserResponse answers[60] = {};
-  for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
+  MhUserResponse responses[60] = {};
+  for (guint i = 0; i < G_N_ELEMENTS (responses); i++)
     {
-      simulation_send_request (simulation, leader, MH_USER_STATUS, UNKNOWN_JOB, NULL, &answers[i]);
+      simulation_send_request (simulation, leader, MH_USER_STATUS, UNKNOWN_JOB, NULL,
+                               &responses[i]);
       if (i == 40)
         simulation_run (simulation, 0.001);
     }
   simulation_run (simulation, 2);
-  for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
-    g_assert_cmpuint (answers[i].status, ==, 404);
+  for (guint i = 0; i < G_N_ELEMENTS (responses); i++)
+    g_assert_cmpuint (responses[i].status, ==, 404);
   g_assert_cmpuint (simulation->store->final_record_reads - before, <=, 2);
 }
 
@@ -46,28 +47,28 @@
   g_assert_cmpuint (simulation->store->final_record_reads - reads, ==, 2);
 }
 
-/* A follower caches the final answers that it forwards, and gives them without the leader and the
+/* A follower caches the final responses that it forwards, and gives them without the leader and the
    key-value store. Otherwise an outage of both would hide states that users have already seen. */
 static void
-test_follower_caches_final_answer (Simulation *simulation)
+test_follower_caches_final_response (Simulation *simulation)
 {
   User *user = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 2, 1), 2);
   WAIT (simulation, 60, is_reported_done, user);
   guint leader = simulation_leader (simulation)->index, follower = (leader + 1) % SIMULATION_NODES;
-  MhUserResponse answer;
-  g_assert_cmpuint (
-      simulation_request_and_wait (simulation, follower, MH_USER_STATUS, "j-000001", NULL, &answer),
-      ==, 200);
+  MhUserResponse response;
+  g_assert_cmpuint (simulation_request_and_wait (simulation, follower, MH_USER_STATUS, "j-000001",
+                                                 NULL, &response),
+                    ==, 200);
   simulation_stop_node (simulation, leader);
   simulation->store->outage_until_us = simulation->clock->now_us + 20 * MH_SECOND_US;
   simulation_run (simulation, 5);
-  g_assert_cmpuint (
-      simulation_request_and_wait (simulation, follower, MH_USER_STATUS, "j-000001", NULL, &answer),
-      ==, 200);
-  g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-  /* Other answers are not cached. */
+  g_assert_cmpuint (simulation_request_and_wait (simulation, follower, MH_USER_STATUS, "j-000001",
+                                                 NULL, &response),
+                    ==, 200);
+  g_assert_cmpint (response.state, ==, MH_JOB_DONE);
+  /* Other responses are not cached. */
   g_assert_cmpuint (simulation_request_and_wait (simulation, follower, MH_USER_STATUS, UNKNOWN_JOB,
-                                                 NULL, &answer),
+                                                 NULL, &response),
                     ==, 503);
   simulation_start_node (simulation, leader);
   simulation_run (simulation, 30);
@@ -81,22 +82,22 @@
   User *first = simulation_submit (simulation, job_spec_new (1, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 60, is_reported_done, first);
   guint leader = simulation_leader (simulation)->index;
-  static MhUserResponse answers[900];
-  memset (answers, 0, sizeof answers);
-  for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
+  static MhUserResponse responses[900];
+  memset (responses, 0, sizeof responses);
+  for (guint i = 0; i < G_N_ELEMENTS (responses); i++)
     {
       g_autofree char *job = g_strdup_printf ("j-%06u", 500000 + i);
-      simulation_send_request (simulation, leader, MH_USER_STATUS, job, NULL, &answers[i]);
+      simulation_send_request (simulation, leader, MH_USER_STATUS, job, NULL, &responses[i]);
     }
   guint rejected = 0;
-  for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
-    rejected += answers[i].status == 503 && answers[i].retry_after_s > 0;
+  for (guint i = 0; i < G_N_ELEMENTS (responses); i++)
+    rejected += responses[i].status == 503 && responses[i].retry_after_s > 0;
   g_assert_cmpuint (rejected, >=, 600);
   User *user = simulation_submit (simulation, job_spec_new (2, MH_SHAPE_ARRAY, 1, 1), 2);
   WAIT (simulation, 0.5, is_accepted, user);
   simulation_run (simulation, 2);
-  for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
-    g_assert_true (answers[i].status == 404 || answers[i].status == 503);
+  for (guint i = 0; i < G_N_ELEMENTS (responses); i++)
+    g_assert_true (responses[i].status == 404 || responses[i].status == 503);
   WAIT (simulation, 60, is_reported_done, user);
 }
 
@@ -106,8 +107,8 @@
   g_test_init (&argc, &argv, NULL);
   simulation_test_add ("/job-status/shared-reads", 51, test_shared_reads);
   simulation_test_add ("/job-status/shared-read-is-not-stale", 52, test_shared_read_is_not_stale);
-  simulation_test_add ("/job-status/follower-caches-final-answer", 53,
-                       test_follower_caches_final_answer);
+  simulation_test_add ("/job-status/follower-caches-final-response", 53,
+                       test_follower_caches_final_response);
   simulation_test_add ("/job-status/excess-queries-rejected", 54, test_excess_queries_rejected);
   return g_test_run ();
 }
