--- a/tests/test-record-writer.c
+++ b/tests/test-record-writer.c
@@ -1,5 +1,5 @@
-/* Tests the record writer, its transactions and the loader, with scripted replies of the key-value
-   store. */
+/* Tests the record writer, its transactions and the loader, with scripted responses of the
+   key-value store. */
 #include "storage/load.h"
 #include "storage/record-state.h"
 #include "storage/record-writer.h"
@@ -16,7 +16,7 @@
 #define OTHER_JOB "j-000002"
 #define WAITER 41u
 
-/* ---- a writer with scripted replies ---- */
+/* ---- a writer with scripted responses ---- */
 
 typedef struct
 {
@@ -26,9 +26,9 @@
   MhCallQueue *calls;
   GHashTable *jobs;
   MhRecordWriter *writer;
-  GQueue requests; /* MhAction: requests without a reply, the oldest first */
-  MhUserResponse answer;
-  guint n_answers, n_accepted, n_ended, n_recorded, n_rechunked;
+  GQueue requests; /* MhAction: requests without a response, the oldest first */
+  MhUserResponse response;
+  guint n_responses, n_accepted, n_ended, n_recorded, n_rechunked;
   MhLossReason lost_reason;
   char *critical_line; /* the last critical log line */
 } Fixture;
@@ -41,10 +41,10 @@
 }
 
 static void
-on_job_ended (gpointer owner, const MhJob *job, const MhUserResponse *answer)
+on_job_ended (gpointer owner, const MhJob *job, const MhUserResponse *response)
 {
   (void)job;
-  g_assert_cmpuint (answer->status, ==, 200);
+  g_assert_cmpuint (response->status, ==, 200);
   ((Fixture *)owner)->n_ended++;
 }
 
@@ -125,10 +125,10 @@
           g_queue_push_tail (&fixture->requests, action);
           continue;
         }
-      if (action->kind == MH_ACTION_ANSWER_USER)
+      if (action->kind == MH_ACTION_RESPOND_TO_USER)
         {
-          fixture->n_answers++;
-          fixture->answer = action->answer;
+          fixture->n_responses++;
+          fixture->response = action->response;
         }
       if (action->kind == MH_ACTION_LOG && action->level == G_LOG_LEVEL_CRITICAL)
         {
@@ -151,13 +151,14 @@
   collect_actions (fixture);
 }
 
-/* Replies to the oldest request, and runs one step a second later. */
+/* Responds to the oldest request, and runs one step a second later. */
 static void
-reply (Fixture *fixture, guint status, MhValue *body)
+respond (Fixture *fixture, guint status, MhValue *body)
 {
   MhAction *action = g_queue_pop_head (&fixture->requests);
   g_assert_nonnull (action);
-  mh_call_queue_complete (fixture->calls, action->id, &(MhReply){ .status = status, .body = body });
+  mh_call_queue_complete (fixture->calls, action->id,
+                          &(MhCallResponse){ .status = status, .body = body });
   mh_action_free (action);
   mh_value_unref (body);
   collect_actions (fixture);
@@ -232,7 +233,7 @@
 {
   MhJob *job = submit (fixture, id);
   step_after (fixture, 0);
-  reply (fixture, 200, revision_body (20));
+  respond (fixture, 200, revision_body (20));
   g_assert_true (job->accepted);
   return job;
 }
@@ -393,10 +394,10 @@
   guint64 version = 0;
   for (guint i = 0; i < G_N_ELEMENTS (expected); i++)
     {
-      const MhReply without = { .status = expected[i].status, .body = empty };
+      const MhCallResponse without = { .status = expected[i].status, .body = empty };
       g_assert_cmpint (mh_transaction_read_outcome (&without, &version), ==, expected[i].outcome);
     }
-  const MhReply with = { .status = 200, .body = applied };
+  const MhCallResponse with = { .status = 200, .body = applied };
   g_assert_cmpint (mh_transaction_read_outcome (&with, &version), ==, MH_TRANSACTION_APPLIED);
   g_assert_cmpuint (version, ==, 7);
 }
@@ -418,11 +419,11 @@
   g_autofree char *tag = sent_tag (fixture);
   g_assert_cmpstr (tag, ==, "1000001.2");
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
-  g_assert_cmpuint (fixture->n_answers, ==, 0);
+  g_assert_cmpuint (fixture->n_responses, ==, 0);
 
-  reply (fixture, 200, revision_body (20));
-  g_assert_cmpuint (fixture->n_answers, ==, 1);
-  g_assert_cmpuint (fixture->answer.status, ==, 201);
+  respond (fixture, 200, revision_body (20));
+  g_assert_cmpuint (fixture->n_responses, ==, 1);
+  g_assert_cmpuint (fixture->response.status, ==, 201);
   g_assert_cmpuint (fixture->n_accepted, ==, 1);
   g_assert_cmpuint (fixture->n_recorded, ==, 1);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_CLEAN);
@@ -442,10 +443,10 @@
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1);
 
-  reply (fixture, 200, revision_body (20));
+  respond (fixture, 200, revision_body (20));
   g_assert_true (mh_record_has_unwritten_changes (&job->records[0]));
   assert_condition (fixture, 1, "j/" JOB, 20);
-  reply (fixture, 200, revision_body (21));
+  respond (fixture, 200, revision_body (21));
   g_assert_false (mh_record_has_unwritten_changes (&job->records[0]));
   g_assert_cmpuint (fixture->n_accepted, ==, 1);
 }
@@ -475,7 +476,7 @@
   for (guint i = 0; i < job->n_records; i++)
     mh_record_writer_mark_changed (fixture->writer, &job->records[i], MH_URGENCY_START);
   step_after (fixture, 0);
-  reply (fixture, 200, revision_body (20));
+  respond (fixture, 200, revision_body (20));
   mh_record_writer_mark_changed (fixture->writer, &job->records[1], MH_URGENCY_START);
   step_after (fixture, 0);
   job->n_done = 100;
@@ -484,7 +485,7 @@
   step_after (fixture, MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 1); /* the final record waits for this write */
   assert_change (fixture, 0, "put", "t/" JOB "/00001");
-  reply (fixture, 200, revision_body (21));
+  respond (fixture, 200, revision_body (21));
 
   assert_condition (fixture, 1, "j/" JOB, 20);
   assert_condition (fixture, 2, "f/" JOB, 0);
@@ -492,7 +493,7 @@
   assert_change (fixture, 1, "drop", "j/" JOB);
   assert_change (fixture, 2, "drop", "t/" JOB "/00001");
   g_assert_cmpuint (count_changes (fixture), ==, 1 + job->n_records);
-  reply (fixture, 200, revision_body (22));
+  respond (fixture, 200, revision_body (22));
   g_assert_cmpuint (fixture->n_ended, ==, 1);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_cmpuint (fixture->requests.length, ==, 0);
@@ -510,7 +511,7 @@
   step_after (fixture, MH_SECOND_US);
   assert_change (fixture, 0, "put", "limits");
   assert_change (fixture, 1, "put", "j/" JOB);
-  reply (fixture, 200, revision_body (20));
+  respond (fixture, 200, revision_body (20));
   submit (fixture, OTHER_JOB);
   step_after (fixture, 0);
   g_assert_cmpuint (count_changes (fixture), ==, 1);
@@ -527,18 +528,18 @@
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
   g_autofree char *tag = sent_tag (fixture);
-  reply (fixture, 0, NULL);
+  respond (fixture, 0, NULL);
   g_autofree char *second_tag = sent_tag (fixture);
   g_assert_cmpstr (second_tag, ==, tag);
-  reply (fixture, 409, conflict_body ("j/" JOB));
+  respond (fixture, 409, conflict_body ("j/" JOB));
   assert_read_request (fixture, "/kv/j/" JOB);
-  reply (fixture, 503, NULL);
+  respond (fixture, 503, NULL);
   assert_read_request (fixture, "/kv/j/" JOB);
-  reply (fixture, 200,
-         entry_body ("j/" JOB, mh_record_write (&job->records[0], tag, machine_name), 30));
+  respond (fixture, 200,
+           entry_body ("j/" JOB, mh_record_write (&job->records[0], tag, machine_name), 30));
   g_assert_true (job->accepted);
   g_assert_cmpuint (job->records[0].version, ==, 30);
-  g_assert_cmpuint (fixture->answer.status, ==, 201);
+  g_assert_cmpuint (fixture->response.status, ==, 201);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
 
@@ -549,14 +550,14 @@
 {
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
-  reply (fixture, 0, NULL);
-  reply (fixture, 409, conflict_body ("j/" JOB));
+  respond (fixture, 0, NULL);
+  respond (fixture, 409, conflict_body ("j/" JOB));
   MhValue *body
       = entry_body ("j/" JOB, mh_record_write (&job->records[0], "9.9", machine_name), 30);
-  reply (fixture, GPOINTER_TO_UINT (status), body);
+  respond (fixture, GPOINTER_TO_UINT (status), body);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_WRITE_OUTCOME_UNKNOWN);
   g_assert_false (job->accepted);
-  g_assert_cmpuint (fixture->n_answers, ==, 0);
+  g_assert_cmpuint (fixture->n_responses, ==, 0);
 }
 
 /* A request that the store refused as throttled or unavailable was certainly not applied, so that a
@@ -566,8 +567,8 @@
 {
   submit (fixture, JOB);
   step_after (fixture, 0);
-  reply (fixture, GPOINTER_TO_UINT (status), NULL);
-  reply (fixture, 409, conflict_body ("j/" JOB));
+  respond (fixture, GPOINTER_TO_UINT (status), NULL);
+  respond (fixture, 409, conflict_body ("j/" JOB));
   assert_read_request (fixture, "/kv/f/" JOB);
 }
 
@@ -580,15 +581,15 @@
   (void)unused;
   MhJob *job = submit (fixture, JOB);
   step_after (fixture, 0);
-  reply (fixture, 0, NULL);
-  reply (fixture, 409, conflict_body ("f/" JOB));
+  respond (fixture, 0, NULL);
+  respond (fixture, 409, conflict_body ("f/" JOB));
   assert_read_request (fixture, "/kv/f/" JOB);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_IN_DOUBT);
-  reply (fixture, 0, NULL);
+  respond (fixture, 0, NULL);
   assert_read_request (fixture, "/kv/f/" JOB);
-  reply (fixture, 200, entry_body ("f/" JOB, final_record (), 5));
-  g_assert_cmpuint (fixture->answer.status, ==, 200);
-  g_assert_cmpuint (fixture->answer.done, ==, 3);
+  respond (fixture, 200, entry_body ("f/" JOB, final_record (), 5));
+  g_assert_cmpuint (fixture->response.status, ==, 200);
+  g_assert_cmpuint (fixture->response.done, ==, 3);
   g_assert_cmpuint (fixture->n_ended, ==, 1);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
@@ -602,9 +603,9 @@
   (void)unused;
   submit (fixture, JOB);
   step_after (fixture, 0);
-  reply (fixture, 409, conflict_body ("j/" JOB));
-  reply (fixture, 404, NULL);
-  g_assert_cmpuint (fixture->answer.status, ==, 503);
+  respond (fixture, 409, conflict_body ("j/" JOB));
+  respond (fixture, 404, NULL);
+  g_assert_cmpuint (fixture->response.status, ==, 503);
   g_assert_cmpuint (fixture->n_ended, ==, 0);
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_DIFFERS);
@@ -618,10 +619,10 @@
   (void)unused;
   submit (fixture, JOB);
   step_after (fixture, 0);
-  reply (fixture, 0, NULL);
-  reply (fixture, 409, conflict_body ("leader"));
+  respond (fixture, 0, NULL);
+  respond (fixture, 409, conflict_body ("leader"));
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_ANOTHER_LEADER);
-  g_assert_cmpuint (fixture->n_answers, ==, 0);
+  g_assert_cmpuint (fixture->n_responses, ==, 0);
 }
 
 /* Only the leader changes the record of an accepted job, so that a conflict on it must end the
@@ -633,7 +634,7 @@
   MhJob *job = submit_accepted (fixture, JOB);
   mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, 0);
-  reply (fixture, 409, conflict_body ("j/" JOB));
+  respond (fixture, 409, conflict_body ("j/" JOB));
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_RECORD_CHANGED);
 }
 
@@ -648,14 +649,14 @@
   MhJob *other = submit (fixture, OTHER_JOB);
   step_after (fixture, 0);
   g_assert_cmpuint (count_changes (fixture), ==, 2);
-  reply (fixture, 400, NULL);
+  respond (fixture, 400, NULL);
   g_assert_cmpuint (fixture->requests.length, ==, 2);
   g_assert_cmpuint (count_changes (fixture), ==, 1);
-  reply (fixture, 400, NULL);
-  g_assert_cmpuint (fixture->answer.status, ==, 503);
-  g_assert_cmpuint (fixture->answer.retry_after_s, ==, 30);
+  respond (fixture, 400, NULL);
+  g_assert_cmpuint (fixture->response.status, ==, 503);
+  g_assert_cmpuint (fixture->response.retry_after_s, ==, 30);
   g_assert_null (g_hash_table_lookup (fixture->jobs, JOB));
-  reply (fixture, 200, revision_body (20));
+  respond (fixture, 200, revision_body (20));
   g_assert_true (other->accepted);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
@@ -669,15 +670,15 @@
   MhJob *job = submit_accepted (fixture, JOB);
   mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_START);
   step_after (fixture, 0);
-  reply (fixture, 400, NULL);
-  reply (fixture, 400, NULL);
+  respond (fixture, 400, NULL);
+  respond (fixture, 400, NULL);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REFUSED);
   mh_record_writer_mark_changed (fixture->writer, &job->records[0], MH_URGENCY_USER);
   step_after (fixture, 28 * MH_SECOND_US);
   g_assert_cmpuint (fixture->requests.length, ==, 0);
   step_after (fixture, 2 * MH_SECOND_US);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_WRITING);
-  reply (fixture, 200, revision_body (21));
+  respond (fixture, 200, revision_body (21));
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_CLEAN);
   g_assert_cmpint (fixture->lost_reason, ==, MH_LOSS_NONE);
 }
@@ -691,8 +692,8 @@
   MhJob *job = submit (fixture, JOB);
   job->records[0].write_alone = true;
   step_after (fixture, 0);
-  reply (fixture, 0, NULL);
-  reply (fixture, 400, NULL);
+  respond (fixture, 0, NULL);
+  respond (fixture, 400, NULL);
   g_assert_true (g_hash_table_lookup (fixture->jobs, JOB) == job);
   g_assert_cmpint (job->records[0].state, ==, MH_RECORD_REFUSED);
 }
@@ -718,7 +719,7 @@
   step_after (fixture, 0);
   g_assert_cmpuint (count_changes (fixture), ==, 1);
   assert_change (fixture, 0, "put", "t/" JOB "/00002");
-  reply (fixture, 200, revision_body (20));
+  respond (fixture, 200, revision_body (20));
   g_assert_cmpuint (job->records[2].durable_revision, ==, 0);
 
   g_assert_cmpuint (count_changes (fixture), ==, 2);
@@ -726,7 +727,7 @@
   assert_change (fixture, 1, "put", "t/" JOB "/00001");
   g_assert_cmpint (job->records[1].state, ==, MH_RECORD_WRITING_QUEUED);
   g_assert_cmpuint (fixture->n_rechunked, ==, 0);
-  reply (fixture, 200, revision_body (21));
+  respond (fixture, 200, revision_body (21));
   g_assert_cmpuint (fixture->n_rechunked, ==, 1);
   g_assert_cmpuint (job->n_old_layout_records, ==, 0);
   g_assert_cmpuint (job->records[2].durable_revision, >, 0);
@@ -812,7 +813,7 @@
   mh_record_writer_remove_job (fixture->writer, job);
   mh_record_loader_start (loader);
   step_after (fixture, 0);
-  reply (fixture, 200, page);
+  respond (fixture, 200, page);
   g_assert_true (mh_record_loader_is_unreadable (loader, OTHER_JOB));
   g_assert_cmpuint (g_hash_table_size (fixture->jobs), ==, 0);
   g_assert_nonnull (strstr (fixture->critical_line, "key=j/" OTHER_JOB " job=" OTHER_JOB));
--- a/tests/test-runtime.c
+++ b/tests/test-runtime.c
@@ -16,7 +16,7 @@
   MhRuntime *runtime;
   MhCallQueue *calls;
   gint64 lease_until_us; /* 0: this controller may not act as leader */
-  guint replies;
+  guint responses;
   guint last_status;
   guint freed;
 } Fixture;
@@ -61,12 +61,12 @@
 }
 
 static void
-on_reply (gpointer owner, gpointer data, const MhReply *reply)
+on_response (gpointer owner, gpointer data, const MhCallResponse *response)
 {
   Fixture *fixture = owner;
   g_assert_true (data == owner);
-  fixture->replies++;
-  fixture->last_status = reply->status;
+  fixture->responses++;
+  fixture->last_status = response->status;
 }
 
 static void
@@ -82,7 +82,7 @@
                      &(MhCallOptions){ .class = class,
                                        .changes = changes,
                                        .timeout_us = MH_SECOND_US,
-                                       .func = on_reply,
+                                       .func = on_response,
                                        .owner = fixture,
                                        .data = fixture,
                                        .free_data = on_free });
@@ -165,18 +165,18 @@
   g_assert_true (g_str_has_prefix (line->line, "process was paused seconds="));
 }
 
-/* An answer that depends on the leader lease must not be sent after the lease has ended, so it must
-   carry the end of the lease. */
+/* A response that depends on the leader lease must not be sent after the lease has ended, so it
+   must carry the end of the lease. */
 static void
-test_answers_carry_the_lease (Fixture *fixture, gconstpointer unused)
+test_responses_carry_the_lease (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   fixture->lease_until_us = START_US + MH_SECOND_US;
-  mh_runtime_answer_user (fixture->runtime, 7, 503, 1);
+  mh_runtime_respond_to_user (fixture->runtime, 7, 503, 1);
   g_autoptr (MhAction) as_leader = mh_runtime_pop_action (fixture->runtime);
   g_assert_cmpint (as_leader->lease_until_us, ==, START_US + MH_SECOND_US);
   set_time (fixture, START_US + MH_SECOND_US);
-  mh_runtime_answer_user (fixture->runtime, 8, 503, 1);
+  mh_runtime_respond_to_user (fixture->runtime, 8, 503, 1);
   g_autoptr (MhAction) as_follower = mh_runtime_pop_action (fixture->runtime);
   g_assert_cmpint (as_follower->lease_until_us, ==, 0);
 }
@@ -248,20 +248,20 @@
   for (guint i = 0; i < 40; i++)
     add_call (fixture, mh_worker_request_status ("127.0.0.1:1"), MH_CALL_SAFETY, 0);
   g_assert_cmpuint (flush (fixture, &last), ==, 16);
-  mh_call_queue_complete (fixture->calls, last, &(MhReply){ .status = 200 });
+  mh_call_queue_complete (fixture->calls, last, &(MhCallResponse){ .status = 200 });
   g_assert_cmpuint (flush (fixture, NULL), ==, 1);
 }
 
-/* A reply to a call of an earlier leadership would change the state of the present one. */
+/* A response to a call of an earlier leadership would change the state of the present one. */
 static void
-test_forgotten_calls_take_no_reply (Fixture *fixture, gconstpointer unused)
+test_forgotten_calls_take_no_response (Fixture *fixture, gconstpointer unused)
 {
   (void)unused;
   guint64 first = 0, second = 0;
   add_call (fixture, mh_kv_request_get ("j/1"), MH_CALL_WORK, 0);
   g_assert_cmpuint (flush (fixture, &first), ==, 1);
-  mh_call_queue_complete (fixture->calls, first, &(MhReply){ .status = 404 });
-  g_assert_cmpuint (fixture->replies, ==, 1);
+  mh_call_queue_complete (fixture->calls, first, &(MhCallResponse){ .status = 404 });
+  g_assert_cmpuint (fixture->responses, ==, 1);
   g_assert_cmpuint (fixture->last_status, ==, 404);
   g_assert_cmpuint (fixture->freed, ==, 1);
   add_call (fixture, mh_kv_request_get ("j/2"), MH_CALL_WORK, 0);
@@ -269,8 +269,8 @@
   add_call (fixture, mh_kv_request_get ("j/3"), MH_CALL_WORK, 0);
   mh_call_queue_forget_all (fixture->calls);
   g_assert_cmpuint (fixture->freed, ==, 3);
-  mh_call_queue_complete (fixture->calls, second, &(MhReply){ .status = 200 });
-  g_assert_cmpuint (fixture->replies, ==, 1);
+  mh_call_queue_complete (fixture->calls, second, &(MhCallResponse){ .status = 200 });
+  g_assert_cmpuint (fixture->responses, ==, 1);
   g_assert_cmpuint (flush (fixture, NULL), ==, 0);
 }
 
@@ -304,13 +304,13 @@
                    test_full_bucket_allows_large_calls);
   ADD ("/runtime/earliest-wake-up-wins", test_earliest_wake_up_wins);
   ADD ("/runtime/process-pause-is-recorded", test_process_pause_is_recorded);
-  ADD ("/runtime/answers-carry-the-lease", test_answers_carry_the_lease);
+  ADD ("/runtime/responses-carry-the-lease", test_responses_carry_the_lease);
   ADD ("/runtime/log-lines-are-rate-limited", test_log_lines_are_rate_limited);
   ADD ("/call-queue/lease-calls-need-no-tokens", test_lease_calls_need_no_tokens);
   ADD ("/call-queue/waiting-writes-do-not-block-reads", test_waiting_writes_do_not_block_reads);
   ADD ("/call-queue/cloud-and-workers-need-a-lease", test_cloud_and_workers_need_a_lease);
   ADD ("/call-queue/calls-to-workers-are-bounded", test_calls_to_workers_are_bounded);
-  ADD ("/call-queue/forgotten-calls-take-no-reply", test_forgotten_calls_take_no_reply);
+  ADD ("/call-queue/forgotten-calls-take-no-response", test_forgotten_calls_take_no_response);
   ADD ("/call-queue/throttling-lowers-write-rate", test_throttling_lowers_write_rate);
   return g_test_run ();
 }
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -30,17 +30,17 @@
   SoupServer *server;
   char *endpoint;
   MhHttpClient *client;
-  guint replies;
+  guint responses;
   guint64 id;
   guint status;
   bool has_body;
 } ClientFixture;
 
 static void
-on_reply (guint64 id, guint status, const MhValue *body, gpointer data)
+on_response (guint64 id, guint status, const MhValue *body, gpointer data)
 {
   ClientFixture *fixture = data;
-  fixture->replies++;
+  fixture->responses++;
   fixture->id = id;
   fixture->status = status;
   fixture->has_body = body != NULL;
@@ -78,7 +78,7 @@
   fixture->endpoint = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
   g_slist_free_full (uris, (GDestroyNotify)g_uri_unref);
   const MhHttpEndpoints endpoints = { fixture->endpoint, fixture->endpoint };
-  fixture->client = mh_http_client_new (&endpoints, on_reply, fixture);
+  fixture->client = mh_http_client_new (&endpoints, on_response, fixture);
 }
 
 static void
@@ -91,7 +91,7 @@
   g_free (fixture->endpoint);
 }
 
-/* Sends one request to a worker and waits for its reply. */
+/* Sends one request to a worker and waits for its response. */
 static void
 send_and_wait (ClientFixture *fixture, guint64 id, const char *endpoint, const char *path,
                gint64 timeout_us)
@@ -99,18 +99,18 @@
   MhRequest request = {
     .target = MH_TARGET_WORKER, .method = "GET", .endpoint = (char *)endpoint, .path = (char *)path
   };
-  guint replies = fixture->replies;
+  guint responses = fixture->responses;
   mh_http_client_send (fixture->client, id, &request, timeout_us);
-  while (fixture->replies == replies)
+  while (fixture->responses == responses)
     g_main_context_iteration (NULL, TRUE);
-  g_assert_cmpuint (fixture->replies, ==, replies + 1);
+  g_assert_cmpuint (fixture->responses, ==, responses + 1);
   g_assert_cmpuint (fixture->id, ==, id);
 }
 
-/* Guards against a lost reply, which would leave its call pending for ever, and against a malformed
-   reply that is handled as an empty one. */
+/* Guards against a lost response, which would leave its call pending for ever, and against a
+   malformed response that is handled as an empty one. */
 static void
-test_client_replies (ClientFixture *fixture, gconstpointer data)
+test_client_responses (ClientFixture *fixture, gconstpointer data)
 {
   (void)data;
   send_and_wait (fixture, 1, fixture->endpoint, "/empty", 10 * MH_SECOND_US);
@@ -124,9 +124,9 @@
   g_assert_false (fixture->has_body);
 }
 
-/* Without a reply with status 0 the controller would wait for a worker that no longer exists. */
+/* Without a response with status 0 the controller would wait for a worker that no longer exists. */
 static void
-test_client_without_reply (ClientFixture *fixture, gconstpointer data)
+test_client_without_response (ClientFixture *fixture, gconstpointer data)
 {
   (void)data;
   send_and_wait (fixture, 1, fixture->endpoint, "/silent", MH_SECOND_US / 10);
@@ -315,16 +315,16 @@
   MhRequestForwarder *forwarder;
   MhPendingRequest *request;
   guint outcomes;
-  guint status; /* of the last outcome; 0: no answer */
+  guint status; /* of the last outcome; 0: no response */
 } ForwardFixture;
 
 static void
-on_outcome (guint64 id, const MhUserResponse *answer, gpointer data)
+on_outcome (guint64 id, const MhUserResponse *response, gpointer data)
 {
   ForwardFixture *fixture = data;
   g_assert_cmpuint (id, ==, fixture->request->id);
   fixture->outcomes++;
-  fixture->status = answer ? answer->status : 0;
+  fixture->status = response ? response->status : 0;
 }
 
 static void
@@ -346,24 +346,24 @@
   peer_tear_down (&fixture->peer, data);
 }
 
-/* An answer must be ignored if it arrives on another connection than the one that its request was
+/* A response must be ignored if it arrives on another connection than the one that its request was
    forwarded over: it may answer a request that was sent under the same id before a restart. */
 static void
-test_forward_answer (ForwardFixture *fixture, gconstpointer data)
+test_forward_response (ForwardFixture *fixture, gconstpointer data)
 {
   (void)data;
   MhPeerConnection *connection = fixture->peer.connected;
-  MhControllerMessage answer = { .kind = MH_CONTROLLER_RESPONSE,
-                                 .id = fixture->request->id,
-                                 .response = { .status = 200 } };
+  MhControllerMessage response = { .kind = MH_CONTROLLER_RESPONSE,
+                                   .id = fixture->request->id,
+                                   .response = { .status = 200 } };
   mh_request_forwarder_send (fixture->forwarder, fixture->request, connection, 60 * MH_SECOND_US);
   accept_peer (&fixture->peer);
-  mh_request_forwarder_handle_answer (fixture->forwarder, fixture->peer.accepted, &answer);
+  mh_request_forwarder_handle_response (fixture->forwarder, fixture->peer.accepted, &response);
   g_assert_cmpuint (fixture->outcomes, ==, 0);
-  mh_request_forwarder_handle_answer (fixture->forwarder, connection, &answer);
+  mh_request_forwarder_handle_response (fixture->forwarder, connection, &response);
   g_assert_cmpuint (fixture->outcomes, ==, 1);
   g_assert_cmpuint (fixture->status, ==, 200);
-  mh_request_forwarder_handle_answer (fixture->forwarder, connection, &answer);
+  mh_request_forwarder_handle_response (fixture->forwarder, connection, &response);
   g_assert_cmpuint (fixture->outcomes, ==, 1);
 }
 
@@ -456,10 +456,10 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/server/socket-address", test_socket_address);
-  g_test_add ("/server/http-client/replies", ClientFixture, NULL, client_set_up,
-              test_client_replies, client_tear_down);
-  g_test_add ("/server/http-client/without-reply", ClientFixture, NULL, client_set_up,
-              test_client_without_reply, client_tear_down);
+  g_test_add ("/server/http-client/responses", ClientFixture, NULL, client_set_up,
+              test_client_responses, client_tear_down);
+  g_test_add ("/server/http-client/without-response", ClientFixture, NULL, client_set_up,
+              test_client_without_response, client_tear_down);
   g_test_add ("/server/http-client/worker-session-replacement", ClientFixture, NULL, client_set_up,
               test_client_worker_session_replacement, client_tear_down);
   g_test_add ("/server/peer-connection/messages-before-connected", PeerFixture, NULL, peer_set_up,
@@ -470,8 +470,8 @@
               test_peer_malformed_record, peer_tear_down);
   g_test_add ("/server/peer-connection/closed-by-other-side", PeerFixture, NULL, peer_set_up,
               test_peer_closed_by_other_side, peer_tear_down);
-  g_test_add ("/server/request-forwarder/answer", ForwardFixture, NULL, forward_set_up,
-              test_forward_answer, forward_tear_down);
+  g_test_add ("/server/request-forwarder/response", ForwardFixture, NULL, forward_set_up,
+              test_forward_response, forward_tear_down);
   g_test_add ("/server/request-forwarder/timeout", ForwardFixture, NULL, forward_set_up,
               test_forward_timeout, forward_tear_down);
   g_test_add ("/server/request-forwarder/closed", ForwardFixture, NULL, forward_set_up,
--- a/tests/test-store-outages.c
+++ b/tests/test-store-outages.c
@@ -129,7 +129,7 @@
 static void
 test_cancel_with_isolated_leader (Simulation *simulation)
 {
-  MhUserResponse answer;
+  MhUserResponse response;
   User *user = start_service (simulation, 1, 2), *other = start_service (simulation, 2, 2);
   simulation_run (simulation, 10);
   ControllerNode *former_leader = simulation_leader (simulation);
@@ -142,8 +142,8 @@
   user_cancel (user);
   WAIT (simulation, 20, is_reported_cancelled, user);
   simulation_request_and_wait (simulation, former_leader->index, MH_USER_STATUS, "j-000001", NULL,
-                               &answer);
-  g_assert_true (answer.status == 503 || answer.state == MH_JOB_CANCELLED);
+                               &response);
+  g_assert_true (response.status == 503 || response.state == MH_JOB_CANCELLED);
   outgoing_calls_release_commands (simulation);
   simulation_run (simulation, 80);
   g_assert_cmpuint (simulation_running_tasks (simulation, "j-000001"), ==, 0);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -83,13 +83,13 @@
   g_assert_cmpuint (counts[1], ==, 1);
   g_assert_cmpuint (counts[2], ==, 3);
 
-  MhUserResponse answer;
+  MhUserResponse response;
   guint64 epoch, lease_id;
   g_autofree char *node = NULL;
   g_autoptr (MhValue) final = PARSE (production_final), leader = PARSE (production_leader);
   g_autoptr (MhValue) last = PARSE (production_epoch), release = PARSE (production_release);
-  g_assert_true (mh_record_read_final (final, &answer, &error));
-  g_assert_cmpint (answer.state, ==, MH_JOB_CANCELLED);
+  g_assert_true (mh_record_read_final (final, &response, &error));
+  g_assert_cmpint (response.state, ==, MH_JOB_CANCELLED);
   g_assert_true (mh_leader_record_read (leader, &node, &epoch, &lease_id));
   g_assert_cmpstr (node, ==, "worker-1");
   g_assert_true (mh_epoch_record_read (last, &epoch));
@@ -147,14 +147,14 @@
 test_messages_are_identical (void)
 {
   MhControllerMessage message = {};
-  const MhUserResponse answer
+  const MhUserResponse response
       = { .status = 200, .retry_after_s = 3, .state = MH_JOB_CANCELLED, .done = 3, .running = 13 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
   assert_message (mh_controller_request_encode (41, MH_USER_SUBMIT, "j-000412", body),
                   production_call, sizeof production_call, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_SUBMIT);
   mh_controller_message_clear (&message);
-  assert_message (mh_controller_response_encode (42, &answer), production_answer,
+  assert_message (mh_controller_response_encode (42, &response), production_answer,
                   sizeof production_answer, &message);
   g_assert_cmpint (message.response.state, ==, MH_JOB_CANCELLED);
   mh_controller_message_clear (&message);
@@ -253,7 +253,7 @@
 {
   (void)unused;
   bool cancelled;
-  MhUserResponse answer;
+  MhUserResponse response;
   g_autoptr (MhValue) stored = PARSE (production_gang), done = PARSE (production_gang_done);
   g_autoptr (MhValue) final = PARSE (production_gang_final);
   MhJob *job = load_job (fixture, stored, "j-000500", &cancelled);
@@ -277,9 +277,9 @@
   ASSERT_SERIALIZED (mh_record_write (&job->records[0], "1000001.41", machine_name),
                      production_gang_done);
   ASSERT_SERIALIZED (mh_record_write_final (job, "1000001.42"), production_gang_final);
-  g_assert_true (mh_record_read_final (final, &answer, NULL));
-  g_assert_cmpint (answer.state, ==, MH_JOB_DONE);
-  g_assert_cmpuint (answer.done, ==, 4);
+  g_assert_true (mh_record_read_final (final, &response, NULL));
+  g_assert_cmpint (response.state, ==, MH_JOB_DONE);
+  g_assert_cmpuint (response.done, ==, 4);
   discard_job (fixture, job);
 }
 
@@ -331,7 +331,7 @@
 test_gang_messages (void)
 {
   MhControllerMessage message = {};
-  const MhUserResponse answer = { .status = 201, .state = MH_JOB_RUNNING, .running = 4 };
+  const MhUserResponse response = { .status = 201, .state = MH_JOB_RUNNING, .running = 4 };
   g_autoptr (GBytes) body = g_bytes_new_static ("body", 4);
   assert_message (mh_controller_request_encode (43, MH_USER_SUBMIT, "j-000500", body),
                   production_gang_submit, sizeof production_gang_submit, &message);
@@ -345,7 +345,7 @@
                   production_gang_cancel, sizeof production_gang_cancel, &message);
   g_assert_cmpint (message.verb, ==, MH_USER_CANCEL);
   mh_controller_message_clear (&message);
-  assert_message (mh_controller_response_encode (43, &answer), production_gang_answer,
+  assert_message (mh_controller_response_encode (43, &response), production_gang_answer,
                   sizeof production_gang_answer, &message);
   g_assert_cmpuint (message.response.running, ==, 4);
   mh_controller_message_clear (&message);
--- a/tests/test-versions.c
+++ b/tests/test-versions.c
@@ -49,7 +49,7 @@
 typedef enum
 {
   PLACED,     /* in memory, not on record */
-  ON_RECORD,  /* but the leader has no reply to the write yet */
+  ON_RECORD,  /* but the leader has no response to the write yet */
   START_SENT, /* the start commands are in flight */
   WAITING_FOR_GANG,
   RUNNING,
