--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -15,7 +15,7 @@
 
 /**
  * mh_core_new:
- * @settings: (not transferred): must outlive the core
+ * @settings: (transfer none): must outlive the core
  * @now: the current time
  *
  * Returns: (transfer full): a controller in the follower state that does not know a leader yet
@@ -49,7 +49,7 @@
  * MhUserRequest:
  * @id: id of the request, which its MH_ACTION_RESPOND_TO_USER carries
  * @verb: what the user asks for
- * @job_id: (not transferred): a valid job id
+ * @job_id: (transfer none): a valid job id
  * @spec: (transfer full) (nullable): the submitted job; set for MH_USER_SUBMIT only
  * @forwarded: another controller has forwarded the request here; it is not forwarded again
  *
@@ -80,7 +80,7 @@
  * @core: a controller
  * @now: the current time
  * @id: id of the request, which its MH_ACTION_RESPOND_TO_HEARTBEAT carries
- * @heartbeat: (not transferred): the heartbeat
+ * @heartbeat: (transfer none): the heartbeat
  *
  * Handles a worker's heartbeat.
  */
@@ -95,7 +95,7 @@
  * @id: id of the call
  * @status: HTTP status; 0: no response was received, and it is unknown whether the request was
  * carried out
- * @body: (not transferred) (nullable): body of the response
+ * @body: (transfer none) (nullable): body of the response
  *
  * Handles the response to a call that mh_core_pop_action () returned, or its failure.
  */
@@ -108,7 +108,7 @@
  * @core: a controller
  * @now: the current time
  * @id: id of the user's request that was forwarded
- * @response: (not transferred) (nullable): the leader's response; %NULL: none was received before
+ * @response: (transfer none) (nullable): the leader's response; %NULL: none was received before
  * the time-out
  *
  * Handles the leader's response to a forwarded request, or its failure.
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -11,9 +11,9 @@
 
 /**
  * mh_election_new:
- * @runtime: (not transferred): must outlive the election
- * @calls: (not transferred): must outlive the election
- * @callbacks: (not transferred): all set; must outlive the election
+ * @runtime: (transfer none): must outlive the election
+ * @calls: (transfer none): must outlive the election
+ * @callbacks: (transfer none): all set; must outlive the election
  * @owner: passed to the callbacks
  *
  * The election registers with @runtime as the source of the leader lease. Its requests are sent by
--- a/src/jobs/gang-state.h
+++ b/src/jobs/gang-state.h
@@ -29,7 +29,7 @@
  * MhGangEvent:
  * @MH_GANG_EVENT_PLACED: a placement pass has assigned machines to all tasks: a new attempt
  * @MH_GANG_EVENT_RESTORED: a new leader has loaded an attempt of all tasks from records
- * @MH_GANG_EVENT_TASK_GATHERING: a worker reports that a task waits for the others
+ * @MH_GANG_EVENT_TASK_GATHERING: a heartbeat shows that a task waits for the others
  * @MH_GANG_EVENT_TASK_LOST: a task has ended without being done, or is missing from the records
  * @MH_GANG_EVENT_STOP_REQUESTED: all tasks are requested to stop
  * @MH_GANG_EVENT_COMPLETED: all tasks are done
@@ -53,8 +53,8 @@
 /**
  * MhJobGang:
  * @state: state of the attempt
- * @gathering_since_us: in %MH_GANG_STATE_GATHERING: monotonic time at which the first task was
- * reported to wait for the others
+ * @gathering_since_us: in %MH_GANG_STATE_GATHERING: monotonic time at which a heartbeat first
+ * showed a task that waits for the others
  * @held_tasks: number of tasks for which the last placement pass held capacity, since the whole
  * gang could not be placed
  * @held_zone: (nullable): the zone in which the capacity is held, for a gang that must run in a
--- a/src/runtime/call-queue.h
+++ b/src/runtime/call-queue.h
@@ -82,7 +82,7 @@
 
 /**
  * mh_call_queue_new:
- * @runtime: (not transferred): must outlive the queue
+ * @runtime: (transfer none): must outlive the queue
  *
  * Returns: (transfer full): an empty queue; its token buckets are full and have the rates of the
  * settings
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -53,7 +53,7 @@
 
 /**
  * mh_runtime_new:
- * @settings: (not transferred): must outlive the runtime
+ * @settings: (transfer none): must outlive the runtime
  * @now: the present time
  *
  * Returns: (transfer full): a runtime without a lease source: this controller may not act as leader
--- a/src/storage/batch.h
+++ b/src/storage/batch.h
@@ -29,10 +29,10 @@
 
 /**
  * mh_batch_new:
- * @transaction: (not transferred): an empty transaction, which outlives the batch
- * @writes: (not transferred) (element-type MhRecordWrite): one item is appended for each record
+ * @transaction: (transfer none): an empty transaction, which outlives the batch
+ * @writes: (transfer none) (element-type MhRecordWrite): one item is appended for each record
  * that is added
- * @settings: (not transferred): the settings, with the limit on changes in a transaction
+ * @settings: (transfer none): the settings, with the limit on changes in a transaction
  * @machine_name: returns the name of the machine that a live attempt is on
  * @max_changes: the number of changes that the transaction may make, unless its first record alone
  * needs more
--- a/src/storage/load.h
+++ b/src/storage/load.h
@@ -36,13 +36,13 @@
 
 /**
  * mh_record_loader_new:
- * @runtime: (not transferred): must outlive the loader
- * @calls: (not transferred): must outlive the loader
- * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
+ * @runtime: (transfer none): must outlive the loader
+ * @calls: (transfer none): must outlive the loader
+ * @jobs: (transfer none) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
  * jobs. The jobs that are read are added
- * @writer: (not transferred): gets the records that must be written again and the keys that must be
+ * @writer: (transfer none): gets the records that must be written again and the keys that must be
  * deleted
- * @callbacks: (not transferred): static
+ * @callbacks: (transfer none): static
  * @owner: passed to @callbacks
  *
  * Returns: (transfer full): a loader
--- a/src/storage/lookup.h
+++ b/src/storage/lookup.h
@@ -26,9 +26,9 @@
 
 /**
  * mh_job_lookup_new:
- * @runtime: (not transferred): must outlive the object
- * @calls: (not transferred): must outlive the object
- * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id
+ * @runtime: (transfer none): must outlive the object
+ * @calls: (transfer none): must outlive the object
+ * @jobs: (transfer none) (element-type utf8 MhJob): the leader's jobs by id
  * @final_func: called with each final state that is read
  * @owner: passed to @final_func
  *
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -40,11 +40,11 @@
 
 /**
  * mh_record_writer_new:
- * @runtime: (not transferred): must outlive the writer
- * @calls: (not transferred): must outlive the writer
- * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
+ * @runtime: (transfer none): must outlive the writer
+ * @calls: (transfer none): must outlive the writer
+ * @jobs: (transfer none) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
  * jobs. The writer removes jobs that have ended or were not accepted
- * @callbacks: (not transferred): static
+ * @callbacks: (transfer none): static
  * @owner: passed to @callbacks
  *
  * Returns: (transfer full): a writer with nothing to write
@@ -99,7 +99,7 @@
 /**
  * mh_record_writer_delete_key:
  * @writer: a writer
- * @key: (not transferred): a key that is no longer needed
+ * @key: (transfer none): a key that is no longer needed
  *
  * Queues the key to be deleted. A transaction deletes queued keys only if it has room after all
  * records that may be written.
--- a/src/storage/transaction.h
+++ b/src/storage/transaction.h
@@ -71,9 +71,9 @@
 
 /**
  * mh_transaction_new:
- * @calls: (not transferred): the queue that its requests are sent through
+ * @calls: (transfer none): the queue that its requests are sent through
  * @tag: the tag that the records in the transaction carry; no other transaction has it
- * @callbacks: (not transferred): static
+ * @callbacks: (transfer none): static
  * @data: (transfer full): passed to @callbacks
  * @free_data: frees @data with the transaction
  *
@@ -126,7 +126,7 @@
  * mh_transaction_put:
  * @transaction: a transaction that was not sent yet
  * @key: a key
- * @value: (not transferred): the new value of @key
+ * @value: (transfer none): the new value of @key
  *
  * Adds a change that stores @value.
  */
@@ -137,7 +137,7 @@
  * mh_transaction_put_tagged:
  * @transaction: a transaction that was not sent yet
  * @key: a key
- * @value: (not transferred): the new value of @key, a record that carries the tag
+ * @value: (transfer none): the new value of @key, a record that carries the tag
  *
  * Adds a change that stores @value. The key of the first such change is read if it has to be
  * determined whether an unanswered request was applied.
--- a/tests/test-gang-state.c
+++ b/tests/test-gang-state.c
@@ -46,7 +46,7 @@
     }
 }
 
-/* If each heartbeat that reports a waiting task restarted the time, a gang would never be stopped
+/* If each heartbeat that shows a waiting task restarted the time, a gang would never be stopped
    for not being complete in time. */
 static void
 test_gathering_since_first_heartbeat (void)
