--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -108,7 +108,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, context->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (!mh_job_is_over (value))
+    if (!mh_job_has_no_more_starts (value))
       waiting += count_startable_tasks (context, value);
   return waiting;
 }
@@ -141,7 +141,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const MhJob *job = value;
-      if (mh_job_is_over (job) || job->placement.unplaced_since_us == 0
+      if (mh_job_has_no_more_starts (job) || job->placement.unplaced_since_us == 0
           || mh_job_pending_tasks (job) == 0)
         continue;
       if (longest == NULL
--- a/src/cluster/attempt.c
+++ b/src/cluster/attempt.c
@@ -142,7 +142,7 @@
 mh_attempt_finish_job_if_ended (MhCluster *cluster, MhJob *job)
 {
   bool ended = mh_job_is_cancelled (job) ? job->n_live == 0 : job->n_done == job->spec->tasks;
-  if (!ended || mh_job_is_finished (job))
+  if (!ended || mh_job_has_ended (job))
     return;
   job->completion = MH_COMPLETION_UNWRITTEN;
   mh_record_writer_mark_changed (cluster->record_writer, &job->records[0],
@@ -228,7 +228,7 @@
 void
 mh_attempt_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us)
 {
-  if (mh_job_is_gang (attempt->job) && !mh_job_is_over (attempt->job))
+  if (mh_job_is_gang (attempt->job) && !mh_job_has_no_more_starts (attempt->job))
     cluster->callbacks->stop_gang (cluster->owner, attempt->job, grace_us);
   else if (attempt->start == MH_START_NOT_SENT)
     mh_attempt_note_ended (cluster, attempt, false);
--- a/src/cluster/attempt.h
+++ b/src/cluster/attempt.h
@@ -177,8 +177,8 @@
  * @attempt: (transfer full): an attempt; may be freed
  * @grace_us: time to save a checkpoint, in microseconds
  *
- * Stops it, and the rest of its gang unless the job is over, see mh_job_is_over(). An attempt whose
- * start was never sent ends at once.
+ * Stops it, and the rest of its gang unless no task of the job may be started any more, see
+ * mh_job_has_no_more_starts(). An attempt whose start was never sent ends at once.
  */
 void
 mh_attempt_stop (MhCluster *cluster, MhAttempt *attempt, gint64 grace_us);
@@ -188,7 +188,7 @@
  * @cluster: the cluster
  * @job: a cancelled job
  *
- * Stops all its attempts. A job without attempts is finished at once.
+ * Stops all its attempts. A job without attempts ends at once.
  */
 void
 mh_attempt_stop_job (MhCluster *cluster, MhJob *job);
@@ -233,7 +233,7 @@
  * @cluster: the cluster
  * @job: a job
  *
- * Marks the job as finished, and its final record as to be written, if all its tasks are done, or
+ * Marks the job as ended, and its final record as to be written, if all its tasks are done, or
  * if it is cancelled and has no attempts.
  */
 void
--- a/src/cluster/reconcile.c
+++ b/src/cluster/reconcile.c
@@ -106,7 +106,7 @@
 }
 
 /* Returns NULL if no job in memory has the task. A job whose submission is not durable yet has no
-   tasks on machines: the reported one belongs to an earlier job with the same id that was over
+   tasks on machines: the reported one belongs to an earlier job with the same id that ended
    before the user submitted it again. Without this check such a resubmission made a leader step
    down. */
 static const MhTask *
--- a/src/cluster/worker-command.c
+++ b/src/cluster/worker-command.c
@@ -66,7 +66,7 @@
   bool unreported
       = attempt->state == MH_ATTEMPT_PLACED || attempt->state == MH_ATTEMPT_START_IN_FLIGHT;
   return unreported && !mh_attempt_is_from_record (attempt) && is_record_durable (attempt)
-         && !mh_job_is_over (attempt->job) && !mh_machine_is_releasing (attempt->machine)
+         && !mh_job_has_no_more_starts (attempt->job) && !mh_machine_is_releasing (attempt->machine)
          && (!mh_job_is_gang (attempt->job) || is_gang_durable (attempt->job));
 }
 
@@ -108,7 +108,7 @@
 
 /* ---- orphans ---- */
 
-/* Whether the result of the orphan's task is not durable yet. A finished job stays in memory until
+/* Whether the result of the orphan's task is not durable yet. An ended job stays in memory until
    its final record is durable. */
 static bool
 is_result_unrecorded (const MhCluster *cluster, const MhOrphan *orphan)
@@ -118,7 +118,7 @@
       || job->tasks[orphan->index].state != MH_TASK_DONE)
     return false;
   const MhRecord *record = mh_job_record (job, orphan->index);
-  return mh_job_is_finished (job) || mh_record_has_unwritten_changes (record);
+  return mh_job_has_ended (job) || mh_record_has_unwritten_changes (record);
 }
 
 static void
@@ -190,7 +190,7 @@
     {
       if (attempt->stop_sent_us)
         return MH_UNSENT_NONE;
-      return mh_job_is_over (attempt->job) ? MH_UNSENT_DEFERRABLE : MH_UNSENT_URGENT;
+      return mh_job_has_no_more_starts (attempt->job) ? MH_UNSENT_DEFERRABLE : MH_UNSENT_URGENT;
     }
   if (mh_attempt_start_was_sent (attempt) || !can_start (attempt))
     return MH_UNSENT_NONE;
--- a/src/controller/user-requests.c
+++ b/src/controller/user-requests.c
@@ -113,12 +113,12 @@
 static void
 cancel (MhCore *core, const MhUserRequest *request, MhJob *job)
 {
-  if (mh_job_is_final (job) || mh_job_is_cancel_durable (job))
+  if (mh_job_is_end_durable (job) || mh_job_is_cancel_durable (job))
     {
       respond_with_job_state (core, request->id, job);
       return;
     }
-  if (!mh_job_is_cancelled (job) && !mh_job_is_finished (job))
+  if (!mh_job_is_cancelled (job) && !mh_job_has_ended (job))
     {
       mh_log_info (core->runtime, "job cancelled by its user job=%s", job->spec->id);
       job->cancellation = MH_CANCELLATION_REQUESTED;
--- a/src/jobs/job-queue.c
+++ b/src/jobs/job-queue.c
@@ -146,7 +146,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
       MhJob *job = value;
-      if ((job->accepted || scope == MH_JOB_QUEUE_ALL) && !mh_job_is_over (job))
+      if ((job->accepted || scope == MH_JOB_QUEUE_ALL) && !mh_job_has_no_more_starts (job))
         g_ptr_array_add (jobs, job);
     }
   g_ptr_array_sort (jobs, compare_submission);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -108,21 +108,21 @@
 }
 
 bool
-mh_job_is_finished (const MhJob *job)
+mh_job_has_ended (const MhJob *job)
 {
   return job->completion != MH_COMPLETION_NONE;
 }
 
 bool
-mh_job_is_final (const MhJob *job)
+mh_job_is_end_durable (const MhJob *job)
 {
   return job->completion == MH_COMPLETION_DURABLE;
 }
 
 bool
-mh_job_is_over (const MhJob *job)
+mh_job_has_no_more_starts (const MhJob *job)
 {
-  return mh_job_is_cancelled (job) || mh_job_is_finished (job) || job->n_done == job->spec->tasks;
+  return mh_job_is_cancelled (job) || mh_job_has_ended (job) || job->n_done == job->spec->tasks;
 }
 
 gint64
@@ -136,7 +136,7 @@
 {
   response->done = job->n_done;
   response->running = job->n_running;
-  if (mh_job_is_final (job))
+  if (mh_job_is_end_durable (job))
     {
       response->state = job->final_state;
       response->running = 0;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -150,7 +150,7 @@
 typedef enum
 {
   MH_COMPLETION_NONE,
-  MH_COMPLETION_UNWRITTEN, /* the job is finished; its final record has to be written */
+  MH_COMPLETION_UNWRITTEN, /* the job has ended; its final record has to be written */
   MH_COMPLETION_DURABLE    /* the final record is durable */
 } MhCompletion;
 
@@ -276,32 +276,34 @@
 mh_job_is_cancel_durable (const MhJob *job);
 
 /**
- * mh_job_is_finished:
+ * mh_job_has_ended:
  * @job: a job
  *
- * Returns: %TRUE if the job has ended: at most the write of its final record remains to be done
+ * Returns: %TRUE if the job has ended, whether or not that is durable yet: all its tasks are done,
+ * or it is cancelled and has no attempts. At most the write of its final record remains to be done
  */
 bool
-mh_job_is_finished (const MhJob *job);
+mh_job_has_ended (const MhJob *job);
 
 /**
- * mh_job_is_final:
+ * mh_job_is_end_durable:
  * @job: a job
  *
- * Returns: %TRUE if its final record is durable
+ * Returns: %TRUE if its end is durable: its final record is written, so that its state never
+ * changes again
  */
 bool
-mh_job_is_final (const MhJob *job);
+mh_job_is_end_durable (const MhJob *job);
 
 /**
- * mh_job_is_over:
+ * mh_job_has_no_more_starts:
  * @job: a job
  *
- * Returns: %TRUE if no task of it may be started any more: it is cancelled or finished, or all its
- * tasks are done
+ * Returns: %TRUE if no task of it may be started any more: it is cancelled, whether or not attempts
+ * of it are still running, or it has ended, or all its tasks are done
  */
 bool
-mh_job_is_over (const MhJob *job);
+mh_job_has_no_more_starts (const MhJob *job);
 
 /**
  * mh_job_grace_us:
--- a/src/placement/gang-attempt.c
+++ b/src/placement/gang-attempt.c
@@ -166,7 +166,8 @@
 {
   gint64 limit_us = (gint64)((double)mh_runtime_settings (attempts->runtime)->gang_wait_us
                              * GATHERING_TIMEOUT_SHARE);
-  return job->gang.state == MH_GANG_STATE_GATHERING && !job->n_running && !mh_job_is_over (job)
+  return job->gang.state == MH_GANG_STATE_GATHERING && !job->n_running
+         && !mh_job_has_no_more_starts (job)
          && mh_runtime_now_us (attempts->runtime) - job->gang.gathering_since_us >= limit_us;
 }
 
@@ -211,7 +212,7 @@
   while (g_hash_table_iter_next (&it, &id, NULL))
     {
       MhJob *job = g_hash_table_lookup (attempts->jobs, id);
-      if (job && !mh_job_is_finished (job))
+      if (job && !mh_job_has_ended (job))
         reconcile_gang (attempts, job);
     }
   if (mh_runtime_now_us (attempts->runtime) < attempts->last_check_us + GATHERING_CHECK_INTERVAL_US)
--- a/src/runtime/call-queue.c
+++ b/src/runtime/call-queue.c
@@ -189,7 +189,7 @@
 }
 
 /* Sends the calls of a class in their order. A write that waits for tokens blocks later writes, but
-   no reads: otherwise users' requests about finished jobs would not be answered as long as there is
+   no reads: otherwise users' requests about ended jobs would not be answered as long as there is
    much to write. Returns false if no further call may be sent to the store now. */
 static bool
 flush_store_class (MhCallQueue *queue, MhCallClass class, bool *writes_blocked)
--- a/src/storage/batch.c
+++ b/src/storage/batch.c
@@ -61,14 +61,14 @@
 static bool
 replaces_layout (const MhRecord *record)
 {
-  return mh_rechunk_is_pending (record->job) && !mh_job_is_finished (record->job)
+  return mh_rechunk_is_pending (record->job) && !mh_job_has_ended (record->job)
          && record->chunk == 0;
 }
 
 static guint
 count_needed_changes (const MhBatch *batch, const MhRecord *record)
 {
-  if (mh_job_is_finished (record->job))
+  if (mh_job_has_ended (record->job))
     return FINAL_RECORD_CHANGES + mh_batch_count_deleted_with_final (record->job, batch->settings);
   if (replaces_layout (record))
     return mh_rechunk_count_atomic (record->job, batch->settings->txn_ops);
@@ -84,7 +84,7 @@
   mh_transaction_add_condition (batch->transaction, key, record->version);
   MhRecordWrite write = { .record = record,
                           .revision = record->revision,
-                          .is_final = mh_job_is_finished (job),
+                          .is_final = mh_job_has_ended (job),
                           .cancelled = mh_job_is_cancelled (job) };
   g_array_append_val (batch->writes, write);
 }
@@ -153,13 +153,13 @@
     return false;
   const MhJob *job = record->job;
   const char *tag = mh_transaction_tag (batch->transaction);
-  g_autoptr (MhValue) value = mh_job_is_finished (job)
+  g_autoptr (MhValue) value = mh_job_has_ended (job)
                                   ? mh_record_write_final (job, tag)
                                   : mh_record_write (record, tag, batch->machine_name);
   gsize bytes = batch->bytes + mh_value_json_size (value) + CHANGE_OVERHEAD_BYTES;
   if (changes && bytes > MAX_TRANSACTION_BYTES)
     return false;
-  if (mh_job_is_finished (job))
+  if (mh_job_has_ended (job))
     add_final_record (batch, record, value);
   else
     add_running_record (batch, record, value);
--- a/src/storage/record-writer.c
+++ b/src/storage/record-writer.c
@@ -159,7 +159,7 @@
 {
   if (mh_record_state_is_writing (record->state))
     return false;
-  if (mh_job_is_finished (record->job))
+  if (mh_job_has_ended (record->job))
     return may_write_final (record);
   if (mh_runtime_now_us (writer->runtime) < record->refused_until_us)
     return false;
@@ -191,7 +191,7 @@
 static AddResult
 add_record (MhRecordWriter *writer, MhBatch *batch, GArray *writes, MhRecord *record)
 {
-  if (mh_job_is_finished (record->job) && record->chunk != 0)
+  if (mh_job_has_ended (record->job) && record->chunk != 0)
     {
       /* The final record, which is queued as the job's first one, replaces this one. */
       mh_record_writer_apply_event (writer, record, MH_RECORD_DISCARDED, record->urgency);
--- a/src/storage/write-outcome.c
+++ b/src/storage/write-outcome.c
@@ -52,7 +52,7 @@
 can_be_answered (const MhJob *job, MhUserVerb verb)
 {
   return verb == MH_USER_SUBMIT ? job->accepted
-                                : mh_job_is_cancel_durable (job) || mh_job_is_final (job);
+                                : mh_job_is_cancel_durable (job) || mh_job_is_end_durable (job);
 }
 
 static void
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -164,7 +164,7 @@
   job->completion = MH_COMPLETION_UNWRITTEN;
   mh_job_fill_response (job, &response);
   g_assert_cmpint (response.state, ==, MH_JOB_RUNNING);
-  g_assert_true (mh_job_is_over (job));
+  g_assert_true (mh_job_has_no_more_starts (job));
   job->cancellation = MH_CANCELLATION_DURABLE;
   mh_job_fill_response (job, &response);
   g_assert_cmpint (response.state, ==, MH_JOB_CANCELLED);
--- a/tests/test-runtime.c
+++ b/tests/test-runtime.c
@@ -209,7 +209,7 @@
   g_assert_cmpuint (flush (fixture, NULL), ==, 1);
 }
 
-/* If waiting writes blocked reads, users' requests about finished jobs would not be answered as
+/* If waiting writes blocked reads, users' requests about ended jobs would not be answered as
    long as there is much to write. */
 static void
 test_waiting_writes_do_not_block_reads (Fixture *fixture, gconstpointer unused)
