--- a/src/server/http-client.c
+++ b/src/server/http-client.c
@@ -18,7 +18,7 @@
 struct MhHttpClient
 {
   MhHttpEndpoints endpoints;
-  MhHttpResponseFunc response;
+  MhHttpResponseFunc response_func;
   gpointer user_data;
   SoupSession *session;        /* to the key-value store and the cloud */
   SoupSession *worker_session; /* NULL before the first call to a worker */
@@ -56,12 +56,12 @@
 }
 
 MhHttpClient *
-mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpResponseFunc response,
+mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpResponseFunc response_func,
                     gpointer user_data)
 {
   MhHttpClient *client = g_new0 (MhHttpClient, 1);
   client->endpoints = *endpoints;
-  client->response = response;
+  client->response_func = response_func;
   client->user_data = user_data;
   client->session = session_new (2 * CONNECTIONS_PER_HOST, CONNECTIONS_PER_HOST, IDLE_TIMEOUT_S);
   return client;
@@ -146,7 +146,7 @@
       = soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
   guint status = read_response (call->message, bytes, &body);
   g_clear_pointer (&call, http_call_free);
-  client->response (id, status, body, client->user_data);
+  client->response_func (id, status, body, client->user_data);
 }
 
 /* Returns NULL when the request's endpoint is not a valid address. */
@@ -179,7 +179,7 @@
   SoupMessage *message = message_new (client, request);
   if (message == NULL)
     {
-      client->response (id, 0, NULL, client->user_data);
+      client->response_func (id, 0, NULL, client->user_data);
       return;
     }
   HttpCall *call = g_new0 (HttpCall, 1);
--- a/src/server/http-client.h
+++ b/src/server/http-client.h
@@ -38,13 +38,13 @@
 /**
  * mh_http_client_new:
  * @endpoints: (transfer none): the services to call; the strings have to outlive the client
- * @response: called with each response
- * @user_data: passed to @response
+ * @response_func: called with each response
+ * @user_data: passed to @response_func
  *
  * Returns: (transfer full): a client without connections
  */
 MhHttpClient *
-mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpResponseFunc response,
+mh_http_client_new (const MhHttpEndpoints *endpoints, MhHttpResponseFunc response_func,
                     gpointer user_data);
 
 /**
