--- a/src/controller/core-private.h
+++ b/src/controller/core-private.h
@@ -7,7 +7,7 @@
 #include "cluster/cluster.h"
 #include "cluster/recovery.h"
 #include "election/election.h"
-#include "jobs/final-answers.h"
+#include "jobs/final-state-cache.h"
 #include "jobs/job-queue.h"
 #include "jobs/runtime-estimate.h"
 #include "placement/gang-attempt.h"
--- a/src/jobs/final-answers.c
+++ b/src/jobs/final-state-cache.c
@@ -1,4 +1,4 @@
-#include "jobs/final-answers.h"
+#include "jobs/final-state-cache.h"
 
 /* The cache may take one part in MEMORY_DIVISOR of the memory of the process. */
 #define MEMORY_DIVISOR 32
--- a/tests/test-job-queue.c
+++ b/tests/test-job-queue.c
@@ -1,6 +1,6 @@
 /* Unit tests of the job queue's order, objectives, estimates of run times, and responses to users.
  */
-#include "jobs/final-answers.h"
+#include "jobs/final-state-cache.h"
 #include "jobs/job-queue.h"
 #include "jobs/objective.h"
 #include "jobs/runtime-estimate.h"
