--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -15,7 +15,7 @@
 
 /**
  * mh_core_new:
- * @settings: (not transferred): must outlive the core
+ * @settings: (transfer none): must outlive the core
  * @now: the current time
  *
  * Returns: (transfer full): a controller in the follower state that does not know a leader yet
@@ -47,9 +47,9 @@
 
 /**
  * MhUserRequest:
- * @id: id of the request, which its MH_ACTION_ANSWER_USER carries
+ * @id: id of the request, which its MH_ACTION_RESPOND_TO_USER carries
  * @verb: what the user asks for
- * @job_id: (not transferred): a valid job id
+ * @job_id: (transfer none): a valid job id
  * @spec: (transfer full) (nullable): the submitted job; set for MH_USER_SUBMIT only
  * @forwarded: another controller has forwarded the request here; it is not forwarded again
  *
@@ -79,8 +79,8 @@
  * mh_core_receive_heartbeat:
  * @core: a controller
  * @now: the current time
- * @id: id of the request, which its MH_ACTION_ANSWER_HEARTBEAT carries
- * @heartbeat: (not transferred): the heartbeat
+ * @id: id of the request, which its MH_ACTION_RESPOND_TO_HEARTBEAT carries
+ * @heartbeat: (transfer none): the heartbeat
  *
  * Handles a worker's heartbeat.
  */
@@ -89,33 +89,33 @@
                            const MhHeartbeat *heartbeat);
 
 /**
- * mh_core_receive_reply:
+ * mh_core_receive_response:
  * @core: a controller
  * @now: the current time
  * @id: id of the call
- * @status: HTTP status; 0: no reply was received, and it is unknown whether the request was carried
- * out
- * @body: (not transferred) (nullable): body of the reply
+ * @status: HTTP status; 0: no response was received, and it is unknown whether the request was
+ * carried out
+ * @body: (transfer none) (nullable): body of the response
  *
- * Handles the reply to a call that mh_core_pop_action () returned, or its failure.
+ * Handles the response to a call that mh_core_pop_action () returned, or its failure.
  */
 void
-mh_core_receive_reply (MhCore *core, const MhNow *now, guint64 id, guint status,
-                       const MhValue *body);
+mh_core_receive_response (MhCore *core, const MhNow *now, guint64 id, guint status,
+                          const MhValue *body);
 
 /**
- * mh_core_receive_forward_reply:
+ * mh_core_receive_forward_response:
  * @core: a controller
  * @now: the current time
  * @id: id of the user's request that was forwarded
- * @response: (not transferred) (nullable): the leader's response; %NULL: none was received before
+ * @response: (transfer none) (nullable): the leader's response; %NULL: none was received before
  * the time-out
  *
  * Handles the leader's response to a forwarded request, or its failure.
  */
 void
-mh_core_receive_forward_reply (MhCore *core, const MhNow *now, guint64 id,
-                               const MhUserResponse *response);
+mh_core_receive_forward_response (MhCore *core, const MhNow *now, guint64 id,
+                                  const MhUserResponse *response);
 
 /**
  * mh_core_receive_announcement:
@@ -139,7 +139,8 @@
  *
  * Checks against @mono_us that the leader lease on which the action depends is still valid, because
  * the process may have been paused between the decision and this call. If the lease has expired, a
- * call is completed as one without a reply and not returned, and a response is replaced by a 503.
+ * call is completed as one without a response and not returned, and a response is replaced by a
+ * 503.
  *
  * Returns: (transfer full) (nullable): the next action; %NULL if there is none
  */
--- a/src/storage/record-writer.h
+++ b/src/storage/record-writer.h
@@ -17,7 +17,7 @@
 /**
  * MhRecordWriterCallbacks:
  * @job_accepted: the first record of the job is durable for the first time: its tasks may be placed
- * @job_ended: the final record of the job is durable; `answer` is what its users get. The job is
+ * @job_ended: the final record of the job is durable; `response` is what its users get. The job is
  * freed after the call
  * @attempts_recorded: attempts of the tasks from `first_task` up to but excluding `end_task` may
  * have become durable: the starts of those that are may be sent
@@ -31,7 +31,7 @@
 typedef struct
 {
   void (*job_accepted) (gpointer owner, MhJob *job);
-  void (*job_ended) (gpointer owner, const MhJob *job, const MhUserResponse *answer);
+  void (*job_ended) (gpointer owner, const MhJob *job, const MhUserResponse *response);
   void (*attempts_recorded) (gpointer owner, MhJob *job, guint first_task, guint end_task);
   void (*job_rechunked) (gpointer owner, MhJob *job);
   void (*leadership_lost) (gpointer owner, MhLossReason reason);
@@ -40,11 +40,11 @@
 
 /**
  * mh_record_writer_new:
- * @runtime: (not transferred): must outlive the writer
- * @calls: (not transferred): must outlive the writer
- * @jobs: (not transferred) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
+ * @runtime: (transfer none): must outlive the writer
+ * @calls: (transfer none): must outlive the writer
+ * @jobs: (transfer none) (element-type utf8 MhJob): the leader's jobs by id; the table owns the
  * jobs. The writer removes jobs that have ended or were not accepted
- * @callbacks: (not transferred): static
+ * @callbacks: (transfer none): static
  * @owner: passed to @callbacks
  *
  * Returns: (transfer full): a writer with nothing to write
@@ -99,7 +99,7 @@
 /**
  * mh_record_writer_delete_key:
  * @writer: a writer
- * @key: (not transferred): a key that is no longer needed
+ * @key: (transfer none): a key that is no longer needed
  *
  * Queues the key to be deleted. A transaction deletes queued keys only if it has room after all
  * records that may be written.
